--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -15,115 +15,116 @@
 )
 
 const (
-	// otherGroupEvery is the time between two questions to an endpoint of another
-	// group of the service: it may have joined the own one.
-	otherGroupEvery = 2 * time.Second
-	// countsShare is the part of the link that counts of experts may take: the rest is
-	// for orders, maps and whatever else the instance sends.
-	countsShare = 1.0 / 3
-	// awaitingCounts is how many usual looks pass until counts are asked for although
-	// something is awaited: copies may take much longer than expected.
-	awaitingCounts = 4
+	// otherGroupPollInterval is the time between two polls of an endpoint that belongs to another
+	// group of the service, since it may have joined this one.
+	otherGroupPollInterval = 2 * time.Second
+	// countsLinkShare is the share of the link's bandwidth that expert counts may use. The rest is
+	// for orders, maps and all other traffic of the instance.
+	countsLinkShare = 1.0 / 3
+	// awaitingPollsPerCounts is how many regular poll intervals lie between two requests for counts
+	// while the leader awaits an event. Counts are still requested then because copies may take
+	// much longer than expected.
+	awaitingPollsPerCounts = 4
 )
 
-// inOtherGroup reports whether an endpoint lately said that it is in another group.
+// inOtherGroup reports whether the endpoint recently reported that it belongs to another group.
 func (m *member) inOtherGroup(own rank.Report, now time.Time) bool {
 	other := m.report.Group
-	return other != "" && other != own.Group && now.Sub(m.seen) < otherGroupEvery
+	return other != "" && other != own.Group && now.Sub(m.lastSeen) < otherGroupPollInterval
 }
 
-// ask asks every rank for its report; it reports whether all answered and the
-// group is complete, but perhaps for the rank that led before.
-func (l *leader) ask(ctx context.Context, own rank.Report) bool {
+// pollRanks requests a report from every rank. It returns true if all of them answered and the
+// group is complete, except possibly for the rank that led before.
+func (l *leader) pollRanks(ctx context.Context, own rank.Report) bool {
 	began := time.Now()
-	heard, silent := l.toAsk(own, began)
+	responsive, silent := l.pollTargets(own, began)
 	var g errgroup.Group
 	for _, m := range silent {
 		g.Go(func() error {
-			l.s.contained(func() { l.askSilent(ctx, m) })
+			l.s.containPanic(func() { l.pollSilent(ctx, m) })
 			return nil
 		})
 	}
-	l.askHeard(ctx, own, heard)
-	_ = g.Wait() // No function returns an error: a rank that is not heard shows below.
-	l.s.figures.looks.UpdateSince(began)
-	l.s.log.Debug("look", zap.Duration("took", time.Since(began)), zap.Int("asked", len(heard)), zap.Int("silent", len(silent)),
-		zap.Int("summed", l.newest.Summed), zap.Int("bytes-of-counts", len(l.newest.Counts)))
-	l.place(own)
-	return l.complete(own)
+	l.pollResponsive(ctx, own, responsive)
+	_ = g.Wait() // No function returns an error; silent ranks are handled below.
+	l.s.stats.polls.UpdateSince(began)
+	l.s.log.Debug("look", zap.Duration("took", time.Since(began)), zap.Int("asked", len(responsive)), zap.Int("silent", len(silent)),
+		zap.Int("summed", l.lastResponse.SummedRanks), zap.Int("bytes-of-counts", len(l.lastResponse.Counts)))
+	l.indexByRank(own)
+	return l.checkComplete(own)
 }
 
-// toAsk returns the other ranks that are to be asked: those that are asked down the
-// tree, and those that did not answer last time, which are asked apart so that none
-// below them is missed.
-func (l *leader) toAsk(own rank.Report, now time.Time) (heard, silent []*member) {
-	for _, m := range l.all {
+// pollTargets returns the other ranks to poll: responsive ones are polled down the tree; those that
+// did not answer the last poll are polled individually, so that no rank below them in the tree is
+// missed.
+func (l *leader) pollTargets(own rank.Report, now time.Time) (responsive, silent []*member) {
+	for _, m := range l.members {
 		switch {
 		case m.endpoint.Address == l.s.cfg.Address || m.inOtherGroup(own, now):
-		case m.missed:
+		case m.sidecarSilent:
 			silent = append(silent, m)
 		default:
-			heard = append(heard, m)
+			responsive = append(responsive, m)
 		}
 	}
-	return heard, silent
+	return responsive, silent
 }
 
-// askHeard puts a question to this rank and, down the tree, to others.
-func (l *leader) askHeard(ctx context.Context, own rank.Report, list []*member) {
-	q := questionTo(list)
+// pollResponsive polls this rank and, through the tree, the listed ones.
+func (l *leader) pollResponsive(ctx context.Context, own rank.Report, list []*member) {
+	q := newQuery(list)
 	q.Engines = append([]string{l.s.cfg.Address}, q.Engines...)
-	if now := time.Now(); now.Sub(l.countsAt) >= l.untilCounts(now) {
-		q.Group, l.countsAt = own.Group, now
+	if now := time.Now(); now.Sub(l.countsPolledAt) >= l.countsPollInterval(now) {
+		q.Group, l.countsPolledAt = own.Group, now
 	}
-	q.Limit = askTimeout + time.Duration(depth(len(list), q.Fan))*stepTime
-	call, cancel := context.WithTimeout(ctx, q.Limit)
+	q.Timeout = sidecarTimeout + time.Duration(depth(len(list), q.Fanout))*hopTime
+	call, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
-	a := l.s.askTree(call, q)
+	a := l.s.queryTree(call, q)
 	for _, m := range list {
-		m.fresh, m.missed = false, true
+		m.answered, m.sidecarSilent = false, true
 	}
 	now := time.Now()
 	for _, r := range a.Ranks {
-		if r.Place < 0 || r.Place > len(list) || r.Report == nil {
+		if r.Index < 0 || r.Index > len(list) || r.Report == nil {
 			continue
 		}
 		m := l.self
-		if r.Place > 0 {
-			m = list[r.Place-1]
+		if r.Index > 0 {
+			m = list[r.Index-1]
 		}
-		m.hear(*r.Report, now)
+		m.acceptReport(*r.Report, now)
 	}
-	l.newest = a
-	l.s.figures.missed.Inc(int64(len(list) + 1 - len(a.Ranks)))
-	l.s.figures.bytes.Update(int64(len(a.Counts)))
-	if a.Summed > 0 && l.s.cfg.LinkRate > 0 {
-		bytes := float64(min(q.Fan, len(list)) * len(a.Counts))
-		l.countsPause = time.Duration(bytes / (countsShare * l.s.cfg.LinkRate) * float64(time.Second))
+	l.lastResponse = a
+	l.s.stats.ranksMissed.Inc(int64(len(list) + 1 - len(a.Ranks)))
+	l.s.stats.countsBytes.Update(int64(len(a.Counts)))
+	if a.SummedRanks > 0 && l.s.cfg.LinkRate > 0 {
+		bytes := float64(min(q.Fanout, len(list)) * len(a.Counts))
+		l.minCountsInterval = time.Duration(bytes / (countsLinkShare * l.s.cfg.LinkRate) * float64(time.Second))
 	}
 }
 
-// untilCounts is the time between two questions for counts. While something is
-// awaited that is looked for often, counts would make each look long.
-func (l *leader) untilCounts(now time.Time) time.Duration {
-	if l.awaits(now) {
-		return awaitingCounts * l.lookPause()
+// countsPollInterval returns the time between two requests for counts. While the leader polls often
+// for an awaited event, counts would make each poll slow.
+func (l *leader) countsPollInterval(now time.Time) time.Duration {
+	if l.awaitsEvent(now) {
+		return awaitingPollsPerCounts * l.pollInterval()
 	}
-	return l.countsPause
+	return l.minCountsInterval
 }
 
-// hear takes in a rank's word; that of an earlier life than is known of is left out, and
-// the rank counts as one that did not answer.
-func (m *member) hear(r rank.Report, now time.Time) {
+// acceptReport stores a rank's report. A report of an earlier incarnation than the known one is
+// ignored, and the rank counts as not having answered.
+func (m *member) acceptReport(r rank.Report, now time.Time) {
 	if fleet.CompareLives(max(m.endpoint.Born, m.report.Born), r.Born) < 0 {
 		return
 	}
-	m.report, m.seen = r, now
-	m.fresh, m.missed, m.lost = true, false, false
+	m.report, m.lastSeen = r, now
+	m.answered, m.sidecarSilent, m.engineSilent = true, false, false
 }
 
-// lives returns the births of the ranks, in their order.
-func (l *leader) lives() []int64 {
+// incarnations returns when each rank's engine process started, by rank.
+func (l *leader) incarnations() []int64 {
 	list := make([]int64, len(l.byRank))
 	for r, m := range l.byRank {
 		if m != nil {
@@ -133,10 +134,10 @@
 	return list
 }
 
-// begunAnew reports whether a rank is in a later life than when the machine was made:
-// it forgot maps, armings, holds and fences, and the group is another one however its
-// epochs are counted.
-func begunAnew(before, now []int64) bool {
+// anyRestarted reports whether a rank has restarted since the cutover machine was created. A
+// restarted rank has lost its maps, armings, holds and fences, and the group is a different one
+// even if its epoch number is the same.
+func anyRestarted(before, now []int64) bool {
 	for r := range min(len(before), len(now)) {
 		if fleet.CompareLives(before[r], now[r]) != 0 {
 			return true
@@ -145,76 +146,76 @@
 	return false
 }
 
-// questionTo returns a question to ranks: down a tree where they are many, and to
-// all at once where they are not.
-func questionTo(list []*member) question {
-	q := question{Fan: fanFor(len(list))}
+// newQuery returns a query to the listed ranks: through a tree if there are many of them, otherwise
+// to all of them directly.
+func newQuery(list []*member) treeQuery {
+	q := treeQuery{Fanout: fanoutFor(len(list))}
 	for _, m := range list {
 		q.Engines = append(q.Engines, m.endpoint.Address)
 	}
 	return q
 }
 
-// askSilent asks a rank that was not heard last time, and its engine at the same
-// time: the group may be standing until it is known which of the two is gone.
-func (l *leader) askSilent(ctx context.Context, m *member) {
-	ctx, cancel := context.WithTimeout(ctx, silentTimeout)
+// pollSilent polls a rank whose sidecar did not answer the last poll, and its engine at the same
+// time: the group may be stalled until it is known which of the two has failed.
+func (l *leader) pollSilent(ctx context.Context, m *member) {
+	ctx, cancel := context.WithTimeout(ctx, silentPollTimeout)
 	defer cancel()
 	var engine *rank.Report
 	var g errgroup.Group
 	g.Go(func() error {
-		l.s.contained(func() { engine = l.askStraight(ctx, m) })
+		l.s.containPanic(func() { engine = l.pollEngineDirectly(ctx, m) })
 		return nil
 	})
-	a, err := l.s.below(ctx, question{Engines: []string{m.endpoint.Address}, Fan: 1, Limit: silentTimeout})
-	_ = g.Wait() // The function returns no error: nothing is known of an engine that is not heard.
-	m.fresh = false
+	a, err := l.s.querySidecar(ctx, treeQuery{Engines: []string{m.endpoint.Address}, Fanout: 1, Timeout: silentPollTimeout})
+	_ = g.Wait() // The function returns no error; the result stays nil if the engine does not answer.
+	m.answered = false
 	switch {
 	case err == nil && len(a.Ranks) == 1 && a.Ranks[0].Report != nil:
-		m.hear(*a.Ranks[0].Report, time.Now())
+		m.acceptReport(*a.Ranks[0].Report, time.Now())
 	case engine != nil && fleet.CompareLives(max(m.endpoint.Born, m.report.Born), engine.Born) >= 0:
-		m.report, m.seen, m.fresh = *engine, time.Now(), true
+		m.report, m.lastSeen, m.answered = *engine, time.Now(), true
 	case err != nil:
-		l.s.log.Debug("sidecar not heard", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
+		l.s.log.Debug("sidecar unreachable", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
 	}
 }
 
-// askStraight asks an engine whose sidecar does not answer, nil when it is not to be
-// asked now or does not answer either: the sidecar may have died while its engine
-// held the group. Such calls are priced, so they are few.
-func (l *leader) askStraight(ctx context.Context, m *member) *rank.Report {
-	if time.Since(m.straight) < straightEvery {
+// pollEngineDirectly polls an engine whose sidecar does not answer: the sidecar may have died while
+// its engine held the group. It returns nil if the engine was polled too recently or does not
+// answer either. Each such call has a cost, so they are rate-limited.
+func (l *leader) pollEngineDirectly(ctx context.Context, m *member) *rank.Report {
+	if time.Since(m.enginePolledAt) < enginePollInterval {
 		return nil
 	}
-	m.straight = time.Now()
+	m.enginePolledAt = time.Now()
 	r, err := l.s.dial(m.endpoint.Address).Report(ctx)
-	if m.lost = err != nil; m.lost {
-		l.s.log.Info("rank not heard", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
+	if m.engineSilent = err != nil; m.engineSilent {
+		l.s.log.Info("rank unreachable", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
 		return nil
 	}
 	return &r
 }
 
-// place puts the members that were heard in their places.
-func (l *leader) place(own rank.Report) {
+// indexByRank assigns the members that answered the newest poll to their ranks.
+func (l *leader) indexByRank(own rank.Report) {
 	l.byRank = make([]*member, own.Size)
-	for _, m := range l.all {
+	for _, m := range l.members {
 		r := m.report
-		if m.fresh && r.Group == own.Group && r.Epoch == own.Epoch && r.Open && r.Rank >= 0 && r.Rank < own.Size {
+		if m.answered && r.Group == own.Group && r.Epoch == own.Epoch && r.Open && r.Rank >= 0 && r.Rank < own.Size {
 			l.byRank[r.Rank] = m
 		}
 	}
 }
 
-// complete reports whether all ranks are in their places, but perhaps for the one
-// that led before, which is then the absent one.
-func (l *leader) complete(own rank.Report) bool {
+// checkComplete reports whether every rank of the group answered, except possibly the rank that led
+// before, which is then recorded as absent.
+func (l *leader) checkComplete(own rank.Report) bool {
 	l.absent = cutover.None
 	for r, m := range l.byRank {
 		if m != nil {
 			continue
 		}
-		if l.absent != cutover.None || !l.ledBefore(r, own) || !l.engineLost(own) {
+		if l.absent != cutover.None || !l.wasLeader(r, own) || !l.silentEnginesUnreachable(own) {
 			return false
 		}
 		l.absent = r
@@ -222,29 +223,28 @@
 	return true
 }
 
-// engineLost reports whether whoever is silent of the own group did not answer past
-// its sidecar either: where only the sidecar has died, its engine is asked now and
-// then, and nothing is to be ended without it.
-func (l *leader) engineLost(own rank.Report) bool {
-	for _, m := range l.all {
+// silentEnginesUnreachable reports whether the engine of every silent member that may belong to
+// this group failed to answer a direct poll too. If only the sidecar of a member has died, its
+// engine is still polled from time to time, and no change may be ended without it.
+func (l *leader) silentEnginesUnreachable(own rank.Report) bool {
+	for _, m := range l.members {
 		mayBeOurs := m.report.Group == own.Group || m.report.Group == ""
-		if !m.fresh && mayBeOurs && !m.lost {
+		if !m.answered && mayBeOurs && !m.engineSilent {
 			return false
 		}
 	}
 	return true
 }
 
-// ledBefore reports whether a rank is the last other one that is known to have led
-// in this epoch.
-func (l *leader) ledBefore(r int, own rank.Report) bool {
+// wasLeader reports whether r is the other rank that is last known to have led in this epoch.
+func (l *leader) wasLeader(r int, own rank.Report) bool {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
-	led := l.s.lead.led
+	led := l.s.lead.active
 	return led.Group == own.Group && led.Epoch == own.Epoch && led.Rank == r && r != own.Rank
 }
 
-// reports returns the newest reports by rank.
+// reports returns the newest reports, by rank.
 func (l *leader) reports() []rank.Report {
 	list := make([]rank.Report, len(l.byRank))
 	for r, m := range l.byRank {
--- a/internal/sidecar/ask_test.go
+++ b/internal/sidecar/ask_test.go
@@ -16,9 +16,9 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// A rank whose sidecar alone has died still answers past it, now and then: it is
-// not absent in between, or the group's leader would begin anew at each look.
-func TestOnlyWhoDoesNotAnswerAtAllIsAbsent(t *testing.T) {
+// An engine whose sidecar has died still answers direct polls, which are rare. Between two of them
+// the rank must not count as absent, or the leader would create a new cutover machine at each poll.
+func TestRankIsAbsentOnlyIfSidecarAndEngineAreSilent(t *testing.T) {
 	ours, theirs := rank.Report{Group: "g"}, rank.Report{Group: "other"}
 	for _, tc := range []struct {
 		name   string
@@ -26,46 +26,46 @@
 		want   bool
 	}{
 		{"its sidecar has died", member{report: ours}, false},
-		{"its instance is frozen", member{report: ours, lost: true}, true},
-		{"frozen, and never heard before", member{lost: true}, true},
-		{"not asked past its sidecar yet", member{}, false},
+		{"its instance is frozen", member{report: ours, engineSilent: true}, true},
+		{"frozen, and never reported before", member{engineSilent: true}, true},
+		{"engine not polled directly yet", member{}, false},
 		{"of another group", member{report: theirs}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := &leader{all: []*member{{report: ours, fresh: true}, &tc.silent}}
-			NewWithT(t).Expect(l.engineLost(ours)).To(Equal(tc.want))
+			l := &leader{members: []*member{{report: ours, answered: true}, &tc.silent}}
+			NewWithT(t).Expect(l.silentEnginesUnreachable(ours)).To(Equal(tc.want))
 		})
 	}
 }
 
-// Who leads after a leader that fell silent does not ask others through it.
-func TestTheLeaderThatFellSilentIsPassedOver(t *testing.T) {
+// A new leader must not relay queries through the former leader if that one is silent.
+func TestSilentFormerLeaderIsNotUsedAsRelay(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
-		name  string
-		heard time.Time // When the leader was last heard.
-		seen  time.Time // When its rank last answered.
-		want  bool
+		name        string
+		announcedAt time.Time // When the leader's last announcement arrived.
+		seen        time.Time // When its rank last answered a poll.
+		want        bool
 	}{
-		{"it fell silent", now.Add(-2 * leadLapse), time.Time{}, true},
+		{"it became silent", now.Add(-2 * leadTimeout), time.Time{}, true},
 		{"it leads", now, time.Time{}, false},
-		{"it answered since", now.Add(-2 * leadLapse), now, false},
+		{"it answered since", now.Add(-2 * leadTimeout), now, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := &Sidecar{lead: leadership{at: tc.heard, from: netip.MustParseAddr("10.0.0.1")}}
-			led := &member{endpoint: fleet.Endpoint{Address: "10.0.0.1:80"}, seen: tc.seen}
+			s := &Sidecar{lead: leadership{announcedAt: tc.announcedAt, from: netip.MustParseAddr("10.0.0.1")}}
+			led := &member{endpoint: fleet.Endpoint{Address: "10.0.0.1:80"}, lastSeen: tc.seen}
 			other := &member{endpoint: fleet.Endpoint{Address: "10.0.0.2:80"}}
-			l := &leader{s: s, all: []*member{led, other}}
-			l.passOver(now)
-			g.Expect(led.missed).To(Equal(tc.want))
-			g.Expect(other.missed).To(BeFalse())
+			l := &leader{s: s, members: []*member{led, other}}
+			l.markSilentLeader(now)
+			g.Expect(led.sidecarSilent).To(Equal(tc.want))
+			g.Expect(other.sidecarSilent).To(BeFalse())
 		})
 	}
 }
 
-// A rank whose sidecar is silent is asked past it at the same time.
-func TestASilentRankAndItsEngineAreAskedTogether(t *testing.T) {
+// A rank whose sidecar is silent is polled through its sidecar and its engine at the same time.
+func TestSilentSidecarAndEngineArePolledConcurrently(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		sidecar, engine bool
@@ -79,11 +79,11 @@
 			g := NewWithT(t)
 			silent := errors.New("no answer")
 			s := &Sidecar{log: zap.NewNop()}
-			s.below = func(context.Context, question) (answers, error) {
+			s.querySidecar = func(context.Context, treeQuery) (treeResponse, error) {
 				if !tc.sidecar {
-					return answers{}, silent
+					return treeResponse{}, silent
 				}
-				return answers{Ranks: []answered{{Report: &rank.Report{Group: "g"}}}}, nil
+				return treeResponse{Ranks: []rankResponse{{Report: &rank.Report{Group: "g"}}}}, nil
 			}
 			s.dial = func(string) rank.Engine {
 				return rank.Engine{Report: func(context.Context) (rank.Report, error) {
@@ -93,11 +93,11 @@
 					return rank.Report{Group: "g"}, nil
 				}}
 			}
-			m := &member{missed: true}
-			(&leader{s: s}).askSilent(context.Background(), m)
-			g.Expect(m.fresh).To(Equal(tc.fresh))
-			g.Expect(m.lost).To(Equal(tc.lost))
-			g.Expect(m.missed).To(Equal(!tc.sidecar))
+			m := &member{sidecarSilent: true}
+			(&leader{s: s}).pollSilent(context.Background(), m)
+			g.Expect(m.answered).To(Equal(tc.fresh))
+			g.Expect(m.engineSilent).To(Equal(tc.lost))
+			g.Expect(m.sidecarSilent).To(Equal(!tc.sidecar))
 		})
 	}
 }
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -21,23 +21,22 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// pathOrder is the call that gives the leader's own engine an order; pathTree is that
-// for all others.
+// pathOrder is the path of the call that sends an order to the leader's own engine. All other
+// orders use pathTree.
 const pathOrder = "/v1/orders"
 
-// maxPeerAnswer bounds what is read of a call between sidecars: the counts or
-// the map of the largest group.
-const maxPeerAnswer = 4 << 20
+// maxPeerResponse bounds the body of a call between sidecars, in bytes. It holds the counts or the
+// map of the largest group.
+const maxPeerResponse = 4 << 20
 
-// orderCall is an order that a leader has another sidecar give to the leader's own
-// engine.
-type orderCall struct {
+// orderRequest is an order that a leader asks another sidecar to send to the leader's own engine.
+type orderRequest struct {
 	rank.Order
 	Engine string `json:"engine"`
 }
 
-// answer is what became of an order.
-type answer struct {
+// orderResponse is the result of an order.
+type orderResponse struct {
 	Result rank.Result `json:"result"`
 	Error  string      `json:"error,omitempty"`
 }
@@ -51,8 +50,8 @@
 }
 
 func (s *Sidecar) serveOrder(w http.ResponseWriter, r *http.Request) {
-	var o orderCall
-	raw, err := io.ReadAll(io.LimitReader(r.Body, maxPeerAnswer))
+	var o orderRequest
+	raw, err := io.ReadAll(io.LimitReader(r.Body, maxPeerResponse))
 	if err == nil {
 		err = json.Unmarshal(raw, &o)
 	}
@@ -63,52 +62,51 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	httpjson.Reply(w, s.armFor(r.Context(), o.Engine, o.Order))
+	httpjson.Reply(w, s.armLeader(r.Context(), o.Engine, o.Order))
 }
 
-// carryOutMap gives an order to the own engine, with its map if it is one to
-// prepare.
-func (s *Sidecar) carryOutMap(ctx context.Context, o rank.Order, text *mapText) (done answered) {
-	if o.Op == rank.Prepare && text != nil {
-		m, err := s.maps.read(*text)
+// executeWithMap sends an order to this sidecar's engine, with the decoded map if it is a Prepare.
+func (s *Sidecar) executeWithMap(ctx context.Context, o rank.Order, encoded *encodedMap) (done rankResponse) {
+	if o.Op == rank.Prepare && encoded != nil {
+		m, err := s.maps.decode(*encoded)
 		if err != nil {
-			s.log.Info("map not read", zap.Uint64("version", o.Version), zap.String("error", err.Error()))
-			return answered{Result: rank.Lost, Error: err.Error(), NoBase: errors.Is(err, errNoBase)}
+			s.log.Info("map not decoded", zap.Uint64("version", o.Version), zap.String("error", err.Error()))
+			return rankResponse{Result: rank.Lost, Error: err.Error(), UnknownBase: errors.Is(err, errUnknownBase)}
 		}
 		o.Map = m
 	}
-	a := s.carryOut(ctx, o)
-	return answered{Result: a.Result, Error: a.Error}
+	a := s.executeOrder(ctx, o)
+	return rankResponse{Result: a.Result, Error: a.Error}
 }
 
-// carryOut gives an order to the own engine. One that is not answered is given
-// again: that does no harm, and waiting for it would hold up the group.
-func (s *Sidecar) carryOut(ctx context.Context, o rank.Order) (a answer) {
+// executeOrder sends an order to this sidecar's engine. An order without an answer is sent again:
+// that is harmless, whereas waiting for the answer would stall the group.
+func (s *Sidecar) executeOrder(ctx context.Context, o rank.Order) (a orderResponse) {
 	for began := time.Now(); ; {
 		tried := time.Now()
-		if a = s.carryOutOnce(ctx, o); a.Result != rank.Lost || ctx.Err() != nil || time.Since(began) >= orderTime {
+		if a = s.tryOrder(ctx, o); a.Result != rank.Lost || ctx.Err() != nil || time.Since(began) >= orderRetryWindow {
 			return a
 		}
-		wait.For(ctx, leastOrderTimeout-time.Since(tried)) // An engine that is gone refuses at once.
+		wait.For(ctx, minOrderTimeout-time.Since(tried)) // The port of an engine that has exited refuses connections immediately.
 	}
 }
 
-// orderPause is how long an answer of the own engine is waited for.
-func (s *Sidecar) orderPause() time.Duration {
+// orderAttemptTimeout returns how long one attempt waits for this engine's answer to an order.
+func (s *Sidecar) orderAttemptTimeout() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.orderTook.Known() {
-		return orderTimeout
+		return maxOrderTimeout
 	}
-	return min(max(orderPatience*s.orderTook.Most(), leastOrderTimeout), orderTimeout)
+	return min(max(orderTimeoutFactor*s.orderTook.Most(), minOrderTimeout), maxOrderTimeout)
 }
 
-func (s *Sidecar) carryOutOnce(ctx context.Context, o rank.Order) (a answer) {
-	ctx, cancel := context.WithTimeout(ctx, s.orderPause())
+func (s *Sidecar) tryOrder(ctx context.Context, o rank.Order) (a orderResponse) {
+	ctx, cancel := context.WithTimeout(ctx, s.orderAttemptTimeout())
 	defer cancel()
 	began := time.Now()
 	result, err := s.engine.Order(ctx, o)
-	s.figures.orders.Inc(1)
+	s.stats.orders.Inc(1)
 	a.Result = result
 	if err != nil {
 		a.Error = err.Error()
@@ -123,7 +121,7 @@
 // peerClient calls other sidecars.
 type peerClient struct {
 	client *http.Client
-	port   int // Of every sidecar.
+	port   int // Same on every instance.
 }
 
 func newPeerClient(cfg Config) (c *peerClient, cleanup func()) {
@@ -132,8 +130,8 @@
 	return &peerClient{client: &http.Client{Transport: t}, port: cfg.PeersPort}, t.CloseIdleConnections
 }
 
-// order has a sidecar give the leader's engine an order.
-func (c *peerClient) order(ctx context.Context, engine string, o orderCall) (a answer, err error) {
+// order asks the sidecar of an engine to send the leader's engine an order.
+func (c *peerClient) order(ctx context.Context, engine string, o orderRequest) (a orderResponse, err error) {
 	raw, err := json.Marshal(o)
 	if err != nil {
 		return a, err
@@ -143,15 +141,15 @@
 }
 
 func (c *peerClient) call(ctx context.Context, method, engine, path string, body []byte, v any) (err error) {
-	raw, err := c.raw(ctx, method, engine, path, body)
+	raw, err := c.do(ctx, method, engine, path, body)
 	if err != nil {
 		return err
 	}
 	return errors.Wrapf(json.Unmarshal(raw, v), "sidecar of %s", engine)
 }
 
-// raw makes one call and returns the answer's body.
-func (c *peerClient) raw(ctx context.Context, method, engine, path string, body []byte) (raw []byte, err error) {
+// do makes one call and returns the response body.
+func (c *peerClient) do(ctx context.Context, method, engine, path string, body []byte) (raw []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "sidecar of %s", engine) }()
 	address, err := peers.Beside(engine, c.port)
 	if err != nil {
@@ -161,5 +159,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return httpjson.Do(c.client, r, maxPeerAnswer)
+	return httpjson.Do(c.client, r, maxPeerResponse)
 }
--- a/internal/sidecar/calls_test.go
+++ b/internal/sidecar/calls_test.go
@@ -24,36 +24,36 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// sidecars answers for many sidecars, at one port of their addresses, and counts the orders
-// that each has taken.
-type sidecars struct {
-	client *peerClient
-	mu     sync.Mutex
-	taken  map[uint64]int // By version.
+// fakeSidecars stands in for many sidecars, on one port of many loopback addresses, and counts how
+// often each order was received.
+type fakeSidecars struct {
+	client      *peerClient
+	mu          sync.Mutex
+	ordersTaken map[uint64]int // By version.
 }
 
-// newSidecars returns sidecars and a client of them, whose times of idle connections are both
-// shortened by a factor. Before each call the function may break its connection off.
-func newSidecars(t *testing.T, factor time.Duration, breaksOff func() bool) *sidecars {
+// newFakeSidecars returns fake sidecars and a client for them. The idle timeouts of both sides are
+// divided by factor. abortsConn is called before and after each call and may abort its connection.
+func newFakeSidecars(t *testing.T, factor time.Duration, abortsConn func() bool) *fakeSidecars {
 	g := NewWithT(t)
-	s := &sidecars{taken: map[uint64]int{}}
+	s := &fakeSidecars{ordersTaken: map[uint64]int{}}
 	l, err := net.Listen("tcp4", "0.0.0.0:0") // All loopback addresses.
 	g.Expect(err).NotTo(HaveOccurred())
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if breaksOff() {
+		if abortsConn() {
 			panic(http.ErrAbortHandler)
 		}
-		var o orderCall
+		var o orderRequest
 		if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		s.mu.Lock()
-		s.taken[o.Version]++
+		s.ordersTaken[o.Version]++
 		s.mu.Unlock()
-		httpjson.Reply(w, answer{Result: rank.Done})
-		if breaksOff() {
-			panic(http.ErrAbortHandler) // Perhaps after the answer.
+		httpjson.Reply(w, orderResponse{Result: rank.Done})
+		if abortsConn() {
+			panic(http.ErrAbortHandler) // The response may have been sent already.
 		}
 	}))
 	g.Expect(srv.Listener.Close()).To(Succeed())
@@ -65,76 +65,77 @@
 	t.Cleanup(cleanup)
 	transport := client.client.Transport.(*http.Transport)
 	transport.IdleConnTimeout /= factor
-	transport.DialContext = (&net.Dialer{}).DialContext // However busy the machine is.
+	transport.DialContext = (&net.Dialer{}).DialContext // No dial timeout, so that a busy machine does not fail the test.
 	s.client = client
 	return s
 }
 
-const sidecarsAsked = 200
+const sidecarCount = 200
 
-// order gives the order of a number to one of the sidecars.
-func (s *sidecars) order(number int) error {
+// sendOrder sends the order with the given number to one of the sidecars.
+func (s *fakeSidecars) sendOrder(number int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), eventually)
 	defer cancel()
-	engine := fmt.Sprintf("127.0.1.%d:9", 1+number%sidecarsAsked)
-	a, err := s.client.order(ctx, engine, orderCall{Order: rank.Order{Op: rank.Arm, Version: uint64(number)}, Engine: engine})
+	engine := fmt.Sprintf("127.0.1.%d:9", 1+number%sidecarCount)
+	a, err := s.client.order(ctx, engine, orderRequest{Order: rank.Order{Op: rank.Arm, Version: uint64(number)}, Engine: engine})
 	if err == nil && a.Result != rank.Done {
 		return errors.Newf("order %d: %s", number, a.Result)
 	}
 	return err
 }
 
-// times returns how often an order was taken.
-func (s *sidecars) times(number int) int {
+// timesTaken returns how often an order was received.
+func (s *fakeSidecars) timesTaken(number int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.taken[uint64(number)]
+	return s.ordersTaken[uint64(number)]
 }
 
-// Guards against orders that meet the end of a connection that has rested.
-func TestNoOrderMeetsTheEndOfAnIdleConnection(t *testing.T) {
+// Guards against orders that fail because the server closes an idle connection as the order is
+// sent.
+func TestOrdersAvoidIdleConnectionClose(t *testing.T) {
 	t.Parallel()
-	const factor, around = 60, 200 * time.Millisecond
-	for _, rested := range []time.Duration{peers.CallerIdle / factor, peers.ServerIdle / factor} {
-		t.Run(rested.String(), func(t *testing.T) {
+	const factor, spread = 60, 200 * time.Millisecond
+	for _, idle := range []time.Duration{peers.CallerIdle / factor, peers.ServerIdle / factor} {
+		t.Run(idle.String(), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			s := newSidecars(t, factor, func() bool { return false })
+			s := newFakeSidecars(t, factor, func() bool { return false })
 			var group errgroup.Group
-			for i := range sidecarsAsked {
+			for i := range sidecarCount {
 				group.Go(func() error {
-					if err := s.order(i); err != nil {
+					if err := s.sendOrder(i); err != nil {
 						return err
 					}
-					time.Sleep(rested - around/2 + around*time.Duration(i)/sidecarsAsked)
-					return s.order(sidecarsAsked + i)
+					time.Sleep(idle - spread/2 + spread*time.Duration(i)/sidecarCount)
+					return s.sendOrder(sidecarCount + i)
 				})
 			}
 			g.Expect(group.Wait()).To(Succeed())
-			for i := range 2 * sidecarsAsked {
-				g.Expect(s.times(i)).To(Equal(1))
+			for i := range 2 * sidecarCount {
+				g.Expect(s.timesTaken(i)).To(Equal(1))
 			}
 		})
 	}
 }
 
-// Guards against orders that are sent again by the transport as connections break.
-func TestABrokenConnectionRepeatsNoOrder(t *testing.T) {
+// Guards against orders that the HTTP transport sends again when a connection breaks.
+func TestBrokenConnectionDoesNotRepeatOrders(t *testing.T) {
 	t.Parallel()
 	const each = 20
 	g := NewWithT(t)
-	s := newSidecars(t, 1, func() bool { return rand.IntN(10) == 0 })
+	s := newFakeSidecars(t, 1, func() bool { return rand.IntN(10) == 0 })
 	var lost atomic.Int64
 	var group errgroup.Group
-	for i := range sidecarsAsked {
+	for i := range sidecarCount {
 		group.Go(func() error {
 			for j := range each {
-				number := i + j*sidecarsAsked
-				err := s.order(number)
+				number := i + j*sidecarCount
+				err := s.sendOrder(number)
 				if err != nil {
 					lost.Add(1)
 				}
-				if n := s.times(number); n > 1 || n == 0 && err == nil {
+				if n := s.timesTaken(number); n > 1 || n == 0 && err == nil {
 					return errors.Newf("order %d was taken %d times: %v", number, n, err)
 				}
 			}
@@ -142,6 +143,6 @@
 		})
 	}
 	g.Expect(group.Wait()).To(Succeed())
-	t.Logf("%d of %d orders without an answer", lost.Load(), sidecarsAsked*each)
-	g.Expect(lost.Load()).To(BeNumerically("<", sidecarsAsked*each/2))
+	t.Logf("%d of %d orders without an answer", lost.Load(), sidecarCount*each)
+	g.Expect(lost.Load()).To(BeNumerically("<", sidecarCount*each/2))
 }
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -17,123 +17,123 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// planner follows the demand for experts and makes maps for it.
+// planner tracks the demand for experts and plans maps for it.
 type planner struct {
-	follower *demand.Follower // Nil until the group's shape is known.
-	taken    uint64           // Number of the own window when counts were last taken in.
-	current  rebalance.Map
-	version  uint64 // Of current; meaningful only when known is set.
-	known    bool
-	pass     time.Duration // Smoothed time of a pass; 0 when not known.
-	pending  *pending      // The change under way; nil for none.
+	follower   *demand.Follower // Nil until the shape of the group is known.
+	lastWindow uint64           // Number of this rank's window when counts were last ingested.
+	current    rebalance.Map
+	version    uint64 // Version of current; valid only if known is set.
+	known      bool
+	passTime   time.Duration // Smoothed duration of a pass; 0 if unknown.
+	pending    *pending      // Change in progress; nil if there is none.
 }
 
 // pending is a change whose experts are being copied.
 type pending struct {
-	plan    remap.Plan
-	version uint64
-	began   time.Time
-	due     time.Time // When the copies should be there.
-	shifts  int       // That were noticed when it was last judged.
-	speeds  []float64 // Of the ranks then; nil when all were alike.
+	plan        remap.Plan
+	version     uint64
+	began       time.Time
+	copiesDueAt time.Time // When the copies should be complete.
+	shiftsSeen  int       // Demand shifts counted when the change was last evaluated.
+	speeds      []float64 // Speed of each rank at that time; nil if all were equal.
 }
 
-// Weights of planning.
+// Parameters of planning.
 const (
-	// memoryShare is the part of an answer's unhurried time over which counts are
-	// smoothed: what streams that end and begin are about changes by chance within
-	// a few prompts, and a change of demand is to be seen before most of them end.
-	memoryShare = 0.45
-	// usualMemory smooths the counts where answers' usual length is not published.
-	usualMemory = 450 * time.Millisecond
-	// noticeLooks is how many looks a shift takes to be seen and confirmed.
-	noticeLooks = 2
-	// firstChanges is for how many changes' time demand is expected to stay before any
-	// shift of it was seen.
-	firstChanges = 4
-	// paysTimes is how many times its price a change must be worth, since what it
-	// gains is an estimate.
-	paysTimes = 1.5
-	// expertWork is the part of a pass that experts make when none is told.
-	expertWork = 0.85
-	gigabyte   = 1e9
-	// versionsPerRank spreads the versions of different leaders.
-	versionsPerRank = 1024
+	// smoothingShare is the share of a typical answer's duration, at half load, over which counts
+	// are smoothed. Within a few prompts the experts used vary by chance as streams end and begin,
+	// whereas a change of demand must be detected before most streams have ended.
+	smoothingShare = 0.45
+	// defaultSmoothing is the smoothing time where the typical answer length is not published.
+	defaultSmoothing = 450 * time.Millisecond
+	// pollsPerShift is how many polls it takes to detect and confirm a shift of demand.
+	pollsPerShift = 2
+	// initialHorizonChanges is how many times the duration of a change demand is expected to last
+	// before the first shift was detected.
+	initialHorizonChanges = 4
+	// minGainRatio is how many times its price a change must gain, since the gain is an estimate.
+	minGainRatio = 1.5
+	// defaultExpertShare is the share of a pass that experts take where none is published.
+	defaultExpertShare = 0.85
+	gigabyte           = 1e9
+	// versionStride separates the version numbers of different leaders.
+	versionStride = 1024
 )
 
-// Passes and what they mean for callers: an event of a stream comes with each
-// pass, and its pause is a pass, longer by what is read of new prompts. Both are
-// parts of the shortest pause that a route of the service allows.
+// Each pass produces one event of each stream, so the pause between events is the duration of a
+// pass, plus the time to read new prompts. Both ratios are relative to the shortest pause limit of
+// the service's routes.
 const (
-	// easyPass is so short that a shorter one serves nobody better.
-	easyPass = 0.43
-	// hardPass is so long that pauses go over the limit as soon as prompts are read.
-	hardPass = 0.79
-	// leastPressure is the part of the full value that a shorter pass always has in a
-	// group whose slots are all taken, since load may rise.
-	leastPressure = 0.05
+	// lowPassRatio is the ratio below which a shorter pass brings no benefit to callers.
+	lowPassRatio = 0.43
+	// highPassRatio is the ratio above which pauses exceed the limit as soon as prompts are read.
+	highPassRatio = 0.79
+	// minPassTimeWeight is the weight that a shorter pass always has in a group whose slots are all
+	// in use, since load may rise.
+	minPassTimeWeight = 0.05
 )
 
-// pressure is the part of the full value that a shorter pass has now. Where passes are
-// easy, that goes with the requests that are at work: in a fleet of groups with little to
-// do, copies cost more than what is served. At 3,000 endpoints under the load of 300 it
-// leaves 0.314 of what is served to be paid for, copies and all else, in place of 0.499.
-func (l *leader) pressure() float64 {
+// passTimeWeight returns the current value of a shorter pass as a fraction of its full value. While
+// passes are short, the weight is proportional to the requests running: in a fleet whose groups
+// have little load, copies would cost more than the requests served are worth. With 3,000 endpoints
+// under the load of 300, copies and all other costs take 0.314 of the value served, instead of
+// 0.499.
+func (l *leader) passTimeWeight() float64 {
 	if l.pauseLimit <= 0 {
 		return 1
 	}
-	part := (l.planner.pass.Seconds()/l.pauseLimit.Seconds() - easyPass) / (hardPass - easyPass)
-	return min(max(part, leastPressure*l.taken()), 1)
+	part := (l.planner.passTime.Seconds()/l.pauseLimit.Seconds() - lowPassRatio) / (highPassRatio - lowPassRatio)
+	return min(max(part, minPassTimeWeight*l.slotUtilization()), 1)
 }
 
-// taken is the part of the group's slots that requests take.
-func (l *leader) taken() float64 {
-	at := 0
+// slotUtilization returns the fraction of the group's slots that are in use by requests.
+func (l *leader) slotUtilization() float64 {
+	total := 0
 	for _, n := range l.running() {
-		at += n
+		total += n
 	}
 	slots := max(l.shape.Slots*len(l.byRank), 1)
-	return min(float64(at)/float64(slots), 1)
+	return min(float64(total)/float64(slots), 1)
 }
 
-// learn takes in the counts of the newest look, if passes were made since the last
-// ones.
-func (l *leader) learn() {
+// ingestCounts passes the counts of the newest poll to the demand follower, unless no pass has been
+// made since the previous ones.
+func (l *leader) ingestCounts() {
 	p := &l.planner
-	duty.Locked(&l.s.mu, func() { p.pass = l.s.passes.pass })
-	if l.shape == nil || l.shape.Sets == 0 || l.newest.Summed == 0 || l.newest.Epoch != l.epoch || l.newest.Window == p.taken {
+	duty.Locked(&l.s.mu, func() { p.passTime = l.s.passes.mean })
+	if l.shape == nil || l.shape.Sets == 0 || l.lastResponse.SummedRanks == 0 || l.lastResponse.Epoch != l.epoch || l.lastResponse.Window == p.lastWindow {
 		return
 	}
 	if p.follower == nil {
 		p.follower = demand.New(l.demandConfig())
 	}
-	p.taken = l.newest.Window
+	p.lastWindow = l.lastResponse.Window
 	now := time.Now()
-	flat, err := unpackCounts(l.newest.Counts)
+	flat, err := decodeCounts(l.lastResponse.Counts)
 	if err != nil || len(flat) != l.shape.Sets*l.shape.Experts {
-		l.s.log.Warn("counts left out", zap.Int("ranks", l.newest.Summed), zap.Int("numbers", len(flat)), zap.Error(err))
+		l.s.log.Warn("invalid counts ignored", zap.Int("ranks", l.lastResponse.SummedRanks), zap.Int("numbers", len(flat)), zap.Error(err))
 		return
 	}
-	if p.follower.Learn(flat, l.newest.Summed, now) {
-		l.s.log.Info("demand has shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.Left(now)))
+	if p.follower.Learn(flat, l.lastResponse.SummedRanks, now) {
+		l.s.log.Info("demand shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.Left(now)))
 	}
 }
 
 func (l *leader) demandConfig() demand.Config {
 	e := l.shape
-	memory := usualMemory
+	memory := defaultSmoothing
 	if e.UsualAnswer > 0 && e.StepTime > 0 {
 		step := e.StepTime + time.Duration(e.Slots)*e.WriterTime/2
-		memory = time.Duration(memoryShare * e.UsualAnswer * float64(step))
+		memory = time.Duration(smoothingShare * e.UsualAnswer * float64(step))
 	}
 	return demand.Config{Sets: e.Sets, Experts: e.Experts, Ranks: len(l.byRank), Memory: memory}
 }
 
-// group returns the group as package remap sees it.
+// group returns the group as a remap.Group.
 func (l *leader) group() remap.Group {
 	share := l.shape.ExpertShare
 	if share <= 0 {
-		share = expertWork
+		share = defaultExpertShare
 	}
 	return remap.Group{
 		Shape:       rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.Experts, Slots: l.shape.Places},
@@ -143,189 +143,191 @@
 	}
 }
 
-// effort returns the time that changes take here.
+// effort returns the time that a change takes in this group.
 func (l *leader) effort() remap.Effort {
 	return remap.Effort{
 		Copy:  l.copyTime(1),
-		Rest:  noticeLooks*l.lookPause() + l.handing + l.arming.Mean(),
-		Still: max(l.arming.Most()-mostAhead*l.planner.pass, 0),
-		Pass:  l.planner.pass,
+		Rest:  pollsPerShift*l.pollInterval() + l.copyOverrun + l.switchTime.Mean(),
+		Still: max(l.switchTime.Most()-maxPassesAhead*l.planner.passTime, 0),
+		Pass:  l.planner.passTime,
 	}
 }
 
-// change begins a new map, if that pays.
-func (l *leader) change(ctx context.Context) {
+// planChange starts a change to a new map, if that pays.
+func (l *leader) planChange(ctx context.Context) {
 	p := &l.planner
 	if p.follower == nil || p.follower.Load() == nil || p.follower.Suspect() || !l.readMap(ctx) {
 		return
 	}
-	price := l.price(l.left(time.Now()))
+	price := l.price(l.demandHorizon(time.Now()))
 	plan := l.plan(price)
 	if !plan.Pays(l.effort(), price) {
 		return
 	}
-	l.begin(ctx, plan)
+	l.beginChange(ctx, plan)
 }
 
-// left is how much longer demand is expected to stay as it is. Before a shift was
-// seen, it is expected to stay for as long as some changes take: the first map,
-// dealt out in turn, is so uneven that one is worth its copies even if it helps
-// for no longer.
-func (l *leader) left(now time.Time) time.Duration {
+// demandHorizon returns how much longer demand is expected to stay as it is. Before the first shift
+// is detected, it is expected to stay for at least the duration of a few changes: the initial
+// round-robin map is so uneven that a better one is worth its copies even if it helps for no
+// longer.
+func (l *leader) demandHorizon(now time.Time) time.Duration {
 	f := l.planner.follower
 	if f.Shifts() > 0 {
 		return f.Left(now)
 	}
 	e := l.effort()
-	return max(f.Left(now), firstChanges*(e.Copy+e.Rest))
+	return max(f.Left(now), initialHorizonChanges*(e.Copy+e.Rest))
 }
 
-// price says what changes are worth while demand stays for so long.
+// price returns the prices by which changes are valued if demand stays as it is for the given time.
 func (l *leader) price(left time.Duration) remap.Price {
 	return remap.Price{
-		Second: l.s.cfg.SkewPrice * l.pressure(),
-		Copy:   paysTimes * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
+		Second: l.s.cfg.SkewPrice * l.passTimeWeight(),
+		Copy:   minGainRatio * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
 		Left:   left,
 	}
 }
 
-// plan makes a map for what is asked for now.
+// plan computes a map for the current demand.
 func (l *leader) plan(price remap.Price) remap.Plan {
-	return remap.Make(l.group(), l.planner.current, l.planner.follower.Load(), l.effort(), price, pause)
+	return remap.Make(l.group(), l.planner.current, l.planner.follower.Load(), l.effort(), price, yield)
 }
 
-// begin has the ranks copy the experts of a plan.
-func (l *leader) begin(ctx context.Context, plan remap.Plan) {
+// beginChange starts a change: the ranks copy the experts that the plan requires.
+func (l *leader) beginChange(ctx context.Context, plan remap.Plan) {
 	p, m := &l.planner, l.machine
-	version := (m.Newest/versionsPerRank+1)*versionsPerRank + uint64(m.Self)
-	layout := rows(plan.Map, len(l.byRank))
+	version := (m.Newest/versionStride+1)*versionStride + uint64(m.Self)
+	layout := layoutOf(plan.Map, len(l.byRank))
 	now := time.Now()
-	p.pending = &pending{plan: plan, version: version, began: now, due: now.Add(l.copyTime(plan.Most)), shifts: p.follower.Shifts(), speeds: l.speeds()}
+	p.pending = &pending{plan: plan, version: version, began: now, copiesDueAt: now.Add(l.copyTime(plan.Most)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
 	m.Begin(version, layout)
-	l.writeMap(layout)
-	l.drive(ctx, prepareTries*l.orderLimit(&l.whole, len(l.byRank)-1))
-	l.countsAt = time.Now() // The copies are looked for first.
+	l.encodeMaps(layout)
+	l.sendUntilSettled(ctx, maxPrepareTries*l.orderDeadline(&l.fullMap, len(l.byRank)-1))
+	l.countsPolledAt = time.Now() // Delays the next counts: polls check for the copies first.
 	if m.Phase == cutover.Preparing {
-		l.abandon("orders not answered")
+		l.abandon("no answer to orders")
 	}
 }
 
-// rows returns a map as ranks are told it.
-func rows(m rebalance.Map, ranks int) (all layout) {
+// layoutOf converts a map to the form in which it is sent to ranks.
+func layoutOf(m rebalance.Map, ranks int) (all layout) {
 	for _, layer := range m {
 		all = append(all, layer.Rows(ranks))
 	}
 	return all
 }
 
-// writeMap writes the map of a change that begins.
-func (l *leader) writeMap(next layout) {
-	base := rows(l.planner.current, len(l.byRank))
+// encodeMaps encodes the map of a change that starts, in full and as a delta.
+func (l *leader) encodeMaps(next layout) {
+	base := layoutOf(l.planner.current, len(l.byRank))
 	experts := l.shape.Experts
-	l.whole = mapText{Experts: experts, Text: packMap(next)}
-	l.changed = mapText{Base: fingerprint(base), Experts: experts, Text: packChange(base, next)}
-	l.s.maps.put(next) // Its own orders do not come as text.
-	l.s.log.Debug("map written", zap.Int("whole", len(l.whole.Text)), zap.Int("change", len(l.changed.Text)))
+	l.fullMap = encodedMap{Experts: experts, Data: encodeMap(next)}
+	l.mapDelta = encodedMap{Base: fingerprint(base), Experts: experts, Data: encodeDelta(base, next)}
+	l.s.maps.put(next) // Orders to this rank do not carry an encoded map.
+	l.s.log.Debug("map encoded", zap.Int("whole", len(l.fullMap.Data)), zap.Int("change", len(l.mapDelta.Data)))
 }
 
-// abandon drops the change that is under way.
+// abandon drops the change in progress.
 func (l *leader) abandon(cause string) {
 	p := &l.planner
-	l.s.figures.gaveUp.Inc(1)
-	l.s.log.Warn("map given up", zap.String("cause", cause), zap.Uint64("version", p.pending.version), zap.Duration("after", time.Since(p.pending.began)))
+	l.s.stats.abandoned.Inc(1)
+	l.s.log.Warn("map change abandoned", zap.String("cause", cause), zap.Uint64("version", p.pending.version), zap.Duration("after", time.Since(p.pending.began)))
 	p.pending = nil
 	l.machine.GiveUp()
 }
 
-// proceed goes on with the change that is under way.
-func (l *leader) proceed(ctx context.Context) {
+// advanceChange continues the change in progress: it switches maps once the copies are complete,
+// and abandons the change when they are overdue.
+func (l *leader) advanceChange(ctx context.Context) {
 	p := &l.planner
 	now := time.Now()
 	switch {
 	case l.machine.Copied(l.reports()):
 		l.switchOver(ctx)
-	case now.Sub(p.pending.due) > p.pending.due.Sub(p.pending.began)+overdue:
-		l.abandon("not copied in time")
-	case p.pending.shifts != p.follower.Shifts() || !slices.Equal(p.pending.speeds, l.speeds()):
+	case now.Sub(p.pending.copiesDueAt) > p.pending.copiesDueAt.Sub(p.pending.began)+copyGracePeriod:
+		l.abandon("copies overdue")
+	case p.pending.shiftsSeen != p.follower.Shifts() || !slices.Equal(p.pending.speeds, l.speeds()):
 		l.reconsider(ctx, now)
 	}
 }
 
-// reconsider looks, after a shift of demand or of a rank's speed, whether a new plan is to take the
-// place of the one under way.
+// reconsider decides, after a shift of demand or of a rank's speed, whether a new plan replaces the
+// one in progress.
 func (l *leader) reconsider(ctx context.Context, now time.Time) {
 	p, g := &l.planner, l.group()
-	price := l.price(l.left(now))
+	price := l.price(l.demandHorizon(now))
 	plan := l.plan(price)
 	soon := g.PassTime(p.pending.plan.Map, p.follower.Load())
-	remaining := max(p.pending.due.Sub(now), 0)
+	remaining := max(p.pending.copiesDueAt.Sub(now), 0)
 	if !plan.Pays(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, soon) {
-		p.pending.shifts, p.pending.speeds = p.follower.Shifts(), l.speeds()
+		p.pending.shiftsSeen, p.pending.speeds = p.follower.Shifts(), l.speeds()
 		return
 	}
-	l.abandon("what it was made for has changed")
-	l.begin(ctx, plan)
+	l.abandon("demand or rank speeds changed")
+	l.beginChange(ctx, plan)
 }
 
-// switchOver brings the map whose experts were copied into force.
+// switchOver puts the map whose experts have been copied into force.
 func (l *leader) switchOver(ctx context.Context) {
 	p, m := &l.planner, l.machine
 	change, copied, before := p.pending, time.Now(), m.Gained
 	p.pending = nil
-	m.Switch(l.nextStep())
-	l.drive(ctx, armLimit)
+	m.Switch(l.switchStep())
+	l.sendUntilSettled(ctx, switchTimeout)
 	m.GiveUp()
-	l.drive(ctx, recoverLimit)
-	l.handing += time.Duration(armingWeight * float64(max(copied.Sub(change.due), 0)-l.handing))
-	l.switched = time.Now()
-	took := l.switched.Sub(copied)
+	l.sendUntilSettled(ctx, recoveryTimeout)
+	l.copyOverrun += time.Duration(switchTimeWeight * float64(max(copied.Sub(change.copiesDueAt), 0)-l.copyOverrun))
+	l.switchedAt = time.Now()
+	took := l.switchedAt.Sub(copied)
 	done := m.Gained > before
 	if done {
-		// One that came to nothing says how long an answer did not come, as from a
-		// frozen instance, and not how long orders take.
-		l.arming.Add(took)
+		// The time of a failed switch shows how long an answer was missing, as from a frozen
+		// instance, not how long orders take.
+		l.switchTime.Add(took)
 		p.current, p.version = change.plan.Map, change.version
-		l.s.figures.switches.Inc(1)
-		l.s.figures.copies.Inc(int64(change.plan.Copies))
+		l.s.stats.mapsInForce.Inc(1)
+		l.s.stats.copies.Inc(int64(change.plan.Copies))
 	} else {
-		l.s.figures.gaveUp.Inc(1)
+		l.s.stats.abandoned.Inc(1)
 	}
-	l.s.log.Info("map changed", zap.Bool("in-force", done), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.Most),
-		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.pass), zap.Ints("running", l.running()), zap.Float64s("speed", l.speeds()),
+	l.s.log.Info("map switch ended", zap.Bool("in-force", done), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.Most),
+		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.passTime), zap.Ints("running", l.running()), zap.Float64s("speed", l.speeds()),
 		zap.Duration("copying", copied.Sub(change.began)), zap.Duration("switching", took))
 }
 
-// Passes between the newest one and the switch, so that all ranks are armed
-// before the group reaches it: orders mostly take less than what is left of the
-// pass under way, and a hold keeps the group from reaching it too soon.
+// Number of passes between the newest one and the switch, so that all ranks are armed before the
+// group reaches it. Orders mostly take less than the rest of the current pass, and a hold keeps the
+// group from reaching the switch too early.
 const (
-	leastAhead = 1
-	mostAhead  = 12
-	// armingWeight is the weight of the newest switch in the smoothed time that
-	// the orders of a switch take.
-	armingWeight = 0.5
+	minPassesAhead = 1
+	maxPassesAhead = 12
+	// switchTimeWeight is the weight of the newest switch in the smoothed time that the orders of a
+	// switch take.
+	switchTimeWeight = 0.5
 )
 
-func (l *leader) nextStep() uint64 {
+// switchStep returns the number of the pass at which the next map comes into force.
+func (l *leader) switchStep() uint64 {
 	step := uint64(0)
 	for _, m := range l.byRank {
 		step = max(step, m.report.Step)
 	}
-	return step + uint64(min(l.passesAhead(), mostAhead))
+	return step + uint64(min(l.passesAhead(), maxPassesAhead))
 }
 
-// passesAhead is how many passes the orders of a switch take, as nearly all of the
-// last ones did: a group that reaches the pass sooner stands still, and the pause of
-// all its streams is longer by that.
+// passesAhead returns how many passes the orders of a switch take, judged by nearly all of the
+// recent switches. A group that reaches the switch earlier stalls, which lengthens the pause of all
+// its streams by that time.
 func (l *leader) passesAhead() int {
-	pass := l.planner.pass
+	pass := l.planner.passTime
 	if pass <= 0 {
-		return leastAhead
+		return minPassesAhead
 	}
-	return max(leastAhead, int(l.arming.Most()/pass)+leastAhead)
+	return max(minPassesAhead, int(l.switchTime.Most()/pass)+minPassesAhead)
 }
 
-// copyTime returns how long a rank takes for so many copies.
+// copyTime returns how long a rank takes to copy the given number of experts.
 func (l *leader) copyTime(copies int) time.Duration {
 	if l.shape.LinkRate <= 0 {
 		return 0
@@ -333,7 +335,7 @@
 	return time.Duration(float64(copies) * l.shape.ExpertBytes / l.shape.LinkRate * float64(time.Second))
 }
 
-// running returns the requests at work at each rank, for the log.
+// running returns the number of running and waiting requests of each rank, for the log.
 func (l *leader) running() []int {
 	list := make([]int, len(l.byRank))
 	for r, m := range l.byRank {
@@ -342,7 +344,7 @@
 	return list
 }
 
-// speeds returns the speed of each rank, nil when all are alike.
+// speeds returns the speed of each rank, or nil if all are equal.
 func (l *leader) speeds() []float64 {
 	speed := make([]float64, len(l.byRank))
 	alike := true
@@ -359,12 +361,12 @@
 	return speed
 }
 
-// pause lets other goroutines run between two pieces of planning, since the
-// runtime may not be allowed to do so by itself.
-func pause() { time.Sleep(time.Microsecond) }
+// yield lets other goroutines run between two steps of planning, since the runtime may not be
+// allowed to preempt them.
+func yield() { time.Sleep(time.Microsecond) }
 
-// engineOf returns the published shape of a service's engines.
-func engineOf(c *fleet.Config, service string) *fleet.Engine {
+// engineShape returns the published parameters of a service's engines, or nil if there are none.
+func engineShape(c *fleet.Config, service string) *fleet.Engine {
 	if c == nil || c.Service(service) == nil {
 		return nil
 	}
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -13,18 +13,18 @@
 	"github.com/cockroachdb/errors"
 )
 
-// countsBlock is how many counts are written to one scale. Counts of one set of
-// experts lie near each other, and a set has a few hundred.
-const countsBlock = 256
+// countsBlockSize is how many counts share one scale. The counts of a set of experts are of similar
+// size, and a set has a few hundred experts.
+const countsBlockSize = 256
 
-// packCounts writes counts in a byte each at most: by blocks, a scale as a varint and
-// the counts in it, all in a Huffman code. Counts up to 255 are written as they are;
-// above, the most chosen expert of a block is told to one part in 255 and the others
-// as exactly, which is less than they change by chance from pass to pass. Sums of
-// many ranks so take no more of a link than the counts of one.
-func packCounts(flat []uint64) ([]byte, error) {
-	raw := make([]byte, 0, len(flat)+2*(len(flat)/countsBlock+1))
-	for block := range slices.Chunk(flat, countsBlock) {
+// encodeCounts encodes counts in at most one byte each: for each block, the scale as a varint and
+// the scaled counts, all Huffman-coded. If the largest count of a block is at most 255, its counts
+// are exact. Otherwise all counts of the block are rounded to 1/255 of the largest, which is less
+// than their random variation from pass to pass. The sum of many ranks' counts thus takes no more
+// bandwidth than the counts of one rank.
+func encodeCounts(flat []uint64) ([]byte, error) {
+	raw := make([]byte, 0, len(flat)+2*(len(flat)/countsBlockSize+1))
+	for block := range slices.Chunk(flat, countsBlockSize) {
 		scale := max((slices.Max(block)+254)/255, 1)
 		raw = binary.AppendUvarint(raw, scale)
 		for _, n := range block {
@@ -34,21 +34,21 @@
 	return deflate(raw)
 }
 
-// writers are used again, since each holds tables of some kilobytes.
-var writers = sync.Pool{New: func() any {
+// deflaters pools compressors, since each holds tables of some kilobytes.
+var deflaters = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.HuffmanOnly)
-	return &writer{w, err}
+	return &deflater{w, err}
 }}
 
-// writer is a compressor, or why there is none.
-type writer struct {
+// deflater is a compressor, or the error of its creation.
+type deflater struct {
 	*flate.Writer
 	err error
 }
 
 func deflate(raw []byte) (packed []byte, err error) {
-	w := writers.Get().(*writer)
-	defer writers.Put(w)
+	w := deflaters.Get().(*deflater)
+	defer deflaters.Put(w)
 	if w.err != nil {
 		return nil, w.err
 	}
@@ -61,9 +61,9 @@
 	return b.Bytes(), err
 }
 
-// unpackCounts reads what packCounts wrote.
-func unpackCounts(packed []byte) (flat []uint64, err error) {
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxPeerAnswer))
+// decodeCounts decodes what encodeCounts wrote.
+func decodeCounts(packed []byte) (flat []uint64, err error) {
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxPeerResponse))
 	if err != nil {
 		return nil, errors.Wrap(err, "counts")
 	}
@@ -71,10 +71,10 @@
 	for len(raw) > 0 {
 		scale, size := binary.Uvarint(raw)
 		if size <= 0 || scale == 0 || len(raw) == size {
-			return nil, errors.Newf("counts: no block of them in %d bytes", len(raw))
+			return nil, errors.Newf("counts: no valid block in %d bytes", len(raw))
 		}
 		raw = raw[size:]
-		n := min(countsBlock, len(raw))
+		n := min(countsBlockSize, len(raw))
 		for _, b := range raw[:n] {
 			flat = append(flat, uint64(b)*scale)
 		}
@@ -83,21 +83,21 @@
 	return flat, nil
 }
 
-// addCounts adds two lists that packCounts wrote.
+// addCounts returns the encoded sum of two encoded lists of counts.
 func addCounts(a, b []byte) (sum []byte, err error) {
-	left, err := unpackCounts(a)
+	left, err := decodeCounts(a)
 	if err != nil {
 		return nil, err
 	}
-	right, err := unpackCounts(b)
+	right, err := decodeCounts(b)
 	if err != nil {
 		return nil, err
 	}
 	if len(left) != len(right) {
-		return nil, errors.Newf("counts: %d and %d numbers", len(left), len(right))
+		return nil, errors.Newf("counts: cannot add lists of %d and %d numbers", len(left), len(right))
 	}
 	for i, n := range right {
 		left[i] += n
 	}
-	return packCounts(left)
+	return encodeCounts(left)
 }
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -19,134 +19,134 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// Times of leading.
+// Intervals and timeouts of a leader.
 const (
-	// lookEvery is the least time between two looks at the group.
-	lookEvery = 70 * time.Millisecond
-	// leastPause is the time from the end of a look to the next one at least, so that
-	// other duties have their turn.
-	leastPause = 10 * time.Millisecond
-	// lookPerCall is what each call adds to it, so that the leader is not busy with
-	// looking only: a call takes it about 0.2 ms of a core.
-	lookPerCall = time.Millisecond
-	// askTimeout bounds a call to another sidecar: some round trips between
-	// failure domains, and the time that a small processor share may add.
-	askTimeout = 250 * time.Millisecond
-	// silentTimeout bounds a call to a sidecar that was silent before, and one to the
-	// engine beside it: some round trips of a new connection between failure domains,
-	// and the time that a small processor share may add. The group may be standing.
-	silentTimeout = 120 * time.Millisecond
-	// listEvery is the time between two readings of the published list.
-	listEvery = 2 * time.Second
-	// listTimeout bounds one reading.
+	// minPollInterval is the minimum time between the starts of two polls of the group.
+	minPollInterval = 70 * time.Millisecond
+	// minPollPause is the minimum time from the end of a poll to the start of the next, so that
+	// other tasks can run.
+	minPollPause = 10 * time.Millisecond
+	// pollIntervalPerCall is what each call of a poll adds to the poll interval, so that the leader
+	// does not spend all its time on polling: a call takes about 0.2 ms of a core.
+	pollIntervalPerCall = time.Millisecond
+	// sidecarTimeout bounds a call to another sidecar: some round trips between failure domains,
+	// plus delays from a small CPU share.
+	sidecarTimeout = 250 * time.Millisecond
+	// silentPollTimeout bounds a call to a sidecar that did not answer the last poll, and one to
+	// its engine: some round trips of a new connection between failure domains, plus delays from a
+	// small CPU share. It is short because the group may be stalled meanwhile.
+	silentPollTimeout = 120 * time.Millisecond
+	// listInterval is the time between two reads of the published endpoint list.
+	listInterval = 2 * time.Second
+	// listTimeout bounds one read of the list.
 	listTimeout = time.Second
-	// straightEvery is the least time between two calls to an engine past its
-	// sidecar: each is priced, and one to a frozen instance keeps a look waiting.
-	straightEvery = 700 * time.Millisecond
-	// straightTimeout bounds one order to another rank's engine: some round trips of a
-	// new connection between failure domains, and what an engine takes.
-	straightTimeout = 30 * time.Millisecond
-	// fenceStep is added to a fence that a rank refused.
-	fenceStep = 1 << 20
+	// enginePollInterval is the minimum time between two direct polls of an engine whose sidecar is
+	// silent: each has a cost, and one to a frozen instance delays a poll.
+	enginePollInterval = 700 * time.Millisecond
+	// directOrderTimeout bounds one order sent directly to another rank's engine: some round trips
+	// of a new connection between failure domains, plus the engine's processing time.
+	directOrderTimeout = 30 * time.Millisecond
+	// fenceIncrement is added to a fence that a rank rejected.
+	fenceIncrement = 1 << 20
 )
 
-// member is one rank of the group as the leader sees it.
+// member is the leader's view of one endpoint of the service.
 type member struct {
-	endpoint fleet.Endpoint
-	report   rank.Report
-	seen     time.Time // Last answer.
-	fresh    bool      // It answered the newest look.
-	missed   bool      // It did not answer, by way of its sidecar, when it was last asked.
-	straight time.Time // Its engine was last asked past its sidecar.
-	lost     bool      // It did not answer then either.
+	endpoint       fleet.Endpoint
+	report         rank.Report
+	lastSeen       time.Time // When it last answered a poll.
+	answered       bool      // It answered the newest poll.
+	sidecarSilent  bool      // Its sidecar did not answer the last poll.
+	enginePolledAt time.Time // When its engine was last polled directly.
+	engineSilent   bool      // The engine did not answer that poll either.
 }
 
-// leader leads the group while its sidecar is the one that does so. Two at once
-// are harmless: every order carries a fence.
+// leader leads the group while its sidecar is the group's leader. Two concurrent leaders are
+// harmless, since every order carries a fence.
 type leader struct {
 	s       *Sidecar
 	shape   *fleet.Engine
 	service string
-	// pauseLimit is the shortest pause between events that a route of the service
-	// allows; 0 when there is none.
-	pauseLimit time.Duration
-	listed     time.Time
-	all        []*member // Every endpoint of the service, those of a failure domain together.
-	self       *member   // Of all, the own one.
-	byRank     []*member // Of the own group; nil before the first look, and nil for the absent one.
-	absent     int       // Rank that led before, if it alone does not answer; cutover.None otherwise.
-	machine    *cutover.Machine
-	born       []int64 // Of the ranks, when machine was made.
-	fence      uint64
-	planner    planner
-	arming     estimate.Time // That the orders of a switch took.
-	handing    time.Duration // Smoothed time by which changes took longer than their copies: to hand out the map, and to see the copies.
-	switched   time.Time     // When the last switch was brought about.
-	limiter    passes.Limiter
-	toldAt     time.Time // When gateways were last told the loads of all ranks.
-	whole      mapText   // The map of the change under way.
-	changed    mapText   // The same, as a change of the map in force.
-	newest     answers   // To the last question down the tree.
-	countsAt   time.Time // When counts were last asked for.
-	// countsPause is the time between two questions for counts, so that they take
-	// countsShare of the link.
-	countsPause time.Duration
-	epoch       uint64
-	openedAt    time.Time // When this epoch was first seen.
+	// pauseLimit is the shortest limit of the pause between events among the routes of the service;
+	// 0 if there is none.
+	pauseLimit       time.Duration
+	listReadAt       time.Time
+	members          []*member // All endpoints of the service, ordered by failure domain.
+	self             *member   // This sidecar's own member.
+	byRank           []*member // Members of this group by rank; nil before the first poll; the element of the absent rank is nil.
+	absent           int       // Rank that led before, if only that rank does not answer; otherwise cutover.None.
+	machine          *cutover.Machine
+	rankIncarnations []int64 // Start times of the ranks' engines when machine was created.
+	fence            uint64
+	planner          planner
+	switchTime       estimate.Time // How long the orders of a switch take.
+	copyOverrun      time.Duration // Smoothed time by which changes exceed their copy time: distributing the map and detecting that the copies are complete.
+	switchedAt       time.Time     // When the last switch ended.
+	limiter          passes.Limiter
+	loadsSentAt      time.Time    // When the loads of all ranks were last sent to gateways.
+	fullMap          encodedMap   // Map of the change in progress.
+	mapDelta         encodedMap   // The same map as a delta to the map in force.
+	lastResponse     treeResponse // Response to the last poll through the tree.
+	countsPolledAt   time.Time    // When counts were last requested.
+	// minCountsInterval is the time between two requests for counts that keeps them within
+	// countsLinkShare of the link.
+	minCountsInterval time.Duration
+	epoch             uint64
+	openedAt          time.Time // When this epoch was first seen.
 }
 
 func newLeader(s *Sidecar) *leader {
-	return &leader{s: s, absent: cutover.None, arming: estimate.New(armingWeight)}
+	return &leader{s: s, absent: cutover.None, switchTime: estimate.New(switchTimeWeight)}
 }
 
-// run looks at the group until ctx ends.
+// run polls the group until ctx ends.
 func (l *leader) run(ctx context.Context) error {
 	began := time.Now()
 	for ctx.Err() == nil {
 		now := time.Now()
-		wait.For(ctx, max(l.untilLook(now)-now.Sub(began), leastPause))
+		wait.For(ctx, max(l.untilNextPoll(now)-now.Sub(began), minPollPause))
 		began = time.Now()
-		l.look(ctx)
+		l.poll(ctx)
 	}
 	return nil
 }
 
-// lookPause is the time from one look to the next while nothing is awaited.
-func (l *leader) lookPause() time.Duration {
-	return lookEvery + l.calls()*lookPerCall
+// pollInterval returns the time from one poll to the next while no event is awaited.
+func (l *leader) pollInterval() time.Duration {
+	return minPollInterval + l.callsPerPoll()*pollIntervalPerCall
 }
 
-// calls is how many calls a look takes.
-func (l *leader) calls() time.Duration {
+// callsPerPoll returns how many calls this sidecar makes for a poll.
+func (l *leader) callsPerPoll() time.Duration {
 	others := max(len(l.byRank)-1, 0)
-	return time.Duration(min(others, fanFor(others)))
+	return time.Duration(min(others, fanoutFor(others)))
 }
 
-// untilLook is the time until the next look.
-func (l *leader) untilLook(now time.Time) time.Duration {
-	if l.awaits(now) {
-		return copiedEvery + l.calls()*lookPerCall/2
+// untilNextPoll returns the time until the next poll.
+func (l *leader) untilNextPoll(now time.Time) time.Duration {
+	if l.awaitsEvent(now) {
+		return awaitPollInterval + l.callsPerPoll()*pollIntervalPerCall/2
 	}
 	if p := l.planner.pending; p != nil {
-		return min(max(p.due.Sub(now), 0), l.lookPause())
+		return min(max(p.copiesDueAt.Sub(now), 0), l.pollInterval())
 	}
-	return l.lookPause()
+	return l.pollInterval()
 }
 
-// awaits reports whether something is due that is looked for at once and then often:
-// copies, or the pass from which on a map is in force.
-func (l *leader) awaits(now time.Time) bool {
-	if p := l.planner.pending; p != nil && !now.Before(p.due) {
+// awaitsEvent reports whether an event is due for which the leader polls immediately and then
+// often: the end of copying, or the pass from which a map is in force.
+func (l *leader) awaitsEvent(now time.Time) bool {
+	if p := l.planner.pending; p != nil && !now.Before(p.copiesDueAt) {
 		return true
 	}
-	return now.Sub(l.switched) < settleTime && l.machine != nil && l.machine.Phase == cutover.Settling
+	return now.Sub(l.switchedAt) < settlePollPeriod && l.machine != nil && l.machine.Phase == cutover.Settling
 }
 
-// look leads for one round, where this sidecar is the leader.
-func (l *leader) look(ctx context.Context) {
+// poll runs one round of leading if this sidecar is the leader.
+func (l *leader) poll(ctx context.Context) {
 	own, ok := l.s.Report()
 	if !l.s.cfg.Fences {
-		return // Without fences an order that is carried out late cannot be shut out.
+		return // Without fences, an order that is executed late cannot be rejected.
 	}
 	if !ok || !own.Open || own.Size < 2 {
 		l.resign("group not open")
@@ -156,44 +156,44 @@
 		l.resign("new epoch")
 		l.epoch, l.openedAt = own.Epoch, time.Now()
 	}
-	if !l.leads(own) {
+	if !l.shouldLead(own) {
 		l.resign("another rank leads")
 		return
 	}
-	l.outbid(own)
-	l.refresh(ctx)
+	l.raiseFence(own)
+	l.refreshMembers(ctx)
 	if l.machine == nil {
-		l.passOver(time.Now())
+		l.markSilentLeader(time.Now())
 	}
-	l.s.setLeading(l.all, peers.Lead{Group: own.Group, Epoch: own.Epoch, Rank: own.Rank, Fence: l.fence})
+	l.s.setAnnouncement(l.members, peers.Lead{Group: own.Group, Epoch: own.Epoch, Rank: own.Rank, Fence: l.fence})
 	if l.self == nil {
-		return // The list does not name the own endpoint, or was not read yet.
+		return // The list does not contain this endpoint or has not been read yet.
 	}
-	complete := l.ask(ctx, own)
-	l.tellLoads(own)
-	l.learn()
+	complete := l.pollRanks(ctx, own)
+	l.sendGroupLoads(own)
+	l.ingestCounts()
 	if !complete {
 		return
 	}
-	if !l.leads(own) { // Asking takes long when a rank is silent; a lower one may have begun.
+	if !l.shouldLead(own) { // A poll is slow when a rank is silent; a lower rank may have started leading meanwhile.
 		l.resign("another rank leads")
 		return
 	}
-	l.work(ctx, own)
+	l.driveCutover(ctx, own)
 }
 
-// refresh reads the published list now and then. A stale answer does: ranks
-// tell themselves who they are.
-func (l *leader) refresh(ctx context.Context) {
-	if time.Since(l.listed) < listEvery {
+// refreshMembers reads the published list if it is time to. A stale list is sufficient, since ranks
+// report their group and rank themselves.
+func (l *leader) refreshMembers(ctx context.Context) {
+	if time.Since(l.listReadAt) < listInterval {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	l.listed = time.Now()
+	l.listReadAt = time.Now()
 	snap, err := l.s.source.Snapshot(ctx, true)
 	if err != nil {
-		l.s.log.Debug("list not read", zap.String("error", err.Error()))
+		l.s.log.Debug("cannot read the endpoint list", zap.String("error", err.Error()))
 		return
 	}
 	for _, e := range snap.Endpoints {
@@ -201,14 +201,14 @@
 			l.service = e.Service
 		}
 	}
-	if shape := engineOf(snap.Config, l.service); shape != nil {
+	if shape := engineShape(snap.Config, l.service); shape != nil {
 		l.shape, l.pauseLimit = shape, snap.Config.PauseLimit(l.service)
 	}
 	known := map[string]*member{}
-	for _, m := range l.all {
+	for _, m := range l.members {
 		known[m.endpoint.ID] = m
 	}
-	l.all, l.self = l.all[:0:0], nil
+	l.members, l.self = l.members[:0:0], nil
 	for _, e := range snap.Endpoints {
 		if e.Service != l.service {
 			continue
@@ -218,27 +218,27 @@
 			m = &member{}
 		}
 		m.endpoint = e
-		l.all = append(l.all, m)
+		l.members = append(l.members, m)
 		if e.Address == l.s.cfg.Address {
 			l.self = m
 		}
 	}
-	slices.SortFunc(l.all, func(a, b *member) int {
+	slices.SortFunc(l.members, func(a, b *member) int {
 		return cmp.Or(cmp.Compare(a.endpoint.Domain, b.endpoint.Domain), cmp.Compare(a.endpoint.Address, b.endpoint.Address))
 	})
 }
 
-// work drives the machine one round.
-func (l *leader) work(ctx context.Context, own rank.Report) {
-	if l.machine != nil && begunAnew(l.born, l.lives()) {
-		l.resign("a rank has begun a new life")
-		return // The next look asks all ranks again.
+// driveCutover advances the cutover machine by one round.
+func (l *leader) driveCutover(ctx context.Context, own rank.Report) {
+	if l.machine != nil && anyRestarted(l.rankIncarnations, l.incarnations()) {
+		l.resign("a rank has restarted")
+		return // The next poll asks all ranks again.
 	}
 	if l.machine == nil || l.machine.Absent() != l.absent {
 		l.fence = max(l.fence+1, uint64(time.Now().UnixMilli())*fencesPerMilli)
 		l.machine = cutover.New(own.Size, own.Rank, l.absence(own), own.Epoch, l.fence)
 		l.planner.pending = nil
-		l.born = l.lives()
+		l.rankIncarnations = l.incarnations()
 		l.s.log.Info("leads", zap.Int("absent", l.absent), zap.String("group", own.Group), zap.Uint64("epoch", own.Epoch), zap.Int("rank", own.Rank), zap.Uint64("fence", l.fence))
 	}
 	m := l.machine
@@ -246,48 +246,50 @@
 		return
 	}
 	if l.absent != cutover.None {
-		l.drive(ctx, recoverLimit)
+		l.sendUntilSettled(ctx, recoveryTimeout)
 		return
 	}
 	switch {
 	case m.Phase != cutover.Ready:
-		l.drive(ctx, recoverLimit)
+		l.sendUntilSettled(ctx, recoveryTimeout)
 	case l.planner.pending != nil:
-		l.proceed(ctx)
+		l.advanceChange(ctx)
 	default:
-		l.change(ctx)
+		l.planChange(ctx)
 	}
 }
 
-// fencesPerMilli leaves room for fences that are raised in a leadership.
+// fencesPerMilli is the number of fences per millisecond of Unix time. It leaves fences free for
+// those that are raised during a leadership.
 const fencesPerMilli = 8
 
-// Limits of driving.
+// Limits of cutover rounds.
 const (
-	// recoverLimit bounds one round of cleaning up; the next look goes on.
-	recoverLimit = 400 * time.Millisecond
-	// prepareTries is how often the orders to copy experts are given at most: all of
-	// them are lost a few times.
-	prepareTries = 2
-	// overdue is how much later than twice the expected time copies may be: as long
-	// as the looks for them may take.
-	overdue = 2 * askTimeout
-	// armLimit bounds how long the group may stand for a switch.
-	armLimit = 350 * time.Millisecond
-	// settleTime is how long after a switch the pass that it waits for is looked for
-	// often: some passes.
-	settleTime = 500 * time.Millisecond
-	// copiedEvery is the time between two looks whether the copies are there.
-	copiedEvery = 25 * time.Millisecond
+	// recoveryTimeout bounds one round of recovery; the next poll continues it.
+	recoveryTimeout = 400 * time.Millisecond
+	// maxPrepareTries is how often the orders to copy experts are sent at most. In a few cases all
+	// orders of one try are lost.
+	maxPrepareTries = 2
+	// copyGracePeriod is how much longer than twice the expected time copying may take: as long as
+	// the polls that detect its end may take.
+	copyGracePeriod = 2 * sidecarTimeout
+	// switchTimeout bounds how long a switch may stall the group.
+	switchTimeout = 350 * time.Millisecond
+	// settlePollPeriod is how long after a switch the leader polls often for the pass from which
+	// the map is in force: some passes.
+	settlePollPeriod = 500 * time.Millisecond
+	// awaitPollInterval is the time between two polls for an awaited event, without the part that
+	// grows with the number of calls.
+	awaitPollInterval = 25 * time.Millisecond
 )
 
-// drive sends the machine's orders until its phase needs none, or the time is
-// over.
-func (l *leader) drive(ctx context.Context, limit time.Duration) {
+// sendUntilSettled sends the cutover machine's orders until its phase needs none or limit has
+// passed.
+func (l *leader) sendUntilSettled(ctx context.Context, limit time.Duration) {
 	began := time.Now()
 	m := l.machine
 	if m == nil {
-		return // A higher fence was met before.
+		return // A higher fence was seen earlier.
 	}
 	for ctx.Err() == nil && time.Since(began) < limit {
 		switch m.Phase {
@@ -297,6 +299,6 @@
 			l.deposed()
 			return
 		}
-		l.round(ctx)
+		l.sendPhaseOrders(ctx)
 	}
 }
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -14,110 +14,111 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// leadEvery and leadLapse are the times of leadership: a leader tells of itself
-// several times before the others take it as gone.
+// leadInterval and leadTimeout are the times of leadership: a leader announces itself several times
+// before the other ranks consider it lost.
 const (
-	leadEvery = 200 * time.Millisecond
-	leadLapse = 900 * time.Millisecond
-	// tellsFor is how long after it told the loads of all ranks a leader says that it tells
-	// them: a look at a group with a silent rank takes half of it.
-	tellsFor = 600 * time.Millisecond
-	// leadStagger keeps the next ranks from taking over at once together.
+	leadInterval = 200 * time.Millisecond
+	leadTimeout  = 900 * time.Millisecond
+	// sendsLoadsPeriod is how long after sending the loads of all ranks a leader announces that it
+	// sends them. A poll of a group with a silent rank takes half of it.
+	sendsLoadsPeriod = 600 * time.Millisecond
+	// leadStagger keeps the next ranks from taking over at the same time.
 	leadStagger = 120 * time.Millisecond
 )
 
-// leadership is what a sidecar heard of its group's leader.
+// leadership is what a sidecar knows of its group's leader.
 type leadership struct {
-	heard peers.Lead
-	from  netip.Addr // Of the instance that it came from.
-	at    time.Time
-	led   peers.Lead // The last one that had taken the lead: its fence is told.
-	ledAt time.Time  // When that was last heard.
+	announced   peers.Lead
+	from        netip.Addr // Address of the announcing instance.
+	announcedAt time.Time
+	active      peers.Lead // Last announcement with a fence, that is of a leader that had started leading.
+	activeAt    time.Time  // When that was last received.
 }
 
-// hearLead takes in that a sidecar on an instance leads.
-func (s *Sidecar) hearLead(from netip.Addr, l peers.Lead) {
+// receiveLead records the announcement that a sidecar on another instance leads.
+func (s *Sidecar) receiveLead(from netip.Addr, l peers.Lead) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Group != s.report.Group {
 		return
 	}
-	s.lead.heard, s.lead.at, s.lead.from = l, time.Now(), from
+	s.lead.announced, s.lead.announcedAt, s.lead.from = l, time.Now(), from
 	if l.Fence != 0 {
-		s.lead.led, s.lead.ledAt = l, s.lead.at
+		s.lead.active, s.lead.activeAt = l, s.lead.announcedAt
 	}
 }
 
-// resign drops what belongs to leading.
+// resign drops the state of leading.
 func (l *leader) resign(cause string) {
 	if l.machine != nil {
-		l.s.log.Info("leads no more", zap.String("cause", cause), zap.Uint64("epoch", l.epoch))
+		l.s.log.Info("leadership ended", zap.String("cause", cause), zap.Uint64("epoch", l.epoch))
 	}
 	l.machine, l.byRank = nil, nil
 	l.planner = planner{}
-	l.s.setLeading(nil, peers.Lead{})
+	l.s.setAnnouncement(nil, peers.Lead{})
 }
 
-// leads reports whether this sidecar is to lead: it does already and hears of
-// no lower rank, or it has heard of no leader for long enough and of no lower
-// rank that is about to lead.
-func (l *leader) leads(own rank.Report) bool {
+// shouldLead reports whether this sidecar is to lead: it leads already and no lower rank has
+// announced itself, or no leader has announced itself for long enough and no lower rank is about to
+// lead.
+func (l *leader) shouldLead(own rank.Report) bool {
 	var lead leadership
 	duty.Locked(&l.s.mu, func() { lead = l.s.lead })
 	now := time.Now()
 	recent := func(o peers.Lead, at time.Time) bool {
-		return o.Epoch == own.Epoch && o.Rank != own.Rank && now.Sub(at) < leadLapse
+		return o.Epoch == own.Epoch && o.Rank != own.Rank && now.Sub(at) < leadTimeout
 	}
-	lower := recent(lead.heard, lead.at) && lead.heard.Rank < own.Rank
+	lower := recent(lead.announced, lead.announcedAt) && lead.announced.Rank < own.Rank
 	if l.machine != nil {
 		return !lower
 	}
-	if lower || recent(lead.led, lead.ledAt) {
+	if lower || recent(lead.active, lead.activeAt) {
 		return false
 	}
 	since := l.openedAt
 	if own.Rank > 0 {
-		since = since.Add(leadLapse) // The lowest rank is given time to begin.
+		since = since.Add(leadTimeout) // The lowest rank gets time to start leading.
 	}
-	if lead.led.Epoch == own.Epoch && lead.ledAt.Add(leadLapse).After(since) {
-		since = lead.ledAt.Add(leadLapse)
+	if lead.active.Epoch == own.Epoch && lead.activeAt.Add(leadTimeout).After(since) {
+		since = lead.activeAt.Add(leadTimeout)
 	}
 	return now.Sub(since) >= time.Duration(own.Rank)*leadStagger
 }
 
-// passOver marks the rank that led before as one that is silent: it is not asked to
-// ask others, who would be missed with it.
-func (l *leader) passOver(now time.Time) {
+// markSilentLeader marks the rank that led before as silent, so that queries are not relayed
+// through it: the ranks below it in the tree would be missed along with it.
+func (l *leader) markSilentLeader(now time.Time) {
 	var lead leadership
 	duty.Locked(&l.s.mu, func() { lead = l.s.lead })
-	if now.Sub(lead.at) < leadLapse {
+	if now.Sub(lead.announcedAt) < leadTimeout {
 		return
 	}
-	for _, m := range l.all {
+	for _, m := range l.members {
 		if a, err := netip.ParseAddrPort(m.endpoint.Address); err == nil && a.Addr() == lead.from.Unmap() {
-			m.missed = m.missed || m.seen.Before(lead.at.Add(leadLapse))
+			m.sidecarSilent = m.sidecarSilent || m.lastSeen.Before(lead.announcedAt.Add(leadTimeout))
 		}
 	}
 }
 
-// outbid drops the machine when a higher rank has led with a higher fence in the
-// meantime: its orders would be refused, and it will stand back.
-func (l *leader) outbid(own rank.Report) {
-	var heard peers.Lead
-	duty.Locked(&l.s.mu, func() { heard = l.s.lead.heard })
-	if l.machine == nil || heard.Epoch != own.Epoch || heard.Rank <= own.Rank || heard.Fence < l.fence {
+// raiseFence raises the fence and drops the cutover machine if a higher rank has led with a higher
+// fence in the meantime: that rank's fence would cause this leader's orders to be rejected, and
+// that rank will resign.
+func (l *leader) raiseFence(own rank.Report) {
+	var announced peers.Lead
+	duty.Locked(&l.s.mu, func() { announced = l.s.lead.announced })
+	if l.machine == nil || announced.Epoch != own.Epoch || announced.Rank <= own.Rank || announced.Fence < l.fence {
 		return
 	}
-	l.s.log.Info("fence raised", zap.Uint64("fence", l.fence), zap.Uint64("heard", heard.Fence), zap.Int("from-rank", heard.Rank))
-	l.fence = heard.Fence + fencesPerMilli
+	l.s.log.Info("fence raised", zap.Uint64("fence", l.fence), zap.Uint64("heard", announced.Fence), zap.Int("from-rank", announced.Rank))
+	l.fence = announced.Fence + fencesPerMilli
 	l.machine = nil
 }
 
-// setLeading tells the duty that announces the leader whom to tell what; it is
-// apart, since a round of orders may take longer than a leader may be silent. Ranks that are
-// known to be in another group are not told: leaders of many groups would each tell all
-// ranks of the service.
-func (s *Sidecar) setLeading(all []*member, lead peers.Lead) {
+// setAnnouncement sets what the announcement task sends and to whom. Announcing is a separate task
+// because a round of orders may take longer than a leader may be silent. Ranks known to be in
+// another group are left out; otherwise the leaders of many groups would each send to all ranks of
+// the service.
+func (s *Sidecar) setAnnouncement(all []*member, lead peers.Lead) {
 	now := time.Now()
 	to := make([]netip.AddrPort, 0, len(all))
 	for _, m := range all {
@@ -126,7 +127,7 @@
 		}
 		a, err := peers.Beside(m.endpoint.Address, s.cfg.PeersPort)
 		if err != nil {
-			s.log.Warn("rank not told of its leader", zap.String("error", err.Error()))
+			s.log.Warn("leader announcement not sent to rank", zap.String("error", err.Error()))
 			continue
 		}
 		if m.endpoint.Address != s.cfg.Address {
@@ -135,27 +136,27 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leading, s.tellTo = lead, to
+	s.announcement, s.announceTo = lead, to
 }
 
-// tellLead announces the leader, if it is this one.
-func (s *Sidecar) tellLead(context.Context) {
+// announceLead sends the announcement, if this sidecar leads.
+func (s *Sidecar) announceLead(context.Context) {
 	var lead peers.Lead
 	var to []netip.AddrPort
 	duty.Locked(&s.mu, func() {
-		lead, to = s.leading, s.tellTo
-		lead.Tells = time.Since(s.toldAllAt) < tellsFor
+		lead, to = s.announcement, s.announceTo
+		lead.Tells = time.Since(s.groupLoadsSentAt) < sendsLoadsPeriod
 	})
 	for _, a := range to {
 		s.socket.Send(a, peers.Message{Lead: &lead})
 	}
 }
 
-// deposed reacts to a higher fence: in the first orders it may be an earlier
-// leader's, whose clock ran ahead; later it is a new leader's.
+// deposed handles a higher fence at a rank. If the first orders meet it, it may come from an
+// earlier leader whose clock was ahead; later, it comes from a new leader.
 func (l *leader) deposed() {
-	l.s.log.Warn("fence refused", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Gained))
-	l.fence += fenceStep
-	l.resign("a higher fence")                 // Refused once: the same fence is not used again.
-	l.openedAt = time.Now().Add(2 * leadEvery) // Whoever leads is heard until then.
+	l.s.log.Warn("fence rejected", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Gained))
+	l.fence += fenceIncrement
+	l.resign("a higher fence")                    // A rejected fence is not used again.
+	l.openedAt = time.Now().Add(2 * leadInterval) // Any other leader will have announced itself by then.
 }
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -15,21 +15,23 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// Each sidecar tells the load of its own engine, the less often the larger the group is.
-// The leader of a large group, which has just asked all ranks, tells in their place, all
-// loads in one message a failure domain. Should it fail, each tells for itself again: were
-// all to go on meanwhile, what gateways hear would grow with all ranks of all groups.
-
-// ledPoll is the time between two looks whether the leader still tells for a sidecar, by
-// which it hears again of its own engine: below the time for which a report counts.
-const ledPoll = 250 * time.Millisecond
-
-// hearHello takes in a gateway's hello. One that was not known has just started or was
-// away, and is told at once: it lets nobody in before it hears of a rank.
-func (s *Sidecar) hearHello(from netip.AddrPort, h peers.Hello) {
+// Each sidecar sends the load of its own engine, less often the larger the group is. The leader of
+// a large group, which polls all ranks anyway, sends the loads in their place, in one message per
+// failure domain. If it fails, each sidecar sends its own again. If all continued to send
+// meanwhile, the messages that gateways receive would grow with the ranks of all groups.
+
+// ledReportInterval is the time between two checks whether the leader still sends this sidecar's
+// load. Each check also polls the engine, so the interval is shorter than the time for which a
+// report counts.
+const ledReportInterval = 250 * time.Millisecond
+
+// receiveHello handles a gateway's hello. A gateway that was not known has just started or was
+// disconnected, and receives the load immediately: it admits no requests until it has the load of a
+// rank.
+func (s *Sidecar) receiveHello(from netip.AddrPort, h peers.Hello) {
 	now := time.Now()
-	fresh, load := s.enroll(from, h, now)
-	if !fresh {
+	isNew, load := s.registerGateway(from, h, now)
+	if !isNew {
 		return
 	}
 	m := peers.Message{Load: load, Ends: s.suspects.TellOne(now)}
@@ -38,101 +40,102 @@
 	}
 }
 
-// enroll takes in a gateway's hello, and returns what a fresh one is told.
-func (s *Sidecar) enroll(from netip.AddrPort, h peers.Hello, now time.Time) (fresh bool, load *peers.Load) {
+// registerGateway records a gateway's hello and returns the load to send if the gateway is new.
+func (s *Sidecar) registerGateway(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool, load *peers.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	fresh = s.gateways.hello(from, h, now)
-	s.hearOfGateways(h.Known, now)
-	if fresh && !s.reportAt.IsZero() {
+	isNew = s.gateways.hello(from, h, now)
+	s.addKnownGateways(h.Known, now)
+	if isNew && !s.reportAt.IsZero() {
 		load = s.load(s.report, false)
 	}
-	return fresh, load
+	return isNew, load
 }
 
-// hearOfGateways takes in the gateways that a hello names. The caller holds mu.
-func (s *Sidecar) hearOfGateways(known []peers.Known, now time.Time) {
+// addKnownGateways records the gateways that a hello lists. The caller holds mu.
+func (s *Sidecar) addKnownGateways(known []peers.Known, now time.Time) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
 			a, err := g.Peer()
 			if err != nil {
-				s.log.Warn("gateway left out", zap.String("domain", k.Domain), zap.String("error", err.Error()))
+				s.log.Warn("gateway with invalid address ignored", zap.String("domain", k.Domain), zap.String("error", err.Error()))
 				continue
 			}
 			age := g.Age()
-			if !g.Left && age >= 0 && age < subscribed {
-				s.gateways.hearOf(a, k.Domain, now.Add(-age))
+			if !g.Left && age >= 0 && age < subscriptionTTL {
+				s.gateways.addKnown(a, k.Domain, now.Add(-age))
 			}
 		}
 	}
 }
 
-// led reports whether a leader of the group tells the own load. The caller holds mu.
-func (s *Sidecar) led(now time.Time) bool {
-	return s.lead.heard.Tells && s.lead.heard.Group == s.report.Group && now.Sub(s.lead.at) < leadLapse
+// leaderSendsLoads reports whether a leader of the group sends this sidecar's load. The caller
+// holds mu.
+func (s *Sidecar) leaderSendsLoads(now time.Time) bool {
+	return s.lead.announced.Tells && s.lead.announced.Group == s.report.Group && now.Sub(s.lead.announcedAt) < leadTimeout
 }
 
-// reportPause is the time between two reports of a sidecar's own load.
-func (s *Sidecar) reportPause(now time.Time) time.Duration {
+// reportInterval returns the time between two reports of this sidecar's own load.
+func (s *Sidecar) reportInterval(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.led(now) {
-		return ledPoll
+	if s.leaderSendsLoads(now) {
+		return ledReportInterval
 	}
-	return ownPause(s.report.Size)
+	return ownReportInterval(s.report.Size)
 }
 
-// ownPause is the time between two reports of one's own load in a group of a size
-// that no leader tells for.
-func ownPause(size int) time.Duration {
-	return max(reportEvery, time.Duration(size)*perRank)
+// ownReportInterval returns the time between two reports of a sidecar's own load in a group of the
+// given size whose leader does not send the loads.
+func ownReportInterval(size int) time.Duration {
+	return max(minReportInterval, time.Duration(size)*reportIntervalPerRank)
 }
 
-// Pauses of leaders that tell loads.
+// Intervals of leaders that send loads.
 const (
-	// perServiceRank is what one rank of the service, of whatever group, adds to the time
-	// between two messages of a leader: gateways hear of 2,000 ranks a second, and of more
-	// only where the time would be longer than the next one.
-	perServiceRank = 500 * time.Microsecond
-	// longestTell is the longest such time. The last word of a leader that was lost must
-	// still count when each rank tells for itself again.
-	longestTell = 300 * time.Millisecond
+	// groupLoadsIntervalPerRank is what each rank of the service, in any group, adds to the time
+	// between two messages of a leader: gateways receive the loads of 2,000 ranks a second, and
+	// more only where that would exceed maxGroupLoadsInterval.
+	groupLoadsIntervalPerRank = 500 * time.Microsecond
+	// maxGroupLoadsInterval is the longest such time. The last message of a lost leader must still
+	// count when each rank sends its own load again.
+	maxGroupLoadsInterval = 300 * time.Millisecond
 )
 
-// tellPause is the time between two messages of a leader to gateways, where so many ranks of
-// the service are told of by it and by the leaders of other groups.
-func tellPause(ranks int) time.Duration {
-	return min(max(reportEvery, time.Duration(ranks)*perServiceRank), longestTell)
+// groupLoadsInterval returns the time between two messages of a leader to gateways, for a service
+// with the given number of ranks in all groups.
+func groupLoadsInterval(ranks int) time.Duration {
+	return min(max(minReportInterval, time.Duration(ranks)*groupLoadsIntervalPerRank), maxGroupLoadsInterval)
 }
 
-// tellLoads tells gateways the loads of all ranks that were heard, where that is
-// sooner than each tells its own.
-func (l *leader) tellLoads(own rank.Report) {
+// sendGroupLoads sends gateways the loads of all ranks that answered, if that is more frequent than
+// each rank sending its own.
+func (l *leader) sendGroupLoads(own rank.Report) {
 	now := time.Now()
-	if ownPause(own.Size) <= reportEvery || now.Sub(l.toldAt) < tellPause(len(l.all)) {
+	if ownReportInterval(own.Size) <= minReportInterval || now.Sub(l.loadsSentAt) < groupLoadsInterval(len(l.members)) {
 		return
 	}
-	l.toldAt = now
+	l.loadsSentAt = now
 	s := l.s
-	var told peers.Loads
+	var loads peers.Loads
 	var to []netip.AddrPort
 	duty.Locked(&s.mu, func() {
-		pass := s.passes.pass
-		told = peers.Loads{Group: own.Group, Closed: s.still, PassMs: int(pass.Milliseconds()), Onward: true}
-		told.Epoch, told.Gateways = own.Epoch, s.gateways.gateways()
-		told.Limit = float32(l.limit(pass, now))
+		pass := s.passes.mean
+		loads = peers.Loads{Group: own.Group, Closed: s.groupStalled, PassMs: int(pass.Milliseconds()), Onward: true}
+		loads.Epoch, loads.Gateways = own.Epoch, s.gateways.gatewayCount()
+		loads.Limit = float32(l.limitPerRank(pass, now))
 		to = s.gateways.onePerDomain(now)
-		s.toldAllAt = now
+		s.groupLoadsSentAt = now
 	})
 	for part := range slices.Chunk(l.rankLoads(), peers.MostRanks) {
-		told.Ranks = part
-		s.socket.SendAll(to, peers.Message{Loads: &told})
+		loads.Ranks = part
+		s.socket.SendAll(to, peers.Message{Loads: &loads})
 	}
 }
 
-// limit returns how many requests a rank of the group may hold in the mean, 0 when that
-// is not known, as right after it opened.
-func (l *leader) limit(pass time.Duration, now time.Time) (perRank float64) {
+// limitPerRank returns how many requests a rank of the group may hold on average, or 0 if that is
+// unknown, as right after the group opened.
+func (l *leader) limitPerRank(pass time.Duration, now time.Time) (limit float64) {
 	if l.shape == nil || l.shape.WriterTime <= 0 {
 		return 0
 	}
@@ -142,15 +145,15 @@
 			ranks = append(ranks, passes.Rank{Running: m.report.Running, Pass: pass, Pace: m.report.Pace, At: now})
 		}
 	}
-	perRank, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
+	limit, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
 	if !ok {
 		return 0
 	}
-	l.s.figures.limit.Update(perRank)
-	return perRank
+	l.s.stats.limitPerRank.Update(limit)
+	return limit
 }
 
-// rankLoads returns the loads of the ranks that answered the newest look.
+// rankLoads returns the loads of the ranks that answered the newest poll.
 func (l *leader) rankLoads() (list []peers.RankLoad) {
 	for _, m := range l.byRank {
 		if m == nil {
@@ -158,7 +161,7 @@
 		}
 		raw, err := peers.Packed(m.endpoint.Address)
 		if err != nil {
-			l.s.log.Warn("load not told", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
+			l.s.log.Warn("load with invalid engine address not sent", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
 			continue
 		}
 		list = append(list, peers.RankLoad{Address: raw, Running: m.report.Running, Waiting: m.report.Waiting, Pace: float32(m.report.Pace)})
--- a/internal/sidecar/maptext.go
+++ b/internal/sidecar/maptext.go
@@ -11,11 +11,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// layout is an expert map as ranks are told it: by set and rank, the experts in
+// layout is an expert map in the form in which it is sent to ranks: the experts by set and rank, in
 // ascending order.
 type layout [][][]int
 
-// size returns the sets and ranks of a layout.
+// size returns the number of sets and ranks of a layout.
 func (m layout) size() (sets, ranks int) {
 	if len(m) > 0 {
 		ranks = len(m[0])
@@ -23,11 +23,10 @@
 	return len(m), ranks
 }
 
-// packMap writes a map as varints: its sets and ranks, then its rows, by set and
-// rank.
-func packMap(m layout) []byte {
+// encodeMap encodes a map as varints: the number of sets and ranks, then the rows by set and rank.
+func encodeMap(m layout) []byte {
 	sets, ranks := m.size()
-	raw := appendNumbers(nil, sets, ranks)
+	raw := appendUvarints(nil, sets, ranks)
 	for _, set := range m {
 		for _, row := range set {
 			raw = appendRow(raw, row)
@@ -36,11 +35,11 @@
 	return raw
 }
 
-// packChange writes how a map differs from another one of the same size: its sets
-// and ranks, then each row that differs, by the steps from one to the next.
-func packChange(from, to layout) []byte {
+// encodeDelta encodes how a map differs from another one of the same size: the number of sets and
+// ranks, then each row that differs, preceded by the distance from the previous such row.
+func encodeDelta(from, to layout) []byte {
 	sets, ranks := to.size()
-	raw := appendNumbers(nil, sets, ranks)
+	raw := appendUvarints(nil, sets, ranks)
 	last := 0
 	for k, set := range to {
 		for r, row := range set {
@@ -48,39 +47,38 @@
 				continue
 			}
 			at := k*ranks + r
-			raw = appendRow(appendNumbers(raw, at-last), row)
+			raw = appendRow(appendUvarints(raw, at-last), row)
 			last = at
 		}
 	}
 	return raw
 }
 
-func appendNumbers(raw []byte, list ...int) []byte {
+func appendUvarints(raw []byte, list ...int) []byte {
 	for _, n := range list {
 		raw = binary.AppendUvarint(raw, uint64(n))
 	}
 	return raw
 }
 
-// appendRow writes the number of experts of a row and the steps from one to the
-// next.
+// appendRow appends the number of experts of a row and the differences between successive experts.
 func appendRow(raw []byte, row []int) []byte {
-	raw = appendNumbers(raw, len(row))
+	raw = appendUvarints(raw, len(row))
 	last := 0
 	for _, x := range row {
-		raw = appendNumbers(raw, x-last)
+		raw = appendUvarints(raw, x-last)
 		last = x
 	}
 	return raw
 }
 
-// reader reads numbers that were written as varints. Its first fault stays.
-type reader struct {
+// varintReader reads varints and keeps the first error.
+type varintReader struct {
 	raw []byte
 	err error
 }
 
-func (d *reader) number() int {
+func (d *varintReader) next() int {
 	n, size := binary.Uvarint(d.raw)
 	if size <= 0 || n > 1<<31 {
 		d.fail(errors.New("map: not a number"))
@@ -90,22 +88,22 @@
 	return int(n)
 }
 
-func (d *reader) fail(err error) {
+func (d *varintReader) fail(err error) {
 	if d.err == nil {
 		d.raw, d.err = nil, err
 	}
 }
 
 // row reads what appendRow wrote.
-func (d *reader) row() []int {
-	n := d.number()
-	if n > len(d.raw) { // An expert takes a byte at least.
+func (d *varintReader) row() []int {
+	n := d.next()
+	if n > len(d.raw) { // An expert takes at least one byte.
 		d.fail(errors.New("map: too short"))
 		return nil
 	}
 	row := make([]int, n)
 	for i := range row {
-		row[i] = d.number()
+		row[i] = d.next()
 		if i > 0 {
 			row[i] += row[i-1]
 		}
@@ -113,11 +111,11 @@
 	return row
 }
 
-// unpackMap reads what packMap wrote.
-func unpackMap(raw []byte) (m layout, err error) {
-	d := reader{raw: raw}
-	sets, ranks := d.number(), d.number()
-	most := len(raw) // A row takes a byte at least.
+// decodeMap decodes what encodeMap wrote.
+func decodeMap(raw []byte) (m layout, err error) {
+	d := varintReader{raw: raw}
+	sets, ranks := d.next(), d.next()
+	most := len(raw) // A row takes at least one byte.
 	if sets > most || ranks > most || sets*ranks > most {
 		return nil, errors.Newf("map: %d sets of %d ranks in %d bytes", sets, ranks, len(raw))
 	}
@@ -134,11 +132,11 @@
 	return m, d.err
 }
 
-// unpackChange reads what packChange wrote and returns the map that it makes of
-// another one, which stays as it is.
-func unpackChange(from layout, raw []byte) (m layout, err error) {
-	d := reader{raw: raw}
-	sets, ranks := d.number(), d.number()
+// decodeDelta decodes what encodeDelta wrote and returns the map that results from applying it to
+// from, which is not modified.
+func decodeDelta(from layout, raw []byte) (m layout, err error) {
+	d := varintReader{raw: raw}
+	sets, ranks := d.next(), d.next()
 	if s, r := from.size(); s != sets || r != ranks {
 		return nil, errors.CombineErrors(errors.Newf("map: a change of %d sets of %d ranks to one of %d and %d", sets, ranks, s, r), d.err)
 	}
@@ -148,7 +146,7 @@
 	}
 	at := 0
 	for len(d.raw) > 0 {
-		at += d.number()
+		at += d.next()
 		row := d.row()
 		if d.err == nil && at >= sets*ranks {
 			d.fail(errors.Newf("map: row %d of %d", at, sets*ranks))
@@ -160,16 +158,16 @@
 	return m, d.err
 }
 
-// fingerprint tells maps apart by what they hold.
+// fingerprint returns a hash that identifies a map by its content.
 func fingerprint(m layout) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(packMap(m)) // A hash takes everything.
+	_, _ = h.Write(encodeMap(m)) // A hash's Write never returns an error.
 	return h.Sum64()
 }
 
-// dealt returns the map of a group that has just opened: experts in turn over the
-// ranks.
-func dealt(sets, ranks, experts int) layout {
+// roundRobinLayout returns the map of a group that has just opened: experts are assigned to ranks
+// in turn.
+func roundRobinLayout(sets, ranks, experts int) layout {
 	m := make(layout, sets)
 	for k := range m {
 		m[k] = make([][]int, ranks)
@@ -183,19 +181,19 @@
 	return m
 }
 
-// shelfSize is how many maps a sidecar keeps: the one in force, the one that is
-// prepared, and those of a change that came to nothing.
-const shelfSize = 4
+// mapCacheSize is how many maps a sidecar keeps: the one in force, the prepared one, and those of a
+// change that failed.
+const mapCacheSize = 4
 
-// shelf holds the newest maps that a sidecar was told, so that it can be told the
-// next one by how it differs.
-type shelf struct {
+// mapCache holds the newest maps that a sidecar received, so that the next one can be sent to it as
+// a delta.
+type mapCache struct {
 	mu   sync.Mutex
-	keys []uint64 // Fingerprints, the oldest first. Invariant: at most shelfSize.
-	maps []layout // By keys.
+	keys []uint64 // Fingerprints, oldest first. Invariant: at most mapCacheSize.
+	maps []layout // In the order of keys.
 }
 
-func (s *shelf) put(m layout) {
+func (s *mapCache) put(m layout) {
 	key := fingerprint(m)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,13 +201,13 @@
 		s.keys, s.maps = slices.Delete(s.keys, i, i+1), slices.Delete(s.maps, i, i+1)
 	}
 	s.keys, s.maps = append(s.keys, key), append(s.maps, m)
-	if n := len(s.keys) - shelfSize; n > 0 {
+	if n := len(s.keys) - mapCacheSize; n > 0 {
 		s.keys, s.maps = slices.Delete(s.keys, 0, n), slices.Delete(s.maps, 0, n)
 	}
 }
 
-// get returns the map with a fingerprint, nil when it is not there.
-func (s *shelf) get(key uint64) layout {
+// get returns the map with the given fingerprint, or nil if it is not cached.
+func (s *mapCache) get(key uint64) layout {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if i := slices.Index(s.keys, key); i >= 0 {
@@ -218,24 +216,23 @@
 	return nil
 }
 
-// mapText is a map on its way to many ranks: whole, or as a change of one that they
-// know.
-type mapText struct {
+// encodedMap is a map as it is sent to many ranks: in full, or as a delta to a map that they know.
+type encodedMap struct {
 	_       struct{} `cbor:",toarray"`
-	Base    uint64   // Fingerprint of the map that Text changes; 0 where it is whole.
-	Experts int      // Of a set: a base that was dealt out is known by it.
-	Text    []byte
+	Base    uint64   // Fingerprint of the map that Data is a delta to; 0 if Data is a full map.
+	Experts int      // Per set. Used to recognize a round-robin base.
+	Data    []byte
 }
 
-// errNoBase means that the map which a change is of is not known here.
-var errNoBase = errors.New("the map that is changed is not known")
+// errUnknownBase means that this sidecar does not have the map that a delta is based on.
+var errUnknownBase = errors.New("the map that is changed is not known")
 
-// read returns the map of a text and keeps it.
-func (s *shelf) read(t mapText) (m layout, err error) {
+// decode decodes a map and adds it to the cache.
+func (s *mapCache) decode(t encodedMap) (m layout, err error) {
 	if t.Base == 0 {
-		m, err = unpackMap(t.Text)
+		m, err = decodeMap(t.Data)
 	} else {
-		m, err = s.change(t)
+		m, err = s.applyDelta(t)
 	}
 	if err != nil {
 		return nil, err
@@ -244,21 +241,21 @@
 	return m, nil
 }
 
-func (s *shelf) change(t mapText) (m layout, err error) {
+func (s *mapCache) applyDelta(t encodedMap) (m layout, err error) {
 	base := s.get(t.Base)
 	if base == nil {
-		d := reader{raw: t.Text}
-		sets, ranks := d.number(), d.number()
-		if d.err != nil || ranks == 0 || t.Experts <= 0 || sets > maxMapRows/ranks || t.Experts > maxMapRows {
-			return nil, errNoBase
+		d := varintReader{raw: t.Data}
+		sets, ranks := d.next(), d.next()
+		if d.err != nil || ranks == 0 || t.Experts <= 0 || sets > maxDecodedRows/ranks || t.Experts > maxDecodedRows {
+			return nil, errUnknownBase
 		}
-		if base = dealt(sets, ranks, t.Experts); fingerprint(base) != t.Base {
-			return nil, errNoBase
+		if base = roundRobinLayout(sets, ranks, t.Experts); fingerprint(base) != t.Base {
+			return nil, errUnknownBase
 		}
 	}
-	return unpackChange(base, t.Text)
+	return decodeDelta(base, t.Data)
 }
 
-// maxMapRows bounds the rows and the experts of a map that is made from what a
-// message says: those of 2,600 ranks of 60 sets are within it.
-const maxMapRows = 1 << 18
+// maxDecodedRows bounds the rows and the experts of a round-robin base, whose size is taken from
+// the message. It admits 60 sets of 2,600 ranks.
+const maxDecodedRows = 1 << 18
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -13,24 +13,24 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// round sends the orders of the present phase and takes in the results. What is
-// alike for most ranks goes down the tree.
-func (l *leader) round(ctx context.Context) {
+// sendPhaseOrders sends the orders of the current phase and handles the results. An order that most
+// ranks share goes down the tree.
+func (l *leader) sendPhaseOrders(ctx context.Context) {
 	orders := l.machine.Next()
 	results := make([]rank.Result, len(orders))
-	alike, single := l.sortOrders(orders)
+	shared, single := l.partitionOrders(orders)
 	var g errgroup.Group
 	for _, r := range single {
 		g.Go(func() error {
-			results[r] = rank.Lost // What became of it is not known after a panic.
-			l.s.contained(func() { results[r] = l.send(ctx, r, orders[r]) })
+			results[r] = rank.Lost // The result is unknown if the call panics.
+			l.s.containPanic(func() { results[r] = l.send(ctx, r, orders[r]) })
 			return nil
 		})
 	}
-	if len(alike) > 0 {
-		l.sendTree(ctx, alike, orders[alike[0]], results)
+	if len(shared) > 0 {
+		l.sendViaTree(ctx, shared, orders[shared[0]], results)
 	}
-	_ = g.Wait() // No function returns an error: results tell what became of each.
+	_ = g.Wait() // No function returns an error; results holds the outcome of each order.
 	phase := l.machine.Phase
 	for r, o := range orders {
 		if o.Op != "" && l.machine.Phase == phase {
@@ -39,39 +39,39 @@
 	}
 }
 
-// sortOrders returns the ranks whose order is the same and goes by way of their
-// sidecars, and those that get theirs each for itself.
-func (l *leader) sortOrders(orders []rank.Order) (alike, single []int) {
+// partitionOrders returns the ranks that get the same order through their sidecars, and the ranks
+// that get their order individually.
+func (l *leader) partitionOrders(orders []rank.Order) (shared, single []int) {
 	for r, o := range orders {
 		switch {
 		case o.Op == "":
-		case r == l.machine.Self || l.holds(r):
+		case r == l.machine.Self || l.isHolderPhase(r):
 			single = append(single, r)
-		case len(alike) > 0 && !sameOrder(o, orders[alike[0]]):
+		case len(shared) > 0 && !sameOrder(o, orders[shared[0]]):
 			single = append(single, r)
 		default:
-			alike = append(alike, r)
+			shared = append(shared, r)
 		}
 	}
-	return alike, single
+	return shared, single
 }
 
-// sameOrder reports whether two orders of one phase are the same. Their maps are
-// the same if their versions are.
+// sameOrder reports whether two orders of one phase are equal. Their maps are equal if their
+// versions are.
 func sameOrder(a, b rank.Order) bool {
 	return a.Op == b.Op && a.Fence == b.Fence && a.Epoch == b.Epoch && a.Version == b.Version && a.Step == b.Step
 }
 
-// sendTree gives ranks the same order down the tree. Who does not answer so is given
-// it apart.
-func (l *leader) sendTree(ctx context.Context, ranks []int, o rank.Order, results []rank.Result) {
-	text := &l.changed
+// sendViaTree sends the same order to ranks through the tree. A rank that does not answer there is
+// sent the order individually.
+func (l *leader) sendViaTree(ctx context.Context, ranks []int, o rank.Order, results []rank.Result) {
+	encoded := &l.mapDelta
 	if o.Op != rank.Prepare {
-		text = nil
+		encoded = nil
 	}
-	if lacking := l.spreadOrder(ctx, ranks, o, text, results); len(lacking) > 0 {
-		l.s.log.Info("map sent whole", zap.Int("ranks", len(lacking)), zap.Uint64("version", o.Version))
-		l.spreadOrder(ctx, lacking, o, &l.whole, results)
+	if lacking := l.fanOutOrder(ctx, ranks, o, encoded, results); len(lacking) > 0 {
+		l.s.log.Info("full map sent", zap.Int("ranks", len(lacking)), zap.Uint64("version", o.Version))
+		l.fanOutOrder(ctx, lacking, o, &l.fullMap, results)
 	}
 	var g errgroup.Group
 	for _, r := range ranks {
@@ -80,88 +80,87 @@
 		}
 		g.Go(func() error {
 			results[r] = rank.Lost // As above.
-			l.s.contained(func() { results[r] = l.send(ctx, r, o) })
+			l.s.containPanic(func() { results[r] = l.send(ctx, r, o) })
 			return nil
 		})
 	}
-	_ = g.Wait() // No function returns an error: results tell what became of each.
+	_ = g.Wait() // No function returns an error; results holds the outcome of each order.
 }
 
-// spreadOrder sends an order down the tree once and notes the results; those of who
-// did not answer stay as they are. It returns the ranks that lack the map of which
-// the order's is a change.
-func (l *leader) spreadOrder(ctx context.Context, ranks []int, o rank.Order, text *mapText, results []rank.Result) (lacking []int) {
+// fanOutOrder sends an order down the tree once and stores the results; those of ranks that did not
+// answer are left unchanged. It returns the ranks that lack the base of the order's map delta.
+func (l *leader) fanOutOrder(ctx context.Context, ranks []int, o rank.Order, encoded *encodedMap, results []rank.Result) (lacking []int) {
 	list := make([]*member, len(ranks))
 	for i, r := range ranks {
 		list[i] = l.byRank[r]
 	}
-	o.Map = nil // Goes as text.
-	q := questionTo(list)
-	q.Order, q.Map, q.Limit = &o, text, l.orderLimit(text, len(list))
-	if text == nil && len(list) >= fanFlat {
-		q.Fan = fanLight
+	o.Map = nil // Sent in encoded form.
+	q := newQuery(list)
+	q.Order, q.Map, q.Timeout = &o, encoded, l.orderDeadline(encoded, len(list))
+	if encoded == nil && len(list) >= flatFanout {
+		q.Fanout = lightFanout
 	}
-	call, cancel := context.WithTimeout(ctx, q.Limit)
+	call, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
-	for _, a := range l.s.spread(call, q).Ranks {
+	for _, a := range l.s.fanOut(call, q).Ranks {
 		switch {
-		case a.Place < 0 || a.Place >= len(ranks):
-		case a.NoBase:
-			lacking = append(lacking, ranks[a.Place])
+		case a.Index < 0 || a.Index >= len(ranks):
+		case a.UnknownBase:
+			lacking = append(lacking, ranks[a.Index])
 		default:
-			results[ranks[a.Place]] = a.Result
+			results[ranks[a.Index]] = a.Result
 		}
 	}
 	return lacking
 }
 
-// orderLimit is how long an order to so many ranks may take until it is answered,
-// with the text of a map or without.
-func (l *leader) orderLimit(text *mapText, ranks int) time.Duration {
-	limit := orderTime + orderTimeout + askTimeout
-	fan := fanFor(ranks)
-	steps := time.Duration(depth(ranks, fan))
-	if text != nil && l.s.cfg.LinkRate > 0 {
-		sent := float64(min(fan, ranks)*len(text.Text)) / l.s.cfg.LinkRate
-		limit += steps * time.Duration(sent*float64(time.Second))
-	}
-	return limit + steps*stepTime
+// orderDeadline returns how long the given number of ranks may take to answer an order, with an
+// encoded map if it is not nil.
+func (l *leader) orderDeadline(encoded *encodedMap, ranks int) time.Duration {
+	limit := orderRetryWindow + maxOrderTimeout + sidecarTimeout
+	fan := fanoutFor(ranks)
+	hops := time.Duration(depth(ranks, fan))
+	if encoded != nil && l.s.cfg.LinkRate > 0 {
+		sent := float64(min(fan, ranks)*len(encoded.Data)) / l.s.cfg.LinkRate
+		limit += hops * time.Duration(sent*float64(time.Second))
+	}
+	return limit + hops*hopTime
 }
 
-// send gives a rank an order through the sidecar beside it, or straight when
-// that does not answer.
+// send sends an order to a rank through its sidecar, or directly to its engine if the sidecar does
+// not answer.
 func (l *leader) send(ctx context.Context, r int, o rank.Order) rank.Result {
 	switch {
 	case r == l.machine.Self && o.Op == rank.Arm:
-		return l.sendForOwn(ctx, o)
+		return l.armSelfViaHolder(ctx, o)
 	case r == l.machine.Self:
-		return l.s.carryOut(ctx, o).Result
-	case l.holds(r):
-		return l.sendStraight(ctx, r, o)
+		return l.s.executeOrder(ctx, o).Result
+	case l.isHolderPhase(r):
+		return l.sendDirectly(ctx, r, o)
 	}
 	sent := o
-	sent.Map = nil // Goes as text.
-	q := question{Engines: []string{l.byRank[r].endpoint.Address}, Fan: 1, Order: &sent}
+	sent.Map = nil // Sent in encoded form.
+	q := treeQuery{Engines: []string{l.byRank[r].endpoint.Address}, Fanout: 1, Order: &sent}
 	if o.Op == rank.Prepare {
-		q.Map = &l.whole
+		q.Map = &l.fullMap
 	}
-	q.Limit = l.orderLimit(q.Map, 1)
-	call, cancel := context.WithTimeout(ctx, q.Limit)
+	q.Timeout = l.orderDeadline(q.Map, 1)
+	call, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
-	a, err := l.s.below(call, q)
+	a, err := l.s.querySidecar(call, q)
 	if err == nil && len(a.Ranks) == 1 {
 		return a.Ranks[0].Result
 	}
-	l.s.log.Warn("order sent straight", zap.Int("rank", r), zap.String("op", string(o.Op)), zap.Error(err))
-	return l.sendStraight(ctx, r, o)
+	l.s.log.Warn("sidecar did not answer, order sent directly", zap.Int("rank", r), zap.String("op", string(o.Op)), zap.Error(err))
+	return l.sendDirectly(ctx, r, o)
 }
 
-// sendForOwn has the rank that holds passes arm the own one.
-func (l *leader) sendForOwn(ctx context.Context, o rank.Order) rank.Result {
-	ctx, cancel := context.WithTimeout(ctx, orderTime+askTimeout)
+// armSelfViaHolder has the sidecar of the rank that holds passes arm this rank.
+func (l *leader) armSelfViaHolder(ctx context.Context, o rank.Order) rank.Result {
+	ctx, cancel := context.WithTimeout(ctx, orderRetryWindow+sidecarTimeout)
 	defer cancel()
 	holder := l.byRank[cutover.Holder(l.machine.Self)].endpoint.Address
-	a, err := l.s.calls.order(ctx, holder, orderCall{Order: o, Engine: l.s.cfg.Address})
+	a, err := l.s.calls.order(ctx, holder, orderRequest{Order: o, Engine: l.s.cfg.Address})
 	if err != nil {
 		l.s.log.Warn("own rank not armed", zap.String("by", holder), zap.String("error", err.Error()))
 		return rank.Lost
@@ -169,11 +168,11 @@
 	return a.Result
 }
 
-// holds reports whether the orders of the present phase are those by which passes
-// are held and let go at a rank. They go to its engine without the sidecar beside
-// it: should an instance freeze as it gives the order, it is not the one with the
-// hold, which would keep the group standing until it wakes.
-func (l *leader) holds(r int) bool {
+// isHolderPhase reports whether the current phase's order to rank r sets or releases the hold of
+// passes. Such orders go to the engine directly, not through its sidecar: if the instance that
+// sends an order freezes, it must not be the one with the hold, or the group would be stalled until
+// it resumes.
+func (l *leader) isHolderPhase(r int) bool {
 	switch l.machine.Phase {
 	case cutover.Holding, cutover.Going, cutover.Freeing:
 		return r == cutover.Holder(l.machine.Self)
@@ -181,12 +180,12 @@
 	return false
 }
 
-// sendStraight gives a rank's engine an order past the sidecar beside it. One
-// without an answer is given again, as sidecars do: the group may be standing.
-func (l *leader) sendStraight(ctx context.Context, r int, o rank.Order) (result rank.Result) {
+// sendDirectly sends an order to a rank's engine, bypassing its sidecar. An order without an answer
+// is sent again, as sidecars do, because the group may be stalled.
+func (l *leader) sendDirectly(ctx context.Context, r int, o rank.Order) (result rank.Result) {
 	var err error
-	for began := time.Now(); time.Since(began) < orderTime; {
-		if result, err = l.s.orderStraight(ctx, l.byRank[r].endpoint.Address, o); result != rank.Lost || ctx.Err() != nil {
+	for began := time.Now(); time.Since(began) < orderRetryWindow; {
+		if result, err = l.s.orderEngineDirectly(ctx, l.byRank[r].endpoint.Address, o); result != rank.Lost || ctx.Err() != nil {
 			break
 		}
 	}
@@ -196,9 +195,9 @@
 	return result
 }
 
-// orderStraight gives another rank's engine an order once.
-func (s *Sidecar) orderStraight(ctx context.Context, engine string, o rank.Order) (rank.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, straightTimeout)
+// orderEngineDirectly sends an order to another rank's engine once.
+func (s *Sidecar) orderEngineDirectly(ctx context.Context, engine string, o rank.Order) (rank.Result, error) {
+	ctx, cancel := context.WithTimeout(ctx, directOrderTimeout)
 	defer cancel()
 	return s.dial(engine).Order(ctx, o)
 }
--- a/internal/sidecar/ownarming.go
+++ b/internal/sidecar/ownarming.go
@@ -12,59 +12,59 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// ownArming is what this sidecar knows of the arming of its leader's own rank,
-// which it does for the leader: should the leader's instance freeze with a hold
-// standing, the next leader, which is this one, can say how the switch ends.
-type ownArming struct {
-	epoch  uint64
-	armed  rank.Arming // The newest that was asked for; zero before.
-	lost   bool        // It is not known whether it was done: an answer is awaited or was lost.
-	closed uint64      // Fence below which nothing more is armed.
+// armingState is what this sidecar knows about the arming of its leader's own rank, which it does
+// on the leader's behalf: if the leader's instance freezes while a hold is set, this sidecar is the
+// next leader and can determine how the switch ends.
+type armingState struct {
+	epoch     uint64
+	requested rank.Arming // The newest requested arming; zero if there is none.
+	uncertain bool        // Whether it was executed is unknown: the answer is outstanding or was lost.
+	minFence  uint64      // Armings with a lower fence are rejected.
 }
 
-// sureAfter is how long this process must have run, when the leader was last
-// heard, to be sure that it knows of every arming under a hold that still stands:
-// a leader takes back what is not done within armLimit.
-const sureAfter = 2 * time.Second
+// minCertainUptime is how long this process must have run, when the leader was last heard from, to
+// be certain that it knows of every arming under a hold that is still set: a leader reverts within
+// switchTimeout what is not complete.
+const minCertainUptime = 2 * time.Second
 
-// armFor arms the leader's own rank, on its behalf.
-func (s *Sidecar) armFor(ctx context.Context, engine string, o rank.Order) (a answer) {
+// armLeader arms the leader's own rank, on the leader's behalf.
+func (s *Sidecar) armLeader(ctx context.Context, engine string, o rank.Order) (a orderResponse) {
 	arming := rank.Arming{Version: o.Version, Step: o.Step}
-	before, ok := s.beginArming(o, arming)
+	before, ok := s.recordArming(o, arming)
 	if !ok {
-		return answer{Result: rank.Fenced}
+		return orderResponse{Result: rank.Fenced}
 	}
-	result, err := s.orderStraight(ctx, engine, o)
+	result, err := s.orderEngineDirectly(ctx, engine, o)
 	if a.Result = result; err != nil {
 		a.Error = err.Error()
 	}
-	s.log.Info("order for the leader", zap.String("op", string(o.Op)), zap.Uint64("version", o.Version), zap.Uint64("step", o.Step), zap.String("result", string(result)), zap.String("error", a.Error))
+	s.log.Info("order sent on behalf of the leader", zap.String("op", string(o.Op)), zap.Uint64("version", o.Version), zap.Uint64("step", o.Step), zap.String("result", string(result)), zap.String("error", a.Error))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case result == rank.Done:
-		s.own.lost = false
-	case result != rank.Lost && (before.armed != arming || !before.lost):
-		s.own.armed, s.own.lost = rank.Arming{}, false // Refused, and no earlier try may still be carried out.
+		s.leaderArming.uncertain = false
+	case result != rank.Lost && (before.requested != arming || !before.uncertain):
+		s.leaderArming.requested, s.leaderArming.uncertain = rank.Arming{}, false // Rejected, and no earlier attempt can still be executed.
 	}
 	return a
 }
 
-// beginArming notes that the leader's own rank is about to be armed, and returns what was known
-// before; ok is false below the fence.
-func (s *Sidecar) beginArming(o rank.Order, arming rank.Arming) (before ownArming, ok bool) {
+// recordArming records that the leader's own rank is about to be armed, and returns the state
+// before; ok is false if the order's fence is too low.
+func (s *Sidecar) recordArming(o rank.Order, arming rank.Arming) (before armingState, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.Fence < s.own.closed {
+	if o.Fence < s.leaderArming.minFence {
 		return before, false
 	}
-	before = s.own
-	s.own.epoch, s.own.armed, s.own.lost = o.Epoch, arming, true
+	before = s.leaderArming
+	s.leaderArming.epoch, s.leaderArming.requested, s.leaderArming.uncertain = o.Epoch, arming, true
 	return before, true
 }
 
-// absence says what is known of the leader before, whose rank alone does not
-// answer, and arms nothing more for it.
+// absence returns what is known about the former leader if its rank is the only one that does not
+// answer, and prevents further armings of it.
 func (l *leader) absence(own rank.Report) cutover.Absence {
 	if l.absent == cutover.None {
 		return cutover.Nobody
@@ -76,11 +76,11 @@
 	s := l.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.own.closed = l.fence
-	a.Sure = s.started.Add(sureAfter).Before(s.lead.ledAt)
-	if s.own.epoch == own.Epoch {
-		a.Armed = s.own.armed
-		a.Sure = a.Sure && !s.own.lost
+	s.leaderArming.minFence = l.fence
+	a.Sure = s.started.Add(minCertainUptime).Before(s.lead.activeAt)
+	if s.leaderArming.epoch == own.Epoch {
+		a.Armed = s.leaderArming.requested
+		a.Sure = a.Sure && !s.leaderArming.uncertain
 	}
 	return a
 }
--- a/internal/sidecar/passes.go
+++ b/internal/sidecar/passes.go
@@ -5,54 +5,53 @@
 import "time"
 
 const (
-	// passWeight is the weight of the newest passes in the smoothed time.
+	// passWeight is the weight of the newest measurement in the smoothed pass time.
 	passWeight = 0.6
-	// passesMeasured is how many passes are measured together at least.
-	passesMeasured = 2
-	// passesForget is how long without a pass makes the measure void: the group
-	// is idle.
-	passesForget = 2 * time.Second
-	// stalledAfter is how long at least a group with requests at work makes no pass
-	// when it stands still, and stalledPasses how many of its last passes: an even
-	// group makes some passes in this time, and one with a slow rank may take a second
-	// for each.
-	stalledAfter  = 700 * time.Millisecond
-	stalledPasses = 3
+	// minPassesMeasured is the minimum number of passes that are measured together.
+	minPassesMeasured = 2
+	// passIdleTimeout is how long without a pass invalidates the measurement, since the group is
+	// idle.
+	passIdleTimeout = 2 * time.Second
+	// A group with requests is considered stalled when it makes no pass for minStallTime and for
+	// the duration of minStallPasses average passes: a healthy group makes several passes in
+	// minStallTime, and one with a slow rank may take a second for each.
+	minStallTime   = 700 * time.Millisecond
+	minStallPasses = 3
 )
 
 // passTimer measures how long the passes of a group take.
 type passTimer struct {
 	step uint64
 	at   time.Time     // When step was seen; zero before the first report.
-	pass time.Duration // Smoothed; 0 when not known.
+	mean time.Duration // Smoothed pass time; 0 if unknown.
 
-	newest uint64    // Pass that began last.
-	began  time.Time // When it was first seen.
+	newest   uint64    // Newest pass that has begun.
+	newestAt time.Time // When it was first seen.
 }
 
-// note takes in the newest pass that began.
-func (t *passTimer) note(step uint64, now time.Time) {
-	if step != t.newest || t.began.IsZero() {
-		t.newest, t.began = step, now
+// observe records the newest pass that has begun.
+func (t *passTimer) observe(step uint64, now time.Time) {
+	if step != t.newest || t.newestAt.IsZero() {
+		t.newest, t.newestAt = step, now
 	}
-	if t.at.IsZero() || step < t.step || now.Sub(t.at) > passesForget {
-		t.step, t.at, t.pass = step, now, 0
+	if t.at.IsZero() || step < t.step || now.Sub(t.at) > passIdleTimeout {
+		t.step, t.at, t.mean = step, now, 0
 		return
 	}
 	n := step - t.step
-	if n < passesMeasured {
+	if n < minPassesMeasured {
 		return
 	}
 	one := now.Sub(t.at) / time.Duration(n)
-	if t.pass == 0 {
-		t.pass = one
+	if t.mean == 0 {
+		t.mean = one
 	}
-	t.pass += time.Duration(passWeight * float64(one-t.pass))
+	t.mean += time.Duration(passWeight * float64(one-t.mean))
 	t.step, t.at = step, now
 }
 
-// stalled reports whether no pass has begun for so long that a group with
-// requests at work must stand still.
+// stalled reports whether no pass has begun for so long that the group must be stalled, if it has
+// requests.
 func (t *passTimer) stalled(now time.Time) bool {
-	return !t.began.IsZero() && now.Sub(t.began) > max(stalledAfter, stalledPasses*t.pass)
+	return !t.newestAt.IsZero() && now.Sub(t.newestAt) > max(minStallTime, minStallPasses*t.mean)
 }
--- a/internal/sidecar/readmap.go
+++ b/internal/sidecar/readmap.go
@@ -10,8 +10,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/rebalance"
 )
 
-// readMap makes sure that the map in force is known. Map 0 is made by rule;
-// any other was made here, or is read from the ranks' engines.
+// readMap ensures that the map in force is known. Map 0 is the round-robin layout; any other map
+// was made by this leader or is read from the ranks' engines.
 func (l *leader) readMap(ctx context.Context) bool {
 	p := &l.planner
 	version := l.byRank[0].report.Map
@@ -20,7 +20,7 @@
 	}
 	ranks := len(l.byRank)
 	if version == 0 {
-		return l.takeMap(version, dealt(l.shape.Sets, ranks, l.shape.Experts))
+		return l.takeMap(version, roundRobinLayout(l.shape.Sets, ranks, l.shape.Experts))
 	}
 	rows := make([][][]int, ranks)
 	for r, m := range l.byRank {
@@ -28,7 +28,7 @@
 		h, err := l.s.dial(m.endpoint.Address).Held(call)
 		cancel()
 		if err != nil || h.Version != version || len(h.Sets) != l.shape.Sets {
-			return false // It has just changed, or the next look asks again.
+			return false // The map has just changed or the engine did not answer; the next poll tries again.
 		}
 		rows[r] = h.Sets
 	}
@@ -42,13 +42,13 @@
 	return l.takeMap(version, bySet)
 }
 
-// takeMap takes a map as the one in force; it reports whether it fits its shape.
+// takeMap sets the map in force and reports whether it fits the shape of the group.
 func (l *leader) takeMap(version uint64, m layout) bool {
 	current := make(rebalance.Map, len(m))
 	for k, rows := range m {
 		layer, ok := rebalance.FromRows(rows, l.shape.Experts)
 		if !ok {
-			l.s.log.Warn("map in force does not fit its shape", zap.Uint64("version", version), zap.Int("set", k))
+			l.s.log.Warn("map in force does not fit the group's shape", zap.Uint64("version", version), zap.Int("set", k))
 			return false
 		}
 		current[k] = layer
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package sidecar is the small process beside a model engine. It reads its
-// engine's reports and counts, tells gateways the load, carries out orders, and
-// where it leads its group, makes the group's expert map follow the load. It is
-// not on the way of any request.
+// Package sidecar implements the process that runs beside a model engine. It reads the engine's
+// reports and expert counts, sends the engine's load to gateways and executes orders. If it leads
+// its group, it adapts the group's expert map to the load. It is not in the path of any request.
 package sidecar
 
 import (
@@ -25,327 +24,328 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// Config is the setting of a Sidecar.
+// Config configures a Sidecar.
 type Config struct {
-	Address   string // Of the engine.
-	Domain    string // Failure domain of the instance.
-	PeersPort int    // Of every sidecar.
+	Address   string // Of the engine, as IP:port.
+	Domain    string // Failure domain of this instance.
+	PeersPort int    // Port of all sidecars.
 	SkewPrice float64
 	CopyPrice float64
-	Fences    bool    // Engines refuse orders under a lower fence.
-	LinkRate  float64 // Bytes a second that the instance's link carries; 0 when not known.
+	Fences    bool    // Whether engines reject orders with a lower fence.
+	LinkRate  float64 // Bandwidth of the instance's link in bytes per second; 0 if unknown.
 }
 
-// Times of a sidecar.
+// Intervals and timeouts of a sidecar.
 const (
-	// reportEvery is the least time between two reports: gateways choose by them, and
-	// the load of an engine changes with each pass of some ten milliseconds.
-	reportEvery = 100 * time.Millisecond
-	// passPoll is the least time between two looks at the own engine, which cost nothing
-	// to others, for a new pass: counts are read once a pass, so that those after a shift
-	// of demand are soon had alone. Passes take some ten milliseconds.
-	passPoll = 25 * time.Millisecond
-	// pollPerRank is what one rank of the group adds where that is longer: the larger a
-	// group is, the less often its leader asks for counts, and reading them is most of a
+	// minReportInterval is the minimum time between two reports: gateways select engines by them,
+	// and the load of an engine changes with each pass, which takes some tens of milliseconds.
+	minReportInterval = 100 * time.Millisecond
+	// minPassPollInterval is the minimum time between two polls of this sidecar's engine for a new
+	// pass, which cost other instances nothing. Counts are read once per pass, so that the counts
+	// after a shift of demand are soon available separately. Passes take some tens of milliseconds.
+	minPassPollInterval = 25 * time.Millisecond
+	// passPollIntervalPerRank is the poll interval per rank of the group where that is longer: the
+	// larger a group is, the less often its leader requests counts, and reading them is most of a
 	// sidecar's work.
-	pollPerRank = 400 * time.Microsecond
-	// turnTellers is one in how many ranks tells at once that the group has opened or
-	// closed: one word is enough for all ranks, and some are lost. In a group of 72 most
-	// callers were still refused half a second after it had opened.
-	turnTellers = 8
-	// perRank is what one rank adds to the time between two reports: so many more
-	// loads reach each gateway.
-	perRank = 4 * time.Millisecond
-	// orderTimeout bounds an order to the own engine as long as it is not known how
-	// long answers take. Some never come; an order that is sent again does no harm,
-	// waiting holds up the group.
-	orderTimeout = 40 * time.Millisecond
-	// leastOrderTimeout is the shortest such bound, some times what an engine on the
-	// same instance takes, and orderPatience how many times longer than nearly all
-	// answers one is waited for.
-	leastOrderTimeout = 12 * time.Millisecond
-	orderPatience     = 3
-	// orderTime is how long an order without an answer is given again before the
-	// leader hears that it was lost: where one answer in three is lost, hardly one
-	// rank of a thousand is without any by then.
-	orderTime = 120 * time.Millisecond
-	// answerWeight is the weight of the newest time of an answer, as in the usual
-	// estimate of round trips.
-	answerWeight = 0.125
-	// engineTimeout bounds a call to the own engine, which answers in about a
-	// millisecond.
+	passPollIntervalPerRank = 400 * time.Microsecond
+	// openChangeReporterStride is the stride of the ranks that immediately report that the group
+	// has opened or closed. One report suffices for all ranks, and some are lost. Without such
+	// reports, most requests to a group of 72 ranks were still rejected half a second after it had
+	// opened.
+	openChangeReporterStride = 8
+	// reportIntervalPerRank is what each rank adds to the time between two reports, since each
+	// gateway receives the loads of all ranks.
+	reportIntervalPerRank = 4 * time.Millisecond
+	// maxOrderTimeout bounds one attempt of an order to this sidecar's engine, and applies until it
+	// is known how long answers take. Some answers never arrive; sending an order again is
+	// harmless, whereas waiting stalls the group.
+	maxOrderTimeout = 40 * time.Millisecond
+	// minOrderTimeout is the lower bound of that timeout, several times the time that an engine on
+	// the same instance takes. orderTimeoutFactor is the ratio of the timeout to the time within
+	// which nearly all answers arrive.
+	minOrderTimeout    = 12 * time.Millisecond
+	orderTimeoutFactor = 3
+	// orderRetryWindow is how long an order without an answer is sent again before it is reported
+	// to the leader as lost: if one answer in three is lost, hardly one rank in a thousand has none
+	// by then.
+	orderRetryWindow = 120 * time.Millisecond
+	// answerTimeWeight is the weight of the newest answer time, as in the usual estimate of
+	// round-trip times.
+	answerTimeWeight = 0.125
+	// engineTimeout bounds a call to this sidecar's engine, which answers in about a millisecond.
 	engineTimeout = 400 * time.Millisecond
 )
 
-// Sidecar stands beside one engine.
+// Sidecar runs beside one engine.
 type Sidecar struct {
 	cfg    Config
 	engine rank.Engine
-	dial   func(address string) rank.Engine // Another rank's engine.
+	dial   func(address string) rank.Engine // Returns a client of another rank's engine.
 	source follow.Source
 	socket *peers.Socket
 	log    *zap.Logger
 	reg    metrics.Registry
 	calls  *peerClient
-	maps   shelf
-	// below puts a question to the sidecar beside its first engine.
-	below func(ctx context.Context, q question) (answers, error)
+	maps   mapCache
+	// querySidecar sends a query to the sidecar of its first engine.
+	querySidecar func(ctx context.Context, q treeQuery) (treeResponse, error)
 
 	started time.Time
 
-	mu        sync.Mutex // Guards what follows.
-	born      int64      // Of the newest life of the engine that was heard; 0 when not told.
-	report    rank.Report
-	reportAt  time.Time // Zero when the engine does not answer.
-	counts    rank.Counts
-	work      window
-	passes    passTimer
-	still     bool // The group makes no passes although it has requests.
-	gateways  subscribers
-	lead      leadership
-	turned    chan struct{} // Holds one when the group has opened or closed and that is to be told.
-	own       ownArming
-	orderTook estimate.Time    // Until the own engine answered an order.
-	leading   peers.Lead       // What this sidecar announces.
-	tellTo    []netip.AddrPort // Whom; nil while it does not lead.
-	toldAllAt time.Time        // When this sidecar, as the leader, last told gateways the loads of all ranks.
+	mu               sync.Mutex // Guards the fields below, up to groupLoadsSentAt.
+	born             int64      // Start time of the newest known incarnation of the engine; 0 if not reported.
+	report           rank.Report
+	reportAt         time.Time // Zero if the engine does not answer.
+	counts           rank.Counts
+	newestWindow     window
+	passes           passTimer
+	groupStalled     bool // The group makes no passes although it has requests.
+	gateways         subscribers
+	lead             leadership
+	openChanged      chan struct{} // Holds one element if a change of the group's open state is to be reported.
+	leaderArming     armingState
+	orderTook        estimate.Time    // How long this engine takes to answer an order.
+	announcement     peers.Lead       // What this sidecar announces as the leader.
+	announceTo       []netip.AddrPort // Receivers of the announcement; nil while this sidecar does not lead.
+	groupLoadsSentAt time.Time        // When this sidecar, as the leader, last sent gateways the loads of all ranks.
 
-	suspects *suspects.Set // Only kept for gateways that start anew.
-	figures  figures
+	suspects *suspects.Set // Kept only for gateways that restart.
+	stats    stats
 }
 
-// window is the counts of a span of time.
+// window is the expert counts of a period of time.
 type window struct {
-	number uint64 // Rises with each window.
+	number uint64 // Increases with each window.
 	epoch  uint64
 	flat   []uint64
 }
 
-// figures are the counters of a sidecar.
-type figures struct {
-	looks    metrics.Timer   // Of a leader's questions to all ranks.
-	missed   metrics.Counter // Ranks that did not answer one.
-	bytes    metrics.Gauge   // Of the newest sums of counts.
-	switches metrics.Counter
-	gaveUp   metrics.Counter
-	orders   metrics.Counter
-	copies   metrics.Counter
-	limit    metrics.GaugeFloat64 // Requests that a rank may hold in the mean, as last told by this leader.
+// stats holds the metrics of a sidecar.
+type stats struct {
+	polls        metrics.Timer   // Polls of all ranks by the leader.
+	ranksMissed  metrics.Counter // Ranks that did not answer a poll.
+	countsBytes  metrics.Gauge   // Size of the newest summed counts.
+	mapsInForce  metrics.Counter
+	abandoned    metrics.Counter
+	orders       metrics.Counter
+	copies       metrics.Counter
+	limitPerRank metrics.GaugeFloat64 // Requests that a rank may hold on average, as last sent by this leader.
 }
 
-func newFigures(reg metrics.Registry) figures {
-	return figures{
-		looks:    metrics.GetOrRegisterTimer("sidecar.looks", reg),
-		missed:   metrics.GetOrRegisterCounter("sidecar.ranks-missed", reg),
-		bytes:    metrics.GetOrRegisterGauge("sidecar.counts-bytes", reg),
-		switches: metrics.GetOrRegisterCounter("sidecar.maps-in-force", reg),
-		gaveUp:   metrics.GetOrRegisterCounter("sidecar.maps-given-up", reg),
-		orders:   metrics.GetOrRegisterCounter("sidecar.orders", reg),
-		limit:    metrics.GetOrRegisterGaugeFloat64("sidecar.limit-per-rank", reg),
-		copies:   metrics.GetOrRegisterCounter("sidecar.expert-copies", reg),
+func newStats(reg metrics.Registry) stats {
+	return stats{
+		polls:        metrics.GetOrRegisterTimer("sidecar.looks", reg),
+		ranksMissed:  metrics.GetOrRegisterCounter("sidecar.ranks-missed", reg),
+		countsBytes:  metrics.GetOrRegisterGauge("sidecar.counts-bytes", reg),
+		mapsInForce:  metrics.GetOrRegisterCounter("sidecar.maps-in-force", reg),
+		abandoned:    metrics.GetOrRegisterCounter("sidecar.maps-given-up", reg),
+		orders:       metrics.GetOrRegisterCounter("sidecar.orders", reg),
+		limitPerRank: metrics.GetOrRegisterGaugeFloat64("sidecar.limit-per-rank", reg),
+		copies:       metrics.GetOrRegisterCounter("sidecar.expert-copies", reg),
 	}
 }
 
-// New returns the sidecar of an engine. Dial makes the client of another
-// rank's engine; source tells the published state.
+// New returns the sidecar of an engine. dial returns a client of another rank's engine; source
+// provides the published state.
 func New(cfg Config, engine rank.Engine, dial func(string) rank.Engine, source follow.Source, socket *peers.Socket, log *zap.Logger, reg metrics.Registry) (s *Sidecar, cleanup func()) {
 	s = &Sidecar{
 		cfg: cfg, engine: engine, dial: dial, source: source, socket: socket, log: log, reg: reg,
-		gateways: newSubscribers(cfg.Domain), turned: make(chan struct{}, 1), orderTook: estimate.New(answerWeight), started: time.Now(),
-		suspects: suspects.New(log, reg), figures: newFigures(reg),
+		gateways: newSubscribers(cfg.Domain), openChanged: make(chan struct{}, 1), orderTook: estimate.New(answerTimeWeight), started: time.Now(),
+		suspects: suspects.New(log, reg), stats: newStats(reg),
 	}
 	s.calls, cleanup = newPeerClient(cfg)
-	s.below = s.calls.tree
+	s.querySidecar = s.calls.queryTree
 	return s, cleanup
 }
 
-// Run does the sidecar's duties until ctx ends.
+// Run runs the sidecar's tasks until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d := duty.New(ctx, s.log, s.reg, func(string) { cancel() })
 	d.Go("messages", func(ctx context.Context) error { return s.socket.Run(ctx, s.receive) })
-	d.Go("reports", s.tellReports)
+	d.Go("reports", s.sendReports)
 	d.Go("passes", s.pollPasses)
-	d.Go("tell-lead", func(ctx context.Context) error { return wait.Every(ctx, leadEvery, func() { s.tellLead(ctx) }) })
+	d.Go("tell-lead", func(ctx context.Context) error { return wait.Every(ctx, leadInterval, func() { s.announceLead(ctx) }) })
 	d.Go("lead", func(ctx context.Context) error { return newLeader(s).run(ctx) })
 	return d.Wait()
 }
 
-// tellReports tells the own engine's load until ctx ends.
-func (s *Sidecar) tellReports(ctx context.Context) error {
+// sendReports sends this engine's load to gateways until ctx ends.
+func (s *Sidecar) sendReports(ctx context.Context) error {
 	for ctx.Err() == nil {
-		turned := s.awaitReport(ctx)
-		s.readReport(ctx, turned)
+		openChanged := s.awaitReportDue(ctx)
+		s.reportLoad(ctx, openChanged)
 	}
 	return nil
 }
 
-// awaitReport waits until the own load is to be told: after a pause, or as soon as the
-// group has opened or closed, which it reports.
-func (s *Sidecar) awaitReport(ctx context.Context) (turned bool) {
-	timer := time.NewTimer(s.reportPause(time.Now()))
+// awaitReportDue waits until the load is to be sent: after the report interval, or as soon as the
+// group has opened or closed, in which case it returns true.
+func (s *Sidecar) awaitReportDue(ctx context.Context) (openChanged bool) {
+	timer := time.NewTimer(s.reportInterval(time.Now()))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-s.turned:
+	case <-s.openChanged:
 		return true
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// contained calls what asks or orders other ranks; one that is not heard is asked again.
-func (s *Sidecar) contained(ask func()) { duty.Contain("ask", s.log, s.reg, ask) }
+// containPanic calls a function that queries or orders other ranks and recovers from a panic in it;
+// a rank whose answer is missing is queried again later.
+func (s *Sidecar) containPanic(ask func()) { duty.Contain("ask", s.log, s.reg, ask) }
 
-// receive takes in a message. One that causes a panic is left out.
+// receive handles a message. A message that causes a panic is dropped.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
 	duty.Contain("message", s.log, s.reg, func() {
 		s.suspects.Hear(m.Ends, time.Now())
 		switch {
 		case m.Hello != nil:
-			s.hearHello(from, *m.Hello)
+			s.receiveHello(from, *m.Hello)
 		case m.Lead != nil:
-			s.hearLead(from.Addr(), *m.Lead)
+			s.receiveLead(from.Addr(), *m.Lead)
 		}
 	})
 }
 
-// readReport asks the engine and tells the gateways, unless a leader tells for it and nothing
-// has turned.
-func (s *Sidecar) readReport(ctx context.Context, turned bool) {
+// reportLoad polls the engine and sends its load to gateways, unless the leader sends it and the
+// group's open state has not changed.
+func (s *Sidecar) reportLoad(ctx context.Context, openChanged bool) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	r, err := s.engine.Report(ctx)
-	if !s.noteReport(r, err) {
+	if !s.recordReport(r, err) {
 		return
 	}
-	load, near, far := s.toTell(r, err != nil, turned)
+	load, direct, relays := s.reportTargets(r, err != nil, openChanged)
 	if load == nil {
 		return
 	}
-	s.socket.SendAll(near, peers.Message{Load: load})
-	onward := *load
-	onward.Onward = true
-	s.socket.SendAll(far, peers.Message{Load: &onward})
+	s.socket.SendAll(direct, peers.Message{Load: load})
+	forwarded := *load
+	forwarded.Onward = true
+	s.socket.SendAll(relays, peers.Message{Load: &forwarded})
 }
 
-// toTell returns what is to be told of a report, and which gateways are told it as it is and
-// which ones to pass it on; load is nil where a leader tells it.
-func (s *Sidecar) toTell(r rank.Report, lost, turned bool) (load *peers.Load, near, far []netip.AddrPort) {
+// reportTargets returns the load to send for a report, the gateways that only receive it and those
+// that also forward it; load is nil if the leader sends it.
+func (s *Sidecar) reportTargets(r rank.Report, lost, openChanged bool) (load *peers.Load, direct, relays []netip.AddrPort) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !lost && !turned && s.led(now) {
+	if !lost && !openChanged && s.leaderSendsLoads(now) {
 		return nil, nil, nil
 	}
 	load = s.load(r, lost)
-	near, far = s.gateways.next(now)
-	return load, near, far
+	direct, relays = s.gateways.targets(now)
+	return load, direct, relays
 }
 
-// load returns what the gateways are told of the engine's report, or of an engine that is
-// lost. The caller holds mu.
+// load returns the load that gateways are sent for a report of the engine, or for an engine that
+// does not answer if lost is set. The caller holds mu.
 func (s *Sidecar) load(r rank.Report, lost bool) *peers.Load {
 	return &peers.Load{
 		Address: s.cfg.Address, Born: r.Born, Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
-		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.pass.Milliseconds()), Gateways: s.gateways.gateways(),
-		Closed: lost || r.Group != "" && !r.Open || s.standsStill(r),
+		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.mean.Milliseconds()), Gateways: s.gateways.gatewayCount(),
+		Closed: lost || r.Group != "" && !r.Open || s.checkStalled(r),
 	}
 }
 
-// standsStill reports whether the group makes no passes although it has
-// requests, and logs when that changes. The caller holds mu.
-func (s *Sidecar) standsStill(r rank.Report) bool {
+// checkStalled reports whether the group makes no passes although it has requests, and logs when
+// that changes. The caller holds mu.
+func (s *Sidecar) checkStalled(r rank.Report) bool {
 	now := time.Now()
 	if r.Running+r.Waiting == 0 {
-		s.passes.began = now // An idle group makes no passes; the next one counts from here.
+		s.passes.newestAt = now // An idle group makes no passes; the stall time starts with the first request.
 	}
-	still := r.Size > 1 && r.Open && s.passes.stalled(now)
-	if still != s.still {
-		s.still = still
-		s.log.Info("group stands still", zap.Bool("still", still), zap.Uint64("step", r.Step), zap.Int("running", r.Running), zap.Uint64("held", r.Held))
+	isStalled := r.Size > 1 && r.Open && s.passes.stalled(now)
+	if isStalled != s.groupStalled {
+		s.groupStalled = isStalled
+		s.log.Info("group stall state changed", zap.Bool("still", isStalled), zap.Uint64("step", r.Step), zap.Int("running", r.Running), zap.Uint64("held", r.Held))
 	}
-	return still
+	return isStalled
 }
 
-// noteReport keeps a report and logs what it changes. It reports false for one of an
-// earlier life of the engine, which is left out.
-func (s *Sidecar) noteReport(r rank.Report, err error) (counts bool) {
+// recordReport stores a report and logs what it changes. It returns false for a report of an
+// earlier incarnation of the engine, which is ignored.
+func (s *Sidecar) recordReport(r rank.Report, err error) (accepted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	had := !s.reportAt.IsZero()
 	if err != nil {
 		if had {
-			s.log.Warn("engine lost", zap.String("error", err.Error()))
+			s.log.Warn("own engine unreachable", zap.String("error", err.Error()))
 			s.reportAt = time.Time{}
 		}
 		return true
 	}
-	if !s.noteLife(r.Born) {
+	if !s.recordIncarnation(r.Born) {
 		return false
 	}
-	if r.Open != s.report.Open && r.Rank%turnTellers == 0 {
+	if r.Open != s.report.Open && r.Rank%openChangeReporterStride == 0 {
 		select {
-		case s.turned <- struct{}{}:
-		default: // It is to be told already.
+		case s.openChanged <- struct{}{}:
+		default: // A report is pending already.
 		}
 	}
 	if !had || r.Epoch != s.report.Epoch || r.Open != s.report.Open {
-		s.log.Info("engine's group", zap.String("group", r.Group), zap.Uint64("epoch", r.Epoch), zap.Int("rank", r.Rank), zap.Bool("open", r.Open), zap.Uint64("map", r.Map))
+		s.log.Info("engine reports its group", zap.String("group", r.Group), zap.Uint64("epoch", r.Epoch), zap.Int("rank", r.Rank), zap.Bool("open", r.Open), zap.Uint64("map", r.Map))
 	}
 	s.report, s.reportAt = r, time.Now()
-	s.passes.note(r.Step, s.reportAt)
+	s.passes.observe(r.Step, s.reportAt)
 	return true
 }
 
-// noteLife takes in which life of the engine tells something. A later one knows nothing
-// of what the one before counted and measured, so that is dropped. It reports false for
-// an earlier one, whose word came late. The caller holds mu.
-func (s *Sidecar) noteLife(born int64) (counts bool) {
+// recordIncarnation records the incarnation of the engine that sent an answer. A later one knows
+// nothing of the previous one's counts and measurements, so these are dropped. It returns false for
+// an earlier one, whose answer arrived late. The caller holds mu.
+func (s *Sidecar) recordIncarnation(born int64) (accepted bool) {
 	switch fleet.CompareLives(s.born, born) {
 	case -1:
-		s.log.Info("word of an earlier life of the engine left out", zap.Int64("born", born), zap.Int64("newest", s.born))
+		s.log.Info("answer of an earlier incarnation of the engine ignored", zap.Int64("born", born), zap.Int64("newest", s.born))
 		return false
 	case 1:
-		s.log.Info("engine has begun a new life", zap.Int64("born", born), zap.Int64("before", s.born))
+		s.log.Info("engine restarted", zap.Int64("born", born), zap.Int64("before", s.born))
 		s.report, s.reportAt = rank.Report{}, time.Time{}
-		s.counts, s.work = rank.Counts{}, window{number: s.work.number}
-		s.passes, s.still = passTimer{}, false
+		s.counts, s.newestWindow = rank.Counts{}, window{number: s.newestWindow.number}
+		s.passes, s.groupStalled = passTimer{}, false
 	}
 	s.born = max(s.born, born)
 	return true
 }
 
-// Report returns the newest report, ok false when it is old.
+// Report returns the newest report; ok is false if it is too old.
 func (s *Sidecar) Report() (r rank.Report, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.report, !s.reportAt.IsZero() && time.Since(s.reportAt) < 5*reportEvery
+	return s.report, !s.reportAt.IsZero() && time.Since(s.reportAt) < 5*minReportInterval
 }
 
-// pollPasses looks for passes until ctx ends.
+// pollPasses polls the engine for new passes until ctx ends.
 func (s *Sidecar) pollPasses(ctx context.Context) error {
 	for ctx.Err() == nil {
-		wait.For(ctx, s.pollPause())
-		s.watchPasses(ctx)
+		wait.For(ctx, s.passPollInterval())
+		s.pollPass(ctx)
 	}
 	return nil
 }
 
-// pollPause is the time between two looks at the own engine.
-func (s *Sidecar) pollPause() time.Duration {
+// passPollInterval returns the time between two polls of this engine for a new pass.
+func (s *Sidecar) passPollInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(passPoll, time.Duration(s.report.Size)*pollPerRank)
+	return max(minPassPollInterval, time.Duration(s.report.Size)*passPollIntervalPerRank)
 }
 
-// watchPasses reads the counts when a new pass has begun.
-func (s *Sidecar) watchPasses(ctx context.Context) {
+// pollPass reads the expert counts if a new pass has begun.
+func (s *Sidecar) pollPass(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
 	r, err := s.engine.Report(ctx)
-	if !s.noteReport(r, err) || err != nil || !r.Open || r.Size < 2 {
+	if !s.recordReport(r, err) || err != nil || !r.Open || r.Size < 2 {
 		return
 	}
 	var idle bool
@@ -355,24 +355,24 @@
 	}
 }
 
-// readCounts takes the difference to the last counts as a window.
+// readCounts stores the difference from the previous counts as a window.
 func (s *Sidecar) readCounts(ctx context.Context) {
 	n, err := s.engine.Counts(ctx)
 	if err != nil {
-		s.log.Debug("counts not read", zap.String("error", err.Error()))
+		s.log.Debug("cannot read counts", zap.String("error", err.Error()))
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.noteLife(n.Born) {
+	if !s.recordIncarnation(n.Born) {
 		return
 	}
-	s.work = difference(s.work, s.counts, n)
+	s.newestWindow = difference(s.newestWindow, s.counts, n)
 	s.counts = n
 }
 
-// difference returns the window between two counts; it is empty where they do
-// not belong together.
+// difference returns the window between two counts; it is empty if they are not of the same epoch
+// and incarnation.
 func difference(last window, from, to rank.Counts) (w window) {
 	w = window{number: last.number + 1, epoch: to.Epoch}
 	if from.Epoch != to.Epoch || fleet.CompareLives(from.Born, to.Born) != 0 || len(from.Flat) != len(to.Flat) {
@@ -381,7 +381,7 @@
 	w.flat = make([]uint64, len(to.Flat))
 	for i, n := range to.Flat {
 		if n < from.Flat[i] {
-			return window{number: w.number, epoch: w.epoch} // The engine began anew.
+			return window{number: w.number, epoch: w.epoch} // The engine restarted.
 		}
 		w.flat[i] = n - from.Flat[i]
 	}
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -32,7 +32,7 @@
 	places  = 6
 )
 
-// freePort returns a port that is free on every rank's address.
+// freePort returns a port that is free on the addresses of all ranks.
 func freePort(g *WithT) int {
 	for range 20 {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -54,12 +54,12 @@
 	return 0
 }
 
-// running is the sidecars of a group; stop ends that of a rank.
-type running struct {
+// runningSidecars holds the sidecars of a group; stop stops the sidecar of a rank.
+type runningSidecars struct {
 	stop [ranks]context.CancelFunc
 }
 
-func startSidecars(t *testing.T, engines *ranktest.Group) *running {
+func startSidecars(t *testing.T, engines *ranktest.Group) *runningSidecars {
 	g := NewWithT(t)
 	port := freePort(g)
 	address := func(r int) string { return fmt.Sprintf("127.0.0.%d:9", r+1) }
@@ -80,7 +80,7 @@
 		}
 		return rank.Engine{}
 	}
-	run := &running{}
+	run := &runningSidecars{}
 	var all errgroup.Group
 	t.Cleanup(func() { g.Expect(all.Wait()).To(Succeed()) })
 	for r := range ranks {
@@ -110,11 +110,10 @@
 	return run
 }
 
-// eventually is long enough for a loaded machine; a group that works needs a
-// second.
+// eventually is long enough for a loaded machine; a healthy group needs a second.
 const eventually = 60 * time.Second
 
-func TestMapsFollowTheLoadAndALeaderIsReplaced(t *testing.T) {
+func TestMapsFollowDemandAndLeaderIsReplaced(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		lose int
@@ -127,8 +126,7 @@
 			g.Eventually(version, eventually).Should(BeNumerically(">", 0))
 			first := version()
 			run.stop[0]()
-			// Another rank leads: a load that shifts is followed again, and no hold
-			// is left behind.
+			// Another rank leads: it adapts the map to a shifted load, and no hold remains.
 			for r := range ranks {
 				engines.Forget(r)
 				engines.HoldAt(r, 0)
@@ -146,114 +144,114 @@
 	g := NewWithT(t)
 	var p passTimer
 	at := time.Unix(1000, 0)
-	p.note(10, at)
-	p.note(11, at.Add(40*time.Millisecond))
-	g.Expect(p.pass).To(BeZero(), "one pass is not enough")
-	p.note(12, at.Add(100*time.Millisecond))
-	g.Expect(p.pass).To(Equal(50 * time.Millisecond))
-	p.note(13, at.Add(time.Minute))
-	g.Expect(p.pass).To(BeZero(), "the group was idle")
+	p.observe(10, at)
+	p.observe(11, at.Add(40*time.Millisecond))
+	g.Expect(p.mean).To(BeZero(), "one pass is not enough to measure")
+	p.observe(12, at.Add(100*time.Millisecond))
+	g.Expect(p.mean).To(Equal(50 * time.Millisecond))
+	p.observe(13, at.Add(time.Minute))
+	g.Expect(p.mean).To(BeZero(), "the group was idle")
 }
 
-func TestAGroupThatMakesNoPassStandsStill(t *testing.T) {
+func TestGroupWithRequestsButNoPassesIsStalled(t *testing.T) {
 	g := NewWithT(t)
 	s := &Sidecar{log: zap.NewNop()}
 	at := time.Now()
 	busy := rank.Report{Open: true, Size: 3, Step: 7, Running: 2}
-	s.passes.note(7, at.Add(-stalledAfter/2))
-	g.Expect(s.standsStill(busy)).To(BeFalse(), "a long pass")
-	s.passes.began = at.Add(-2 * stalledAfter)
-	g.Expect(s.standsStill(busy)).To(BeTrue())
+	s.passes.observe(7, at.Add(-minStallTime/2))
+	g.Expect(s.checkStalled(busy)).To(BeFalse(), "a pass shorter than the stall time")
+	s.passes.newestAt = at.Add(-2 * minStallTime)
+	g.Expect(s.checkStalled(busy)).To(BeTrue())
 	idle := busy
 	idle.Running = 0
-	g.Expect(s.standsStill(idle)).To(BeFalse(), "an idle group makes no passes")
-	s.passes.note(8, time.Now())
-	g.Expect(s.standsStill(busy)).To(BeFalse())
+	g.Expect(s.checkStalled(idle)).To(BeFalse(), "an idle group makes no passes")
+	s.passes.observe(8, time.Now())
+	g.Expect(s.checkStalled(busy)).To(BeFalse())
 }
 
-func TestAnOrderIsWaitedForAsLongAsAnswersTake(t *testing.T) {
+func TestOrderTimeoutFollowsMeasuredTimes(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		took []time.Duration
-		want time.Duration
+		name     string
+		measured []time.Duration
+		want     time.Duration
 	}{
-		{"nothing known", nil, orderTimeout},
-		{"a quick engine", []time.Duration{time.Millisecond}, leastOrderTimeout},
-		{"one that takes longer", []time.Duration{10 * time.Millisecond}, orderPatience * 10 * time.Millisecond},
-		{"one that takes very long", []time.Duration{time.Second}, orderTimeout},
+		{"no measurement", nil, maxOrderTimeout},
+		{"a fast engine", []time.Duration{time.Millisecond}, minOrderTimeout},
+		{"a slower engine", []time.Duration{10 * time.Millisecond}, orderTimeoutFactor * 10 * time.Millisecond},
+		{"a very slow engine", []time.Duration{time.Second}, maxOrderTimeout},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := &Sidecar{orderTook: estimate.New(answerWeight)}
-			for _, d := range tc.took {
+			s := &Sidecar{orderTook: estimate.New(answerTimeWeight)}
+			for _, d := range tc.measured {
 				s.orderTook.Add(d)
 			}
-			NewWithT(t).Expect(s.orderPause()).To(Equal(tc.want))
+			NewWithT(t).Expect(s.orderAttemptTimeout()).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestAnOrderIsGivenAgainUntilItIsAnswered(t *testing.T) {
+func TestOrderIsRetriedUntilAnswered(t *testing.T) {
 	g := NewWithT(t)
 	asked := 0
-	s := &Sidecar{log: zap.NewNop(), orderTook: estimate.New(answerWeight), figures: newFigures(metrics.NewRegistry())}
+	s := &Sidecar{log: zap.NewNop(), orderTook: estimate.New(answerTimeWeight), stats: newStats(metrics.NewRegistry())}
 	s.engine.Order = func(ctx context.Context, _ rank.Order) (rank.Result, error) {
 		if asked++; asked < 4 {
 			return rank.Lost, errors.New("no answer")
 		}
 		return rank.Done, nil
 	}
-	g.Expect(s.carryOut(context.Background(), rank.Order{Op: rank.Arm}).Result).To(Equal(rank.Done))
+	g.Expect(s.executeOrder(context.Background(), rank.Order{Op: rank.Arm}).Result).To(Equal(rank.Done))
 	g.Expect(asked).To(Equal(4))
 }
 
-func TestALeaderIsAnnouncedToItsOwnGroup(t *testing.T) {
+func TestLeaderIsAnnouncedToOwnGroup(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Now()
 	at := func(address, group string, seen time.Time) *member {
-		return &member{endpoint: fleet.Endpoint{Address: address}, report: rank.Report{Group: group}, seen: seen}
+		return &member{endpoint: fleet.Endpoint{Address: address}, report: rank.Report{Group: group}, lastSeen: seen}
 	}
 	s := &Sidecar{cfg: Config{Address: "10.0.0.1:80", PeersPort: 7}, log: zap.NewNop()}
-	s.setLeading([]*member{
+	s.setAnnouncement([]*member{
 		at("10.0.0.1:80", "g", now),
 		at("10.0.0.2:80", "g", now),
 		at("10.0.0.3:80", "", time.Time{}),
 		at("10.0.0.4:80", "h", now),
-		at("10.0.0.5:80", "h", now.Add(-otherGroupEvery)),
+		at("10.0.0.5:80", "h", now.Add(-otherGroupPollInterval)),
 	}, peers.Lead{Group: "g"})
-	g.Expect(s.tellTo).To(ConsistOf(
+	g.Expect(s.announceTo).To(ConsistOf(
 		netip.MustParseAddrPort("10.0.0.2:7"), netip.MustParseAddrPort("10.0.0.3:7"), netip.MustParseAddrPort("10.0.0.5:7"),
-	), "the own group, who is in none that is known, and who may have joined the own one since")
+	), "ranks of the own group, of no known group, and those that may have joined the own group since")
 }
 
-func TestRanksOfLargeGroupsLookForPassesLessOften(t *testing.T) {
-	for size, want := range map[int]time.Duration{0: passPoll, 24: passPoll, 72: 28800 * time.Microsecond, 129: 51600 * time.Microsecond} {
+func TestPassPollIntervalGrowsWithGroupSize(t *testing.T) {
+	for size, want := range map[int]time.Duration{0: minPassPollInterval, 24: minPassPollInterval, 72: 28800 * time.Microsecond, 129: 51600 * time.Microsecond} {
 		s := &Sidecar{report: rank.Report{Size: size}}
-		NewWithT(t).Expect(s.pollPause()).To(Equal(want), "%d ranks", size)
+		NewWithT(t).Expect(s.passPollInterval()).To(Equal(want), "%d ranks", size)
 	}
 }
 
-// A shorter pass is worth nothing to a group without requests, and little where passes are
-// easy; where pauses become too long it is worth all, however few requests there are.
-func TestWhatAShorterPassIsWorth(t *testing.T) {
+// A shorter pass has no value for a group without requests, and little where passes are short.
+// Where pauses exceed the limit it has its full value, however few requests there are.
+func TestPassTimeWeight(t *testing.T) {
 	const pause = 100 * time.Millisecond
 	for _, tc := range []struct {
 		name    string
 		pass    time.Duration
 		running int // At each of two ranks, which run ten at once.
-		worth   float64
+		want    float64
 	}{
-		{"nothing to do", 20 * time.Millisecond, 0, 0},
-		{"little to do", 20 * time.Millisecond, 1, 0.1 * leastPressure},
-		{"full, and easy", 20 * time.Millisecond, 10, leastPressure},
-		{"queues do not count", 20 * time.Millisecond, 30, leastPressure},
+		{"no requests", 20 * time.Millisecond, 0, 0},
+		{"few requests", 20 * time.Millisecond, 1, 0.1 * minPassTimeWeight},
+		{"full, short passes", 20 * time.Millisecond, 10, minPassTimeWeight},
+		{"queues do not count", 20 * time.Millisecond, 30, minPassTimeWeight},
 		{"passes too long", 90 * time.Millisecond, 1, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			busy := func() *member { return &member{report: rank.Report{Running: tc.running}} }
 			l := &leader{shape: &fleet.Engine{Slots: 10}, pauseLimit: pause, byRank: []*member{busy(), busy()}}
-			l.planner.pass = tc.pass
-			g.Expect(l.pressure()).To(BeNumerically("~", tc.worth, 1e-9))
+			l.planner.passTime = tc.pass
+			g.Expect(l.passTimeWeight()).To(BeNumerically("~", tc.want, 1e-9))
 		})
 	}
 }
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -12,54 +12,55 @@
 )
 
 const (
-	// subscribed is how long a gateway gets loads after its last hello.
-	subscribed = 4 * time.Second
-	// mostDirect is how many gateways of the own failure domain are told one by one. Where
-	// there are more, one of them tells the rest, as in other domains: what a sidecar sends
-	// does not grow with the gateways.
-	mostDirect = 8
+	// subscriptionTTL is how long a gateway is sent loads after its last hello.
+	subscriptionTTL = 4 * time.Second
+	// maxDirectGateways is how many gateways of its own failure domain a sidecar sends loads to
+	// directly. If there are more, one of them forwards the loads to the rest, as in other domains,
+	// so that a sidecar's traffic does not grow with the number of gateways.
+	maxDirectGateways = 8
 )
 
-// subscriber is a gateway that wants loads.
+// subscriber is a gateway that receives loads.
 type subscriber struct {
-	address netip.AddrPort
-	domain  string
-	life    int64     // Start of its process, as it tells; 0 while it is known by hearsay only.
-	at      time.Time // Of its last hello.
-	knows   int       // Gateways that it knows of, itself included; 0 when it does not tell.
+	address       netip.AddrPort
+	domain        string
+	incarnation   int64     // Start time of its process, as it reports it; 0 while it is known only from other gateways.
+	lastHello     time.Time // When it, or another gateway on its behalf, last reported.
+	gatewaysKnown int       // Number of gateways that it knows, itself included; 0 if not reported.
 }
 
-// subscribers are gateways that want loads: those that greeted this sidecar and those that
-// they named. Of each failure domain one is told, which tells the rest there: bytes
-// between domains are dear, and there may be more gateways than are known here. It is
-// another one each time: when one is gone, the others miss one load in so many, until its
-// hellos have lapsed. The few of a small own domain are told one by one.
+// subscribers are the gateways that receive loads: those that sent this sidecar a hello and those
+// that they listed. One gateway of each failure domain is sent the loads and forwards them to the
+// rest of the domain, because bandwidth between domains is expensive, and the domain may have more
+// gateways than this sidecar knows. The gateway changes each time: if one has failed, the others
+// miss one load per rotation until its subscription expires. In a small own domain, all gateways
+// are sent loads directly.
 type subscribers struct {
-	domain string
-	list   []subscriber // Invariant: ordered by domain, then by address.
-	turn   int
+	domain   string
+	list     []subscriber // Invariant: ordered by domain, then by address.
+	rotation int
 }
 
 func newSubscribers(domain string) subscribers { return subscribers{domain: domain} }
 
-// hello takes in a gateway's hello; it reports whether its process was not known, or not heard
-// for so long that it gets no loads any more.
-func (s *subscribers) hello(from netip.AddrPort, h peers.Hello, now time.Time) (fresh bool) {
-	g, known := s.of(from, h.Domain)
-	fresh = !known || g.life != h.Life || now.Sub(g.at) > subscribed
-	g.life, g.at, g.knows = h.Life, now, h.Gateways
-	return fresh
+// hello records a gateway's hello. It returns true if the gateway's process was unknown or its
+// subscription had expired.
+func (s *subscribers) hello(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool) {
+	g, known := s.getOrAdd(from, h.Domain)
+	isNew = !known || g.incarnation != h.Life || now.Sub(g.lastHello) > subscriptionTTL
+	g.incarnation, g.lastHello, g.gatewaysKnown = h.Life, now, h.Gateways
+	return isNew
 }
 
-// hearOf takes in that a gateway was heard by another one at a moment.
-func (s *subscribers) hearOf(address netip.AddrPort, domain string, at time.Time) {
-	if g, _ := s.of(address, domain); at.After(g.at) {
-		g.at = at
+// addKnown records that another gateway last received a report from the gateway at the given time.
+func (s *subscribers) addKnown(address netip.AddrPort, domain string, at time.Time) {
+	if g, _ := s.getOrAdd(address, domain); at.After(g.lastHello) {
+		g.lastHello = at
 	}
 }
 
-// of returns the gateway at an address, which is added where it was not known.
-func (s *subscribers) of(address netip.AddrPort, domain string) (g *subscriber, known bool) {
+// getOrAdd returns the gateway at an address and adds it if it was unknown.
+func (s *subscribers) getOrAdd(address netip.AddrPort, domain string) (g *subscriber, known bool) {
 	i, known := slices.BinarySearchFunc(s.list, subscriber{address: address, domain: domain}, func(a, b subscriber) int {
 		return cmp.Or(cmp.Compare(a.domain, b.domain), a.address.Compare(b.address))
 	})
@@ -69,43 +70,43 @@
 	return &s.list[i], known
 }
 
-// gateways returns how many gateways there are, by what those known here tell.
-func (s *subscribers) gateways() (n int) {
+// gatewayCount returns the number of gateways, as far as the known ones report it.
+func (s *subscribers) gatewayCount() (n int) {
 	n = len(s.list)
 	for _, g := range s.list {
-		n = max(n, g.knows)
+		n = max(n, g.gatewaysKnown)
 	}
 	return n
 }
 
-// next returns whom to tell now: gateways that need not pass it on, and those that
-// do.
-func (s *subscribers) next(now time.Time) (near, far []netip.AddrPort) {
+// targets returns the gateways to send a load to now: those that need not forward it, and those
+// that relay it to their domain.
+func (s *subscribers) targets(now time.Time) (direct, relays []netip.AddrPort) {
 	s.eachDomain(now, func(domain string, members []subscriber) {
-		if domain != "" && (domain != s.domain || len(members) > mostDirect) {
-			far = append(far, members[s.turn%len(members)].address)
+		if domain != "" && (domain != s.domain || len(members) > maxDirectGateways) {
+			relays = append(relays, members[s.rotation%len(members)].address)
 			return
 		}
 		for _, g := range members {
-			near = append(near, g.address)
+			direct = append(direct, g.address)
 		}
 	})
-	return near, far
+	return direct, relays
 }
 
-// onePerDomain returns a gateway of each failure domain, which passes on what it is
-// told.
+// onePerDomain returns one gateway of each failure domain, which forwards what it receives.
 func (s *subscribers) onePerDomain(now time.Time) (list []netip.AddrPort) {
 	s.eachDomain(now, func(_ string, members []subscriber) {
-		list = append(list, members[s.turn%len(members)].address)
+		list = append(list, members[s.rotation%len(members)].address)
 	})
 	return list
 }
 
-// eachDomain forgets who fell silent and hands over the others, domain by domain.
+// eachDomain removes the gateways whose subscription has expired and calls do with the others, by
+// domain.
 func (s *subscribers) eachDomain(now time.Time, do func(domain string, members []subscriber)) {
-	s.list = slices.DeleteFunc(s.list, func(g subscriber) bool { return now.Sub(g.at) > subscribed })
-	s.turn++
+	s.list = slices.DeleteFunc(s.list, func(g subscriber) bool { return now.Sub(g.lastHello) > subscriptionTTL })
+	s.rotation++
 	for first := 0; first < len(s.list); {
 		end := first
 		for end < len(s.list) && s.list[end].domain == s.list[first].domain {
--- a/internal/sidecar/subscribers_test.go
+++ b/internal/sidecar/subscribers_test.go
@@ -13,120 +13,123 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-func gatewayAt(domain, n int) netip.AddrPort {
+func gatewayAddress(domain, n int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.%d.0.%d:7000", domain, n))
 }
 
-// threeDomains are three gateways in each of the domains a, b and c, heard now.
-func threeDomains(now time.Time) subscribers {
+// threeDomainSubscribers returns three gateways in each of the domains a, b and c, whose hellos
+// arrived now.
+func threeDomainSubscribers(now time.Time) subscribers {
 	s := newSubscribers("a")
 	for n := range 3 {
 		for d, name := range []string{"a", "b", "c"} {
-			s.hello(gatewayAt(d, n), peers.Hello{Domain: name}, now)
+			s.hello(gatewayAddress(d, n), peers.Hello{Domain: name}, now)
 		}
 	}
 	return s
 }
 
-func TestOneGatewayOfEachOtherDomainIsTold(t *testing.T) {
+func TestOneGatewayOfEachOtherDomainIsTargeted(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	s := threeDomains(now)
-	told := map[netip.AddrPort]int{}
+	s := threeDomainSubscribers(now)
+	sent := map[netip.AddrPort]int{}
 	for range 6 {
-		near, far := s.next(now)
-		g.Expect(near).To(ConsistOf(gatewayAt(0, 0), gatewayAt(0, 1), gatewayAt(0, 2)))
-		g.Expect(far).To(HaveLen(2))
-		for _, a := range far {
-			told[a]++
+		direct, relays := s.targets(now)
+		g.Expect(direct).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(0, 1), gatewayAddress(0, 2)))
+		g.Expect(relays).To(HaveLen(2))
+		for _, a := range relays {
+			sent[a]++
 		}
 	}
-	g.Expect(told).To(HaveLen(6), "each in turn")
-	for a, n := range told {
+	g.Expect(sent).To(HaveLen(6), "each in turn")
+	for a, n := range sent {
 		g.Expect(n).To(Equal(2), "%v", a)
 	}
 }
 
-func TestGatewaysThatFellSilentAreNotTold(t *testing.T) {
+func TestSubscriptionsOfSilentGatewaysExpire(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	s := threeDomains(now)
-	later := now.Add(subscribed + time.Second)
-	s.hello(gatewayAt(1, 2), peers.Hello{Domain: "b"}, later)
-	near, far := s.next(later)
-	g.Expect(near).To(BeEmpty())
-	g.Expect(far).To(ConsistOf(gatewayAt(1, 2)))
+	s := threeDomainSubscribers(now)
+	later := now.Add(subscriptionTTL + time.Second)
+	s.hello(gatewayAddress(1, 2), peers.Hello{Domain: "b"}, later)
+	direct, relays := s.targets(later)
+	g.Expect(direct).To(BeEmpty())
+	g.Expect(relays).To(ConsistOf(gatewayAddress(1, 2)))
 }
 
-func TestAGatewayThatTellsNoDomainIsToldItself(t *testing.T) {
+func TestGatewayWithoutDomainIsTargetedDirectly(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	s.hello(gatewayAt(1, 0), peers.Hello{}, now)
-	s.hello(gatewayAt(1, 1), peers.Hello{}, now)
-	near, far := s.next(now)
-	g.Expect(near).To(HaveLen(2))
-	g.Expect(far).To(BeEmpty())
+	s.hello(gatewayAddress(1, 0), peers.Hello{}, now)
+	s.hello(gatewayAddress(1, 1), peers.Hello{}, now)
+	direct, relays := s.targets(now)
+	g.Expect(direct).To(HaveLen(2))
+	g.Expect(relays).To(BeEmpty())
 }
 
-func TestOneGatewayOfEveryDomainIsToldOfAllLoads(t *testing.T) {
+func TestOneGatewayOfEachDomainReceivesGroupLoads(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	s := threeDomains(now)
-	told := map[netip.AddrPort]int{}
+	s := threeDomainSubscribers(now)
+	sent := map[netip.AddrPort]int{}
 	for range 3 {
 		list := s.onePerDomain(now)
 		g.Expect(list).To(HaveLen(3))
 		for _, a := range list {
-			told[a]++
+			sent[a]++
 		}
 	}
-	g.Expect(told).To(HaveLen(9), "another one each time")
+	g.Expect(sent).To(HaveLen(9), "a different gateway each time")
 }
 
-// A sidecar does not hear of all gateways, so one of a domain with many tells the others there.
-func TestOneOfManyGatewaysOfTheOwnDomainIsTold(t *testing.T) {
+// A sidecar does not know all gateways, so one gateway of a domain with many forwards loads to the
+// others.
+func TestOneGatewayRelaysInALargeOwnDomain(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	for n := range mostDirect {
-		s.hello(gatewayAt(0, n), peers.Hello{Domain: "a"}, now)
+	for n := range maxDirectGateways {
+		s.hello(gatewayAddress(0, n), peers.Hello{Domain: "a"}, now)
 	}
-	near, far := s.next(now)
-	g.Expect(near).To(HaveLen(mostDirect))
-	g.Expect(far).To(BeEmpty())
-	s.hello(gatewayAt(0, mostDirect), peers.Hello{Domain: "a"}, now)
-	near, far = s.next(now)
-	g.Expect(near).To(BeEmpty())
-	g.Expect(far).To(HaveLen(1))
+	direct, relays := s.targets(now)
+	g.Expect(direct).To(HaveLen(maxDirectGateways))
+	g.Expect(relays).To(BeEmpty())
+	s.hello(gatewayAddress(0, maxDirectGateways), peers.Hello{Domain: "a"}, now)
+	direct, relays = s.targets(now)
+	g.Expect(direct).To(BeEmpty())
+	g.Expect(relays).To(HaveLen(1))
 }
 
-func TestGatewaysThatOthersNameAreTold(t *testing.T) {
+func TestGatewaysKnownFromOthersAreTargeted(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Life: 1, Gateways: 500}, now)
-	s.hearOf(gatewayAt(1, 0), "b", now.Add(-subscribed+time.Second))
-	s.hearOf(gatewayAt(0, 0), "a", now.Add(-subscribed))
-	g.Expect(s.onePerDomain(now)).To(ConsistOf(gatewayAt(0, 0), gatewayAt(1, 0)))
-	g.Expect(s.gateways()).To(Equal(500))
-	g.Expect(s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Life: 1}, now)).To(BeFalse())
-	g.Expect(s.hello(gatewayAt(1, 0), peers.Hello{Domain: "b", Life: 1}, now)).To(BeTrue(), "it was known by hearsay only")
+	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Life: 1, Gateways: 500}, now)
+	s.addKnown(gatewayAddress(1, 0), "b", now.Add(-subscriptionTTL+time.Second))
+	s.addKnown(gatewayAddress(0, 0), "a", now.Add(-subscriptionTTL))
+	g.Expect(s.onePerDomain(now)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 0)))
+	g.Expect(s.gatewayCount()).To(Equal(500))
+	g.Expect(s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Life: 1}, now)).To(BeFalse())
+	g.Expect(s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Life: 1}, now)).To(BeTrue(), "it was known only from another gateway")
 	later := now.Add(2 * time.Second)
-	s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Life: 1}, later)
-	s.hearOf(gatewayAt(1, 1), "b", later)
-	s.hello(gatewayAt(1, 0), peers.Hello{Domain: "b", Life: 1, Gateways: 7}, now.Add(-time.Hour))
-	g.Expect(s.onePerDomain(later)).To(ConsistOf(gatewayAt(0, 0), gatewayAt(1, 1)), "an older word lapses")
+	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Life: 1}, later)
+	s.addKnown(gatewayAddress(1, 1), "b", later)
+	s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Life: 1, Gateways: 7}, now.Add(-time.Hour))
+	g.Expect(s.onePerDomain(later)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 1)), "an older report expires")
 }
 
-// A sidecar whose leader tells for it tells nobody, so it forgets nobody either; one that was
-// cut off is still to be told at once when it is back.
-func TestAGatewayThatWasAwayIsFresh(t *testing.T) {
+// A sidecar whose leader sends its load sends nothing itself and therefore removes no expired
+// gateways. A gateway that was disconnected must still receive the load immediately when it
+// reconnects.
+func TestGatewayIsNewAfterExpiry(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
 	h := peers.Hello{Domain: "b", Life: 1}
-	g.Expect(s.hello(gatewayAt(1, 0), h, now)).To(BeTrue())
-	g.Expect(s.hello(gatewayAt(1, 0), h, now.Add(subscribed))).To(BeFalse())
-	g.Expect(s.hello(gatewayAt(1, 0), h, now.Add(2*subscribed+time.Millisecond))).To(BeTrue())
+	g.Expect(s.hello(gatewayAddress(1, 0), h, now)).To(BeTrue())
+	g.Expect(s.hello(gatewayAddress(1, 0), h, now.Add(subscriptionTTL))).To(BeFalse())
+	g.Expect(s.hello(gatewayAddress(1, 0), h, now.Add(2*subscriptionTTL+time.Millisecond))).To(BeTrue())
 }
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -17,73 +17,69 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// A leader asks and orders the ranks of its group by a tree of their sidecars: it
-// calls a few, each of which calls a few of its part, and so on. So what one link
-// and one processor carry does not grow with the group. The leader alone lays the
-// tree out, anew for each question, and names in it whom to call; nobody has to
-// agree on it or remember it, and whoever was silent is left out of the next one.
-//
-// Answers go up in CBOR, the counts of experts as sums: they are most of the bytes,
-// and links of sidecars are narrow.
+// A leader queries and orders the ranks of its group through a tree of their sidecars: it calls a
+// few, each of which calls a few of its part, and so on. The load on one link and one CPU therefore
+// does not grow with the group. Only the leader determines the tree, anew for each query, and the
+// query lists the sidecars to call. No other rank has to agree on the tree or remember it, and a
+// rank that was silent is left out of the next one.
 const (
-	// fanHeavy is how many sidecars one calls where each answer, or the question,
-	// takes some kilobytes: with more, the link of the one that calls is the slowest
-	// part, with fewer, the tree is deep.
-	fanHeavy = 4
-	// fanLight is that where they take some bytes a rank: a call costs about 0.2 ms of
-	// a core, and a step down the tree a round trip.
-	fanLight = 8
-	// fanFlat is the size of groups up to which the leader calls all others itself:
-	// as many calls as it would make anyhow in two steps of fanHeavy.
-	fanFlat = fanHeavy + fanHeavy*fanHeavy
-	// stepTime is what one step down the tree adds to the time that an answer may
-	// take: a round trip between failure domains and the time that a small processor
-	// share may add.
-	stepTime = 40 * time.Millisecond
+	// heavyFanout is the number of sidecars that one sidecar calls if each answer, or the query,
+	// takes some kilobytes: with more, the link of the caller is the bottleneck; with fewer, the
+	// tree is deep.
+	heavyFanout = 4
+	// lightFanout is that number if they take some bytes per rank: a call costs about 0.2 ms of a
+	// core, and a level of the tree costs a round trip.
+	lightFanout = 8
+	// flatFanout is the size of groups up to which the leader calls all others itself: as many
+	// calls as two levels of heavyFanout would take.
+	flatFanout = heavyFanout + heavyFanout*heavyFanout
+	// hopTime is what one level of the tree adds to the time that an answer may take: a round trip
+	// between failure domains, plus delays from a small CPU share.
+	hopTime  = 40 * time.Millisecond
 	pathTree = "/v1/tree"
 )
 
-// question goes down the tree.
-type question struct {
+// treeQuery is a query that is sent down the tree.
+type treeQuery struct {
 	_       struct{}      `cbor:",toarray"`
-	Engines []string      // Whose sidecars are asked; the receiver's engine is the first.
-	Fan     int           // Sidecars that one calls at most.
-	Limit   time.Duration // In which the answer must be there.
-	Group   string        // Whose counts are wanted; "" for none.
-	Order   *rank.Order   // To be carried out by each, without its map; nil to ask for reports only.
-	Map     *mapText      // Of an order to prepare.
+	Engines []string      // Engines whose sidecars are queried; the receiver's own engine is the first.
+	Fanout  int           // Maximum number of sidecars that one sidecar calls.
+	Timeout time.Duration // Time within which the answer must arrive.
+	Group   string        // Group whose counts are requested; "" for none.
+	Order   *rank.Order   // Order for each rank, without its map; nil to request reports only.
+	Map     *encodedMap   // Map of a Prepare order.
 }
 
-// answered is what became of the question at one rank.
-type answered struct {
-	_      struct{}     `cbor:",toarray"`
-	Place  int          // In the question's list.
-	Report *rank.Report // Nil where an order was given.
-	Result rank.Result  // Of the order.
-	Error  string
-	NoBase bool // The order's map is a change of one that the rank does not know: nothing was done.
+// rankResponse is the result of a query at one rank.
+type rankResponse struct {
+	_           struct{}     `cbor:",toarray"`
+	Index       int          // In the query's list.
+	Report      *rank.Report // Nil if the query had an order.
+	Result      rank.Result  // Of the order.
+	Error       string
+	UnknownBase bool // The rank does not have the base of the order's map delta; nothing was done.
 }
 
-// answers goes up the tree.
-type answers struct {
-	_      struct{} `cbor:",toarray"`
-	Ranks  []answered
-	Counts []byte // Sum of the newest windows of so many ranks, as packCounts writes it; empty for none.
-	Summed int
-	Window uint64 // Number of the first rank's window.
-	Epoch  uint64 // Of the windows.
+// treeResponse is a response that is returned up the tree.
+type treeResponse struct {
+	_           struct{} `cbor:",toarray"`
+	Ranks       []rankResponse
+	Counts      []byte // Sum of the newest windows of SummedRanks ranks, as encoded by encodeCounts; empty if there is none.
+	SummedRanks int
+	Window      uint64 // Number of the first rank's window.
+	Epoch       uint64 // Of the windows.
 }
 
-// fanFor returns how many sidecars one calls to reach so many ranks where each call
-// takes some kilobytes.
-func fanFor(ranks int) int {
-	if ranks < fanFlat {
-		return fanFlat
+// fanoutFor returns the fanout to reach the given number of ranks if each call takes some
+// kilobytes.
+func fanoutFor(ranks int) int {
+	if ranks < flatFanout {
+		return flatFanout
 	}
-	return fanHeavy
+	return heavyFanout
 }
 
-// split divides a list into parts of like size, at most so many.
+// split divides a list into at most the given number of parts of similar size.
 func split[T any](list []T, parts int) (all [][]T) {
 	parts = min(parts, len(list))
 	for i := range parts {
@@ -92,23 +88,23 @@
 	return all
 }
 
-// serveTree answers for this rank and those below it.
+// serveTree answers a query for this rank and those below it.
 func (s *Sidecar) serveTree(w http.ResponseWriter, r *http.Request) {
-	var q question
-	raw, err := io.ReadAll(io.LimitReader(r.Body, maxPeerAnswer))
+	var q treeQuery
+	raw, err := io.ReadAll(io.LimitReader(r.Body, maxPeerResponse))
 	if err == nil {
 		err = cbor.Unmarshal(raw, &q)
 	}
-	if err == nil && (len(q.Engines) == 0 || q.Fan <= 0) {
+	if err == nil && (len(q.Engines) == 0 || q.Fanout <= 0) {
 		err = errors.New("a question to nobody")
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), q.Limit)
+	ctx, cancel := context.WithTimeout(r.Context(), q.Timeout)
 	defer cancel()
-	a := s.askTree(ctx, q)
+	a := s.queryTree(ctx, q)
 	if raw, err = cbor.Marshal(a); err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -116,133 +112,133 @@
 	httpjson.Binary(w, raw)
 }
 
-// askTree puts a question to this rank, whose engine is its first one, and to all
+// queryTree answers a query for this rank, whose engine is the query's first one, and for all ranks
 // below it.
-func (s *Sidecar) askTree(ctx context.Context, q question) answers {
+func (s *Sidecar) queryTree(ctx context.Context, q treeQuery) treeResponse {
 	rest := q
 	rest.Engines = q.Engines[1:]
-	var below answers
+	var below treeResponse
 	var g errgroup.Group
 	g.Go(func() error {
-		s.contained(func() { below = s.spread(ctx, rest) })
+		s.containPanic(func() { below = s.fanOut(ctx, rest) })
 		return nil
 	})
-	sum := s.answerOwn(ctx, q)
-	_ = g.Wait() // No function returns an error: who was not heard is not among the answers.
-	s.add(&sum, below, 1)
+	sum := s.answerForSelf(ctx, q)
+	_ = g.Wait() // No function returns an error; ranks that did not answer are not in the response.
+	s.merge(&sum, below, 1)
 	return sum
 }
 
-// spread puts a question to all its engines, a part of them through each of a few.
-func (s *Sidecar) spread(ctx context.Context, q question) (sum answers) {
-	parts := split(q.Engines, q.Fan)
-	below := make([]answers, len(parts))
+// fanOut sends a query to all its engines, in parts, each through the first sidecar of the part
+// that answers.
+func (s *Sidecar) fanOut(ctx context.Context, q treeQuery) (sum treeResponse) {
+	parts := split(q.Engines, q.Fanout)
+	below := make([]treeResponse, len(parts))
 	var g errgroup.Group
 	for i, part := range parts {
 		g.Go(func() error {
-			s.contained(func() { below[i] = s.askPart(ctx, q, part) })
+			s.containPanic(func() { below[i] = s.queryPart(ctx, q, part) })
 			return nil
 		})
 	}
 	_ = g.Wait() // As above.
 	place := 0
 	for i, part := range parts {
-		s.add(&sum, below[i], place)
+		s.merge(&sum, below[i], place)
 		place += len(part)
 	}
 	return sum
 }
 
-// askPart puts a question to the ranks of one part: to the first, which asks the
-// rest, or to the next one when that does not answer.
-func (s *Sidecar) askPart(ctx context.Context, q question, part []string) (a answers) {
+// queryPart sends a query to the ranks of one part: to the first one, which queries the rest, or to
+// the next one if that does not answer.
+func (s *Sidecar) queryPart(ctx context.Context, q treeQuery, part []string) (a treeResponse) {
 	for first := range part {
 		deadline, ok := ctx.Deadline()
-		if left := time.Until(deadline) - stepTime; ok && left > 0 {
-			q.Limit = left
+		if left := time.Until(deadline) - hopTime; ok && left > 0 {
+			q.Timeout = left
 		} else {
-			return answers{}
+			return treeResponse{}
 		}
 		q.Engines = part[first:]
-		call, cancel := context.WithTimeout(ctx, q.Limit+stepTime/2)
-		a, err := s.below(call, q)
+		call, cancel := context.WithTimeout(ctx, q.Timeout+hopTime/2)
+		a, err := s.querySidecar(call, q)
 		cancel()
 		if err == nil {
 			for i := range a.Ranks {
-				a.Ranks[i].Place += first
+				a.Ranks[i].Index += first
 			}
 			return a
 		}
-		s.log.Debug("sidecar not heard", zap.String("engine", part[first]), zap.Int("below", len(part)-first-1), zap.String("error", err.Error()))
+		s.log.Debug("sidecar unreachable", zap.String("engine", part[first]), zap.Int("below", len(part)-first-1), zap.String("error", err.Error()))
 	}
-	return answers{}
+	return treeResponse{}
 }
 
-// answerOwn answers a question for the own rank.
-func (s *Sidecar) answerOwn(ctx context.Context, q question) (a answers) {
+// answerForSelf answers a query for this rank.
+func (s *Sidecar) answerForSelf(ctx context.Context, q treeQuery) (a treeResponse) {
 	if q.Order != nil {
-		a.Ranks = []answered{s.carryOutMap(ctx, *q.Order, q.Map)}
+		a.Ranks = []rankResponse{s.executeWithMap(ctx, *q.Order, q.Map)}
 		return a
 	}
 	rep, err := s.engine.Report(ctx)
-	if !s.noteReport(rep, err) || err != nil {
+	if !s.recordReport(rep, err) || err != nil {
 		return a
 	}
-	a.Ranks = []answered{{Report: &rep}}
+	a.Ranks = []rankResponse{{Report: &rep}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.Window = s.work.number
-	if q.Group == "" || q.Group != rep.Group || s.work.epoch != rep.Epoch || len(s.work.flat) == 0 {
+	a.Window = s.newestWindow.number
+	if q.Group == "" || q.Group != rep.Group || s.newestWindow.epoch != rep.Epoch || len(s.newestWindow.flat) == 0 {
 		return a
 	}
-	if a.Counts, err = packCounts(s.work.flat); err != nil {
-		s.log.Warn("counts left out", zap.String("error", err.Error()))
+	if a.Counts, err = encodeCounts(s.newestWindow.flat); err != nil {
+		s.log.Warn("counts not encoded", zap.String("error", err.Error()))
 		return a
 	}
-	a.Summed, a.Epoch = 1, rep.Epoch
+	a.SummedRanks, a.Epoch = 1, rep.Epoch
 	return a
 }
 
-// add adds what came from below, whose ranks are from a place on in the question's
-// list.
-func (s *Sidecar) add(sum *answers, from answers, place int) {
+// merge adds a response from below to sum. The ranks of the response start at the given index of
+// the query's list.
+func (s *Sidecar) merge(sum *treeResponse, from treeResponse, place int) {
 	for _, r := range from.Ranks {
-		r.Place += place
+		r.Index += place
 		sum.Ranks = append(sum.Ranks, r)
 	}
-	if from.Summed == 0 {
+	if from.SummedRanks == 0 {
 		return
 	}
-	if sum.Summed == 0 {
-		sum.Counts, sum.Summed, sum.Epoch = from.Counts, from.Summed, from.Epoch
+	if sum.SummedRanks == 0 {
+		sum.Counts, sum.SummedRanks, sum.Epoch = from.Counts, from.SummedRanks, from.Epoch
 		return
 	}
 	both, err := addCounts(sum.Counts, from.Counts)
 	if err != nil || sum.Epoch != from.Epoch {
-		s.log.Debug("counts left out", zap.Int("ranks", from.Summed), zap.Uint64("epoch", from.Epoch), zap.Error(err))
+		s.log.Debug("incompatible counts ignored", zap.Int("ranks", from.SummedRanks), zap.Uint64("epoch", from.Epoch), zap.Error(err))
 		return
 	}
 	sum.Counts = both
-	sum.Summed += from.Summed
+	sum.SummedRanks += from.SummedRanks
 }
 
-// depth is how many steps a question takes down a tree of so many ranks below its
-// root.
-func depth(ranks, fan int) (steps int) {
+// depth returns how many levels a tree with the given number of ranks below its root has.
+func depth(ranks, fan int) (hops int) {
 	for ranks > 0 {
-		steps++
+		hops++
 		ranks = (ranks+fan-1)/fan - 1
 	}
-	return steps
+	return hops
 }
 
-// tree puts a question to the sidecar beside its first engine.
-func (c *peerClient) tree(ctx context.Context, q question) (a answers, err error) {
+// queryTree sends a query to the sidecar of the query's first engine.
+func (c *peerClient) queryTree(ctx context.Context, q treeQuery) (a treeResponse, err error) {
 	raw, err := cbor.Marshal(q)
 	if err != nil {
 		return a, err
 	}
-	raw, err = c.raw(ctx, http.MethodPost, q.Engines[0], pathTree, raw)
+	raw, err = c.do(ctx, http.MethodPost, q.Engines[0], pathTree, raw)
 	if err != nil {
 		return a, err
 	}
