--- a/internal/sidecar/tree_test.go
+++ b/internal/sidecar/tree_test.go
@@ -18,91 +18,90 @@
 	"github.com/canvaspulley/canvaspulley/internal/rank"
 )
 
-// tree is the sidecars of a group without sockets, whose engines have their rank as
-// address.
-type tree struct {
+// fakeTree is the sidecars of a group without sockets. The address of each engine is its rank.
+type fakeTree struct {
 	sidecars []*Sidecar
 	silent   map[int]bool
 
-	mu    sync.Mutex
-	calls []int // Made by each sidecar.
-	asked []int // Calls to each.
+	mu       sync.Mutex
+	sent     []int // Calls made by each sidecar.
+	received []int // Calls made to each sidecar.
 }
 
-func newTree(ranks int, silent ...int) *tree {
-	t := &tree{silent: map[int]bool{}, calls: make([]int, ranks), asked: make([]int, ranks)}
+func newFakeTree(ranks int, silent ...int) *fakeTree {
+	t := &fakeTree{silent: map[int]bool{}, sent: make([]int, ranks), received: make([]int, ranks)}
 	for _, r := range silent {
 		t.silent[r] = true
 	}
 	for r := range ranks {
-		s := &Sidecar{log: zap.NewNop(), work: window{number: 7, epoch: 1, flat: []uint64{1, uint64(r), 300}}}
+		s := &Sidecar{log: zap.NewNop(), newestWindow: window{number: 7, epoch: 1, flat: []uint64{1, uint64(r), 300}}}
 		s.engine = rank.Engine{
 			Report: func(context.Context) (rank.Report, error) {
 				return rank.Report{Group: "g", Epoch: 1, Rank: r, Size: ranks, Open: true}, nil
 			},
 			Order: func(_ context.Context, o rank.Order) (rank.Result, error) { return rank.Done, nil },
 		}
-		s.figures = newFigures(metrics.NewRegistry())
-		s.below = func(ctx context.Context, q question) (answers, error) { return t.call(ctx, r, q) }
+		s.stats = newStats(metrics.NewRegistry())
+		s.querySidecar = func(ctx context.Context, q treeQuery) (treeResponse, error) { return t.call(ctx, r, q) }
 		t.sidecars = append(t.sidecars, s)
 	}
 	return t
 }
 
-// call puts a question of one sidecar to another one.
-func (t *tree) call(ctx context.Context, from int, q question) (answers, error) {
+// call passes a query of one sidecar to another one.
+func (t *fakeTree) call(ctx context.Context, from int, q treeQuery) (treeResponse, error) {
 	to, err := strconv.Atoi(q.Engines[0])
 	if err != nil {
-		return answers{}, err
+		return treeResponse{}, err
 	}
 	t.mu.Lock()
-	t.calls[from]++
-	t.asked[to]++
+	t.sent[from]++
+	t.received[to]++
 	t.mu.Unlock()
 	if t.silent[to] {
-		return answers{}, errors.New("no answer")
+		return treeResponse{}, errors.New("no answer")
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Limit)
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
-	return t.sidecars[to].askTree(ctx, q), nil
+	return t.sidecars[to].queryTree(ctx, q), nil
 }
 
-func engines(ranks int) (list []string) {
+func engineAddresses(ranks int) (list []string) {
 	for r := range ranks {
 		list = append(list, strconv.Itoa(r))
 	}
 	return list
 }
 
-func (t *tree) ask(fan int, order *rank.Order) answers {
+func (t *fakeTree) ask(fan int, order *rank.Order) treeResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), eventually)
 	defer cancel()
-	return t.sidecars[0].askTree(ctx, question{Engines: engines(len(t.sidecars)), Fan: fan, Limit: eventually, Group: "g", Order: order})
+	return t.sidecars[0].queryTree(ctx, treeQuery{Engines: engineAddresses(len(t.sidecars)), Fanout: fan, Timeout: eventually, Group: "g", Order: order})
 }
 
-func TestATreeReachesEveryRankOnceByFewCallsOfEach(t *testing.T) {
+func TestTreeQueryReachesEachRankOnce(t *testing.T) {
 	for _, ranks := range []int{1, 2, 12, 72, 129, 1000} {
-		for _, fan := range []int{fanHeavy, fanLight, fanFlat} {
+		for _, fan := range []int{heavyFanout, lightFanout, flatFanout} {
 			t.Run(fmt.Sprintf("%d ranks by %d", ranks, fan), func(t *testing.T) {
 				g := NewWithT(t)
-				all := newTree(ranks)
+				all := newFakeTree(ranks)
 				a := all.ask(fan, nil)
 				g.Expect(a.Ranks).To(HaveLen(ranks))
 				for _, r := range a.Ranks {
-					g.Expect(r.Report.Rank).To(Equal(r.Place))
+					g.Expect(r.Report.Rank).To(Equal(r.Index))
 				}
 				for r := range ranks {
-					g.Expect(all.calls[r]).To(BeNumerically("<=", fan))
-					g.Expect(all.asked[r]).To(Equal(min(r, 1)), "rank %d", r)
+					g.Expect(all.sent[r]).To(BeNumerically("<=", fan))
+					g.Expect(all.received[r]).To(Equal(min(r, 1)), "rank %d", r)
 				}
-				counts, err := unpackCounts(a.Counts)
+				counts, err := decodeCounts(a.Counts)
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(counts).To(HaveLen(3))
 				most := float64(max(300*ranks, ranks*(ranks-1)/2))
 				for i, n := range []int{ranks, ranks * (ranks - 1) / 2, 300 * ranks} {
-					g.Expect(float64(counts[i])).To(BeNumerically("~", n, most/50), "each step rounds")
+					g.Expect(float64(counts[i])).To(BeNumerically("~", n, most/50), "each level rounds")
 				}
-				g.Expect(a.Summed).To(Equal(ranks))
+				g.Expect(a.SummedRanks).To(Equal(ranks))
 			})
 		}
 	}
@@ -116,29 +115,29 @@
 	}
 }
 
-// A sidecar that does not answer is passed over by whoever asks it: those below it
-// are asked all the same.
-func TestDeadNodesOfATreeHideNobodyElse(t *testing.T) {
+// A sidecar that does not answer is skipped by its caller, and the ranks below it are queried all
+// the same.
+func TestSilentNodesDoNotHideRanksBelowThem(t *testing.T) {
 	g := NewWithT(t)
 	const ranks = 129
 	dead := []int{1, 2, 33, 34, 65, 97, 128}
-	all := newTree(ranks, dead...)
-	a := all.ask(fanHeavy, nil)
-	heard := map[int]bool{}
+	all := newFakeTree(ranks, dead...)
+	a := all.ask(heavyFanout, nil)
+	answered := map[int]bool{}
 	for _, r := range a.Ranks {
-		g.Expect(r.Report.Rank).To(Equal(r.Place))
-		heard[r.Place] = true
+		g.Expect(r.Report.Rank).To(Equal(r.Index))
+		answered[r.Index] = true
 	}
-	g.Expect(heard).To(HaveLen(ranks - len(dead)))
-	g.Expect(a.Summed).To(Equal(ranks - len(dead)))
+	g.Expect(answered).To(HaveLen(ranks - len(dead)))
+	g.Expect(a.SummedRanks).To(Equal(ranks - len(dead)))
 	for _, r := range dead {
-		g.Expect(heard).NotTo(HaveKey(r))
+		g.Expect(answered).NotTo(HaveKey(r))
 	}
 }
 
-func TestAnOrderGoesDownTheTree(t *testing.T) {
+func TestOrderIsSentDownTheTree(t *testing.T) {
 	g := NewWithT(t)
-	a := newTree(129, 5).ask(fanLight, &rank.Order{Op: rank.Arm, Version: 3, Step: 9})
+	a := newFakeTree(129, 5).ask(lightFanout, &rank.Order{Op: rank.Arm, Version: 3, Step: 9})
 	g.Expect(a.Ranks).To(HaveLen(128))
 	for _, r := range a.Ranks {
 		g.Expect(r.Result).To(Equal(rank.Done))
@@ -146,36 +145,36 @@
 	}
 }
 
-func TestCountsOfOtherGroupsAndShapesAreLeftOut(t *testing.T) {
+func TestCountsOfOtherGroupsAndShapesAreIgnored(t *testing.T) {
 	g := NewWithT(t)
-	all := newTree(12)
-	all.sidecars[3].work.epoch = 2
-	all.sidecars[4].work.flat = []uint64{1}
+	all := newFakeTree(12)
+	all.sidecars[3].newestWindow.epoch = 2
+	all.sidecars[4].newestWindow.flat = []uint64{1}
 	all.sidecars[5].engine.Report = func(context.Context) (rank.Report, error) {
 		return rank.Report{Group: "other", Epoch: 1}, nil
 	}
-	a := all.ask(fanFlat, nil)
+	a := all.ask(flatFanout, nil)
 	g.Expect(a.Ranks).To(HaveLen(12))
-	g.Expect(a.Summed).To(Equal(9))
+	g.Expect(a.SummedRanks).To(Equal(9))
 }
 
-func TestTimeIsKeptForEachStepDown(t *testing.T) {
+func TestTimeIsReservedForEachHop(t *testing.T) {
 	g := NewWithT(t)
 	var limits []time.Duration
-	s := &Sidecar{log: zap.NewNop(), below: func(_ context.Context, q question) (answers, error) {
-		limits = append(limits, q.Limit)
-		return answers{}, errors.New("no answer")
+	s := &Sidecar{log: zap.NewNop(), querySidecar: func(_ context.Context, q treeQuery) (treeResponse, error) {
+		limits = append(limits, q.Timeout)
+		return treeResponse{}, errors.New("no answer")
 	}}
 	ctx, cancel := context.WithTimeout(context.Background(), eventually)
 	defer cancel()
-	s.askPart(ctx, question{Limit: eventually}, engines(3))
-	g.Expect(limits).To(HaveLen(3), "each is tried in the place of the one before")
+	s.queryPart(ctx, treeQuery{Timeout: eventually}, engineAddresses(3))
+	g.Expect(limits).To(HaveLen(3), "each is tried in place of the previous one")
 	for _, l := range limits {
-		g.Expect(l).To(BeNumerically("<=", eventually-stepTime))
+		g.Expect(l).To(BeNumerically("<=", eventually-hopTime))
 	}
 	limits = nil
-	short, cancel := context.WithTimeout(context.Background(), stepTime/2)
+	short, cancel := context.WithTimeout(context.Background(), hopTime/2)
 	defer cancel()
-	s.askPart(short, question{Limit: stepTime / 2}, engines(3))
+	s.queryPart(short, treeQuery{Timeout: hopTime / 2}, engineAddresses(3))
 	g.Expect(limits).To(BeEmpty(), "an answer would come too late")
 }
