--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -95,7 +95,7 @@
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: borrowTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     peers.CallerIdle,
+		IdleConnTimeout:     peers.ClientIdleTimeout,
 	}
 	n = &Neighbours{
 		g: g, socket: socket, log: log, decode: cfg.Decode, client: &http.Client{Transport: t},
@@ -122,8 +122,8 @@
 func (n *Neighbours) receive(from netip.AddrPort, m peers.Message) {
 	n.g.suspects.Hear(m.Ends, n.g.cfg.Now())
 	n.g.hearLimits(from, m.Limits)
-	if m.Lend != nil {
-		n.hearParts(from, *m.Lend)
+	if m.Lending != nil {
+		n.hearParts(from, *m.Lending)
 	}
 	switch {
 	case m.Hello != nil:
@@ -131,7 +131,7 @@
 		if fresh {
 			n.tellNewcomer(from)
 		}
-		if !m.Hello.Answer {
+		if !m.Hello.IsAnswer {
 			n.answer(from, *m.Hello, before)
 		}
 		n.hearBefore(*m.Hello)
@@ -144,19 +144,19 @@
 
 // hear takes in a hello; it reports whether the gateway's process has not spoken before, and
 // what was last heard of an earlier life of it, nil for nothing.
-func (n *Neighbours) hear(h peers.Hello) (fresh bool, before *peers.Before) {
-	known, err := seenOf(h.Known)
+func (n *Neighbours) hear(h peers.Hello) (fresh bool, before *peers.PreviousIncarnation) {
+	known, err := seenOf(h.KnownGateways)
 	if err != nil {
 		n.log.Warn("gateways left out", zap.String("told-by", h.Address), zap.String("error", err.Error()))
 	}
 	fresh, before = n.enroll(h, known, time.Now())
-	if before != nil && !before.Left {
+	if before != nil && !before.Leaving {
 		n.log.Warn("peer ended without a planned stop", zap.String("name", h.Name), zap.String("address", h.Address),
-			zap.Duration("last-heard", before.Age()), zap.Int64("life", before.Life), zap.Int64("next-life", h.Life))
+			zap.Duration("last-heard", before.Age()), zap.Int64("life", before.Incarnation), zap.Int64("next-life", h.Incarnation))
 	}
 	if fresh {
 		n.g.setGateways(n.self, n.others())
-		n.log.Info("gateway heard", zap.String("name", h.Name), zap.String("address", h.Address), zap.Int64("life", h.Life))
+		n.log.Info("gateway heard", zap.String("name", h.Name), zap.String("address", h.Address), zap.Int64("life", h.Incarnation))
 	}
 	return fresh, before
 }
@@ -164,50 +164,50 @@
 // hearBefore logs what another gateway heard last of this one's earlier life: nothing of
 // that is kept here.
 func (n *Neighbours) hearBefore(h peers.Hello) {
-	if h.Before == nil {
+	if h.Previous == nil {
 		return
 	}
 	line := n.log.Info
-	if !h.Before.Left {
+	if !h.Previous.Leaving {
 		line = n.log.Warn
 	}
-	line("an earlier life of this process ended", zap.Bool("planned", h.Before.Left), zap.Int64("life", h.Before.Life),
-		zap.Duration("last-heard", h.Before.Age()), zap.String("told-by", h.Name))
+	line("an earlier life of this process ended", zap.Bool("planned", h.Previous.Leaving), zap.Int64("life", h.Previous.Incarnation),
+		zap.Duration("last-heard", h.Previous.Age()), zap.String("told-by", h.Name))
 }
 
 // enroll takes a hello into the roster.
-func (n *Neighbours) enroll(h peers.Hello, known []roster.Seen, now time.Time) (fresh bool, before *peers.Before) {
+func (n *Neighbours) enroll(h peers.Hello, known []roster.Seen, now time.Time) (fresh bool, before *peers.PreviousIncarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Life {
-		before = &peers.Before{Life: last.Life, AgeMs: last.Age.Milliseconds(), Left: last.Left}
+	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Incarnation {
+		before = &peers.PreviousIncarnation{Incarnation: last.Life, AgeMs: last.Age.Milliseconds(), Leaving: last.Left}
 	}
-	fresh = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Life, Blind: h.Blind, Left: h.Leaving}, now)
+	fresh = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Incarnation, Blind: h.StoreUnreachable, Left: h.Leaving}, now)
 	n.roster.HearOf(known, now)
 	return fresh, before
 }
 
 // answer answers a hello, and names the gateways that it asks for.
-func (n *Neighbours) answer(to netip.AddrPort, h peers.Hello, before *peers.Before) {
+func (n *Neighbours) answer(to netip.AddrPort, h peers.Hello, before *peers.PreviousIncarnation) {
 	now := time.Now()
 	told := n.asked(h, now)
 	own := n.hello(now)
-	own.Answer, own.Before = true, before
+	own.IsAnswer, own.Previous = true, before
 	for _, part := range inPackets(told) {
-		own.Known = knownOf(part)
+		own.KnownGateways = knownOf(part)
 		n.socket.Send(to, peers.Message{Hello: own})
-		own.Before = nil
+		own.Previous = nil
 	}
 }
 
 // asked returns the gateways that a hello asks for.
 func (n *Neighbours) asked(h peers.Hello, now time.Time) []roster.Seen {
-	if h.Asks == "" {
+	if h.QueriedDomain == "" {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.Answer(h.Domain, h.Asks, now)
+	return n.roster.Answer(h.Domain, h.QueriedDomain, now)
 }
 
 // others returns the gateways that are there.
@@ -290,7 +290,7 @@
 	leaving, _ := n.g.leaving(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return &peers.Hello{Name: n.name, Life: n.life, Address: n.self, Domain: n.domain, Blind: n.blind, Leaving: leaving}
+	return &peers.Hello{Name: n.name, Incarnation: n.life, Address: n.self, Domain: n.domain, StoreUnreachable: n.blind, Leaving: leaving}
 }
 
 // helloToSidecars returns what sidecars are told of this gateway and of others, which greet
@@ -300,8 +300,8 @@
 	h := n.hello(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.Gateways = len(n.roster.There(now)) + 1
-	h.Known = knownOf(first(peers.MostKnown, n.roster.Sample(now, random)))
+	h.GatewayCount = len(n.roster.There(now)) + 1
+	h.KnownGateways = knownOf(first(peers.MaxKnownGateways, n.roster.Sample(now, random)))
 	return h
 }
 
@@ -318,7 +318,7 @@
 	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All are told the same.
 	h := n.hello(now)
 	for _, greeting := range greetings {
-		h.Asks = greeting.Asks
+		h.QueriedDomain = greeting.Asks
 		n.socket.SendAll(addresses([]string{greeting.Address}), peers.Message{Hello: h, Ends: ends})
 	}
 	n.greeted++
@@ -378,7 +378,7 @@
 			continue
 		}
 		for _, e := range endpoints {
-			if a, err := peers.Beside(e.Address, n.port); err == nil {
+			if a, err := peers.SidecarAddress(e.Address, n.port); err == nil {
 				list = append(list, sidecar{a, e.Domain})
 			}
 		}
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -27,7 +27,7 @@
 	entrusted = 4
 	// mostNamed is how many rate limits a newcomer is told by each gateway: it hears of the
 	// others by its own requests.
-	mostNamed = 4 * peers.MostLimits
+	mostNamed = 4 * peers.MaxLimits
 )
 
 // tellNews tells all other gateways at once of ends that were seen here, until ctx ends.
@@ -52,7 +52,7 @@
 
 // tellLimits tells all other gateways of rate limits that have changed.
 func (n *Neighbours) tellLimits() {
-	list := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MostLimits) })
+	list := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MaxLimits) })
 	if len(list) > 0 {
 		n.socket.SendAll(addresses(n.others()), peers.Message{Limits: list})
 	}
@@ -61,7 +61,7 @@
 // tellNewcomer tells a gateway that has just started, or was away, of ends and rate limits.
 func (n *Neighbours) tellNewcomer(to netip.AddrPort) {
 	limits := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Named(mostNamed) })
-	for part := range slices.Chunk(limits, peers.MostLimits) {
+	for part := range slices.Chunk(limits, peers.MaxLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
 	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package peers carries short messages between the processes of the system by
-// datagrams. They may be lost, doubled or late; whoever sends one repeats it
-// while it matters. The package is not for anything that must arrive.
+// Package peers carries short messages between the processes of the system in UDP datagrams. A
+// message may be lost, duplicated or delayed; its sender repeats it for as long as it matters. The
+// package is not for messages that must arrive.
 package peers
 
 import (
@@ -16,74 +16,75 @@
 	"go.uber.org/zap"
 )
 
-// Message is one datagram, in CBOR. At most one of the pointers is set.
+// Message is one datagram, encoded in CBOR. At most one of the pointers is set.
 type Message struct {
 	Hello *Hello `cbor:"1,keyasint,omitempty"`
 	Load  *Load  `cbor:"2,keyasint,omitempty"`
 	Lead  *Lead  `cbor:"3,keyasint,omitempty"`
 	Loads *Loads `cbor:"4,keyasint,omitempty"`
-	Ends  []End  `cbor:"5,keyasint,omitempty"` // MostEnds at most; also beside a Hello.
-	// Limits has MostLimits at most, beside nothing else.
-	Limits []Limit `cbor:"6,keyasint,omitempty"`
-	Lend   *Lend   `cbor:"7,keyasint,omitempty"`
+	Ends  []End  `cbor:"5,keyasint,omitempty"` // At most MaxEnds; may accompany a Hello.
+	// Limits has at most MaxLimits elements and is sent without other fields.
+	Limits  []Limit  `cbor:"6,keyasint,omitempty"`
+	Lending *Lending `cbor:"7,keyasint,omitempty"`
 }
 
-// Hello tells that a gateway is there. A gateway answers it with a hello of its own; sidecars
-// tell loads to those they hear of.
+// Hello announces a gateway. A gateway answers it with a hello of its own; sidecars send loads to
+// the gateways that they know.
 type Hello struct {
-	Name    string  `cbor:"1,keyasint"`
-	Life    int64   `cbor:"2,keyasint"` // Start of the process, Unix milliseconds.
-	Address string  `cbor:"3,keyasint"` // Peer listener.
-	Domain  string  `cbor:"4,keyasint,omitempty"`
-	Blind   bool    `cbor:"5,keyasint,omitempty"` // The store does not answer it.
-	Known   []Known `cbor:"6,keyasint,omitempty"` // Other gateways; MostKnown at most.
-	Leaving bool    `cbor:"7,keyasint,omitempty"`
-	Answer  bool    `cbor:"8,keyasint,omitempty"` // It answers a hello, and is not answered.
-	Asks    string  `cbor:"9,keyasint,omitempty"` // The failure domain whose gateways the answer is to name.
-	// Gateways is how many gateways the sender knows of, itself included.
-	Gateways int `cbor:"10,keyasint,omitempty"`
-	// Before is what the sender of an answer last heard of an earlier life of the receiver.
-	Before *Before `cbor:"11,keyasint,omitempty"`
+	Name             string           `cbor:"1,keyasint"`
+	Incarnation      int64            `cbor:"2,keyasint"` // Start time of the process, Unix milliseconds.
+	Address          string           `cbor:"3,keyasint"` // Address of the sender's peer listener.
+	Domain           string           `cbor:"4,keyasint,omitempty"`
+	StoreUnreachable bool             `cbor:"5,keyasint,omitempty"` // The sender gets no answer from the store.
+	KnownGateways    []DomainGateways `cbor:"6,keyasint,omitempty"` // Other gateways; at most MaxKnownGateways.
+	Leaving          bool             `cbor:"7,keyasint,omitempty"`
+	IsAnswer         bool             `cbor:"8,keyasint,omitempty"` // Set if it answers a hello; it is not answered itself.
+	QueriedDomain    string           `cbor:"9,keyasint,omitempty"` // Failure domain whose gateways the answer should list.
+	// GatewayCount is how many gateways the sender knows, itself included.
+	GatewayCount int `cbor:"10,keyasint,omitempty"`
+	// Previous is what the sender of an answer last received from an earlier incarnation of the
+	// receiver.
+	Previous *PreviousIncarnation `cbor:"11,keyasint,omitempty"`
 }
 
-// Before is the last word of an earlier life of a gateway.
-type Before struct {
-	_     struct{} `cbor:",toarray"`
-	Life  int64    // As in Hello.
-	AgeMs int64    // Since its last word.
-	Left  bool     // It was in its planned stop.
+// PreviousIncarnation describes the last message of an earlier incarnation of a gateway.
+type PreviousIncarnation struct {
+	_           struct{} `cbor:",toarray"`
+	Incarnation int64    // As in Hello.
+	AgeMs       int64    // Since its last message.
+	Leaving     bool     // It was shutting down as planned.
 }
 
-// Age returns how long ago the last word was.
-func (b Before) Age() time.Duration { return time.Duration(b.AgeMs) * time.Millisecond }
+// Age returns how long ago the last message was received.
+func (b PreviousIncarnation) Age() time.Duration { return time.Duration(b.AgeMs) * time.Millisecond }
 
-// Known is some gateways of one failure domain that the sender of a Hello knows of.
-type Known struct {
+// DomainGateways lists gateways of one failure domain that the sender of a Hello knows.
+type DomainGateways struct {
 	_        struct{} `cbor:",toarray"`
 	Domain   string
 	Gateways []KnownGateway
 }
 
-// KnownGateway is another gateway that the sender of a Hello knows of.
+// KnownGateway is another gateway that the sender of a Hello knows.
 type KnownGateway struct {
-	_       struct{} `cbor:",toarray"`
-	Address []byte   // Peer listener: IP number and port, as netip.AddrPort writes them.
-	AgeMs   int64    // Since its last word.
-	Blind   bool
-	Left    bool
+	_                struct{} `cbor:",toarray"`
+	Address          []byte   // Peer listener: IP address and port, as encoded by netip.AddrPort.MarshalBinary.
+	AgeMs            int64    // Since its last message.
+	StoreUnreachable bool
+	Leaving          bool
 }
 
-// Peer returns the peer listener of the gateway.
-func (g KnownGateway) Peer() (a netip.AddrPort, err error) {
+// PeerAddress returns the address of the gateway's peer listener.
+func (g KnownGateway) PeerAddress() (a netip.AddrPort, err error) {
 	err = a.UnmarshalBinary(g.Address)
-	return a, errors.Wrap(err, "gateway named by another one")
+	return a, errors.Wrap(err, "gateway listed by another gateway")
 }
 
-// Age returns how long ago the gateway's last word was.
+// Age returns how long ago the gateway's last message was received.
 func (g KnownGateway) Age() time.Duration { return time.Duration(g.AgeMs) * time.Millisecond }
 
-// Packed returns an address, IP number and port, as messages name it.
-func Packed(address string) (raw []byte, err error) {
+// PackAddress encodes an address, IP address and port, for use in messages.
+func PackAddress(address string) (raw []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "address %q", address) }()
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -92,123 +93,126 @@
 	return a.MarshalBinary()
 }
 
-// MostKnown is how many gateways one Hello names: it stays within a packet of 1,400 bytes.
-const MostKnown = 48
+// MaxKnownGateways is how many gateways one Hello lists at most, so that it fits into a packet of
+// 1,400 bytes.
+const MaxKnownGateways = 48
 
-// Load tells the load of an engine.
+// Load reports the load of an engine.
 type Load struct {
-	Address string  `cbor:"1,keyasint"` // Of the engine.
-	Running int     `cbor:"2,keyasint,omitempty"`
-	Waiting int     `cbor:"3,keyasint,omitempty"`
-	Group   string  `cbor:"4,keyasint,omitempty"`
-	Closed  bool    `cbor:"5,keyasint,omitempty"`
-	Pace    float64 `cbor:"6,keyasint,omitempty"`
-	PassMs  int     `cbor:"7,keyasint,omitempty"`  // Time of a pass, smoothed.
-	Onward  bool    `cbor:"8,keyasint,omitempty"`  // The receiver tells the other gateways of its failure domain.
-	Born    int64   `cbor:"9,keyasint,omitempty"`  // When the engine's life began, Unix milliseconds; 0 when not told.
-	Epoch   uint64  `cbor:"10,keyasint,omitempty"` // Of the group; another one when it has formed anew.
-	// Gateways is how many gateways the sender hears; 0 when it does not tell.
-	Gateways int `cbor:"11,keyasint,omitempty"`
+	Address   string  `cbor:"1,keyasint"` // Of the engine, as IP:port.
+	Running   int     `cbor:"2,keyasint,omitempty"`
+	Waiting   int     `cbor:"3,keyasint,omitempty"`
+	Group     string  `cbor:"4,keyasint,omitempty"`
+	Closed    bool    `cbor:"5,keyasint,omitempty"`
+	Slowdown  float64 `cbor:"6,keyasint,omitempty"`
+	PassMs    int     `cbor:"7,keyasint,omitempty"`  // Smoothed duration of a pass, in milliseconds.
+	Forward   bool    `cbor:"8,keyasint,omitempty"`  // The receiver forwards it to the other gateways of its failure domain.
+	StartedAt int64   `cbor:"9,keyasint,omitempty"`  // Start time of the engine process, Unix milliseconds; 0 if not reported.
+	Epoch     uint64  `cbor:"10,keyasint,omitempty"` // Of the group; it changes when the group re-forms.
+	// GatewayCount is how many gateways the sender knows; 0 if not reported.
+	GatewayCount int `cbor:"11,keyasint,omitempty"`
 }
 
-// Loads tells the loads of ranks of one group, as its leader has just seen them: of
-// those only that are in the group's epoch, and so in their newest life.
+// Loads reports the loads of ranks of one group, as polled by its leader. It contains only ranks
+// that are in the group's epoch, and thus in their newest incarnation.
 type Loads struct {
-	Group  string     `cbor:"1,keyasint"`
-	Closed bool       `cbor:"2,keyasint,omitempty"`
-	PassMs int        `cbor:"3,keyasint,omitempty"`
-	Onward bool       `cbor:"4,keyasint,omitempty"` // As in Load.
-	Ranks  []RankLoad `cbor:"5,keyasint"`           // MostRanks at most.
+	Group   string     `cbor:"1,keyasint"`
+	Closed  bool       `cbor:"2,keyasint,omitempty"`
+	PassMs  int        `cbor:"3,keyasint,omitempty"`
+	Forward bool       `cbor:"4,keyasint,omitempty"` // As in Load.
+	Ranks   []RankLoad `cbor:"5,keyasint"`           // At most MaxRankLoads.
 	// Epoch and Gateways are as in Load.
-	Epoch    uint64 `cbor:"6,keyasint,omitempty"`
-	Gateways int    `cbor:"7,keyasint,omitempty"`
-	// Limit is how many requests a rank may hold in the mean; 0 when it is not known.
-	Limit float32 `cbor:"8,keyasint,omitempty"`
+	Epoch        uint64 `cbor:"6,keyasint,omitempty"`
+	GatewayCount int    `cbor:"7,keyasint,omitempty"`
+	// LimitPerRank is how many requests a rank may hold on average; 0 if unknown.
+	LimitPerRank float32 `cbor:"8,keyasint,omitempty"`
 }
 
-// MostRanks is how many ranks one Loads names: it stays within a packet of 1,400
+// MaxRankLoads is how many ranks one Loads contains at most, so that it fits into a packet of 1,400
 // bytes.
-const MostRanks = 80
+const MaxRankLoads = 80
 
 // RankLoad is the load of one rank.
 type RankLoad struct {
-	_       struct{} `cbor:",toarray"`
-	Address []byte   // Of the engine: IP number and port, as netip.AddrPort writes them.
-	Running int
-	Waiting int
-	Pace    float32 // Above 1 when it is slow.
+	_        struct{} `cbor:",toarray"`
+	Address  []byte   // Of the engine: IP address and port, as encoded by netip.AddrPort.MarshalBinary.
+	Running  int
+	Waiting  int
+	Slowdown float32 // Above 1 if the rank is slow.
 }
 
-// Engine returns the address of a rank's engine.
-func (l RankLoad) Engine() (a netip.AddrPort, err error) {
+// EngineAddress returns the address of the rank's engine.
+func (l RankLoad) EngineAddress() (a netip.AddrPort, err error) {
 	err = a.UnmarshalBinary(l.Address)
 	return a, errors.Wrap(err, "load of a rank")
 }
 
-// Lead tells that a sidecar leads its group.
+// Lead announces that a sidecar leads its group.
 type Lead struct {
-	Group string `cbor:"1,keyasint"`
-	Epoch uint64 `cbor:"2,keyasint"`
-	Rank  int    `cbor:"3,keyasint"`
-	Fence uint64 `cbor:"4,keyasint"`
-	Tells bool   `cbor:"5,keyasint,omitempty"` // It has just told gateways the loads of all ranks.
+	Group      string `cbor:"1,keyasint"`
+	Epoch      uint64 `cbor:"2,keyasint"`
+	Rank       int    `cbor:"3,keyasint"`
+	Fence      uint64 `cbor:"4,keyasint"`
+	SendsLoads bool   `cbor:"5,keyasint,omitempty"` // The sender has recently sent gateways the loads of all ranks.
 }
 
-// End tells that an endpoint's process ended while it ran a request.
+// End reports that an endpoint's process ended while it ran a request.
 type End struct {
 	_        struct{} `cbor:",toarray"`
-	Key      []byte   // Names all requests that are the same.
-	Endpoint string   // One life of it.
-	Sending  int      // What was known as the request was sent, as package quarantine counts it.
-	Void     bool     // It counts no more.
-	AgeMs    int64    // Since the end.
+	Key      []byte   // Identifies all requests that are equal.
+	Endpoint string   // One incarnation of it.
+	Sending  int      // What was known when the request was sent, as a quarantine.Sending.
+	Void     bool     // The end no longer counts.
+	AgeMs    int64    // Since the process ended.
 }
 
-// MostEnds is how many ends one message names: beside a Hello it stays within a packet of
-// 1,400 bytes.
-const MostEnds = 12
+// MaxEnds is how many ends one message contains at most, so that it fits into a packet of 1,400
+// bytes together with a Hello.
+const MaxEnds = 12
 
-// Limit tells what an endpoint's answer to a gateway said of its rate limit.
+// Limit reports what an endpoint's answer to a gateway said about its rate limit.
 type Limit struct {
 	_         struct{} `cbor:",toarray"`
-	Endpoint  string   // One life of it.
-	Limited   bool     // It names a limit.
-	PerSecond float64  // Requests from all gateways together.
-	AgeMs     int64    // Of the word.
+	Endpoint  string   // One incarnation of it.
+	Limited   bool     // Whether the answer states a limit.
+	PerSecond float64  // Requests per second from all gateways together.
+	AgeMs     int64    // Since the answer.
 }
 
-// Age returns how long ago the word was.
+// Age returns how long ago the answer was received.
 func (l Limit) Age() time.Duration { return time.Duration(l.AgeMs) * time.Millisecond }
 
-// MostLimits is how many limits one message names: it stays within a packet of 1,400 bytes.
-const MostLimits = 24
+// MaxLimits is how many limits one message contains at most, so that it fits into a packet of 1,400
+// bytes.
+const MaxLimits = 24
 
-// Lend tells another gateway what is asked for and given of parts of rate limits.
-type Lend struct {
-	Address string `cbor:"1,keyasint"` // Peer listener of the sender.
-	Parts   []Part `cbor:"2,keyasint"` // MostParts at most.
+// Lending sends another gateway requests for, and answers about, shares of rate limits.
+type Lending struct {
+	Address string         `cbor:"1,keyasint"` // Address of the sender's peer listener.
+	Shares  []ShareMessage `cbor:"2,keyasint"` // At most MaxShares.
 }
 
-// Part tells of one gateway's part of an endpoint's rate limit.
-type Part struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     int      // As package throttle counts it.
-	Endpoint string   // One life of it.
-	Number   int64    // Of the ask.
-	Tokens   float64  // That go with the part.
-	LastsMs  int64    // For which it is lent.
+// ShareMessage is a message on one gateway's share of an endpoint's rate limit.
+type ShareMessage struct {
+	_             struct{} `cbor:",toarray"`
+	Kind          int      // A throttle.Kind.
+	Endpoint      string   // One incarnation of it.
+	RequestNumber int64    // Number of the request for the share.
+	Tokens        float64  // Tokens that are transferred with the share.
+	LeaseMs       int64    // Time for which the share is lent.
 }
 
-// Lasts returns for how long a part is lent.
-func (p Part) Lasts() time.Duration { return time.Duration(p.LastsMs) * time.Millisecond }
+// LeaseTime returns for how long the share is lent.
+func (p ShareMessage) LeaseTime() time.Duration { return time.Duration(p.LeaseMs) * time.Millisecond }
 
-// MostParts is how many parts one message names: it stays within a packet of 1,400 bytes.
-const MostParts = 20
+// MaxShares is how many shares one message contains at most, so that it fits into a packet of 1,400
+// bytes.
+const MaxShares = 20
 
-// Beside returns the address of the sidecar beside an engine, which listens on
-// the engine's instance at a port that is alike everywhere.
-func Beside(engine string, port int) (a netip.AddrPort, err error) {
-	defer func() { err = errors.Wrapf(err, "sidecar beside %q", engine) }()
+// SidecarAddress returns the address of the sidecar of an engine. It listens on the engine's
+// instance, on a port that is the same everywhere.
+func SidecarAddress(engine string, port int) (a netip.AddrPort, err error) {
+	defer func() { err = errors.Wrapf(err, "sidecar of engine %q", engine) }()
 	at, err := netip.ParseAddrPort(engine)
 	if err != nil {
 		return a, err
@@ -216,15 +220,15 @@
 	return netip.AddrPortFrom(at.Addr(), uint16(port)), nil
 }
 
-// Times for which connections of calls between processes are kept while they are idle.
-// Whoever calls drops one long before whoever serves ends it, so no call meets that end.
+// Idle timeouts of connections for calls between processes. The client's timeout is much shorter
+// than the server's, so that no call is sent on a connection that the server is closing.
 const (
-	CallerIdle = 30 * time.Second
-	ServerIdle = 3 * CallerIdle
+	ClientIdleTimeout = 30 * time.Second
+	ServerIdleTimeout = 3 * ClientIdleTimeout
 )
 
-// maxDatagram is above any message; a longer one is dropped.
-const maxDatagram = 8 << 10
+// maxDatagramBytes is larger than any valid message; longer ones are dropped.
+const maxDatagramBytes = 8 << 10
 
 // Socket sends and receives messages.
 type Socket struct {
@@ -232,7 +236,7 @@
 	log  *zap.Logger
 }
 
-// Listen opens the socket at address. The function closes it.
+// Listen opens a socket at address; cleanup closes it.
 func Listen(address string, log *zap.Logger) (s *Socket, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "peers") }()
 	a, err := net.ResolveUDPAddr("udp4", address)
@@ -246,13 +250,13 @@
 	return &Socket{conn: conn, log: log}, func() { _ = conn.Close() }, nil
 }
 
-// Address returns where the socket receives.
+// Address returns the local address of the socket.
 func (s *Socket) Address() string { return s.conn.LocalAddr().String() }
 
 // Send sends a message, which may be lost.
 func (s *Socket) Send(to netip.AddrPort, m Message) { s.SendAll([]netip.AddrPort{to}, m) }
 
-// SendAll sends a message to each of a list.
+// SendAll sends a message to each address of a list. Each copy may be lost.
 func (s *Socket) SendAll(list []netip.AddrPort, m Message) {
 	if len(list) == 0 {
 		return
@@ -269,11 +273,11 @@
 	}
 }
 
-// Run hands messages to the function until ctx ends.
+// Run calls handle for each received message until ctx ends.
 func (s *Socket) Run(ctx context.Context, handle func(from netip.AddrPort, m Message)) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.conn.Close() })
 	defer stop()
-	buf := make([]byte, maxDatagram)
+	buf := make([]byte, maxDatagramBytes)
 	for {
 		n, from, err := s.conn.ReadFromUDPAddrPort(buf)
 		if ctx.Err() != nil {
@@ -283,12 +287,12 @@
 			return err
 		}
 		if err != nil {
-			s.log.Debug("message not read", zap.String("error", err.Error()))
+			s.log.Debug("cannot receive message", zap.String("error", err.Error()))
 			continue
 		}
 		var m Message
 		if err := cbor.Unmarshal(buf[:n], &m); err != nil {
-			s.log.Warn("message left out", zap.String("from", from.String()), zap.String("error", err.Error()))
+			s.log.Warn("malformed message dropped", zap.String("from", from.String()), zap.String("error", err.Error()))
 			continue
 		}
 		handle(from, m)
--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -123,8 +123,8 @@
 	m.answered, m.sidecarSilent, m.engineSilent = true, false, false
 }
 
-// incarnations returns when each rank's engine process started, by rank.
-func (l *leader) incarnations() []int64 {
+// startTimes returns when each rank's engine process started, by rank.
+func (l *leader) startTimes() []int64 {
 	list := make([]int64, len(l.byRank))
 	for r, m := range l.byRank {
 		if m != nil {
--- a/internal/sidecar/ask_test.go
+++ b/internal/sidecar/ask_test.go
@@ -42,10 +42,10 @@
 func TestSilentFormerLeaderIsNotUsedAsRelay(t *testing.T) {
 	now := time.Now()
 	for _, tc := range []struct {
-		name        string
-		announcedAt time.Time // When the leader's last announcement arrived.
-		seen        time.Time // When its rank last answered a poll.
-		want        bool
+		name          string
+		lastAnnounced time.Time // When the leader's last announcement arrived.
+		seen          time.Time // When its rank last answered a poll.
+		want          bool
 	}{
 		{"it became silent", now.Add(-2 * leadTimeout), time.Time{}, true},
 		{"it leads", now, time.Time{}, false},
@@ -53,7 +53,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := &Sidecar{lead: leadership{announcedAt: tc.announcedAt, from: netip.MustParseAddr("10.0.0.1")}}
+			s := &Sidecar{lead: leadership{announcedAt: tc.lastAnnounced, from: netip.MustParseAddr("10.0.0.1")}}
 			led := &member{endpoint: fleet.Endpoint{Address: "10.0.0.1:80"}, lastSeen: tc.seen}
 			other := &member{endpoint: fleet.Endpoint{Address: "10.0.0.2:80"}}
 			l := &leader{s: s, members: []*member{led, other}}
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -126,7 +126,7 @@
 
 func newPeerClient(cfg Config) (c *peerClient, cleanup func()) {
 	d := &net.Dialer{Timeout: engineTimeout}
-	t := &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: peers.CallerIdle, DisableCompression: true}
+	t := &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: peers.ClientIdleTimeout, DisableCompression: true}
 	return &peerClient{client: &http.Client{Transport: t}, port: cfg.PeersPort}, t.CloseIdleConnections
 }
 
@@ -151,7 +151,7 @@
 // do makes one call and returns the response body.
 func (c *peerClient) do(ctx context.Context, method, engine, path string, body []byte) (raw []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "sidecar of %s", engine) }()
-	address, err := peers.Beside(engine, c.port)
+	address, err := peers.SidecarAddress(engine, c.port)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/calls_test.go
+++ b/internal/sidecar/calls_test.go
@@ -58,7 +58,7 @@
 	}))
 	g.Expect(srv.Listener.Close()).To(Succeed())
 	srv.Listener = l
-	srv.Config.IdleTimeout = peers.ServerIdle / factor
+	srv.Config.IdleTimeout = peers.ServerIdleTimeout / factor
 	srv.Start()
 	t.Cleanup(srv.Close)
 	client, cleanup := newPeerClient(Config{PeersPort: l.Addr().(*net.TCPAddr).Port})
@@ -96,7 +96,7 @@
 func TestOrdersAvoidIdleConnectionClose(t *testing.T) {
 	t.Parallel()
 	const factor, spread = 60, 200 * time.Millisecond
-	for _, idle := range []time.Duration{peers.CallerIdle / factor, peers.ServerIdle / factor} {
+	for _, idle := range []time.Duration{peers.ClientIdleTimeout / factor, peers.ServerIdleTimeout / factor} {
 		t.Run(idle.String(), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -69,25 +69,25 @@
 	service string
 	// pauseLimit is the shortest limit of the pause between events among the routes of the service;
 	// 0 if there is none.
-	pauseLimit       time.Duration
-	listReadAt       time.Time
-	members          []*member // All endpoints of the service, ordered by failure domain.
-	self             *member   // This sidecar's own member.
-	byRank           []*member // Members of this group by rank; nil before the first poll; the element of the absent rank is nil.
-	absent           int       // Rank that led before, if only that rank does not answer; otherwise cutover.None.
-	machine          *cutover.Machine
-	rankIncarnations []int64 // Start times of the ranks' engines when machine was created.
-	fence            uint64
-	planner          planner
-	switchTime       estimate.Time // How long the orders of a switch take.
-	copyOverrun      time.Duration // Smoothed time by which changes exceed their copy time: distributing the map and detecting that the copies are complete.
-	switchedAt       time.Time     // When the last switch ended.
-	limiter          passes.Limiter
-	loadsSentAt      time.Time    // When the loads of all ranks were last sent to gateways.
-	fullMap          encodedMap   // Map of the change in progress.
-	mapDelta         encodedMap   // The same map as a delta to the map in force.
-	lastResponse     treeResponse // Response to the last poll through the tree.
-	countsPolledAt   time.Time    // When counts were last requested.
+	pauseLimit     time.Duration
+	listReadAt     time.Time
+	members        []*member // All endpoints of the service, ordered by failure domain.
+	self           *member   // This sidecar's own member.
+	byRank         []*member // Members of this group by rank; nil before the first poll; the element of the absent rank is nil.
+	absent         int       // Rank that led before, if only that rank does not answer; otherwise cutover.None.
+	machine        *cutover.Machine
+	rankStartTimes []int64 // Start times of the ranks' engines when machine was created.
+	fence          uint64
+	planner        planner
+	switchTime     estimate.Time // How long the orders of a switch take.
+	copyOverrun    time.Duration // Smoothed time by which changes exceed their copy time: distributing the map and detecting that the copies are complete.
+	switchedAt     time.Time     // When the last switch ended.
+	limiter        passes.Limiter
+	loadsSentAt    time.Time    // When the loads of all ranks were last sent to gateways.
+	fullMap        encodedMap   // Map of the change in progress.
+	mapDelta       encodedMap   // The same map as a delta to the map in force.
+	lastResponse   treeResponse // Response to the last poll through the tree.
+	countsPolledAt time.Time    // When counts were last requested.
 	// minCountsInterval is the time between two requests for counts that keeps them within
 	// countsLinkShare of the link.
 	minCountsInterval time.Duration
@@ -230,7 +230,7 @@
 
 // driveCutover advances the cutover machine by one round.
 func (l *leader) driveCutover(ctx context.Context, own rank.Report) {
-	if l.machine != nil && anyRestarted(l.rankIncarnations, l.incarnations()) {
+	if l.machine != nil && anyRestarted(l.rankStartTimes, l.startTimes()) {
 		l.resign("a rank has restarted")
 		return // The next poll asks all ranks again.
 	}
@@ -238,7 +238,7 @@
 		l.fence = max(l.fence+1, uint64(time.Now().UnixMilli())*fencesPerMilli)
 		l.machine = cutover.New(own.Size, own.Rank, l.absence(own), own.Epoch, l.fence)
 		l.planner.pending = nil
-		l.rankIncarnations = l.incarnations()
+		l.rankStartTimes = l.startTimes()
 		l.s.log.Info("leads", zap.Int("absent", l.absent), zap.String("group", own.Group), zap.Uint64("epoch", own.Epoch), zap.Int("rank", own.Rank), zap.Uint64("fence", l.fence))
 	}
 	m := l.machine
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -125,7 +125,7 @@
 		if m.inOtherGroup(rank.Report{Group: lead.Group}, now) {
 			continue
 		}
-		a, err := peers.Beside(m.endpoint.Address, s.cfg.PeersPort)
+		a, err := peers.SidecarAddress(m.endpoint.Address, s.cfg.PeersPort)
 		if err != nil {
 			s.log.Warn("leader announcement not sent to rank", zap.String("error", err.Error()))
 			continue
@@ -145,7 +145,7 @@
 	var to []netip.AddrPort
 	duty.Locked(&s.mu, func() {
 		lead, to = s.announcement, s.announceTo
-		lead.Tells = time.Since(s.groupLoadsSentAt) < sendsLoadsPeriod
+		lead.SendsLoads = time.Since(s.groupLoadsSentAt) < sendsLoadsPeriod
 	})
 	for _, a := range to {
 		s.socket.Send(a, peers.Message{Lead: &lead})
--- a/internal/sidecar/life_test.go
+++ b/internal/sidecar/life_test.go
@@ -29,7 +29,7 @@
 	g.Expect(s.recordReport(rank.Report{Born: 5, Group: "g", Epoch: 1, Open: true, Step: 901}, nil)).To(BeFalse(), "a late report")
 	g.Expect(s.report.Step).To(Equal(uint64(1)))
 	g.Expect(s.recordIncarnation(0)).To(BeTrue(), "an engine that does not report its start")
-	g.Expect(s.born).To(Equal(int64(6)))
+	g.Expect(s.engineStartedAt).To(Equal(int64(6)))
 }
 
 func TestCountsOfTwoIncarnationsMakeNoWindow(t *testing.T) {
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -45,7 +45,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isNew = s.gateways.hello(from, h, now)
-	s.addKnownGateways(h.Known, now)
+	s.addKnownGateways(h.KnownGateways, now)
 	if isNew && !s.reportAt.IsZero() {
 		load = s.load(s.report, false)
 	}
@@ -53,16 +53,16 @@
 }
 
 // addKnownGateways records the gateways that a hello lists. The caller holds mu.
-func (s *Sidecar) addKnownGateways(known []peers.Known, now time.Time) {
+func (s *Sidecar) addKnownGateways(known []peers.DomainGateways, now time.Time) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
-			a, err := g.Peer()
+			a, err := g.PeerAddress()
 			if err != nil {
 				s.log.Warn("gateway with invalid address ignored", zap.String("domain", k.Domain), zap.String("error", err.Error()))
 				continue
 			}
 			age := g.Age()
-			if !g.Left && age >= 0 && age < subscriptionTTL {
+			if !g.Leaving && age >= 0 && age < subscriptionTTL {
 				s.gateways.addKnown(a, k.Domain, now.Add(-age))
 			}
 		}
@@ -72,7 +72,7 @@
 // leaderSendsLoads reports whether a leader of the group sends this sidecar's load. The caller
 // holds mu.
 func (s *Sidecar) leaderSendsLoads(now time.Time) bool {
-	return s.lead.announced.Tells && s.lead.announced.Group == s.report.Group && now.Sub(s.lead.announcedAt) < leadTimeout
+	return s.lead.announced.SendsLoads && s.lead.announced.Group == s.report.Group && now.Sub(s.lead.announcedAt) < leadTimeout
 }
 
 // reportInterval returns the time between two reports of this sidecar's own load.
@@ -121,13 +121,13 @@
 	var to []netip.AddrPort
 	duty.Locked(&s.mu, func() {
 		pass := s.passes.mean
-		loads = peers.Loads{Group: own.Group, Closed: s.groupStalled, PassMs: int(pass.Milliseconds()), Onward: true}
-		loads.Epoch, loads.Gateways = own.Epoch, s.gateways.gatewayCount()
-		loads.Limit = float32(l.limitPerRank(pass, now))
+		loads = peers.Loads{Group: own.Group, Closed: s.groupStalled, PassMs: int(pass.Milliseconds()), Forward: true}
+		loads.Epoch, loads.GatewayCount = own.Epoch, s.gateways.gatewayCount()
+		loads.LimitPerRank = float32(l.limitPerRank(pass, now))
 		to = s.gateways.onePerDomain(now)
 		s.groupLoadsSentAt = now
 	})
-	for part := range slices.Chunk(l.rankLoads(), peers.MostRanks) {
+	for part := range slices.Chunk(l.rankLoads(), peers.MaxRankLoads) {
 		loads.Ranks = part
 		s.socket.SendAll(to, peers.Message{Loads: &loads})
 	}
@@ -159,12 +159,12 @@
 		if m == nil {
 			continue
 		}
-		raw, err := peers.Packed(m.endpoint.Address)
+		raw, err := peers.PackAddress(m.endpoint.Address)
 		if err != nil {
 			l.s.log.Warn("load with invalid engine address not sent", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
 			continue
 		}
-		list = append(list, peers.RankLoad{Address: raw, Running: m.report.Running, Waiting: m.report.Waiting, Pace: float32(m.report.Pace)})
+		list = append(list, peers.RankLoad{Address: raw, Running: m.report.Running, Waiting: m.report.Waiting, Slowdown: float32(m.report.Pace)})
 	}
 	return list
 }
--- a/internal/sidecar/loads_test.go
+++ b/internal/sidecar/loads_test.go
@@ -54,7 +54,7 @@
 	var m peers.Message
 	g.Eventually(received, eventually).Should(Receive(&m))
 	g.Expect(m.Load).NotTo(BeNil())
-	g.Expect(*m.Load).To(Equal(peers.Load{Address: "10.0.0.1:80", Group: "g", Epoch: 4, Gateways: 1}))
+	g.Expect(*m.Load).To(Equal(peers.Load{Address: "10.0.0.1:80", Group: "g", Epoch: 4, GatewayCount: 1}))
 	s.receiveHello(at, peers.Hello{Domain: "b"})
 	g.Consistently(received, 100*time.Millisecond).ShouldNot(Receive(), "the next load is sent by the regular report")
 }
@@ -68,13 +68,13 @@
 	_, received := listen(t, g, at.String())
 	s := &Sidecar{log: zap.NewNop(), socket: own, gateways: newSubscribers("a"), suspects: suspects.New(zap.NewNop(), metrics.NewRegistry())}
 	key := quarantine.KeyOf("POST", "h", "/p", "c", nil)
-	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Life: 1}, Ends: []peers.End{{Key: key[:], Endpoint: "e"}}})
+	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Incarnation: 1}, Ends: []peers.End{{Key: key[:], Endpoint: "e"}}})
 	var m peers.Message
 	g.Eventually(received, eventually).Should(Receive(&m))
 	g.Expect(m.Ends).To(HaveLen(1))
-	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Life: 1}})
+	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Incarnation: 1}})
 	g.Consistently(received, 100*time.Millisecond).ShouldNot(Receive(), "the gateway is known")
-	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Life: 2}})
+	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Incarnation: 2}})
 	g.Eventually(received, eventually).Should(Receive(&m))
 	g.Expect(m.Ends).To(HaveLen(1))
 	g.Expect(m.Ends[0].Key).To(Equal(key[:]))
@@ -109,7 +109,7 @@
 // A sidecar sends no load while its leader sends all loads, and only then: a leader may announce
 // itself without being able to send them.
 func TestSidecarSendsNoLoadWhileLeaderSendsIt(t *testing.T) {
-	sendsLoads := peers.Lead{Group: "g", Tells: true}
+	sendsLoads := peers.Lead{Group: "g", SendsLoads: true}
 	for _, tc := range []struct {
 		name        string
 		size        int
@@ -125,7 +125,7 @@
 		{"the leader sends loads", 129, sendsLoads, 0, false, false, ledReportInterval, false},
 		{"the leader sends no loads", 129, peers.Lead{Group: "g"}, 0, false, false, 129 * reportIntervalPerRank, true},
 		{"the leader has become silent", 129, sendsLoads, leadTimeout, false, false, 129 * reportIntervalPerRank, true},
-		{"another group's leader sends loads", 129, peers.Lead{Group: "h", Tells: true}, 0, false, false, 129 * reportIntervalPerRank, true},
+		{"another group's leader sends loads", 129, peers.Lead{Group: "h", SendsLoads: true}, 0, false, false, 129 * reportIntervalPerRank, true},
 		{"the leader sends loads, but the group has just opened", 129, sendsLoads, 0, true, false, ledReportInterval, true},
 		{"the leader sends loads, but the engine is lost", 129, sendsLoads, 0, false, true, ledReportInterval, true},
 	} {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -93,7 +93,7 @@
 	started time.Time
 
 	mu               sync.Mutex // Guards the fields below, up to groupLoadsSentAt.
-	born             int64      // Start time of the newest known incarnation of the engine; 0 if not reported.
+	engineStartedAt  int64      // Start time of the newest known incarnation of the engine; 0 if not reported.
 	report           rank.Report
 	reportAt         time.Time // Zero if the engine does not answer.
 	counts           rank.Counts
@@ -226,7 +226,7 @@
 	}
 	s.socket.SendAll(direct, peers.Message{Load: load})
 	forwarded := *load
-	forwarded.Onward = true
+	forwarded.Forward = true
 	s.socket.SendAll(relays, peers.Message{Load: &forwarded})
 }
 
@@ -248,8 +248,8 @@
 // does not answer if lost is set. The caller holds mu.
 func (s *Sidecar) load(r rank.Report, lost bool) *peers.Load {
 	return &peers.Load{
-		Address: s.cfg.Address, Born: r.Born, Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
-		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.mean.Milliseconds()), Gateways: s.gateways.gatewayCount(),
+		Address: s.cfg.Address, StartedAt: r.Born, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace,
+		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.mean.Milliseconds()), GatewayCount: s.gateways.gatewayCount(),
 		Closed: lost || r.Group != "" && !r.Open || s.checkStalled(r),
 	}
 }
@@ -302,18 +302,18 @@
 // recordIncarnation records the incarnation of the engine that sent an answer. A later one knows
 // nothing of the previous one's counts and measurements, so these are dropped. It returns false for
 // an earlier one, whose answer arrived late. The caller holds mu.
-func (s *Sidecar) recordIncarnation(born int64) (accepted bool) {
-	switch fleet.CompareLives(s.born, born) {
+func (s *Sidecar) recordIncarnation(startedAt int64) (accepted bool) {
+	switch fleet.CompareLives(s.engineStartedAt, startedAt) {
 	case -1:
-		s.log.Info("answer of an earlier incarnation of the engine ignored", zap.Int64("born", born), zap.Int64("newest", s.born))
+		s.log.Info("answer of an earlier incarnation of the engine ignored", zap.Int64("born", startedAt), zap.Int64("newest", s.engineStartedAt))
 		return false
 	case 1:
-		s.log.Info("engine restarted", zap.Int64("born", born), zap.Int64("before", s.born))
+		s.log.Info("engine restarted", zap.Int64("born", startedAt), zap.Int64("before", s.engineStartedAt))
 		s.report, s.reportAt = rank.Report{}, time.Time{}
 		s.counts, s.newestWindow = rank.Counts{}, window{number: s.newestWindow.number}
 		s.passes, s.groupStalled = passTimer{}, false
 	}
-	s.born = max(s.born, born)
+	s.engineStartedAt = max(s.engineStartedAt, startedAt)
 	return true
 }
 
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -47,8 +47,8 @@
 // subscription had expired.
 func (s *subscribers) hello(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool) {
 	g, known := s.getOrAdd(from, h.Domain)
-	isNew = !known || g.incarnation != h.Life || now.Sub(g.lastHello) > subscriptionTTL
-	g.incarnation, g.lastHello, g.gatewaysKnown = h.Life, now, h.Gateways
+	isNew = !known || g.incarnation != h.Incarnation || now.Sub(g.lastHello) > subscriptionTTL
+	g.incarnation, g.lastHello, g.gatewaysKnown = h.Incarnation, now, h.GatewayCount
 	return isNew
 }
 
--- a/internal/sidecar/subscribers_test.go
+++ b/internal/sidecar/subscribers_test.go
@@ -107,17 +107,17 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Life: 1, Gateways: 500}, now)
+	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1, GatewayCount: 500}, now)
 	s.addKnown(gatewayAddress(1, 0), "b", now.Add(-subscriptionTTL+time.Second))
 	s.addKnown(gatewayAddress(0, 0), "a", now.Add(-subscriptionTTL))
 	g.Expect(s.onePerDomain(now)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 0)))
 	g.Expect(s.gatewayCount()).To(Equal(500))
-	g.Expect(s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Life: 1}, now)).To(BeFalse())
-	g.Expect(s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Life: 1}, now)).To(BeTrue(), "it was known only from another gateway")
+	g.Expect(s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, now)).To(BeFalse())
+	g.Expect(s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1}, now)).To(BeTrue(), "it was known only from another gateway")
 	later := now.Add(2 * time.Second)
-	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Life: 1}, later)
+	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, later)
 	s.addKnown(gatewayAddress(1, 1), "b", later)
-	s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Life: 1, Gateways: 7}, now.Add(-time.Hour))
+	s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1, GatewayCount: 7}, now.Add(-time.Hour))
 	g.Expect(s.onePerDomain(later)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 1)), "an older report expires")
 }
 
@@ -128,7 +128,7 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	h := peers.Hello{Domain: "b", Life: 1}
+	h := peers.Hello{Domain: "b", Incarnation: 1}
 	g.Expect(s.hello(gatewayAddress(1, 0), h, now)).To(BeTrue())
 	g.Expect(s.hello(gatewayAddress(1, 0), h, now.Add(subscriptionTTL))).To(BeFalse())
 	g.Expect(s.hello(gatewayAddress(1, 0), h, now.Add(2*subscriptionTTL+time.Millisecond))).To(BeTrue())
