--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -12,23 +12,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Names of frames that are no tokens.
+// Event names of frames that hold no token.
 const (
-	EventEnd     = "end"     // The last one of a stream that ended whole.
-	EventLeaving = "leaving" // The endpoint is leaving; the stream goes on, or may move.
-	EventAlive   = "alive"   // No token yet, but the engine's steps go on.
-	EventEnded   = "ended"   // The engine's process has ended; the data is an Ended in JSON.
+	EventEnd          = "end"     // Last frame of a complete stream.
+	EventLeaving      = "leaving" // The endpoint is leaving; the stream continues or may move to another endpoint.
+	EventAlive        = "alive"   // No new token yet, but the engine keeps making steps.
+	EventProcessEnded = "ended"   // The engine's process has ended; the data is an Ended in JSON.
 )
 
-// MaxFrame is the largest server-sent event that is read, in bytes.
-const MaxFrame = 64 << 10
+// MaxFrameBytes is the largest server-sent event that is read.
+const MaxFrameBytes = 64 << 10
 
-// EventID is the id of a server-sent event: which request, which endpoint made
-// it and which token it holds.
+// EventID is the id of a server-sent event: the request, the endpoint that produced the event, and
+// the token that it holds.
 type EventID struct {
 	Request  string
 	Endpoint string
-	Offset   int // Number of the token, from 0.
+	Offset   int // Index of the token, from 0.
 }
 
 // String formats id as request/endpoint/offset.
@@ -36,22 +36,22 @@
 	return id.Request + "/" + id.Endpoint + "/" + strconv.Itoa(id.Offset)
 }
 
-// ParseEventID reads an id as a caller or an agent sends it.
+// ParseEventID parses an id sent by a caller or an agent.
 func ParseEventID(text string) (id EventID, err error) {
 	defer func() { err = errors.Wrapf(err, "event id %.80q", text) }()
-	first, rest, ok := strings.Cut(text, "/")
-	if !ok || first == "" || len(first) > 64 {
+	request, rest, ok := strings.Cut(text, "/")
+	if !ok || request == "" || len(request) > 64 {
 		return id, errors.New("no request id")
 	}
-	middle, last, ok := strings.Cut(rest, "/")
-	if !ok || middle == "" || len(middle) > 255 {
+	endpoint, offset, ok := strings.Cut(rest, "/")
+	if !ok || endpoint == "" || len(endpoint) > 255 {
 		return id, errors.New("no endpoint")
 	}
-	n, err := strconv.Atoi(last)
+	n, err := strconv.Atoi(offset)
 	if err != nil || n < 0 {
 		return id, errors.New("no offset")
 	}
-	return EventID{Request: first, Endpoint: middle, Offset: n}, nil
+	return EventID{Request: request, Endpoint: endpoint, Offset: n}, nil
 }
 
 // Frame is one server-sent event.
@@ -67,40 +67,40 @@
 	data []byte
 }
 
-// NewFrameReader reads frames from r through a small buffer.
+// NewFrameReader returns a FrameReader that reads from r through a small buffer.
 func NewFrameReader(r io.Reader) *FrameReader {
 	return &FrameReader{r: bufio.NewReaderSize(r, 2048)}
 }
 
-// Next returns the next frame. A stream that stops inside a frame gives
-// io.ErrUnexpectedEOF, one that stops between frames io.EOF.
+// Next returns the next frame. A stream that ends inside a frame results in io.ErrUnexpectedEOF,
+// one that ends between frames in io.EOF.
 func (fr *FrameReader) Next() (f Frame, err error) {
 	fr.data = fr.data[:0]
-	begun := false
+	inFrame := false
 	for {
 		line, err := fr.r.ReadSlice('\n')
 		if err != nil {
-			if errors.Is(err, io.EOF) && (begun || len(line) > 0) {
+			if errors.Is(err, io.EOF) && (inFrame || len(line) > 0) {
 				err = io.ErrUnexpectedEOF
 			}
 			return f, err
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if len(line) == 0 {
-			if begun {
+			if inFrame {
 				f.Data = bytes.TrimSuffix(fr.data, []byte("\n"))
 				return f, nil
 			}
 			continue
 		}
-		begun = true
-		if err := fr.field(&f, line); err != nil {
+		inFrame = true
+		if err := fr.parseField(&f, line); err != nil {
 			return f, err
 		}
 	}
 }
 
-func (fr *FrameReader) field(f *Frame, line []byte) (err error) {
+func (fr *FrameReader) parseField(f *Frame, line []byte) (err error) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
 	switch string(name) {
@@ -111,14 +111,14 @@
 	case "data":
 		fr.data = append(append(fr.data, value...), '\n')
 	}
-	if len(fr.data)-1 > MaxFrame { // Without the last line break.
-		return errors.Newf("frame is larger than %d bytes", MaxFrame)
+	if len(fr.data)-1 > MaxFrameBytes { // Excluding the last line break.
+		return errors.Newf("frame is larger than %d bytes", MaxFrameBytes)
 	}
 	return nil
 }
 
-// AppendFrame appends the text of a frame to dst. Each line of data gets a field
-// of its own, so that no text can look like another frame, such as an end.
+// AppendFrame appends the text of a frame to dst. Each line of data becomes a data field of its
+// own, so that no data can be read as another frame, such as the end of the stream.
 func AppendFrame(dst []byte, id EventID, event string, data []byte) []byte {
 	dst = append(dst, "id: "...)
 	dst = append(dst, id.Request...)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package wire is the messages that the system's own processes exchange, and
-// the names of the headers that callers see. Messages are JSON over HTTP; the
-// package holds types and their checks, and no transport.
+// Package wire defines the messages that the system's own processes exchange and the names of the
+// headers that callers see. Messages are JSON over HTTP. The package holds types and their
+// validation, but no transport.
 package wire
 
 import (
@@ -18,13 +18,13 @@
 const (
 	HeaderOutcome  = "Canvaspulley-Outcome"     // On every answer: an Outcome.
 	HeaderRequest  = "Canvaspulley-Request"     // On every answer: the request id.
-	HeaderReason   = "Canvaspulley-Reason"      // On every answer that is not done.
-	HeaderClass    = "Canvaspulley-Class"       // From the caller: input of policies.
-	HeaderDeadline = "Canvaspulley-Deadline-Ms" // From the caller: milliseconds from now.
-	HeaderKey      = "Idempotency-Key"          // From the caller.
-	HeaderResume   = "Last-Event-ID"            // From the caller: last event of a cut stream.
-	HeaderEnvelope = "Canvaspulley-Envelope"    // Entry to agent: an Envelope in JSON.
-	HeaderLoad     = "Canvaspulley-Load"        // Agent to entry: a Load in JSON.
+	HeaderReason   = "Canvaspulley-Reason"      // On every answer whose outcome is not Done.
+	HeaderClass    = "Canvaspulley-Class"       // From the caller: an input of policies.
+	HeaderDeadline = "Canvaspulley-Deadline-Ms" // From the caller: deadline in milliseconds from now.
+	HeaderKey      = "Idempotency-Key"          // From the caller: the idempotency key.
+	HeaderResume   = "Last-Event-ID"            // From the caller: id of the last event received of an interrupted stream.
+	HeaderEnvelope = "Canvaspulley-Envelope"    // From entry to agent: an Envelope in JSON.
+	HeaderLoad     = "Canvaspulley-Load"        // From agent to entry: a Load in JSON.
 )
 
 // Paths of the peer listener.
@@ -40,53 +40,53 @@
 	PathCache    = "/peer/v1/kv/"
 )
 
-// Limits of what is read from callers and peers, in bytes.
+// Limits on the size of what is read from callers and peers.
 const (
-	MaxBody     = 8 << 20
-	MaxEnvelope = 16 << 10
-	MaxMessage  = 256 << 10
+	MaxBodyBytes     = 8 << 20
+	MaxEnvelopeBytes = 16 << 10
+	MaxMessageBytes  = 256 << 10
 )
 
-// Outcome is what a caller is told of a request.
+// Outcome states what became of a request. It is reported to the caller.
 type Outcome string
 
-// The outcomes. A request that is streaming has none yet.
+// The outcomes. A request whose answer is still being streamed has none.
 const (
-	Done    Outcome = "done"    // The whole answer was given.
-	NotRun  Outcome = "not-run" // Nothing was started and nothing will be.
-	Unknown Outcome = "unknown" // It may have run.
+	Done    Outcome = "done"    // The complete answer was returned.
+	NotRun  Outcome = "not-run" // The request was not started and will not be.
+	Unknown Outcome = "unknown" // The request may have run.
 )
 
-// Kind is what an envelope carries.
+// Kind is the kind of request that an envelope carries.
 type Kind string
 
 // The kinds of requests.
 const (
-	KindStream Kind = "stream" // Work for a model engine; the answer is a stream of tokens.
-	KindCall   Kind = "call"   // A call of a plain service; the answer is whole.
+	KindStream Kind = "stream" // A request to a model engine; the answer is a stream of tokens.
+	KindCall   Kind = "call"   // A call of a plain service; the answer is sent in one piece.
 )
 
-// Envelope goes with each request from an entry to an agent.
+// Envelope accompanies each request from an entry to an agent.
 type Envelope struct {
-	ID         string  `json:"id"` // Request id, '~' and the number of the attempt.
-	Kind       Kind    `json:"kind"`
-	Endpoint   string  `json:"endpoint"` // Slot the entry means; an agent of another slot refuses.
-	Customer   string  `json:"customer"`
-	Weight     float64 `json:"weight"`
-	Class      string  `json:"class,omitempty"`
-	Priority   int     `json:"priority"`
-	Key        string  `json:"key,omitempty"`      // Idempotency key, "" when there is none.
-	DeadlineMS int64   `json:"deadline,omitempty"` // Unix milliseconds; 0 when there is none.
-	Offset     int     `json:"offset,omitempty"`   // First token wanted; the engine resumes there.
-	Method     string  `json:"method,omitempty"`
-	Path       string  `json:"path,omitempty"`
-	Type       string  `json:"type,omitempty"`     // Content type of the body.
-	Once       bool    `json:"once,omitempty"`     // The request may not be repeated.
-	CacheAt    string  `json:"cache_at,omitempty"` // Peer address of an agent whose engine holds the KV cache.
-	CacheID    string  `json:"cache_id,omitempty"` // Attempt under which it holds it.
-}
-
-// Deadline returns the caller's deadline; ok is false when there is none.
+	ID             string  `json:"id"` // Request id, '~' and the number of the attempt.
+	Kind           Kind    `json:"kind"`
+	Endpoint       string  `json:"endpoint"` // Endpoint that the entry selected; the agent of another endpoint rejects the request.
+	Customer       string  `json:"customer"`
+	Weight         float64 `json:"weight"`
+	Class          string  `json:"class,omitempty"`
+	Priority       int     `json:"priority"`
+	Key            string  `json:"key,omitempty"`      // Idempotency key; "" if there is none.
+	DeadlineMS     int64   `json:"deadline,omitempty"` // Unix milliseconds; 0 if there is none.
+	Offset         int     `json:"offset,omitempty"`   // Index of the first token wanted; the engine resumes there.
+	Method         string  `json:"method,omitempty"`
+	Path           string  `json:"path,omitempty"`
+	ContentType    string  `json:"type,omitempty"`     // Of the body.
+	NoRetry        bool    `json:"once,omitempty"`     // The request must not be retried.
+	CacheAddress   string  `json:"cache_at,omitempty"` // Peer address of an agent whose engine holds the request's KV cache.
+	CacheAttemptID string  `json:"cache_id,omitempty"` // Id of the attempt under which that engine holds it.
+}
+
+// Deadline returns the caller's deadline; ok is false if there is none.
 func (e *Envelope) Deadline() (t time.Time, ok bool) {
 	if e.DeadlineMS == 0 {
 		return time.Time{}, false
@@ -94,11 +94,11 @@
 	return time.UnixMilli(e.DeadlineMS), true
 }
 
-// ParseEnvelope decodes and checks the header of a request from an entry.
+// ParseEnvelope decodes and validates the envelope of a request from an entry.
 func ParseEnvelope(text string) (e *Envelope, err error) {
 	defer func() { err = errors.Wrap(err, "envelope") }()
-	if len(text) > MaxEnvelope {
-		return nil, errors.Newf("%d bytes is larger than %d", len(text), MaxEnvelope)
+	if len(text) > MaxEnvelopeBytes {
+		return nil, errors.Newf("%d bytes is larger than %d", len(text), MaxEnvelopeBytes)
 	}
 	e = &Envelope{}
 	if err := json.Unmarshal([]byte(text), e); err != nil {
@@ -119,61 +119,61 @@
 	return e, nil
 }
 
-// Refusal is an agent's or entry's answer to a request that it gives up on.
+// Refusal is the answer of an agent or entry to a request that it does not complete.
 type Refusal struct {
 	Outcome      Outcome `json:"outcome"`
 	Reason       string  `json:"reason"`
 	Status       int     `json:"status"`
 	RetryAfterMS int64   `json:"retry_after_ms,omitempty"`
-	Repeat       *Repeat `json:"-"` // The first run's answer; only with Done.
+	Replay       *Replay `json:"-"` // Answer of the first run; only with Done.
 	Ended        *Ended  `json:"ended,omitempty"`
 }
 
-// Ended tells that the endpoint's process ended while it ran a request.
+// Ended reports that the endpoint's process ended while it ran a request.
 type Ended struct {
-	Life string `json:"life"` // Names the life that ended, among all endpoints.
+	Incarnation string `json:"life"` // Identifies the process that ended, among all endpoints.
 }
 
-// Repeat is the answer of an earlier run, given again.
-type Repeat struct {
-	Type string
-	Body []byte
+// Replay is the answer of an earlier run of a request, returned again.
+type Replay struct {
+	ContentType string
+	Body        []byte
 }
 
-// OutcomeRequest asks an agent whether an attempt was run, and forbids it if
-// it was not.
+// OutcomeRequest asks an agent whether it ran an attempt, and makes it reject the attempt from then
+// on if it did not.
 type OutcomeRequest struct {
 	ID string `json:"id"`
 }
 
-// OutcomeReply is the agent's word.
+// OutcomeReply is the agent's answer to an OutcomeRequest.
 type OutcomeReply struct {
 	Outcome Outcome `json:"outcome"` // NotRun or Unknown.
 }
 
-// Error makes a Refusal an error.
+// Error implements the error interface.
 func (r *Refusal) Error() string { return string(r.Outcome) + ": " + r.Reason }
 
-// Refuse returns a refusal of a request of which nothing was started.
-func Refuse(status int, after time.Duration, reason string) *Refusal {
-	return &Refusal{Outcome: NotRun, Reason: reason, Status: status, RetryAfterMS: after.Milliseconds()}
+// Refuse returns a Refusal of a request that was not started.
+func Refuse(status int, retryAfter time.Duration, reason string) *Refusal {
+	return &Refusal{Outcome: NotRun, Reason: reason, Status: status, RetryAfterMS: retryAfter.Milliseconds()}
 }
 
-// Doubt returns the answer for a request that may have run.
+// Doubt returns a Refusal for a request that may have run.
 func Doubt(status int, reason string) *Refusal {
 	return &Refusal{Outcome: Unknown, Reason: reason, Status: status}
 }
 
-// Write sends r as a whole HTTP answer, with its length.
+// Write sends r as a complete HTTP response with a Content-Length.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set(HeaderOutcome, string(r.Outcome))
 	h.Set(HeaderReason, r.Reason)
 	contentType, body := "application/json", []byte(nil)
-	if r.Repeat != nil {
-		contentType, body = r.Repeat.Type, r.Repeat.Body
+	if r.Replay != nil {
+		contentType, body = r.Replay.ContentType, r.Replay.Body
 	} else {
-		body, _ = json.Marshal(r) // A Refusal always has a JSON form.
+		body, _ = json.Marshal(r) // Encoding a Refusal cannot fail.
 		body = append(body, '\n')
 	}
 	if r.RetryAfterMS > 0 {
@@ -182,54 +182,54 @@
 	h.Set("Content-Type", contentType)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(r.Status)
-	_, _ = w.Write(body) // The caller may be gone.
+	_, _ = w.Write(body) // The caller may have disconnected.
 }
 
-// ValuesRequest asks a peer for published values by their hashes.
+// ValuesRequest asks a peer for published values with the given hashes.
 type ValuesRequest struct {
 	Hashes []string `json:"hashes"`
 }
 
-// ValuesReply holds as many of the values as fit into one message.
+// ValuesReply holds as many of the requested values as fit into one message.
 type ValuesReply struct {
 	Values [][]byte `json:"values"`
 }
 
-// BorrowRequest asks a peer entry for a part of a customer's limit.
+// BorrowRequest asks a peer entry to lend a share of a customer's rate limit.
 type BorrowRequest struct {
-	Customer string  `json:"customer"`
-	Rate     float64 `json:"rate"` // Requests a second wanted.
+	Customer      string  `json:"customer"`
+	RatePerSecond float64 `json:"rate"` // Requests per second wanted.
 }
 
-// BorrowReply says how much the peer lends for a lease of the package limit.
+// BorrowReply states how much the peer lends for the duration of a lease of package limit.
 type BorrowReply struct {
-	Rate float64 `json:"rate"`
+	RatePerSecond float64 `json:"rate"`
 }
 
-// Load is what an agent knows of its endpoint, sent with every answer.
+// Load is an agent's view of its endpoint, sent with every answer.
 type Load struct {
-	Running int     `json:"run"`            // Requests at the endpoint.
-	Queued  int     `json:"q"`              // Requests in the agent's queue.
-	Limit   int     `json:"lim"`            // Requests the agent lets in at once.
-	StepMS  float64 `json:"step,omitempty"` // Mean engine step, in milliseconds.
-	Step    uint64  `json:"n,omitempty"`    // Engine step number.
-	Leaving bool    `json:"leave,omitempty"`
-	Stalled bool    `json:"stall,omitempty"` // The engine group stands still.
-	RestMS  int64   `json:"rest,omitempty"`  // For how long the endpoint wants nothing.
+	Running          int     `json:"run"`            // Requests running at the endpoint.
+	Queued           int     `json:"q"`              // Requests in the agent's queue.
+	ConcurrencyLimit int     `json:"lim"`            // Requests that the agent admits at the same time.
+	MeanStepMS       float64 `json:"step,omitempty"` // Mean duration of an engine step, in milliseconds.
+	StepNumber       uint64  `json:"n,omitempty"`    // Number of the engine's current step.
+	Leaving          bool    `json:"leave,omitempty"`
+	Stalled          bool    `json:"stall,omitempty"` // The engine's group is stalled.
+	BackoffMS        int64   `json:"rest,omitempty"`  // Remaining time for which the endpoint requests backoff, in milliseconds.
 }
 
 // EncodeLoad returns l as a header value.
 func EncodeLoad(l Load) string {
 	raw, err := json.Marshal(l)
 	if err != nil {
-		return "" // Only reached for a step time that is not a number.
+		return "" // Only reached if MeanStepMS is NaN or infinite.
 	}
 	return string(raw)
 }
 
-// ParseLoad decodes a load header; ok is false when there is none.
+// ParseLoad decodes a load header; ok is false if it is missing or invalid.
 func ParseLoad(text string) (l Load, ok bool) {
-	if text == "" || len(text) > MaxEnvelope || json.Unmarshal([]byte(text), &l) != nil {
+	if text == "" || len(text) > MaxEnvelopeBytes || json.Unmarshal([]byte(text), &l) != nil {
 		return Load{}, false
 	}
 	return l, true
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -54,12 +54,12 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		e, err := ParseEnvelope(text)
 		if err == nil && (e.ID == "" || e.Endpoint == "" || !(e.Weight > 0)) {
-			t.Fatalf("took %+v", e)
+			t.Fatalf("accepted %+v", e)
 		}
 	})
 }
 
-func TestFrameCutShortIsNoFrame(t *testing.T) {
+func TestTruncatedFrameIsAnError(t *testing.T) {
 	whole := string(AppendFrame(nil, EventID{"r", "e", 7}, EventEnd, []byte("{}")))
 	for n := 1; n < len(whole); n++ {
 		_, err := NewFrameReader(strings.NewReader(whole[:n])).Next()
@@ -72,7 +72,7 @@
 	g.Expect(fr.ID).To(gomega.Equal("r/e/7"))
 }
 
-func TestDataWithLineBreaksStaysOneFrame(t *testing.T) {
+func TestDataWithLineBreaksIsOneFrame(t *testing.T) {
 	for _, data := range []string{"a\nb", "a\n\nid: r/e/8\nevent: end\ndata: {}", "a\nevent: end"} {
 		g := gomega.NewWithT(t)
 		frames := NewFrameReader(bytes.NewReader(AppendFrame(nil, EventID{"r", "e", 7}, "", []byte(data))))
@@ -81,15 +81,15 @@
 		g.Expect(fr.Event).To(gomega.BeEmpty())
 		g.Expect(string(fr.Data)).To(gomega.Equal(data))
 		_, err = frames.Next()
-		g.Expect(err).To(gomega.MatchError(io.EOF), "one frame")
+		g.Expect(err).To(gomega.MatchError(io.EOF), "only one frame")
 	}
 }
 
-func TestARefusalHasALength(t *testing.T) {
+func TestRefusalHasContentLength(t *testing.T) {
 	long := strings.Repeat("x", 4000)
 	for name, r := range map[string]*Refusal{
-		"refusal":            Doubt(http.StatusBadGateway, long),
-		"answer given again": {Outcome: Done, Status: http.StatusOK, Repeat: &Repeat{Type: "text/plain", Body: []byte(long)}},
+		"refusal":         Doubt(http.StatusBadGateway, long),
+		"replayed answer": {Outcome: Done, Status: http.StatusOK, Replay: &Replay{ContentType: "text/plain", Body: []byte(long)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
