--- a/internal/rank/ranktest/group.go
+++ b/internal/rank/ranktest/group.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package ranktest is a stand-in of a group of model engines that run passes in
-// lock-step and take orders, for tests and the soak. It says when a pass ran on
-// two maps. It is not for requests: what they cost is not played.
+// Package ranktest simulates a group of model engines that run passes in lock-step and execute
+// orders, for tests and the soak. It reports when a pass ran with two different maps. It does not
+// simulate requests or their cost.
 package ranktest
 
 import (
@@ -18,47 +18,46 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// Shape is the size of a group.
+// Shape is the size of a group: its ranks, the sets of experts, and the experts of each set.
 type Shape struct {
 	Ranks   int
 	Sets    int
 	Experts int
 }
 
-// Group is a group of engines.
+// Group is a simulated group of engines.
 type Group struct {
-	mu      sync.Mutex
-	shape   Shape
-	step    uint64
-	engines []engine
-	broken  string // Says how a pass ran on two maps.
-	lose    int    // Orders whose answer is lost, one in so many; 0 for none.
-	orders  int
-	hot     int // Place in each set of the expert that gets most.
-	changes int // Maps that came into force.
-}
-
-// engine is one rank's.
+	mu         sync.Mutex
+	shape      Shape
+	step       uint64
+	engines    []engine
+	violation  string // Describes a pass that ran with two different maps; "" if there was none.
+	lossStride int    // One in this many orders loses its answer; 0 for none.
+	orderCount int
+	hotOffset  int // Index offset that determines which experts of each set are chosen most.
+	mapChanges int // Number of maps that came into force.
+}
+
+// engine is the engine of one rank.
 type engine struct {
 	State
-	report rank.Report // But for what State and the group tell.
-	counts []uint64
-	maps   map[uint64][][][]int
+	report  rank.Report // The engine's report, except for the fields that State and the group provide.
+	counts  []uint64
+	layouts map[uint64][][][]int
 }
 
-// New returns a group on map 0 that loses the answer of one order in so many, 0
-// for none.
-func New(s Shape, lose int) *Group {
-	g := &Group{shape: s, lose: lose, engines: make([]engine, s.Ranks)}
+// New returns a group on map 0 that loses the answer of one in lossStride orders; 0 loses none.
+func New(s Shape, lossStride int) *Group {
+	g := &Group{shape: s, lossStride: lossStride, engines: make([]engine, s.Ranks)}
 	for r := range g.engines {
-		g.engines[r] = engine{counts: make([]uint64, s.Sets*s.Experts), maps: map[uint64][][][]int{0: dealt(s)}}
-		g.engines[r].report = rank.Report{Group: "g", Epoch: 1, Rank: r, Size: s.Ranks, Open: true, Running: 4, Pace: 1}
+		g.engines[r] = engine{counts: make([]uint64, s.Sets*s.Experts), layouts: map[uint64][][][]int{0: roundRobinLayout(s)}}
+		g.engines[r].report = rank.Report{Group: "g", Epoch: 1, Rank: r, Size: s.Ranks, Open: true, Running: 4, Slowdown: 1}
 	}
 	return g
 }
 
-// dealt is map 0: experts in turn over the ranks.
-func dealt(s Shape) [][][]int {
+// roundRobinLayout returns map 0: experts are assigned to ranks in turn.
+func roundRobinLayout(s Shape) [][][]int {
 	layout := make([][][]int, s.Sets)
 	for k := range layout {
 		layout[k] = make([][]int, s.Ranks)
@@ -69,44 +68,44 @@
 	return layout
 }
 
-// Run makes passes until ctx ends.
+// Run runs passes until ctx ends.
 func (g *Group) Run(ctx context.Context, pass time.Duration) error {
-	return wait.Every(ctx, pass, g.pass)
+	return wait.Every(ctx, pass, g.runPass)
 }
 
-// Shift makes other experts the ones that get most.
-func (g *Group) Shift(hot int) {
+// ShiftDemand changes which experts are chosen most.
+func (g *Group) ShiftDemand(offset int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hot = hot
+	g.hotOffset = offset
 }
 
-// Forget makes a rank's counts begin anew, as after a restart of its requests.
-func (g *Group) Forget(r int) {
+// ResetCounts sets a rank's counts to zero, as after a restart of its requests.
+func (g *Group) ResetCounts(r int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.engines[r].counts)
 }
 
-// HoldAt sets which pass a rank holds, 0 for none.
-func (g *Group) HoldAt(r int, step uint64) {
+// SetHold sets the pass that a rank holds; 0 for none.
+func (g *Group) SetHold(r int, step uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.engines[r].Held = step
+	g.engines[r].HeldPass = step
 }
 
-// Step returns the newest pass that began.
+// Step returns the newest pass that has begun.
 func (g *Group) Step() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.step
 }
 
-func (g *Group) pass() {
+func (g *Group) runPass() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for r := range g.engines {
-		if g.engines[r].Held == g.step+1 {
+		if g.engines[r].HeldPass == g.step+1 {
 			return
 		}
 	}
@@ -114,24 +113,24 @@
 	for r := range g.engines {
 		e := &g.engines[r]
 		if e.Begin(g.step) && r == 0 {
-			g.changes++
+			g.mapChanges++
 		}
-		for i := range e.counts { // A few experts of the first rank get nearly all.
+		for i := range e.counts { // A few experts of the first rank are chosen most.
 			e.counts[i] += 1
-			if x := (i + g.hot) % g.shape.Experts; x%g.shape.Ranks == 0 {
+			if x := (i + g.hotOffset) % g.shape.Experts; x%g.shape.Ranks == 0 {
 				e.counts[i] += uint64(200 / (1 + x))
 			}
 		}
 	}
 	for r := range g.engines {
 		first, other := &g.engines[0], &g.engines[r]
-		if first.Map != other.Map || !equalMaps(first.maps[first.Map], other.maps[other.Map]) {
-			g.broken = fmt.Sprintf("pass %d on maps %d and %d", g.step, first.Map, other.Map)
+		if first.Map != other.Map || !equalMaps(first.layouts[first.Map], other.layouts[other.Map]) {
+			g.violation = fmt.Sprintf("pass %d on maps %d and %d", g.step, first.Map, other.Map)
 		}
 	}
 }
 
-// Order gives a rank an order.
+// Order sends an order to a rank.
 func (g *Group) Order(r int, o rank.Order) (rank.Result, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -141,15 +140,15 @@
 		return result, nil
 	}
 	if result == rank.Done && o.Op == rank.Prepare {
-		e.maps[o.Version] = o.Map
+		e.layouts[o.Version] = o.Map
 	}
-	if g.orders++; g.lose > 0 && g.orders%g.lose == 0 {
+	if g.orderCount++; g.lossStride > 0 && g.orderCount%g.lossStride == 0 {
 		return rank.Lost, errors.New("no answer")
 	}
 	return result, nil
 }
 
-// Engine returns the engine of a rank as a sidecar sees it.
+// Engine returns the engine of a rank as a sidecar uses it.
 func (g *Group) Engine(r int) rank.Engine {
 	return rank.Engine{
 		Report: func(context.Context) (rank.Report, error) {
@@ -157,7 +156,7 @@
 			defer g.mu.Unlock()
 			e := &g.engines[r]
 			rep := e.report
-			rep.Step, rep.Map, rep.Prepared, rep.Armed, rep.Held = g.step, e.Map, e.Prepared, e.Armed, e.Held
+			rep.Step, rep.Map, rep.Prepared, rep.Armed, rep.HeldPass = g.step, e.Map, e.Prepared, e.Armed, e.HeldPass
 			return rep, nil
 		},
 		Counts: func(context.Context) (rank.Counts, error) {
@@ -165,12 +164,12 @@
 			defer g.mu.Unlock()
 			return rank.Counts{Epoch: 1, Step: g.step, Flat: append([]uint64(nil), g.engines[r].counts...)}, nil
 		},
-		Held: func(context.Context) (rank.Held, error) {
+		HeldExperts: func(context.Context) (rank.HeldExperts, error) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			h := rank.Held{Epoch: 1, Version: g.engines[r].Map}
-			for _, set := range g.engines[r].maps[h.Version] {
-				h.Sets = append(h.Sets, set[r])
+			h := rank.HeldExperts{Epoch: 1, Version: g.engines[r].Map}
+			for _, set := range g.engines[r].layouts[h.Version] {
+				h.ExpertsBySet = append(h.ExpertsBySet, set[r])
 			}
 			return h, nil
 		},
@@ -178,24 +177,24 @@
 	}
 }
 
-// State returns the map in force, which rank holds a pass, if one does, and how
-// a pass ran on two maps, if one did.
-func (g *Group) State() (version uint64, held, broken string) {
+// State returns the map in force, a description of a rank's hold if there is one, and a description
+// of a pass that ran with two different maps if there was one.
+func (g *Group) State() (version uint64, hold, violation string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for r := range g.engines {
-		if g.engines[r].Held != 0 {
-			held = fmt.Sprintf("rank %d holds %d", r, g.engines[r].Held)
+		if g.engines[r].HeldPass != 0 {
+			hold = fmt.Sprintf("rank %d holds %d", r, g.engines[r].HeldPass)
 		}
 	}
-	return g.engines[0].Map, held, g.broken
+	return g.engines[0].Map, hold, g.violation
 }
 
-// Changes returns how many maps came into force.
-func (g *Group) Changes() int {
+// MapChanges returns how many maps came into force.
+func (g *Group) MapChanges() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.changes
+	return g.mapChanges
 }
 
 func equalMaps(a, b [][][]int) bool {
--- a/internal/rank/ranktest/state.go
+++ b/internal/rank/ranktest/state.go
@@ -4,28 +4,29 @@
 
 import "github.com/canvaspulley/canvaspulley/internal/rank"
 
-// State is what orders change at one rank's engine, by the platform's published protocol.
+// State is the state of one rank's engine that orders change, according to the platform's published
+// protocol.
 type State struct {
 	Fence    uint64
 	Map      uint64
 	Prepared uint64
 	Armed    rank.Arming
-	Held     uint64
+	HeldPass uint64
 }
 
-// Execute carries an order out; step is the newest pass that began.
-func (s *State) Execute(o rank.Order, step uint64) rank.Result {
+// Execute executes an order; newestPass is the newest pass that has begun.
+func (s *State) Execute(o rank.Order, newestPass uint64) rank.Result {
 	if o.Fence < s.Fence {
 		return rank.Fenced
 	}
-	result := s.obey(o, step)
+	result := s.apply(o, newestPass)
 	if result == rank.Done {
-		s.Fence = o.Fence // Refused orders leave no fence behind.
+		s.Fence = o.Fence // A rejected order does not raise the fence.
 	}
 	return result
 }
 
-func (s *State) obey(o rank.Order, step uint64) rank.Result {
+func (s *State) apply(o rank.Order, newestPass uint64) rank.Result {
 	switch o.Op {
 	case rank.Prepare:
 		if o.Version <= max(s.Map, s.Prepared, s.Armed.Version) || s.Armed.Version != 0 {
@@ -34,7 +35,7 @@
 		s.Prepared = o.Version
 	case rank.Arm:
 		want := rank.Arming{Version: o.Version, Step: o.Step}
-		if s.Armed != want && (s.Prepared != o.Version || step >= o.Step || s.Armed.Version != 0) {
+		if s.Armed != want && (s.Prepared != o.Version || newestPass >= o.Step || s.Armed.Version != 0) {
 			return rank.Conflict
 		}
 		s.Armed = want
@@ -46,19 +47,19 @@
 			s.Armed = rank.Arming{}
 		}
 	case rank.Hold:
-		if step >= o.Step || s.Held != 0 && s.Held != o.Step {
+		if newestPass >= o.Step || s.HeldPass != 0 && s.HeldPass != o.Step {
 			return rank.Conflict
 		}
-		s.Held = o.Step
-	case rank.Go:
-		if s.Held == o.Step {
-			s.Held = 0
+		s.HeldPass = o.Step
+	case rank.Release:
+		if s.HeldPass == o.Step {
+			s.HeldPass = 0
 		}
 	}
 	return rank.Done
 }
 
-// Begin begins a pass, and reports whether a map came into force with it.
+// Begin begins a pass and reports whether a map came into force with it.
 func (s *State) Begin(step uint64) (changed bool) {
 	if s.Armed.Version == 0 || s.Armed.Step != step {
 		return false
--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -116,7 +116,7 @@
 // acceptReport stores a rank's report. A report of an earlier incarnation than the known one is
 // ignored, and the rank counts as not having answered.
 func (m *member) acceptReport(r rank.Report, now time.Time) {
-	if fleet.CompareLives(max(m.endpoint.Born, m.report.Born), r.Born) < 0 {
+	if fleet.CompareLives(max(m.endpoint.Born, m.report.StartedAt), r.StartedAt) < 0 {
 		return
 	}
 	m.report, m.lastSeen = r, now
@@ -128,7 +128,7 @@
 	list := make([]int64, len(l.byRank))
 	for r, m := range l.byRank {
 		if m != nil {
-			list[r] = m.report.Born
+			list[r] = m.report.StartedAt
 		}
 	}
 	return list
@@ -173,7 +173,7 @@
 	switch {
 	case err == nil && len(a.Ranks) == 1 && a.Ranks[0].Report != nil:
 		m.acceptReport(*a.Ranks[0].Report, time.Now())
-	case engine != nil && fleet.CompareLives(max(m.endpoint.Born, m.report.Born), engine.Born) >= 0:
+	case engine != nil && fleet.CompareLives(max(m.endpoint.Born, m.report.StartedAt), engine.StartedAt) >= 0:
 		m.report, m.lastSeen, m.answered = *engine, time.Now(), true
 	case err != nil:
 		l.s.log.Debug("sidecar unreachable", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -350,7 +350,7 @@
 	alike := true
 	for r, m := range l.byRank {
 		speed[r] = 1
-		if pace := m.report.Pace; pace > 1 {
+		if pace := m.report.Slowdown; pace > 1 {
 			speed[r] = 1 / pace
 			alike = false
 		}
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -142,7 +142,7 @@
 	ranks := make([]passes.Rank, 0, len(l.byRank))
 	for _, m := range l.byRank {
 		if m != nil {
-			ranks = append(ranks, passes.Rank{Running: m.report.Running, Pass: pass, Pace: m.report.Pace, At: now})
+			ranks = append(ranks, passes.Rank{Running: m.report.Running, Pass: pass, Pace: m.report.Slowdown, At: now})
 		}
 	}
 	limit, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
@@ -164,7 +164,7 @@
 			l.s.log.Warn("load with invalid engine address not sent", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
 			continue
 		}
-		list = append(list, peers.RankLoad{Address: raw, Running: m.report.Running, Waiting: m.report.Waiting, Slowdown: float32(m.report.Pace)})
+		list = append(list, peers.RankLoad{Address: raw, Running: m.report.Running, Waiting: m.report.Waiting, Slowdown: float32(m.report.Slowdown)})
 	}
 	return list
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -248,7 +248,7 @@
 // does not answer if lost is set. The caller holds mu.
 func (s *Sidecar) load(r rank.Report, lost bool) *peers.Load {
 	return &peers.Load{
-		Address: s.cfg.Address, StartedAt: r.Born, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Pace,
+		Address: s.cfg.Address, StartedAt: r.StartedAt, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown,
 		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.mean.Milliseconds()), GatewayCount: s.gateways.gatewayCount(),
 		Closed: lost || r.Group != "" && !r.Open || s.checkStalled(r),
 	}
@@ -264,7 +264,7 @@
 	isStalled := r.Size > 1 && r.Open && s.passes.stalled(now)
 	if isStalled != s.groupStalled {
 		s.groupStalled = isStalled
-		s.log.Info("group stall state changed", zap.Bool("still", isStalled), zap.Uint64("step", r.Step), zap.Int("running", r.Running), zap.Uint64("held", r.Held))
+		s.log.Info("group stall state changed", zap.Bool("still", isStalled), zap.Uint64("step", r.Step), zap.Int("running", r.Running), zap.Uint64("held", r.HeldPass))
 	}
 	return isStalled
 }
@@ -282,7 +282,7 @@
 		}
 		return true
 	}
-	if !s.recordIncarnation(r.Born) {
+	if !s.recordIncarnation(r.StartedAt) {
 		return false
 	}
 	if r.Open != s.report.Open && r.Rank%openChangeReporterStride == 0 {
@@ -364,7 +364,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.recordIncarnation(n.Born) {
+	if !s.recordIncarnation(n.StartedAt) {
 		return
 	}
 	s.newestWindow = difference(s.newestWindow, s.counts, n)
@@ -375,7 +375,7 @@
 // and incarnation.
 func difference(last window, from, to rank.Counts) (w window) {
 	w = window{number: last.number + 1, epoch: to.Epoch}
-	if from.Epoch != to.Epoch || fleet.CompareLives(from.Born, to.Born) != 0 || len(from.Flat) != len(to.Flat) {
+	if from.Epoch != to.Epoch || fleet.CompareLives(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
 		return w
 	}
 	w.flat = make([]uint64, len(to.Flat))
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -128,10 +128,10 @@
 			run.stop[0]()
 			// Another rank leads: it adapts the map to a shifted load, and no hold remains.
 			for r := range ranks {
-				engines.Forget(r)
-				engines.HoldAt(r, 0)
+				engines.ResetCounts(r)
+				engines.SetHold(r, 0)
 			}
-			engines.HoldAt(0, engines.Step()+50)
+			engines.SetHold(0, engines.Step()+50)
 			g.Eventually(func() string { _, held, _ := engines.State(); return held }, eventually).Should(BeEmpty())
 			g.Expect(version()).To(BeNumerically(">=", first))
 			_, _, broken := engines.State()
