--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -25,7 +25,7 @@
 	address       netip.AddrPort
 	domain        string
 	incarnation   int64     // Start time of its process, as it reports it; 0 while it is known only from other gateways.
-	lastHello     time.Time // When it, or another gateway on its behalf, last reported.
+	lastHello     time.Time // Time of its last hello, to this sidecar or to a gateway that listed it.
 	gatewaysKnown int       // Number of gateways that it knows, itself included; 0 if not reported.
 }
 
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -22,6 +22,9 @@
 // does not grow with the group. Only the leader determines the tree, anew for each query, and the
 // query lists the sidecars to call. No other rank has to agree on the tree or remember it, and a
 // rank that was silent is left out of the next one.
+//
+// Responses are encoded in CBOR and carry the counts of experts as sums: the counts are most of the
+// bytes, and the links of sidecars are narrow.
 const (
 	// heavyFanout is the number of sidecars that one sidecar calls if each answer, or the query,
 	// takes some kilobytes: with more, the link of the caller is the bottleneck; with fewer, the
