--- a/internal/sidecar/ask_test.go
+++ b/internal/sidecar/ask_test.go
@@ -67,9 +67,9 @@
 // A rank whose sidecar is silent is polled through its sidecar and its engine at the same time.
 func TestSilentSidecarAndEngineArePolledConcurrently(t *testing.T) {
 	for _, tc := range []struct {
-		name            string
-		sidecar, engine bool
-		fresh, lost     bool
+		name                   string
+		sidecar, engine        bool
+		answered, engineSilent bool
 	}{
 		{"both answer", true, true, true, false},
 		{"the sidecar has died", false, true, true, false},
@@ -95,8 +95,8 @@
 			}
 			m := &member{sidecarSilent: true}
 			(&leader{s: s}).pollSilent(context.Background(), m)
-			g.Expect(m.answered).To(Equal(tc.fresh))
-			g.Expect(m.engineSilent).To(Equal(tc.lost))
+			g.Expect(m.answered).To(Equal(tc.answered))
+			g.Expect(m.engineSilent).To(Equal(tc.engineSilent))
 			g.Expect(m.sidecarSilent).To(Equal(!tc.sidecar))
 		})
 	}
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -32,7 +32,7 @@
 type pending struct {
 	plan        remap.Plan
 	version     uint64
-	began       time.Time
+	startedAt   time.Time
 	copiesDueAt time.Time // When the copies should be complete.
 	shiftsSeen  int       // Demand shifts counted when the change was last evaluated.
 	speeds      []float64 // Speed of each rank at that time; nil if all were equal.
@@ -181,11 +181,11 @@
 }
 
 // price returns the prices by which changes are valued if demand stays as it is for the given time.
-func (l *leader) price(left time.Duration) remap.Price {
+func (l *leader) price(horizon time.Duration) remap.Price {
 	return remap.Price{
 		Second: l.s.cfg.SkewPrice * l.passTimeWeight(),
 		Copy:   minGainRatio * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
-		Left:   left,
+		Left:   horizon,
 	}
 }
 
@@ -200,7 +200,7 @@
 	version := (m.Newest/versionStride+1)*versionStride + uint64(m.Self)
 	layout := layoutOf(plan.Map, len(l.byRank))
 	now := time.Now()
-	p.pending = &pending{plan: plan, version: version, began: now, copiesDueAt: now.Add(l.copyTime(plan.Most)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
+	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.Most)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
 	m.Begin(version, layout)
 	l.encodeMaps(layout)
 	l.sendUntilSettled(ctx, maxPrepareTries*l.orderDeadline(&l.fullMap, len(l.byRank)-1))
@@ -232,7 +232,7 @@
 func (l *leader) abandon(cause string) {
 	p := &l.planner
 	l.s.stats.abandoned.Inc(1)
-	l.s.log.Warn("map change abandoned", zap.String("cause", cause), zap.Uint64("version", p.pending.version), zap.Duration("after", time.Since(p.pending.began)))
+	l.s.log.Warn("map change abandoned", zap.String("cause", cause), zap.Uint64("version", p.pending.version), zap.Duration("after", time.Since(p.pending.startedAt)))
 	p.pending = nil
 	l.machine.GiveUp()
 }
@@ -245,7 +245,7 @@
 	switch {
 	case l.machine.Copied(l.reports()):
 		l.switchOver(ctx)
-	case now.Sub(p.pending.copiesDueAt) > p.pending.copiesDueAt.Sub(p.pending.began)+copyGracePeriod:
+	case now.Sub(p.pending.copiesDueAt) > p.pending.copiesDueAt.Sub(p.pending.startedAt)+copyGracePeriod:
 		l.abandon("copies overdue")
 	case p.pending.shiftsSeen != p.follower.Shifts() || !slices.Equal(p.pending.speeds, l.speeds()):
 		l.reconsider(ctx, now)
@@ -258,9 +258,9 @@
 	p, g := &l.planner, l.group()
 	price := l.price(l.demandHorizon(now))
 	plan := l.plan(price)
-	soon := g.PassTime(p.pending.plan.Map, p.follower.Load())
+	pendingPassTime := g.PassTime(p.pending.plan.Map, p.follower.Load())
 	remaining := max(p.pending.copiesDueAt.Sub(now), 0)
-	if !plan.Pays(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, soon) {
+	if !plan.Pays(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, pendingPassTime) {
 		p.pending.shiftsSeen, p.pending.speeds = p.follower.Shifts(), l.speeds()
 		return
 	}
@@ -271,17 +271,17 @@
 // switchOver puts the map whose experts have been copied into force.
 func (l *leader) switchOver(ctx context.Context) {
 	p, m := &l.planner, l.machine
-	change, copied, before := p.pending, time.Now(), m.Gained
+	change, copiedAt, gainedBefore := p.pending, time.Now(), m.Gained
 	p.pending = nil
 	m.Switch(l.switchStep())
 	l.sendUntilSettled(ctx, switchTimeout)
 	m.GiveUp()
 	l.sendUntilSettled(ctx, recoveryTimeout)
-	l.copyOverrun += time.Duration(switchTimeWeight * float64(max(copied.Sub(change.copiesDueAt), 0)-l.copyOverrun))
+	l.copyOverrun += time.Duration(switchTimeWeight * float64(max(copiedAt.Sub(change.copiesDueAt), 0)-l.copyOverrun))
 	l.switchedAt = time.Now()
-	took := l.switchedAt.Sub(copied)
-	done := m.Gained > before
-	if done {
+	took := l.switchedAt.Sub(copiedAt)
+	inForce := m.Gained > gainedBefore
+	if inForce {
 		// The time of a failed switch shows how long an answer was missing, as from a frozen
 		// instance, not how long orders take.
 		l.switchTime.Add(took)
@@ -291,9 +291,9 @@
 	} else {
 		l.s.stats.abandoned.Inc(1)
 	}
-	l.s.log.Info("map switch ended", zap.Bool("in-force", done), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.Most),
+	l.s.log.Info("map switch ended", zap.Bool("in-force", inForce), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.Most),
 		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.passTime), zap.Ints("running", l.running()), zap.Float64s("speed", l.speeds()),
-		zap.Duration("copying", copied.Sub(change.began)), zap.Duration("switching", took))
+		zap.Duration("copying", copiedAt.Sub(change.startedAt)), zap.Duration("switching", took))
 }
 
 // Number of passes between the newest one and the switch, so that all ranks are armed before the
@@ -347,15 +347,15 @@
 // speeds returns the speed of each rank, or nil if all are equal.
 func (l *leader) speeds() []float64 {
 	speed := make([]float64, len(l.byRank))
-	alike := true
+	allEqual := true
 	for r, m := range l.byRank {
 		speed[r] = 1
 		if pace := m.report.Slowdown; pace > 1 {
 			speed[r] = 1 / pace
-			alike = false
+			allEqual = false
 		}
 	}
-	if alike {
+	if allEqual {
 		return nil
 	}
 	return speed
--- a/internal/sidecar/maptext.go
+++ b/internal/sidecar/maptext.go
@@ -115,8 +115,8 @@
 func decodeMap(raw []byte) (m layout, err error) {
 	d := varintReader{raw: raw}
 	sets, ranks := d.next(), d.next()
-	most := len(raw) // A row takes at least one byte.
-	if sets > most || ranks > most || sets*ranks > most {
+	maxRows := len(raw) // A row takes at least one byte.
+	if sets > maxRows || ranks > maxRows || sets*ranks > maxRows {
 		return nil, errors.Newf("map: %d sets of %d ranks in %d bytes", sets, ranks, len(raw))
 	}
 	m = make(layout, sets)
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -69,9 +69,9 @@
 	if o.Op != rank.Prepare {
 		encoded = nil
 	}
-	if lacking := l.fanOutOrder(ctx, ranks, o, encoded, results); len(lacking) > 0 {
-		l.s.log.Info("full map sent", zap.Int("ranks", len(lacking)), zap.Uint64("version", o.Version))
-		l.fanOutOrder(ctx, lacking, o, &l.fullMap, results)
+	if missingBase := l.fanOutOrder(ctx, ranks, o, encoded, results); len(missingBase) > 0 {
+		l.s.log.Info("full map sent", zap.Int("ranks", len(missingBase)), zap.Uint64("version", o.Version))
+		l.fanOutOrder(ctx, missingBase, o, &l.fullMap, results)
 	}
 	var g errgroup.Group
 	for _, r := range ranks {
@@ -89,7 +89,7 @@
 
 // fanOutOrder sends an order down the tree once and stores the results; those of ranks that did not
 // answer are left unchanged. It returns the ranks that lack the base of the order's map delta.
-func (l *leader) fanOutOrder(ctx context.Context, ranks []int, o rank.Order, encoded *encodedMap, results []rank.Result) (lacking []int) {
+func (l *leader) fanOutOrder(ctx context.Context, ranks []int, o rank.Order, encoded *encodedMap, results []rank.Result) (missingBase []int) {
 	list := make([]*member, len(ranks))
 	for i, r := range ranks {
 		list[i] = l.byRank[r]
@@ -106,12 +106,12 @@
 		switch {
 		case a.Index < 0 || a.Index >= len(ranks):
 		case a.UnknownBase:
-			lacking = append(lacking, ranks[a.Index])
+			missingBase = append(missingBase, ranks[a.Index])
 		default:
 			results[ranks[a.Index]] = a.Result
 		}
 	}
-	return lacking
+	return missingBase
 }
 
 // orderDeadline returns how long the given number of ranks may take to answer an order, with an
--- a/internal/sidecar/passes.go
+++ b/internal/sidecar/passes.go
@@ -21,9 +21,9 @@
 
 // passTimer measures how long the passes of a group take.
 type passTimer struct {
-	step uint64
-	at   time.Time     // When step was seen; zero before the first report.
-	mean time.Duration // Smoothed pass time; 0 if unknown.
+	step   uint64
+	stepAt time.Time     // When step was seen; zero before the first report.
+	mean   time.Duration // Smoothed pass time; 0 if unknown.
 
 	newest   uint64    // Newest pass that has begun.
 	newestAt time.Time // When it was first seen.
@@ -34,20 +34,20 @@
 	if step != t.newest || t.newestAt.IsZero() {
 		t.newest, t.newestAt = step, now
 	}
-	if t.at.IsZero() || step < t.step || now.Sub(t.at) > passIdleTimeout {
-		t.step, t.at, t.mean = step, now, 0
+	if t.stepAt.IsZero() || step < t.step || now.Sub(t.stepAt) > passIdleTimeout {
+		t.step, t.stepAt, t.mean = step, now, 0
 		return
 	}
 	n := step - t.step
 	if n < minPassesMeasured {
 		return
 	}
-	one := now.Sub(t.at) / time.Duration(n)
+	passTime := now.Sub(t.stepAt) / time.Duration(n)
 	if t.mean == 0 {
-		t.mean = one
+		t.mean = passTime
 	}
-	t.mean += time.Duration(passWeight * float64(one-t.mean))
-	t.step, t.at = step, now
+	t.mean += time.Duration(passWeight * float64(passTime-t.mean))
+	t.step, t.stepAt = step, now
 }
 
 // stalled reports whether no pass has begun for so long that the group must be stalled, if it has
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -232,25 +232,25 @@
 
 // reportTargets returns the load to send for a report, the gateways that only receive it and those
 // that also forward it; load is nil if the leader sends it.
-func (s *Sidecar) reportTargets(r rank.Report, lost, openChanged bool) (load *peers.Load, direct, relays []netip.AddrPort) {
+func (s *Sidecar) reportTargets(r rank.Report, engineLost, openChanged bool) (load *peers.Load, direct, relays []netip.AddrPort) {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !lost && !openChanged && s.leaderSendsLoads(now) {
+	if !engineLost && !openChanged && s.leaderSendsLoads(now) {
 		return nil, nil, nil
 	}
-	load = s.load(r, lost)
+	load = s.load(r, engineLost)
 	direct, relays = s.gateways.targets(now)
 	return load, direct, relays
 }
 
 // load returns the load that gateways are sent for a report of the engine, or for an engine that
-// does not answer if lost is set. The caller holds mu.
-func (s *Sidecar) load(r rank.Report, lost bool) *peers.Load {
+// does not answer if engineLost is set. The caller holds mu.
+func (s *Sidecar) load(r rank.Report, engineLost bool) *peers.Load {
 	return &peers.Load{
 		Address: s.cfg.Address, StartedAt: r.StartedAt, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown,
 		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.mean.Milliseconds()), GatewayCount: s.gateways.gatewayCount(),
-		Closed: lost || r.Group != "" && !r.Open || s.checkStalled(r),
+		Closed: engineLost || r.Group != "" && !r.Open || s.checkStalled(r),
 	}
 }
 
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -118,12 +118,12 @@
 // queryTree answers a query for this rank, whose engine is the query's first one, and for all ranks
 // below it.
 func (s *Sidecar) queryTree(ctx context.Context, q treeQuery) treeResponse {
-	rest := q
-	rest.Engines = q.Engines[1:]
+	queryBelow := q
+	queryBelow.Engines = q.Engines[1:]
 	var below treeResponse
 	var g errgroup.Group
 	g.Go(func() error {
-		s.containPanic(func() { below = s.fanOut(ctx, rest) })
+		s.containPanic(func() { below = s.fanOut(ctx, queryBelow) })
 		return nil
 	})
 	sum := s.answerForSelf(ctx, q)
