--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -36,7 +36,7 @@
 }
 
 // lend asks other gateways for parts of limits and gives them back, until ctx ends.
-func (n *Neighbours) lend(ctx context.Context) error {
+func (n *PeerExchange) lend(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -50,7 +50,7 @@
 }
 
 // sendParts sends what is due; it reports whether more may fall due without another request.
-func (n *Neighbours) sendParts() (more bool) {
+func (n *PeerExchange) sendParts() (more bool) {
 	now := n.g.cfg.Now()
 	var letters []throttle.Letter
 	duty.Locked(&n.g.mu, func() {
@@ -70,14 +70,14 @@
 	return more
 }
 
-func (n *Neighbours) tellParts(to string, parts []peers.ShareMessage) {
+func (n *PeerExchange) tellParts(to string, parts []peers.ShareMessage) {
 	for list := range slices.Chunk(parts, peers.MaxShares) {
 		n.socket.SendAll(addresses([]string{to}), peers.Message{Lending: &peers.Lending{Address: n.self, Shares: list}})
 	}
 }
 
 // hearParts takes in what another gateway says of parts, and answers it.
-func (n *Neighbours) hearParts(from netip.AddrPort, m peers.Lending) {
+func (n *PeerExchange) hearParts(from netip.AddrPort, m peers.Lending) {
 	if bad := n.g.badParts(m); bad != "" {
 		n.g.leaveOut(from, bad)
 		return
