--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -13,93 +13,93 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// hearAnswer takes in what an answer says of its endpoint besides its load: what gateways
-// are to send it from now on.
-func (q *request) hearAnswer(e fleet.Endpoint, status int, a fleet.Answer) {
+// applyAnswerHints applies what an answer says about its endpoint apart from its load: what
+// gateways may send to the endpoint from now on.
+func (q *request) applyAnswerHints(e fleet.Endpoint, status int, a fleet.Answer) {
 	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() {
-		return // Another endpoint has this one's address.
+		return // Another endpoint now has this address.
 	}
 	for _, header := range a.Invalid {
-		q.note(e.ID + ": header left out, " + header)
-		q.g.figures.invalid.Inc(1)
+		q.note(e.ID + ": invalid header ignored, " + header)
+		q.g.stats.invalidHeaders.Inc(1)
 	}
-	q.hearLimit(e, a)
-	q.hearBackoff(e, a)
+	q.applyLimit(e, a)
+	q.applyBackoff(e, a)
 }
 
-// life names the life of an endpoint as its wishes are kept.
-func life(e fleet.Endpoint) backoff.Life { return backoff.Life{Name: e.Name(), Born: e.Born} }
+// incarnationOf identifies the process of an endpoint for which backoffs are kept.
+func incarnationOf(e fleet.Endpoint) backoff.Life { return backoff.Life{Name: e.Name(), Born: e.Born} }
 
-// hearBackoff takes in that an endpoint wants nothing for a while, or nothing more at all.
-func (q *request) hearBackoff(e fleet.Endpoint, a fleet.Answer) {
+// applyBackoff records that an endpoint wants no requests for a while, or none at all any more.
+func (q *request) applyBackoff(e fleet.Endpoint, a fleet.Answer) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a.Rest == 0 {
-		g.backoffs.Answered(life(e), q.wentAt)
+		g.backoffs.Answered(incarnationOf(e), q.sentBoottime)
 	}
 	if a.Rest == 0 && !a.Leaving {
 		return
 	}
-	if a.Rest > 0 && g.backoffs.Rest(life(e), a.Rest, now) {
-		g.log.Info("endpoint asks for rest", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Rest))
+	if a.Rest > 0 && g.backoffs.Rest(incarnationOf(e), a.Rest, now) {
+		g.log.Info("endpoint requests backoff", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Rest))
 	}
-	if a.Leaving && g.backoffs.Leave(life(e), now) {
-		g.log.Info("endpoint says that it leaves", zap.String("endpoint", e.ID), zap.String("request", q.call.ID))
+	if a.Leaving && g.backoffs.Leave(incarnationOf(e), now) {
+		g.log.Info("endpoint announces that it is leaving", zap.String("endpoint", e.ID), zap.String("request", q.call.ID))
 	}
-	g.figures.countBackoffs(g.backoffs.Counts(now))
+	g.stats.setBackoffs(g.backoffs.Counts(now))
 }
 
-// usePermit notes that the request is sent now, and counts it if its endpoint has asked for
-// less.
+// usePermit records that the request is being sent, and counts it if its endpoint has requested
+// backoff, a rate limit or to leave.
 func (q *request) usePermit(e fleet.Endpoint) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	q.permit = ""
+	q.permitEndpoint = ""
 	if _, _, limited := g.limits.Limited(e.ID); limited {
-		g.figures.toLimited.Inc(1)
+		g.stats.sentToLimited.Inc(1)
 	}
-	if _, resting := g.backoffs.Resting(life(e), now); resting {
-		g.figures.toResting.Inc(1)
+	if _, resting := g.backoffs.Resting(incarnationOf(e), now); resting {
+		g.stats.sentToBackingOff.Inc(1)
 	}
-	if g.backoffs.Leaving(life(e)) {
-		g.figures.toLeaving.Inc(1)
+	if g.backoffs.Leaving(incarnationOf(e)) {
+		g.stats.sentToLeaving.Inc(1)
 	}
-	g.backoffs.Sent(life(e), now)
+	g.backoffs.Sent(incarnationOf(e), now)
 }
 
-// leaves reports whether an endpoint is to get nothing new, by its entry or by its answers.
-func (g *Gateway) leaves(e fleet.Endpoint) bool {
+// isLeaving reports whether an endpoint must not be sent new requests, by its entry or its answers.
+func (g *Gateway) isLeaving(e fleet.Endpoint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return e.Leaving || g.backoffs.Leaving(life(e))
+	return e.Leaving || g.backoffs.Leaving(incarnationOf(e))
 }
 
-// rests reports whether an endpoint has asked this gateway for rest.
-func (g *Gateway) rests(e fleet.Endpoint) bool {
+// isBackingOff reports whether an endpoint has requested backoff from this gateway.
+func (g *Gateway) isBackingOff(e fleet.Endpoint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, resting := g.backoffs.Resting(life(e), g.cfg.Now())
+	_, resting := g.backoffs.Resting(incarnationOf(e), g.cfg.Now())
 	return resting
 }
 
-// barred is what keeps a request from endpoints that it could be sent to: each rests or is at
-// its rate limit.
-type barred struct {
-	rate float64       // Requests a second that the limits leave to all gateways; 0 where none is limited.
-	held float64       // Requests a second that the parts of these limits allow that are here.
-	rest time.Duration // Until the first rest ends; 0 where none rests.
+// exclusion is what excludes endpoints that the request could otherwise be sent to: each is backing
+// off or at its rate limit.
+type exclusion struct {
+	rate      float64       // Requests per second that the limits allow all gateways; 0 if none is limited.
+	localRate float64       // Requests per second that the parts of these limits held here allow.
+	backoff   time.Duration // Until the first backoff ends; 0 if none is backing off.
 }
 
-func (b barred) any() bool { return b.rate > 0 || b.rest > 0 }
+func (b exclusion) nonEmpty() bool { return b.rate > 0 || b.backoff > 0 }
 
-// bars reports whether what an endpoint asks for keeps requests from it now, and adds that to
-// b. The caller holds mu.
-func (g *Gateway) bars(b *barred, e fleet.Endpoint, now time.Time) bool {
-	if left, resting := g.backoffs.Resting(life(e), now); resting {
-		if b.rest == 0 || left < b.rest {
-			b.rest = left
+// exclude reports whether an endpoint is excluded now by its backoff or rate limit, and adds the
+// cause to b. The caller holds mu.
+func (g *Gateway) exclude(b *exclusion, e fleet.Endpoint, now time.Time) bool {
+	if left, resting := g.backoffs.Resting(incarnationOf(e), now); resting {
+		if b.backoff == 0 || left < b.backoff {
+			b.backoff = left
 		}
 		return true
 	}
@@ -108,33 +108,33 @@
 	}
 	perSecond, _, _ := g.limits.Limited(e.ID)
 	b.rate += throttle.RateOf(perSecond)
-	b.held += g.limits.Held(e.ID, now)
-	g.wantParts()
+	b.localRate += g.limits.Held(e.ID, now)
+	g.signalPartsWanted()
 	return true
 }
 
-// barredFromAll returns what keeps requests from all endpoints of the service, also from those
-// that the request was sent to already; none where any of them may get one now.
-func (q *request) barredFromAll() (b barred) {
+// exclusionFromAll returns what excludes all endpoints of the service, including those that the
+// request was sent to already. It is empty if any endpoint may be sent a request now.
+func (q *request) exclusionFromAll() (b exclusion) {
 	s, now := q.g.view.State(), q.g.cfg.Now()
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	for _, e := range s.ByService[q.service] {
-		if q.g.staysIn(s, e) && !q.g.bars(&b, e, now) {
-			return barred{}
+		if q.g.acceptsNew(s, e) && !q.g.exclude(&b, e, now) {
+			return exclusion{}
 		}
 	}
 	return b
 }
 
-// barredRetry returns when the request could be sent to an endpoint.
-func (q *request) barredRetry() (after time.Duration) {
+// exclusionRetry returns the time after which the request could be sent to an endpoint.
+func (q *request) exclusionRetry() (after time.Duration) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	after = q.barred.rest
-	if q.barred.rate > 0 {
-		q.g.figures.throttled.Inc(1)
-		if room := q.throttledRetry(q.barred); after == 0 || room < after {
+	after = q.excluded.backoff
+	if q.excluded.rate > 0 {
+		q.g.stats.throttled.Inc(1)
+		if room := q.throttledRetry(q.excluded); after == 0 || room < after {
 			after = room
 		}
 	}
--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -51,7 +51,7 @@
 					}
 				})
 				NewWithT(t).Expect(barred.firsts()).To(BeEmpty())
-				NewWithT(t).Expect(s.figures.waited.Count()).To(BeZero(), "nobody waits for the rank")
+				NewWithT(t).Expect(s.stats.waited.Count()).To(BeZero(), "nobody waits for the rank")
 			})
 		}
 	}
@@ -70,7 +70,7 @@
 			seconds, err := strconv.ParseFloat(s.expectRefused(g, "one", ""), 64)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(seconds).To(And(BeNumerically(">", 0.5), BeNumerically("<=", 60)))
-			g.Expect(s.figures.waited.Count()).To(BeZero())
+			g.Expect(s.stats.waited.Count()).To(BeZero())
 			g.Expect(append(ranks[0].firsts(), ranks[1].firsts()...)).To(BeEmpty())
 		})
 	}
@@ -83,13 +83,13 @@
 	s.limits.Answered("0", throttle.Word{Limited: true, Limit: 0, At: s.cfg.Now()})
 	q := &request{g: s.Gateway, service: "s", config: s.view.State().Config, route: s.view.State().Config.Route("caller.test", "/")}
 	for range 3 {
-		_, ok := q.choose(time.Now())
+		_, ok := q.chooseEndpoint(time.Now())
 		g.Expect(ok).To(BeTrue(), "the choice before was not used")
 	}
-	q.permit = "" // It is sent.
-	_, ok := q.choose(time.Now())
+	q.permitEndpoint = "" // It is sent.
+	_, ok := q.chooseEndpoint(time.Now())
 	g.Expect(ok).To(BeFalse())
-	g.Expect(q.barred.rate).To(BeNumerically(">", 0))
+	g.Expect(q.excluded.rate).To(BeNumerically(">", 0))
 }
 
 // Guards against an endpoint that is out for good since it once asked for a very long rest.
@@ -113,11 +113,11 @@
 			tell(time.Unix(1000, 0))
 			free, full := passes.Offer{Ranks: 1, Limit: 4}, passes.Offer{Ranks: 1, Limit: 4, Busy: 4}
 			q := &request{g: gw, route: &fleet.Route{}}
-			g.Expect(q.takes(tc.group, full)).To(BeFalse(), "no place is free")
-			g.Expect(q.takes(tc.group, free)).To(BeFalse(), "nothing new was told since")
-			g.Expect((&request{g: gw, route: q.route}).takes(tc.group, free)).To(BeTrue(), "another request's first question")
+			g.Expect(q.takeCapacity(tc.group, full)).To(BeFalse(), "no place is free")
+			g.Expect(q.takeCapacity(tc.group, free)).To(BeFalse(), "nothing new was told since")
+			g.Expect((&request{g: gw, route: q.route}).takeCapacity(tc.group, free)).To(BeTrue(), "another request's first question")
 			tell(time.Unix(1001, 0))
-			g.Expect(q.takes(tc.group, free)).To(Equal(tc.group == "g"))
+			g.Expect(q.takeCapacity(tc.group, free)).To(Equal(tc.group == "g"))
 		})
 	}
 }
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -18,58 +18,59 @@
 	"github.com/canvaspulley/canvaspulley/internal/httpjson"
 )
 
-// pathPublished is the call between gateways for what is published.
+// pathPublished is the path at which a gateway serves the published state to other gateways.
 const pathPublished = "/v1/published"
 
-// published is a gateway's view as it tells it to another one.
+// published is a gateway's view as sent to another gateway.
 type published struct {
-	Life     int64         `json:"life"` // Of the process: its numbers of changes hold for it only.
+	Life     int64         `json:"life"` // Of the sending process; its change numbers are valid within it only.
 	Age      time.Duration `json:"age"`
-	Held     time.Duration `json:"held"` // How long the call was held until there was news.
+	Held     time.Duration `json:"held"` // How long the call was held to wait for a change.
 	Version  uint64        `json:"version"`
 	Revision uint64        `json:"revision"`         // Of the configuration.
-	Config   []byte        `json:"config,omitempty"` // Text of the version, when it is newer than the one asked for.
+	Config   []byte        `json:"config,omitempty"` // Text of the version, if newer than the requested one.
 	follow.Told
 }
 
-// borrow asks a neighbour for what is published, if the store has not told for
-// a while.
-func (n *Neighbours) borrow(ctx context.Context) {
+// borrow fetches the published state from another gateway if the store has not confirmed it for a
+// while.
+func (n *PeerExchange) borrow(ctx context.Context) {
 	age := n.g.view.CheckAge(n.g.cfg.Now())
 	if age < borrowAge {
-		n.borrows = false
+		n.borrowing = false
 		return
 	}
-	from, ok := n.lender()
+	from, ok := n.chooseLender()
 	if !ok {
 		return
 	}
 	asked := n.g.cfg.Now()
-	p, err := n.ask(ctx, from)
+	p, err := n.fetchAll(ctx, from)
 	if err != nil {
-		n.log.Debug("nothing borrowed", zap.String("from", from), zap.String("error", err.Error()))
+		n.log.Debug("fetching published state from another gateway failed", zap.String("from", from), zap.String("error", err.Error()))
 		return
 	}
-	if err := n.take(p, asked); err != nil {
-		n.log.Warn("nothing borrowed", zap.String("from", from), zap.String("error", err.Error()))
+	if err := n.mergePublished(p, asked); err != nil {
+		n.log.Warn("fetching published state from another gateway failed", zap.String("from", from), zap.String("error", err.Error()))
 		return
 	}
-	if !n.borrows {
-		n.borrows = true
-		n.log.Info("borrows what is published", zap.String("from", from), zap.Uint64("version", p.Version), zap.Duration("its-age", p.Age), zap.Duration("own-age", age))
+	if !n.borrowing {
+		n.borrowing = true
+		n.log.Info("fetching published state from another gateway", zap.String("from", from), zap.Uint64("version", p.Version), zap.Duration("its-age", p.Age), zap.Duration("own-age", age))
 	}
 }
 
-// lender returns whom to ask: by turns one of the own failure domain and any, drawn anew each
-// time. Bytes between domains are dear, but all of a domain may be as old.
-func (n *Neighbours) lender() (address string, ok bool) {
-	n.lenders++
-	list := n.readers()
-	if len(list) == 0 || n.lenders%2 == 0 {
-		list = n.others()
+// chooseLender returns the gateway to fetch from: alternately one of the own failure domain and any
+// one, drawn at random each time. Traffic between domains is expensive, but the state of all
+// gateways of a domain may be equally old.
+func (n *PeerExchange) chooseLender() (address string, ok bool) {
+	n.lendersChosen++
+	list := n.storeReaders()
+	if len(list) == 0 || n.lendersChosen%2 == 0 {
+		list = n.liveGateways()
 	}
 	if len(list) == 0 {
-		list = keep(n.seeds, func(a string) bool { return a != n.self })
+		list = filter(n.seeds, func(a string) bool { return a != n.self })
 	}
 	if len(list) == 0 {
 		return "", false
@@ -77,15 +78,15 @@
 	return list[random(len(list))], true
 }
 
-// ask asks a neighbour for all that it knows.
-func (n *Neighbours) ask(ctx context.Context, from string) (p published, err error) {
+// fetchAll fetches all published state from another gateway.
+func (n *PeerExchange) fetchAll(ctx context.Context, from string) (p published, err error) {
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
-	return n.call(ctx, from, "")
+	return n.fetch(ctx, from, "")
 }
 
-// call asks a neighbour for what it knows.
-func (n *Neighbours) call(ctx context.Context, from, query string) (p published, err error) {
+// fetch fetches published state from another gateway; query holds further query parameters.
+func (n *PeerExchange) fetch(ctx context.Context, from, query string) (p published, err error) {
 	defer func() { err = errors.Wrapf(err, "gateway %s", from) }()
 	version := uint64(0)
 	if c := n.g.view.State().Config; c != nil {
@@ -95,27 +96,27 @@
 	if err != nil {
 		return p, err
 	}
-	raw, err := httpjson.Do(n.client, r, maxPublished)
+	raw, err := httpjson.Do(n.client, r, maxPublishedBytes)
 	if err != nil {
 		return p, err
 	}
 	return p, json.Unmarshal(raw, &p)
 }
 
-// take puts a neighbour's view into the own one, with its age as seen from the
-// moment before it was asked. Nothing is removed by it, since the neighbour may
-// be further behind than the own view, and nothing that may have lapsed is taken.
-func (n *Neighbours) take(p published, asked time.Time) error {
-	if err := n.takeConfig(p); err != nil {
+// mergePublished merges another gateway's state into the own view. Its age is counted from before
+// the call was sent. Nothing is removed, since the other gateway may be behind this one, and
+// endpoints that may have expired are not added.
+func (n *PeerExchange) mergePublished(p published, asked time.Time) error {
+	if err := n.offerConfig(p); err != nil {
 		return err
 	}
-	there := slices.DeleteFunc(p.Endpoints, func(e fleet.Endpoint) bool { return slices.Contains(p.Missing, e.ID) })
-	n.g.view.Merge(follow.Changes{Endpoints: there, Evacuations: p.Evacuations})
+	present := slices.DeleteFunc(p.Endpoints, func(e fleet.Endpoint) bool { return slices.Contains(p.Missing, e.ID) })
+	n.g.view.Merge(follow.Changes{Endpoints: present, Evacuations: p.Evacuations})
 	n.g.view.Confirm(p.Version, asked.Add(p.Held-p.Age))
 	return nil
 }
 
-func (n *Neighbours) takeConfig(p published) error {
+func (n *PeerExchange) offerConfig(p published) error {
 	if len(p.Config) == 0 {
 		return nil
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -16,24 +16,24 @@
 	"github.com/canvaspulley/canvaspulley/internal/follow"
 )
 
-// againShare is the part of what a group may hold up to which callers are let in
-// that were refused before. Their answer is late anyhow; let in alike, they take
-// the room of callers who could be served in time, who come again in turn: a
-// twentieth more requests than can be served made a third of all come twice.
-const againShare = 0.85
+// refusedBeforeShare is the portion of a group's limit up to which callers are admitted that were
+// refused before. Their answer is late anyway. Admitted equally, they take the capacity of callers
+// who could be served in time, and those come again in turn: with 5% more requests than can be
+// served, a third of all callers had to come twice.
+const refusedBeforeShare = 0.85
 
-// choose picks the next endpoint.
-func (q *request) choose(now time.Time) (e fleet.Endpoint, ok bool) {
-	q.allDown, q.barred = false, barred{}
-	if !q.mayTryOn() {
+// chooseEndpoint picks the endpoint for the next attempt.
+func (q *request) chooseEndpoint(now time.Time) (e fleet.Endpoint, ok bool) {
+	q.allGroupsDown, q.excluded = false, exclusion{}
+	if !q.mayAttemptMore() {
 		return e, false
 	}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	q.returnPermit() // What was chosen before was not sent to.
-	candidates, bars := q.candidates()
-	if len(candidates) == 0 && bars.any() {
-		q.barred, q.full = bars, false
+	q.returnPermit() // The previously chosen endpoint was not sent to.
+	candidates, exclusions := q.candidates()
+	if len(candidates) == 0 && exclusions.nonEmpty() {
+		q.excluded, q.full = exclusions, false
 		return e, false
 	}
 	list := make([]balance.Candidate, len(candidates))
@@ -43,26 +43,26 @@
 	}
 	terms := coldTerms(q.config, q.service)
 	if ranked && terms.Rate > 0 {
-		if list, ok = q.heard(list, now); !ok {
-			q.note("no rank is heard yet")
-			q.allDown, q.opens = true, now.Add(wordTime)
+		if list, ok = q.reportingRanks(list, now); !ok {
+			q.note("no rank has reported its load yet")
+			q.allGroupsDown, q.groupOpensAt = true, now.Add(rankReportWait)
 			return e, false
 		}
 	}
 	q.markCold(list, terms, now)
 	if ranked {
 		if q.g.table.Down(list, now) {
-			if q.waited == 0 { // Else it was said before.
-				q.note("all ranks that are heard say that they serve nothing")
+			if q.waited == 0 { // Otherwise it was noted before.
+				q.note("all ranks that report their load are closed")
 			}
-			q.allDown = true // It would be turned away, or wait in vain.
-			q.opens = q.g.table.Opens(list, now)
+			q.allGroupsDown = true // The request would be rejected, or wait in vain.
+			q.groupOpensAt = q.g.table.Opens(list, now)
 			return e, false
 		}
 		q.full = false
 		list, ok = q.chooseGroup(list, now)
-		if ok && !q.inLine && len(q.tried) == 0 && q.g.queued(q.service) {
-			ok = false // Others came before.
+		if ok && !q.inQueue && len(q.attempted) == 0 && q.g.queued(q.service) {
+			ok = false // Others have queued before it.
 		}
 		if !ok {
 			q.full = true
@@ -73,70 +73,70 @@
 	if !ok {
 		if allSpent(list) {
 			q.full = true
-			q.paceTurnover(len(list), terms)
+			q.setColdTurnover(len(list), terms)
 		}
 		return e, false
 	}
-	q.toCold = list[i].Paced
+	q.chosenCold = list[i].Paced
 	q.takePermit(list[i].ID)
-	at := slices.IndexFunc(candidates, func(e fleet.Endpoint) bool { return e.ID == list[i].ID })
-	return candidates[at], true
+	index := slices.IndexFunc(candidates, func(e fleet.Endpoint) bool { return e.ID == list[i].ID })
+	return candidates[index], true
 }
 
-// mayTryOn reports whether the request may be sent to one more endpoint.
-func (q *request) mayTryOn() bool {
-	return len(q.tried) < q.route.Attempts && len(q.unsent) <= maxUnreached
+// mayAttemptMore reports whether the request may be sent to one more endpoint.
+func (q *request) mayAttemptMore() bool {
+	return len(q.attempted) < q.route.Attempts && len(q.unreachable) <= maxUnreached
 }
 
-// candidates returns the endpoints of the service that may be tried, and what keeps the request
-// from others for now. Where there is no other, an endpoint that closed a kept connection under the
-// request may be tried once more. The caller holds mu.
-func (q *request) candidates() (list []fleet.Endpoint, bars barred) {
-	var again []fleet.Endpoint
+// candidates returns the endpoints of the service that may be tried, and what excludes others for
+// now. If there is no other endpoint, one that closed a reused connection during the request may be
+// tried once more. The caller holds mu.
+func (q *request) candidates() (list []fleet.Endpoint, exclusions exclusion) {
+	var retryable []fleet.Endpoint
 	s := q.g.view.State()
 	now := q.g.cfg.Now()
 	for _, e := range s.ByService[q.service] {
-		if !q.g.staysIn(s, e) || q.g.bars(&bars, e, now) || slices.Contains(q.unsent, e.ID) {
+		if !q.g.acceptsNew(s, e) || q.g.exclude(&exclusions, e, now) || slices.Contains(q.unreachable, e.ID) {
 			continue
 		}
-		if q.groupDown && q.g.passes.Group(e.ID) == q.downGroup {
-			continue // All ranks of a group stand and fall together.
+		if q.groupRejected && q.g.passes.Group(e.ID) == q.rejectingGroup {
+			continue // All ranks of a group open and close together.
 		}
-		if !slices.Contains(q.tried, e.ID) {
+		if !slices.Contains(q.attempted, e.ID) {
 			list = append(list, e)
-		} else if e.ID == q.closedUnder {
-			again = append(again, e)
+		} else if e.ID == q.closedReused {
+			retryable = append(retryable, e)
 		}
 	}
 	if len(list) == 0 {
-		list = again
+		list = retryable
 	}
-	return list, bars
+	return list, exclusions
 }
 
-// staysIn reports whether an endpoint of a state may get anything new. The caller holds mu.
-func (g *Gateway) staysIn(s *follow.State, e fleet.Endpoint) bool {
+// acceptsNew reports whether an endpoint of a state may be sent new requests. The caller holds mu.
+func (g *Gateway) acceptsNew(s *follow.State, e fleet.Endpoint) bool {
 	_, missing := s.Missing[e.ID]
-	return !missing && !e.Leaving && !g.backoffs.Leaving(life(e)) && !s.Evacuated(e.Domain)
+	return !missing && !e.Leaving && !g.backoffs.Leaving(incarnationOf(e)) && !s.Evacuated(e.Domain)
 }
 
-// chooseGroup draws one of the groups that the ranks in list are in, by the room
-// that they have, and returns its ranks. A request that was sent before goes on
-// wherever it can: it has its place among those under way. The caller holds mu.
+// chooseGroup draws one of the groups of the ranks in list by their free capacity, and returns the
+// ranks of that group. A request that was sent before is admitted wherever possible, since it
+// already counts as in flight. The caller holds mu.
 func (q *request) chooseGroup(list []balance.Candidate, now time.Time) (chosen []balance.Candidate, ok bool) {
-	names, members := q.byGroup(list)
+	names, members := q.ranksByGroup(list)
 	offers := make([]passes.Offer, 0, len(names))
 	open := make([]string, 0, len(names))
-	limited := false // Something is known of the passes of some group.
+	limited := false // The limit of some group is known from its passes.
 	q.turnover = passes.Turnover{}
 	for _, name := range names {
 		ranks := members[name]
 		if q.g.table.Down(ranks, now) {
 			continue
 		}
-		o, known := q.offer(name, ranks, now)
+		o, known := q.groupOffer(name, ranks, now)
 		if o.Limit <= 0 {
-			return list, true // Nothing is known that limits it.
+			return list, true // No known limit applies.
 		}
 		limited = limited || known
 		o.Heard = q.g.table.Heard(ranks)
@@ -145,23 +145,22 @@
 	passes.LeaveSilent(offers, now)
 	i, ok := passes.Choose(offers, random)
 	switch {
-	case ok && q.takes(open[i], offers[i]):
+	case ok && q.takeCapacity(open[i], offers[i]):
 		return members[open[i]], true
-	case q.reply.begun() || q.mayRun || !limited:
-		return ranksOf(offers, open, members, list), true
+	case q.reply.begun() || q.mayHaveRun || !limited:
+		return nonSilentRanks(offers, open, members, list), true
 	}
 	for k, o := range offers {
 		if q.waited > 0 {
-			break // Said before.
+			break // Noted before.
 		}
-		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f let in at each", open[k], o.Busy, o.Ranks, o.Limit))
+		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f admitted at each", open[k], o.Busy, o.Ranks, o.Limit))
 	}
 	return nil, false
 }
 
-// ranksOf returns the ranks of the groups that are not silent, or list when there are
-// none.
-func ranksOf(offers []passes.Offer, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
+// nonSilentRanks returns the ranks of the groups that are not silent, or list if there are none.
+func nonSilentRanks(offers []passes.Offer, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
 	for i, o := range offers {
 		if !o.Silent {
 			ranks = append(ranks, members[names[i]]...)
@@ -173,27 +172,27 @@
 	return ranks
 }
 
-// takes reports whether the request takes one of the free places of a group, for
-// which other gateways have requests, too. The caller holds mu.
-func (q *request) takes(group string, o passes.Offer) bool {
-	s := q.g.shares[group]
+// takeCapacity reports whether the request gets a part of the free capacity of a group, for which
+// other gateways compete. The caller holds mu.
+func (q *request) takeCapacity(group string, o passes.Offer) bool {
+	s := q.g.capacityShares[group]
 	if s == nil {
 		s = &room.Share{}
-		q.g.shares[group] = s
+		q.g.capacityShares[group] = s
 	}
 	s.Report(q.g.passes.Round(group))
-	if last := q.asked; last != nil && last.group == group && !s.Newest().After(last.at) {
-		return false // It was not let in by what is known.
+	if last := q.lastAsk; last != nil && last.group == group && !s.Newest().After(last.reportAt) {
+		return false // It was not admitted by the newest report already.
 	}
-	q.asked = &lastAsked{group: group, at: s.Newest()}
-	return s.Take(q.class(), o.Room(), q.g.sharers(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
+	q.lastAsk = &capacityAsk{group: group, reportAt: s.Newest()}
+	return s.Take(q.class(), o.Room(), q.g.competitors(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
 }
 
-// byGroup returns the groups that the ranks in list are in, in the order of their
-// names, and the ranks of each. The caller holds mu.
-func (q *request) byGroup(list []balance.Candidate) (names []string, members map[string][]balance.Candidate) {
+// ranksByGroup returns the groups of the ranks in list, sorted by name, and the ranks of each
+// group. The caller holds mu.
+func (q *request) ranksByGroup(list []balance.Candidate) (names []string, members map[string][]balance.Candidate) {
 	members = map[string][]balance.Candidate{}
-	sole := q.soleGroup(list)
+	sole := q.onlyGroup(list)
 	for _, c := range list {
 		name := q.g.passes.Group(c.ID)
 		if name == "" {
@@ -208,11 +207,11 @@
 	return names, members
 }
 
-// soleGroup returns the only group that any of the ranks in list is known to be in, ""
-// when there is none or more than one. Where ranks may be overrun that are cold, those
-// that have not told their group yet are taken to be in it: were they a group of their
-// own, nothing would be known of its room. The caller holds mu.
-func (q *request) soleGroup(list []balance.Candidate) (sole string) {
+// onlyGroup returns the group of the ranks in list if exactly one group is known among them, and ""
+// otherwise. For services whose cold ranks can be overloaded, ranks that have not reported their
+// group yet count as members of it: as a group of their own they would have no known limit. The
+// caller holds mu.
+func (q *request) onlyGroup(list []balance.Candidate) (sole string) {
 	if coldTerms(q.config, q.service).Rate <= 0 {
 		return ""
 	}
@@ -226,11 +225,11 @@
 	return sole
 }
 
-// offer says how many requests a group holds and may hold, and adds its turnover to
-// the request's. Known is false when nothing is known of its passes, as when it has
-// just opened: until then a pass is given as much work as it makes without any
-// request. The caller holds mu.
-func (q *request) offer(name string, ranks []balance.Candidate, now time.Time) (o passes.Offer, known bool) {
+// groupOffer returns how many requests a group holds and may hold, and adds the group's turnover to
+// that of the request. Known is false if nothing is known about its passes, for example when it has
+// just opened; until then each pass is given as much work as it performs without any request. The
+// caller holds mu.
+func (q *request) groupOffer(name string, ranks []balance.Candidate, now time.Time) (o passes.Offer, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
 		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].Base))
@@ -239,8 +238,8 @@
 		q.turnover.Rate += v.Rate * float64(o.Ranks)
 		q.turnover.First = max(q.turnover.First, v.First)
 	}
-	if q.again {
-		o.Limit *= againShare
+	if q.refusedBefore {
+		o.Limit *= refusedBeforeShare
 	}
 	for _, c := range ranks {
 		o.Busy += q.g.table.Busy(c.ID, now)
@@ -251,8 +250,8 @@
 	return o, known
 }
 
-// shape returns the engines of a service as their passes are judged; ok is
-// false for a plain service.
+// shape returns how the passes of a service's engines are modeled; ok is false for a service
+// without engines.
 func (g *Gateway) shape(c *fleet.Config, service string) (s passes.Shape, ok bool) {
 	svc := c.Service(service)
 	if svc == nil || svc.Engine == nil || svc.Engine.WriterTime <= 0 {
@@ -260,8 +259,8 @@
 	}
 	g.shapesMu.Lock()
 	defer g.shapesMu.Unlock()
-	if g.shapesOf != c {
-		g.shapesOf, g.shapes = c, map[string]passes.Shape{}
+	if g.shapesConfig != c {
+		g.shapesConfig, g.shapes = c, map[string]passes.Shape{}
 	}
 	if s, ok = g.shapes[service]; !ok {
 		s = passes.NewShape(svc.Engine, c.PauseLimit(service))
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -18,11 +18,11 @@
 	"github.com/canvaspulley/canvaspulley/internal/follow"
 )
 
-// sendersAge is how long a sidecar's word on how many gateways it hears counts: some
-// times as long as it takes them all to tell.
-const sendersAge = 2 * time.Second
+// gatewayCountTTL is how long a sidecar's count of gateways is valid: a few times as long as it
+// takes all sidecars to report.
+const gatewayCountTTL = 2 * time.Second
 
-// coldTerms returns what is published of the cold endpoints of a service.
+// coldTerms returns the published limits for cold endpoints of a service.
 func coldTerms(c *fleet.Config, service string) (t cold.Terms) {
 	if svc := c.Service(service); svc != nil {
 		t = cold.Terms{Time: svc.ColdTime, Rate: svc.ColdRate}
@@ -30,24 +30,25 @@
 	return t
 }
 
-// hearSenders takes in how many gateways a sidecar hears: as many share what the endpoint
-// beside it bears, also those that this gateway has not heard of itself.
-func (g *Gateway) hearSenders(n int, now time.Time) {
+// reportGatewayCount records from how many gateways a sidecar receives hellos. That many share the
+// capacity of the endpoint beside the sidecar, including those from which this gateway has not
+// received a hello.
+func (g *Gateway) reportGatewayCount(n int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if n >= g.toldSenders || now.Sub(g.toldSendersAt) > sendersAge {
-		g.toldSenders, g.toldSendersAt = n, now
+	if n >= g.reportedGateways || now.Sub(g.reportedGatewaysAt) > gatewayCountTTL {
+		g.reportedGateways, g.reportedGatewaysAt = n, now
 	}
-	g.cold.SetSenders(g.sharers() + 1)
+	g.cold.SetSenders(g.competitors() + 1)
 }
 
-// sharers returns how many other gateways want room at the same endpoints. One that has
-// just started has not heard of them yet, but sidecars have. The caller holds mu.
-func (g *Gateway) sharers() int { return max(g.others, g.toldSenders-1) }
+// competitors returns how many other gateways compete for the capacity of the same endpoints. A
+// gateway that has just started may not know them yet, but sidecars do. The caller holds mu.
+func (g *Gateway) competitors() int { return max(g.otherGateways, g.reportedGateways-1) }
 
-// noteCold takes in what changed in the view about cold endpoints and evacuated failure
-// domains.
-func (g *Gateway) noteCold(s *follow.State, now time.Time) {
+// updateColdAndEvacuated applies changes of the view to the state of cold endpoints and evacuated
+// failure domains.
+func (g *Gateway) updateColdAndEvacuated(s *follow.State, now time.Time) {
 	if s.Config == nil {
 		return
 	}
@@ -60,35 +61,35 @@
 	for _, domain := range ended {
 		g.log.Info("evacuation of a failure domain is over", zap.String("domain", domain))
 	}
-	g.figures.evacuated.Update(int64(len(g.evacuated)))
+	g.stats.evacuatedDomains.Update(int64(len(g.evacuated)))
 	for id, e := range s.Endpoints {
-		if e.ColdLeft > 0 && g.coldTold[id] != e.Revision {
-			g.coldTold[id] = e.Revision
+		if e.ColdLeft > 0 && g.coldRevisions[id] != e.Revision {
+			g.coldRevisions[id] = e.Revision
 			g.cold.Told(id, e.ColdLeft, now)
 		}
 		for _, domain := range ended {
 			if e.Domain == domain {
-				g.cold.Began(id, coldTerms(s.Config, e.Service), now) // It may have got cold meanwhile.
+				g.cold.Began(id, coldTerms(s.Config, e.Service), now) // It may have become cold meanwhile.
 			}
 		}
 	}
 }
 
-// forgetCold drops what is known of endpoints that are not listed any more, and of cold
-// times that have passed. The caller holds mu.
+// forgetCold removes the state of endpoints that are no longer listed, and cold times that have
+// passed. The caller holds mu.
 func (g *Gateway) forgetCold(listed func(id string) bool, now time.Time) {
 	g.cold.Forget(now)
-	for id := range g.coldTold {
+	for id := range g.coldRevisions {
 		if !listed(id) {
-			delete(g.coldTold, id)
+			delete(g.coldRevisions, id)
 		}
 	}
 }
 
-// evacuatedDomains are the failure domains to whose endpoints nothing new goes.
+// evacuatedDomains are the failure domains whose endpoints are sent no new requests.
 type evacuatedDomains map[string]bool
 
-// update takes in a state of the view and returns what is new in it.
+// update applies a state of the view and returns the domains whose evacuation began or ended.
 func (d evacuatedDomains) update(s *follow.State) (began, ended []string) {
 	for _, e := range s.Evacuations() {
 		switch {
@@ -103,11 +104,11 @@
 	return began, ended
 }
 
-// heard returns those of a list of ranks that may be tried by what is heard of their
-// group: all of them while it is not heard to serve, since then it is known to be down or
-// nothing is heard at all. Ok is false while a word is still to be waited for. The caller
-// holds mu.
-func (q *request) heard(list []balance.Candidate, now time.Time) (ranks []balance.Candidate, ok bool) {
+// reportingRanks returns the ranks of a list that may be tried by the reports of their group. If no
+// group reports that it is open, it returns all ranks: the groups are known to be closed, or
+// nothing is known at all. Ok is false while reports are still to be waited for. The caller holds
+// mu.
+func (q *request) reportingRanks(list []balance.Candidate, now time.Time) (ranks []balance.Candidate, ok bool) {
 	serving, known := q.g.table.Serving(list, now)
 	switch {
 	case len(serving) > 0:
@@ -115,16 +116,16 @@
 	case known:
 		return list, true
 	}
-	return list, !q.g.listensStill(now)
+	return list, !q.g.awaitingReports(now)
 }
 
-// markCold notes on the candidates which of them are cold, and which of those have got
-// all that this gateway may send them for now. The caller holds mu.
+// markCold marks the candidates that are cold, and those among them to which this gateway has sent
+// all that it may for now. The caller holds mu.
 func (q *request) markCold(list []balance.Candidate, t cold.Terms, now time.Time) {
 	if t.Rate <= 0 {
 		return
 	}
-	sole := q.soleGroup(list)
+	sole := q.onlyGroup(list)
 	for i, c := range list {
 		group := cmp.Or(q.g.passes.Group(c.ID), sole)
 		if !q.g.cold.Cold(c.ID, group, now) {
@@ -135,59 +136,58 @@
 	}
 }
 
-// allSpent reports whether nothing but the pace of cold endpoints keeps a request from
-// them.
+// allSpent reports whether the rate limit of cold endpoints is all that excludes them.
 func allSpent(list []balance.Candidate) bool {
 	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.Spent })
 }
 
-// paceTurnover has the request wait for one of so many cold endpoints as for room that
-// is taken by turns: each gateway has its own part of it. The caller holds mu.
-func (q *request) paceTurnover(endpoints int, t cold.Terms) {
-	q.turnover.Rate = q.g.cold.Rate(t) * float64(endpoints*(q.g.sharers()+1))
+// setColdTurnover sets the turnover for a request that waits for one of the given number of cold
+// endpoints. Each gateway has its own share of their rate, so the rate of all gateways is set, as
+// for capacity that they share. The caller holds mu.
+func (q *request) setColdTurnover(endpoints int, t cold.Terms) {
+	q.turnover.Rate = q.g.cold.Rate(t) * float64(endpoints*(q.g.competitors()+1))
 }
 
 const (
-	// wordTime is how long it takes to hear of ranks: the sidecars of a large group tell
-	// a few times a second.
-	wordTime = 300 * time.Millisecond
-	// blindAfter is how long nothing must have been heard of any rank until requests go
-	// to them all the same: some times as long as a gateway needs to be known by all
-	// sidecars.
-	blindAfter = 3 * time.Second
+	// rankReportWait is how long it takes to receive reports of ranks: the sidecars of a large
+	// group report a few times a second.
+	rankReportWait = 300 * time.Millisecond
+	// noReportsTimeout is how long no rank must have reported before requests are sent to ranks
+	// regardless: a few times as long as it takes until all sidecars know a gateway.
+	noReportsTimeout = 3 * time.Second
 )
 
-// listensStill reports whether this process heard nothing of any rank only since it has
-// just started, or was stopped for a while. Ranks may be forming their group then, and
-// what is sent to them is turned away and overruns them. The caller holds mu.
-func (g *Gateway) listensStill(now time.Time) bool {
+// awaitingReports reports whether the lack of reports from ranks is explained by a recent start or
+// suspension of this process. Ranks may be forming their group then, and requests sent to them
+// would be rejected and overload them. The caller holds mu.
+func (g *Gateway) awaitingReports(now time.Time) bool {
 	since := g.started
 	if at := g.table.LastWord(); at.After(since) {
 		since = at
 	}
-	return now.Sub(since) < blindAfter
+	return now.Sub(since) < noReportsTimeout
 }
 
-// hearsRanks reports whether any rank was heard lately.
-func (g *Gateway) hearsRanks(now time.Time) bool {
+// hasRecentRankReports reports whether any rank reported recently.
+func (g *Gateway) hasRecentRankReports(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return now.Sub(g.table.LastWord()) < blindAfter/2
+	return now.Sub(g.table.LastWord()) < noReportsTimeout/2
 }
 
-// noteUnreached takes in that an endpoint could not be reached: one that refuses a
-// connection has ended, and is cold when it is back. The caller holds mu.
-func (q *request) noteUnreached(id string, err error, now time.Time) {
+// recordUnreachable records that an endpoint could not be reached: one that refuses connections has
+// ended, and will be cold after its restart. The caller holds mu.
+func (q *request) recordUnreachable(id string, err error, now time.Time) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		q.g.cold.Began(id, coldTerms(q.config, q.service), now)
 	}
 }
 
-// sendsTo notes that the request goes to an endpoint, which counts if that is cold. The
-// caller holds mu.
-func (q *request) sendsTo(id string, now time.Time) {
-	if q.toCold {
+// recordColdSend counts the request against the rate of its endpoint if that is cold. The caller
+// holds mu.
+func (q *request) recordColdSend(id string, now time.Time) {
+	if q.chosenCold {
 		q.g.cold.Sent(id, coldTerms(q.config, q.service), rand.Float64, now)
-		q.g.figures.toCold.Inc(1)
+		q.g.stats.sentToCold.Inc(1)
 	}
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -34,14 +34,14 @@
 	svc := snap.Config.Service("s")
 	svc.ColdTime, svc.ColdRate = time.Hour, rate
 	view.Replace(snap, time.Now(), false)
-	s.Changed()
+	s.ViewChanged()
 	return s, view, list
 }
 
 // evacuate publishes a word on a failure domain.
 func evacuate(s site, view *follow.View, domain string, revision uint64, over bool) {
 	view.Apply(follow.Changes{Evacuations: []follow.Evacuation{{Domain: domain, Revision: revision, Over: over}}, At: revision}, time.Now(), false)
-	s.Changed()
+	s.ViewChanged()
 }
 
 func TestNothingNewGoesToAnEvacuatedDomain(t *testing.T) {
@@ -66,7 +66,7 @@
 func TestARequestIsNotSentWhereAnEvacuationHasJustBegun(t *testing.T) {
 	g := NewWithT(t)
 	s, view, _ := coldSite(t, 1, 0)
-	q := &request{g: s.Gateway, config: view.State().Config, route: view.State().Config.Route("caller.test", "/x"), service: "s", final: time.Now().Add(time.Hour)}
+	q := &request{g: s.Gateway, config: view.State().Config, route: view.State().Config.Route("caller.test", "/x"), service: "s", deadline: time.Now().Add(time.Hour)}
 	q.r, _ = http.NewRequest(http.MethodPost, "http://caller.test/x", nil) // A constant address.
 	e := view.State().Endpoints["0"]
 	g.Expect(q.mayStillSend(e)).To(BeTrue())
@@ -80,9 +80,9 @@
 	g := NewWithT(t)
 	s, _, list := coldSite(t, 3, 1e6)
 	s.expectRefused(g, "early", longPatience)
-	s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+	s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
 	for i := range 60 {
-		s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
 		s.expectServed(g, fmt.Sprint(i), longPatience)
 	}
 	for _, c := range list {
@@ -97,7 +97,7 @@
 	s, _, list := coldSite(t, 2, 0.001)
 	tell := func() {
 		for _, a := range s.addresses {
-			s.Report(a, balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+			s.ReportLoad(a, balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
 		}
 	}
 	for i := range 4 {
@@ -128,15 +128,15 @@
 	defer func() { g.Expect(sidecar.Close()).To(Succeed()) }()
 	s := newStation(t, 1)
 	s.withSocket(t)
-	s.port = sidecar.LocalAddr().(*net.UDPAddr).Port
+	s.sidecarPort = sidecar.LocalAddr().(*net.UDPAddr).Port
 	snap := follow.Snapshot{Config: fleet.NewConfig(1, nil, []fleet.Service{{Name: "s", Engine: &fleet.Engine{}}}, nil, fleet.Limits{}), At: 1}
-	for i := range 3 * unheardSidecars {
+	for i := range 3 * unheardHelloFanout {
 		snap.Endpoints = append(snap.Endpoints, fleet.Endpoint{ID: fmt.Sprint(i), Service: "s", Address: fmt.Sprint("127.0.0.1:", i+1), Revision: 1})
 	}
 	s.view.Replace(snap, time.Now(), false)
-	s.greetUnheard()
-	g.Expect(received(g, sidecar)).To(Equal(unheardSidecars), "one word is enough for all")
-	s.g.Report("127.0.0.1:1", balance.Load{Group: "g", At: time.Now()})
-	s.greetUnheard()
+	s.helloUnheardSidecars()
+	g.Expect(received(g, sidecar)).To(Equal(unheardHelloFanout), "one word is enough for all")
+	s.g.ReportLoad("127.0.0.1:1", balance.Load{Group: "g", At: time.Now()})
+	s.helloUnheardSidecars()
 	g.Expect(received(g, sidecar)).To(BeZero())
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -16,79 +16,80 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// suspicion is what is known of a request as one that may end endpoints.
+// suspicion is the state of a request that may make endpoints end.
 type suspicion struct {
-	sameAs     quarantine.Key
-	hasKey     bool               // The key above was worked out.
-	sending    quarantine.Sending // What was known of the request when it was last sent.
-	wentAt     time.Time          // When that was, by the clock that counts suspensions.
-	finished   bool               // The try under way came to its end, or was turned away.
-	endedUnder int                // Endpoints that ended under its tries.
-	onTrial    bool               // It is sent to see whether it still ends endpoints.
-	heldFor    time.Duration      // It may not be sent for so long; 0 when it may.
+	quarantineKey   quarantine.Key
+	hasKey          bool               // quarantineKey is computed.
+	sending         quarantine.Sending // Quarantine state of the request when it was last sent.
+	sentBoottime    time.Time          // When that was, by the clock that counts suspensions.
+	attemptFinished bool               // The current attempt came to its end, or was rejected.
+	endedEndpoints  int                // Endpoints that ended during its attempts.
+	onTrial         bool               // It is sent to find out whether it still makes endpoints end.
+	quarantinedFor  time.Duration      // Time for which it must not be sent; 0 if it may be.
 }
 
-// key returns what names the request and all that are the same.
+// key returns the quarantine key, which is the same for identical requests.
 func (q *request) key() quarantine.Key {
 	if q.hasKey {
-		return q.sameAs
+		return q.quarantineKey
 	}
 	customer := ""
 	if q.customer != nil {
 		customer = q.customer.Name
 	}
-	q.sameAs, q.hasKey = quarantine.KeyOf(q.r.Method, q.r.Host, q.r.RequestURI, customer, q.body), true
-	return q.sameAs
+	q.quarantineKey, q.hasKey = quarantine.KeyOf(q.r.Method, q.r.Host, q.r.RequestURI, customer, q.body), true
+	return q.quarantineKey
 }
 
-// noteUnfinished remembers that a try at an endpoint did not come to its end.
+// noteUnfinished records that an attempt at an endpoint did not come to its end.
 func (q *request) noteUnfinished(e fleet.Endpoint) {
-	q.g.unfinished.note(e.ID, unfinished{key: q.key(), sending: q.sending, at: time.Now()})
+	q.g.unfinished.note(e.ID, unfinishedAttempt{key: q.key(), sending: q.sending, endedAt: time.Now()})
 }
 
-// ranToEnd takes in that an endpoint ran the request and lives on.
-func (q *request) ranToEnd() {
-	q.finished = true
+// recordCompletion records that an endpoint ran the request and is still running.
+func (q *request) recordCompletion() {
+	q.attemptFinished = true
 	q.g.suspects.Sound(q.key)
 }
 
-// brokeOff looks whether the endpoint of a try that broke off with err has ended.
-func (q *request) brokeOff(e fleet.Endpoint, err error) (ended bool) {
-	if !closedByPeer(err) || !q.g.refusesConnections(q.ctx, e, onceIdle) {
+// checkEndpointEnded checks whether the endpoint of an attempt that was cut with err has ended.
+func (q *request) checkEndpointEnded(e fleet.Endpoint, err error) (ended bool) {
+	if !closedByPeer(err) || !q.g.refusesConnections(q.ctx, e, maxIdleNonRepeatable) {
 		return false
 	}
-	q.endedUnder++
-	q.g.figures.ended.Inc(1)
-	q.note(e.ID + ": has ended")
+	q.endedEndpoints++
+	q.g.stats.endedUnderAttempt.Inc(1)
+	q.note(e.ID + ": process has ended")
 	q.noteUnfinished(e)
 	q.g.endpointEnded(e)
 	return true
 }
 
-// lookLater looks a while later whether an endpoint has ended at which a try did not come to
-// its end: it may have given the answer up before it closed its listener, or the try may have
-// been given up here before that. One look does for all tries of that while.
-func (g *Gateway) lookLater(e fleet.Endpoint) {
-	if !g.unfinished.beginLook(e.ID) {
+// checkEndedLater checks after EndCheckDelay whether an endpoint has ended at which an attempt did
+// not come to its end. The endpoint may have dropped the answer before it closed its listener, or
+// the gateway may have aborted the attempt before that. One check covers all attempts within the
+// delay.
+func (g *Gateway) checkEndedLater(e fleet.Endpoint) {
+	if !g.unfinished.beginCheck(e.ID) {
 		return
 	}
-	g.lookers.Go(func() error {
-		wait.For(context.Background(), g.cfg.EndSettle)
-		g.unfinished.endLook(e.ID)
-		duty.Contain("look", g.log, g.figures.reg, func() {
-			if g.refusesConnections(context.Background(), e, repeatIdle) {
+	g.endChecks.Go(func() error {
+		wait.For(context.Background(), g.cfg.EndCheckDelay)
+		g.unfinished.endCheck(e.ID)
+		duty.Contain("look", g.log, g.stats.reg, func() {
+			if g.refusesConnections(context.Background(), e, maxIdleRepeatable) {
 				g.endpointEnded(e)
 			}
 		})
-		return nil // What was found is told to endpointEnded.
+		return nil // endpointEnded records the result.
 	})
 }
 
-// endpointEnded puts the end of an endpoint's process down to the tries that did not come
-// to their end there, unless it was planned.
+// endpointEnded attributes the end of an endpoint's process to the unfinished attempts there,
+// unless the end was planned.
 func (g *Gateway) endpointEnded(e fleet.Endpoint) {
 	list := g.unfinished.take(e.ID, time.Now())
-	if listed, ok := g.view.State().Endpoints[e.ID]; ok && g.leaves(listed) {
+	if listed, ok := g.view.State().Endpoints[e.ID]; ok && g.isLeaving(listed) {
 		return
 	}
 	for _, u := range list {
@@ -96,56 +97,57 @@
 	}
 }
 
-// trialRetry is for a request that another gateway is trying: a run takes about a second.
-const trialRetry = time.Second
+// trialInProgressRetry applies to a request that is on trial at another gateway: a run takes about
+// a second.
+const trialInProgressRetry = time.Second
 
-// quarantined reports whether the request may not be sent, as endpoints ended under it or
-// under others that are the same, here or at other gateways. Without it each try, each
-// gateway and each time that its caller came again cost one more endpoint, and its group
-// some five seconds: three in five seconds of a day.
+// quarantined reports whether the request must not be sent, since endpoints ended while running it
+// or identical requests, here or at other gateways. Without quarantine, each attempt, each gateway
+// and each retry by the caller cost one more endpoint, and its group about five seconds: three
+// endpoints within five seconds of one day.
 func (q *request) quarantined() bool {
 	now := q.g.cfg.Now()
 	v, left := q.g.suspects.Judge(q.key, now)
-	q.heldFor = 0
+	q.quarantinedFor = 0
 	switch {
 	case v == quarantine.Free, v == quarantine.Trial && q.onTrial:
 		return false
-	case v == quarantine.Trial && q.g.ownsTrial(q.key()) && q.g.suspects.Begin(q.key(), now, now.Add(q.left())):
+	case v == quarantine.Trial && q.g.ownsTrial(q.key()) && q.g.suspects.Begin(q.key(), now, now.Add(q.remaining())):
 		q.onTrial = true
 		return false
 	case v == quarantine.Trial:
-		left = trialRetry
+		left = trialInProgressRetry
 	}
-	q.heldFor = left
+	q.quarantinedFor = left
 	return true
 }
 
-// noteSending notes what is known of the request as it is sent.
-func (q *request) noteSending() {
-	q.wentAt = q.g.cfg.Now()
-	q.sending = q.g.suspects.Sending(q.key, q.wentAt)
+// recordSending records the quarantine state of the request as it is sent.
+func (q *request) recordSending() {
+	q.sentBoottime = q.g.cfg.Now()
+	q.sending = q.g.suspects.Sending(q.key, q.sentBoottime)
 	if q.onTrial {
 		q.sending = quarantine.OnTrial
 	}
 }
 
-// ownsTrial reports whether a request that is to be tried at one place only is tried here.
+// ownsTrial reports whether trials of a key, which take place at one gateway only, run here.
 func (g *Gateway) ownsTrial(k quarantine.Key) bool {
 	var owner func(quarantine.Key) bool
-	duty.Locked(&g.mu, func() { owner = g.ownerOf })
+	duty.Locked(&g.mu, func() { owner = g.ownsTrialKey })
 	return owner == nil || owner(k)
 }
 
-// closedByPeer reports whether a connection was ended by the other side, as by a process
-// that ends. One that only fell silent tells nothing, and its peer may take long to ask.
+// closedByPeer reports whether the other side closed a connection, as a process that ends does. A
+// connection that merely fell silent shows nothing, and checking its peer may take long.
 func closedByPeer(err error) bool {
-	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, errUnsureEnd, errPartial, unix.ECONNRESET, unix.EPIPE)
+	return errors.IsAny(err, io.EOF, io.ErrUnexpectedEOF, errAmbiguousEnd, errPartialEvent, unix.ECONNRESET, unix.EPIPE)
 }
 
-// refusesConnections reports whether an endpoint's address refuses connections: its
-// process has ended. That tells it from an endpoint that broke off one answer, and from a
-// rank whose group was cut since another one has ended. A connection that was idle for less
-// than maxIdle and is sound does for a new one; it is kept for the next request.
+// refusesConnections reports whether an endpoint's address refuses connections, which means that
+// its process has ended. That distinguishes it from an endpoint that dropped one answer, and from a
+// rank whose group was cut because another rank ended. A sound connection that was idle for less
+// than maxIdle counts as a new one; it is kept for the next request.
 func (g *Gateway) refusesConnections(ctx context.Context, e fleet.Endpoint, maxIdle time.Duration) bool {
 	conn, err := g.pool.Get(ctx, e.ID, e.Address, maxIdle)
 	if err != nil {
@@ -155,5 +157,5 @@
 	return false
 }
 
-// connectionRefused reports whether a connection was refused.
+// connectionRefused reports whether err means that a connection was refused.
 func connectionRefused(err error) bool { return errors.Is(err, unix.ECONNREFUSED) }
--- a/internal/gateway/event.go
+++ b/internal/gateway/event.go
@@ -11,39 +11,39 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes limits the size of one event of a stream.
+const maxEventBytes = 1 << 20
 
-// event is one whole event of a stream, with the blank line that ends it.
+// event is one complete event of a stream, including the blank line that ends it.
 type event struct {
 	raw     []byte
 	id      int64
 	hasID   bool
 	hasData bool
-	weights string // Version of the weights from here on; "" when it does not change.
+	weights string // Weights version from here on; "" if it does not change.
 }
 
-// placed reports whether an event leaves a place behind it at which another run can
-// go on.
-func (ev *event) placed() bool { return ev.hasID || !ev.hasData }
+// marksPosition reports whether the stream has a position after the event at which another run can
+// continue.
+func (ev *event) marksPosition() bool { return ev.hasID || !ev.hasData }
 
-// readEvent reads one event into buf, io.EOF when the stream ended before it.
+// readEvent reads one event into buf. It returns io.EOF if the stream ended before the event.
 func (g *Gateway) readEvent(br *bufio.Reader, buf []byte) (ev event, err error) {
 	ev.raw = buf[:0]
 	for {
 		line, err := br.ReadSlice('\n')
 		ev.raw = append(ev.raw, line...)
-		if errors.Is(err, bufio.ErrBufferFull) && len(ev.raw) < maxEvent {
+		if errors.Is(err, bufio.ErrBufferFull) && len(ev.raw) < maxEventBytes {
 			continue
 		}
 		if errors.Is(err, io.EOF) && len(ev.raw) > 0 {
-			return ev, errPartial
+			return ev, errPartialEvent
 		}
 		if err != nil {
 			return ev, err
 		}
-		if len(ev.raw) > maxEvent {
-			return ev, errors.Newf("an event of more than %d bytes", maxEvent)
+		if len(ev.raw) > maxEventBytes {
+			return ev, errors.Newf("an event longer than %d bytes", maxEventBytes)
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return ev, nil
@@ -54,7 +54,7 @@
 	}
 }
 
-// readField takes in one line of an event.
+// readField parses one line of an event.
 func (g *Gateway) readField(ev *event, line []byte) (err error) {
 	if v, ok := g.codec.EventWeights(line); ok {
 		ev.weights = v
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -8,85 +8,85 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// figures are the counters and histograms of a gateway.
-type figures struct {
-	reg       metrics.Registry
-	dialed    metrics.Counter      // New connections to endpoints.
-	repeats   metrics.Counter      // Requests sent to a further endpoint.
-	waited    metrics.Counter      // Requests that waited for room.
-	moved     metrics.Counter      // Requests moved away from slow ranks.
-	resumed   metrics.Counter      // Streams that went on at another endpoint.
-	held      metrics.Counter      // Requests that waited for a group of ranks to open.
-	silent    metrics.Counter      // Tries that were given up since nothing came, and went on elsewhere.
-	toCold    metrics.Counter      // Requests sent to endpoints that are taken as cold.
-	limit     metrics.GaugeFloat64 // Requests that a rank may hold in the mean, as last told by a leader.
-	resting   metrics.Gauge        // Endpoints that have asked this gateway for rest.
-	leaving   metrics.Gauge        // Endpoints that have said in an answer that they leave.
-	toResting metrics.Counter      // Requests sent to endpoints in their rest.
-	toLeaving metrics.Counter      // Requests sent to endpoints that have said that they leave.
-	limited   metrics.Gauge        // Endpoints that name a rate limit.
-	toLimited metrics.Counter      // Requests sent to endpoints that name a rate limit.
-	throttled metrics.Counter      // Requests refused since the limits of all endpoints were used up.
-	asked     metrics.Counter      // Asks for parts of rate limits that other gateways have.
-	borrowed  metrics.Counter      // Grants of such parts that came.
-	lent      metrics.Counter      // Grants of such parts that were given.
-	badParts  metrics.Counter      // Messages on parts that were left out as not valid.
-	invalid   metrics.Counter      // Answers with a header that was left out as not valid.
-	evacuated metrics.Gauge        // Failure domains that are evacuated.
-	notJoined metrics.Counter      // Answers and events that did not go on where a stream had been cut.
-	ended     metrics.Counter      // Tries that broke off as their endpoint ended.
-	first     metrics.Histogram    // Milliseconds to the answer or its first event.
-	loadAge   metrics.Histogram    // Milliseconds since an endpoint's load was told, when a request goes there.
+// gatewayMetrics are the metrics of a gateway.
+type gatewayMetrics struct {
+	reg                   metrics.Registry
+	dialed                metrics.Counter      // New connections to endpoints.
+	retries               metrics.Counter      // Requests sent to a further endpoint.
+	waited                metrics.Counter      // Requests that waited for capacity.
+	moved                 metrics.Counter      // Requests moved away from slow ranks.
+	resumedStreams        metrics.Counter      // Streams that were continued at another endpoint.
+	heldForGroup          metrics.Counter      // Requests that waited for a group of ranks to open.
+	silentAttempts        metrics.Counter      // Attempts aborted because no data arrived, and continued elsewhere.
+	sentToCold            metrics.Counter      // Requests sent to endpoints that count as cold.
+	limitPerRank          metrics.GaugeFloat64 // Requests per rank, on average, last announced by a group's leader.
+	backingOff            metrics.Gauge        // Endpoints that have requested backoff from this gateway.
+	leaving               metrics.Gauge        // Endpoints that have announced in an answer that they are leaving.
+	sentToBackingOff      metrics.Counter      // Requests sent to endpoints during their backoff.
+	sentToLeaving         metrics.Counter      // Requests sent to endpoints that have announced that they are leaving.
+	limited               metrics.Gauge        // Endpoints that have announced a rate limit.
+	sentToLimited         metrics.Counter      // Requests sent to endpoints that have announced a rate limit.
+	throttled             metrics.Counter      // Requests refused because all endpoints were at their rate limits.
+	partsAsked            metrics.Counter      // Requests to other gateways for parts of their rate limits.
+	partsBorrowed         metrics.Counter      // Grants of such parts that were received.
+	partsLent             metrics.Counter      // Grants of such parts that were sent.
+	partsInvalid          metrics.Counter      // Messages about parts that were ignored as invalid.
+	invalidHeaders        metrics.Counter      // Invalid headers of answers that were ignored.
+	evacuatedDomains      metrics.Gauge        // Failure domains that are evacuated.
+	continuationsRejected metrics.Counter      // Answers and events that did not continue a cut stream at its position.
+	endedUnderAttempt     metrics.Counter      // Attempts cut because their endpoint ended.
+	firstByteMs           metrics.Histogram    // Milliseconds until the answer or its first event.
+	loadAgeMs             metrics.Histogram    // Age of an endpoint's load report, in ms, when a request is sent there.
 }
 
-// histogramSize is how many samples a histogram keeps.
+// histogramSize is the number of samples that a histogram keeps.
 const histogramSize = 512
 
-func newFigures(reg metrics.Registry) *figures {
-	return &figures{
-		reg:       reg,
-		dialed:    metrics.GetOrRegisterCounter("gateway.connections", reg),
-		repeats:   metrics.GetOrRegisterCounter("gateway.repeats", reg),
-		waited:    metrics.GetOrRegisterCounter("gateway.waited", reg),
-		moved:     metrics.GetOrRegisterCounter("gateway.moved", reg),
-		resumed:   metrics.GetOrRegisterCounter("gateway.resumed", reg),
-		held:      metrics.GetOrRegisterCounter("gateway.held-for-group", reg),
-		silent:    metrics.GetOrRegisterCounter("gateway.silent-tries", reg),
-		toCold:    metrics.GetOrRegisterCounter("gateway.to-cold", reg),
-		limit:     metrics.GetOrRegisterGaugeFloat64("gateway.limit-per-rank", reg),
-		resting:   metrics.GetOrRegisterGauge("gateway.resting-endpoints", reg),
-		leaving:   metrics.GetOrRegisterGauge("gateway.leaving-endpoints", reg),
-		toResting: metrics.GetOrRegisterCounter("gateway.to-resting", reg),
-		toLeaving: metrics.GetOrRegisterCounter("gateway.to-leaving", reg),
-		limited:   metrics.GetOrRegisterGauge("gateway.limited-endpoints", reg),
-		toLimited: metrics.GetOrRegisterCounter("gateway.to-limited", reg),
-		throttled: metrics.GetOrRegisterCounter("gateway.throttled", reg),
-		asked:     metrics.GetOrRegisterCounter("gateway.parts-asked", reg),
-		borrowed:  metrics.GetOrRegisterCounter("gateway.parts-borrowed", reg),
-		lent:      metrics.GetOrRegisterCounter("gateway.parts-lent", reg),
-		badParts:  metrics.GetOrRegisterCounter("gateway.parts-invalid", reg),
-		invalid:   metrics.GetOrRegisterCounter("gateway.invalid-headers", reg),
-		evacuated: metrics.GetOrRegisterGauge("gateway.evacuated-domains", reg),
-		notJoined: metrics.GetOrRegisterCounter("gateway.not-joined", reg),
-		ended:     metrics.GetOrRegisterCounter("gateway.ended-under-try", reg),
-		loadAge:   metrics.GetOrRegisterHistogram("gateway.load-age", reg, metrics.NewUniformSample(histogramSize)),
-		first:     metrics.GetOrRegisterHistogram("gateway.first-ms", reg, metrics.NewUniformSample(histogramSize)),
+func newGatewayMetrics(reg metrics.Registry) *gatewayMetrics {
+	return &gatewayMetrics{
+		reg:                   reg,
+		dialed:                metrics.GetOrRegisterCounter("gateway.connections", reg),
+		retries:               metrics.GetOrRegisterCounter("gateway.repeats", reg),
+		waited:                metrics.GetOrRegisterCounter("gateway.waited", reg),
+		moved:                 metrics.GetOrRegisterCounter("gateway.moved", reg),
+		resumedStreams:        metrics.GetOrRegisterCounter("gateway.resumed", reg),
+		heldForGroup:          metrics.GetOrRegisterCounter("gateway.held-for-group", reg),
+		silentAttempts:        metrics.GetOrRegisterCounter("gateway.silent-tries", reg),
+		sentToCold:            metrics.GetOrRegisterCounter("gateway.to-cold", reg),
+		limitPerRank:          metrics.GetOrRegisterGaugeFloat64("gateway.limit-per-rank", reg),
+		backingOff:            metrics.GetOrRegisterGauge("gateway.resting-endpoints", reg),
+		leaving:               metrics.GetOrRegisterGauge("gateway.leaving-endpoints", reg),
+		sentToBackingOff:      metrics.GetOrRegisterCounter("gateway.to-resting", reg),
+		sentToLeaving:         metrics.GetOrRegisterCounter("gateway.to-leaving", reg),
+		limited:               metrics.GetOrRegisterGauge("gateway.limited-endpoints", reg),
+		sentToLimited:         metrics.GetOrRegisterCounter("gateway.to-limited", reg),
+		throttled:             metrics.GetOrRegisterCounter("gateway.throttled", reg),
+		partsAsked:            metrics.GetOrRegisterCounter("gateway.parts-asked", reg),
+		partsBorrowed:         metrics.GetOrRegisterCounter("gateway.parts-borrowed", reg),
+		partsLent:             metrics.GetOrRegisterCounter("gateway.parts-lent", reg),
+		partsInvalid:          metrics.GetOrRegisterCounter("gateway.parts-invalid", reg),
+		invalidHeaders:        metrics.GetOrRegisterCounter("gateway.invalid-headers", reg),
+		evacuatedDomains:      metrics.GetOrRegisterGauge("gateway.evacuated-domains", reg),
+		continuationsRejected: metrics.GetOrRegisterCounter("gateway.not-joined", reg),
+		endedUnderAttempt:     metrics.GetOrRegisterCounter("gateway.ended-under-try", reg),
+		loadAgeMs:             metrics.GetOrRegisterHistogram("gateway.load-age", reg, metrics.NewUniformSample(histogramSize)),
+		firstByteMs:           metrics.GetOrRegisterHistogram("gateway.first-ms", reg, metrics.NewUniformSample(histogramSize)),
 	}
 }
 
-func (f *figures) countBackoffs(resting, leaving int) {
-	f.resting.Update(int64(resting))
+func (f *gatewayMetrics) setBackoffs(resting, leaving int) {
+	f.backingOff.Update(int64(resting))
 	f.leaving.Update(int64(leaving))
 }
 
-// outcome counts how a request ended.
-func (f *figures) outcome(o outcome) {
+// countOutcome counts the outcome of a request.
+func (f *gatewayMetrics) countOutcome(o outcome) {
 	metrics.GetOrRegisterCounter("gateway.outcome."+string(o), f.reg).Inc(1)
 }
 
-// streamEnd counts by what a stream was taken as whole: the end that its framing
-// tells, the end of a connection without framing, or a run without any event.
-func (f *figures) streamEnd(r endpointRun) {
+// countStreamEnd counts what marked the end of a complete stream: its framing, the end of an
+// unframed connection, or a run without any event.
+func (f *gatewayMetrics) countStreamEnd(r endpointResponse) {
 	how := "framed"
 	switch {
 	case r.events == 0:
@@ -97,4 +97,4 @@
 	metrics.GetOrRegisterCounter("gateway.stream-end."+how, f.reg).Inc(1)
 }
 
-func (f *figures) firstByte(d time.Duration) { f.first.Update(d.Milliseconds()) }
+func (f *gatewayMetrics) observeFirstByte(d time.Duration) { f.firstByteMs.Update(d.Milliseconds()) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package gateway takes callers' requests by plain HTTP, chooses an endpoint
-// for each by the published configuration and relays its answer. It is not for
-// reading what is published (package follow), for connections (upstream) or for
-// the names on the wire, which a Codec hides.
+// Package gateway accepts callers' requests over plain HTTP, chooses an endpoint for each one by
+// the published configuration, and relays the endpoint's answer. Reading what is published is the
+// task of package follow, connections to endpoints are that of package upstream, and header names
+// are hidden behind a Codec.
 package gateway
 
 import (
@@ -37,156 +37,156 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// Codec reads and writes what requests and answers say about themselves.
+// Codec reads and writes the headers of requests and answers.
 type Codec struct {
 	ReadCall       func(h http.Header) fleet.Call
 	EndpointHeader func(in http.Header, s fleet.Stamp) http.Header
 	CallerHeader   func(in http.Header) http.Header
 	ReadAnswer     func(status int, h http.Header) fleet.Answer
 	MarkAnswer     func(h http.Header, callID string)
-	EventWeights   func(line []byte) (version string, ok bool) // Of a line of an event.
+	EventWeights   func(line []byte) (version string, ok bool) // Reads one line of an event.
 }
 
-// Config is the setting of a Gateway.
+// Config holds the settings of a Gateway.
 type Config struct {
-	Domain      string
-	Source      string        // IP number that connections come from; "" for any.
-	Memory      int64         // Bytes that the process may hold; 0 for no bound.
-	KeyAge      time.Duration // Greatest age of the configuration at which a key still counts.
-	RetryShare  float64       // Repeats by requests of a service, in RetryWindow.
-	RetryWindow time.Duration
-	RetrySpare  float64       // Repeats of all gateways together that need no request.
-	GracePeriod time.Duration // Longest time of a planned stop; 0 for no bound.
-	// PropagationDelay is the longest time for which a caller and this gateway may go by
-	// different versions of the configuration.
+	Domain        string
+	SourceAddress string        // Source IP address of connections to endpoints; "" for any.
+	MemoryBytes   int64         // Memory limit of the process; 0 for none.
+	MaxKeyAge     time.Duration // Configuration age from which a customer's key is no longer accepted.
+	RetryShare    float64       // Retries allowed per request of a service within RetryWindow.
+	RetryWindow   time.Duration
+	RetryFloor    float64       // Retries that all gateways together may send without any request.
+	GracePeriod   time.Duration // Longest planned stop; 0 for no limit.
+	// PropagationDelay is the longest time for which a caller and this gateway may use different
+	// versions of the configuration.
 	PropagationDelay time.Duration
-	// EndSettle is how long an endpoint must live on after a stream without framing,
-	// so that the end of its connection counts as the stream's.
-	EndSettle time.Duration
-	// Now tells the time by which the configuration grows old: it must count suspensions
-	// of the machine, or a key that was taken away counts for as much longer. Nil for the
-	// machine's own.
+	// EndCheckDelay is how long after an unframed stream its endpoint must still accept
+	// connections, so that the end of the connection counts as the end of the stream.
+	EndCheckDelay time.Duration
+	// Now returns the time by which the age of the configuration is measured. The clock must count
+	// suspensions of the machine; otherwise a revoked key stays valid for the length of the
+	// suspension. Nil selects clock.Now.
 	Now func() time.Time
 }
 
-// Gateway serves callers.
+// Gateway serves callers' requests.
 type Gateway struct {
-	cfg   Config
-	codec Codec
-	view  *follow.View
-	log   *zap.Logger
-	pool  *upstream.Pool
-	conns *keepalive.Tracker // Of callers.
-
-	patience   *patience
-	figures    *figures
-	kept       *keptBytes
-	suspects   *suspects.Set
-	unfinished *unfinishedTries
-
-	mu      sync.Mutex // Guards what follows.
-	table   *balance.Table
-	passes  *passes.Tracker
-	windows map[string]*retry.Window      // By service.
-	lines   map[string]*line.Line         // By service.
-	shares  map[string]*room.Share        // By group.
-	took    map[string]*estimate.Time     // Of answers in one piece, by service.
-	at      map[string]map[*request]place // Requests that may be moved, by endpoint.
-	others  int                           // Gateways that are known besides this one.
-	heardAt time.Time                     // When one of them was last heard.
-
-	started       time.Time
-	cold          *cold.Pacer
-	backoffs      *backoff.Set
-	limits        *throttle.Limits
-	limitNews     chan struct{}                // Holds a value while a change of limits waits to be told.
-	partWants     chan struct{}                // Holds a value while a request found no token of a limit.
-	badPartsAt    time.Time                    // When a line on parts that were left out was logged.
-	backlogs      map[string]*throttle.Backlog // By service; of callers refused by limits.
-	coldTold      map[string]uint64            // Revisions of entries whose cold times were taken in, by endpoint.
-	toldSenders   int                          // Gateways that a sidecar hears, the most that was lately told.
-	toldSendersAt time.Time
-	evacuated     evacuatedDomains
-	ownerOf       func(k quarantine.Key) bool // Whether this gateway owns the key; nil for one without others.
-
-	shapesMu sync.Mutex // Guards what follows.
-	shapesOf *fleet.Config
-	shapes   map[string]passes.Shape // By service, of shapesOf.
-
-	lookers    errgroup.Group // Of looks whether endpoints have ended; each ends by itself.
-	lastWaiter atomic.Uint64
-	busy       atomic.Int64
-	stopping   atomic.Pointer[time.Time] // When the planned stop began; nil before.
-	ended      context.Context           // Ends with the process: no request has time left.
-	end        context.CancelFunc        // Of ended.
+	cfg         Config
+	codec       Codec
+	view        *follow.View
+	log         *zap.Logger
+	pool        *upstream.Pool
+	callerConns *keepalive.Tracker // Connections of callers.
+
+	callerTimeouts *callerTimeouts
+	stats          *gatewayMetrics
+	bufferedTotal  *bufferedBytes
+	suspects       *suspects.Set
+	unfinished     *unfinishedAttempts
+
+	mu             sync.Mutex // Guards the fields below.
+	table          *balance.Table
+	passes         *passes.Tracker
+	retryWindows   map[string]*retry.Window               // Retry budgets, by service.
+	queues         map[string]*line.Line                  // Requests waiting for capacity, by service.
+	capacityShares map[string]*room.Share                 // This gateway's share of a group's free capacity, by group.
+	responseTimes  map[string]*estimate.Time              // Of answers that are not streams, by service.
+	movable        map[string]map[*request]movableRequest // Requests that may be moved to another endpoint, by endpoint.
+	otherGateways  int                                    // Known gateways besides this one.
+	lastHelloAt    time.Time                              // When the last hello of another gateway was received.
+
+	started              time.Time
+	cold                 *cold.Pacer
+	backoffs             *backoff.Set
+	limits               *throttle.Limits
+	limitsChanged        chan struct{}                // Holds a value while a change of limits waits to be announced.
+	partsWanted          chan struct{}                // Holds a value while a request found no token of a rate limit.
+	invalidPartsLoggedAt time.Time                    // When an invalid message about parts was last logged.
+	backlogs             map[string]*throttle.Backlog // Callers refused by rate limits, by service.
+	coldRevisions        map[string]uint64            // Revision of the entry whose cold time was applied, by endpoint.
+	reportedGateways     int                          // Most gateways that a sidecar lately reported to know.
+	reportedGatewaysAt   time.Time
+	evacuated            evacuatedDomains
+	ownsTrialKey         func(k quarantine.Key) bool // Whether trials of a key run here; nil without peers.
+
+	shapesMu     sync.Mutex // Guards the fields below.
+	shapesConfig *fleet.Config
+	shapes       map[string]passes.Shape // By service, for shapesConfig.
+
+	endChecks        errgroup.Group // Delayed checks whether endpoints have ended; each returns by itself.
+	lastWaiterID     atomic.Uint64
+	inFlight         atomic.Int64
+	stopBegan        atomic.Pointer[time.Time] // When the planned stop began; nil before.
+	processCtx       context.Context           // Canceled when the process terminates: no request has time left.
+	cancelProcessCtx context.CancelFunc        // Cancels processCtx.
 }
 
-// New returns a gateway that serves what view holds. The function closes its
-// connections to endpoints.
+// New returns a gateway that serves the configuration and endpoints in view. The cleanup function
+// closes the connections to endpoints.
 func New(cfg Config, codec Codec, view *follow.View, log *zap.Logger, reg metrics.Registry) (g *Gateway, cleanup func()) {
 	if cfg.Now == nil {
 		cfg.Now = clock.Now
 	}
 	g = &Gateway{
-		cfg:     cfg,
-		codec:   codec,
-		view:    view,
-		log:     log,
-		figures: newFigures(reg),
-		conns: keepalive.New(keepalive.Config{
+		cfg:   cfg,
+		codec: codec,
+		view:  view,
+		log:   log,
+		stats: newGatewayMetrics(reg),
+		callerConns: keepalive.New(keepalive.Config{
 			Name:              "gateway",
 			IdleTimeout:       defaultIdleTimeout,
 			PropagationDelay:  cfg.PropagationDelay,
-			MaxAdvertised:     maxAdvertised,
-			ReadHeaderTimeout: HeaderTime,
+			MaxAdvertised:     maxAdvertisedKeepAlive,
+			ReadHeaderTimeout: CallerHeaderTimeout,
 			GracePeriod:       cfg.GracePeriod,
 		}, log, reg),
 
-		suspects:   suspects.New(log, reg),
-		unfinished: newUnfinishedTries(),
-		patience:   newPatience(),
-		kept:       newKeptBytes(cfg.Memory, reg),
-		table:      balance.New(),
-		passes:     passes.New(),
-		windows:    map[string]*retry.Window{},
-		lines:      map[string]*line.Line{},
-		shares:     map[string]*room.Share{},
-		took:       map[string]*estimate.Time{},
-		at:         map[string]map[*request]place{},
-
-		started:   time.Now(),
-		cold:      cold.New(),
-		backoffs:  backoff.New(),
-		limits:    throttle.New(),
-		limitNews: make(chan struct{}, 1),
-		partWants: make(chan struct{}, 1),
-		backlogs:  map[string]*throttle.Backlog{},
-		coldTold:  map[string]uint64{},
-		evacuated: evacuatedDomains{},
+		suspects:       suspects.New(log, reg),
+		unfinished:     newUnfinishedAttempts(),
+		callerTimeouts: newCallerTimeouts(),
+		bufferedTotal:  newBufferedBytes(cfg.MemoryBytes, reg),
+		table:          balance.New(),
+		passes:         passes.New(),
+		retryWindows:   map[string]*retry.Window{},
+		queues:         map[string]*line.Line{},
+		capacityShares: map[string]*room.Share{},
+		responseTimes:  map[string]*estimate.Time{},
+		movable:        map[string]map[*request]movableRequest{},
+
+		started:       time.Now(),
+		cold:          cold.New(),
+		backoffs:      backoff.New(),
+		limits:        throttle.New(),
+		limitsChanged: make(chan struct{}, 1),
+		partsWanted:   make(chan struct{}, 1),
+		backlogs:      map[string]*throttle.Backlog{},
+		coldRevisions: map[string]uint64{},
+		evacuated:     evacuatedDomains{},
 	}
-	g.ended, g.end = context.WithCancel(context.Background())
-	g.pool, cleanup = upstream.NewPool(cfg.Source, func() { g.figures.dialed.Inc(1) })
+	g.processCtx, g.cancelProcessCtx = context.WithCancel(context.Background())
+	g.pool, cleanup = upstream.NewPool(cfg.SourceAddress, func() { g.stats.dialed.Inc(1) })
 	return g, cleanup
 }
 
-// HeaderTime bounds the arrival of a caller's header. The published bound may change; this
-// one is above what is published.
-const HeaderTime = 15 * time.Second
+// CallerHeaderTimeout is the time limit for a caller's request header. The published limit may
+// change, and this one is above any that is published.
+const CallerHeaderTimeout = 15 * time.Second
 
-// defaultIdleTimeout is the idle timeout of callers' connections while none is published.
+// defaultIdleTimeout is the idle timeout of callers' connections until one is published.
 const defaultIdleTimeout = time.Minute
 
-// sweepEvery is how often endpoints that have gone are looked at.
-const sweepEvery = 500 * time.Millisecond
+// sweepInterval is the time between two removals of state of endpoints that are no longer listed.
+const sweepInterval = 500 * time.Millisecond
 
-// Run does the housekeeping until ctx ends.
+// Run removes outdated state periodically until ctx is done.
 func (g *Gateway) Run(ctx context.Context) error {
-	return wait.Every(ctx, sweepEvery, g.sweep)
+	return wait.Every(ctx, sweepInterval, g.sweep)
 }
 
 func (g *Gateway) sweep() {
 	s := g.view.State()
-	g.Changed()
+	g.ViewChanged()
 	g.suspects.Forget(g.cfg.Now())
 	g.unfinished.forget(time.Now())
 	g.mu.Lock()
@@ -200,28 +200,28 @@
 		names[e.Name()] = true
 	}
 	g.backoffs.Forget(func(name string) bool { return names[name] }, g.cfg.Now())
-	g.figures.countBackoffs(g.backoffs.Counts(g.cfg.Now()))
+	g.stats.setBackoffs(g.backoffs.Counts(g.cfg.Now()))
 	g.limits.Forget(listed, g.cfg.Now())
-	g.figures.limited.Update(int64(g.limits.Count()))
+	g.stats.limited.Update(int64(g.limits.Count()))
 }
 
-// Changed is called after each change of the view: connections to endpoints
-// that leave are closed at once.
-func (g *Gateway) Changed() {
+// ViewChanged must be called after each change of the view. It closes connections to leaving
+// endpoints at once.
+func (g *Gateway) ViewChanged() {
 	s := g.view.State()
 	if s.Config != nil {
-		g.conns.Publish(s.Config.Version(), s.Config.Limits().IdleTimeout, time.Now())
+		g.callerConns.Publish(s.Config.Version(), s.Config.Limits().IdleTimeout, time.Now())
 	}
-	g.noteCold(s, time.Now())
+	g.updateColdAndEvacuated(s, time.Now())
 	g.pool.Forget(func(id string) bool {
 		e, ok := s.Endpoints[id]
-		return ok && !g.leaves(e)
+		return ok && !g.isLeaving(e)
 	})
 }
 
-// Report takes in an endpoint's load by its address, since an agent knows no
-// more of the endpoint beside it.
-func (g *Gateway) Report(address string, l balance.Load) {
+// ReportLoad records the load of the endpoint at an address. The reporter is a process beside the
+// endpoint, which knows no more of it than its address.
+func (g *Gateway) ReportLoad(address string, l balance.Load) {
 	s := g.view.State()
 	e, ok := s.ByAddress[address]
 	if !ok || s.Config == nil {
@@ -231,13 +231,13 @@
 		return
 	}
 	shape, ranked := g.shape(s.Config, e.Service)
-	if g.noteLoad(e, l, s.Config, shape, ranked) {
-		g.vacate(e.ID)
+	if g.applyLoad(e, l, s.Config, shape, ranked) {
+		g.moveRequests(e.ID)
 	}
 }
 
-// noteLoad takes in an endpoint's load and reports whether requests are to leave it.
-func (g *Gateway) noteLoad(e fleet.Endpoint, l balance.Load, cfg *fleet.Config, shape passes.Shape, ranked bool) (vacate bool) {
+// applyLoad records an endpoint's load and reports whether its requests should be moved away.
+func (g *Gateway) applyLoad(e fleet.Endpoint, l balance.Load, cfg *fleet.Config, shape passes.Shape, ranked bool) (moveAway bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ranked = g.table.Report(e.ID, l) && ranked; ranked {
@@ -249,131 +249,134 @@
 	return ranked && g.passes.Vacate(e.ID, l.At)
 }
 
-// hearLimit takes in the limit of a group, in requests a rank, that its leader tells.
-func (g *Gateway) hearLimit(group string, perRank float64, at time.Time) {
+// setGroupLimit records the limit of a group in requests per rank, as announced by the group's
+// leader.
+func (g *Gateway) setGroupLimit(group string, perRank float64, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.passes.Told(group, perRank, at)
 	if perRank > 0 {
-		g.figures.limit.Update(perRank)
+		g.stats.limitPerRank.Update(perRank)
 	}
 }
 
-// alone reports whether no other gateway was heard lately although there were some:
-// this one is cut off.
-func (g *Gateway) alone() bool {
+// isolated reports whether this gateway is cut off: it knew other gateways, but none has sent a
+// hello lately.
+func (g *Gateway) isolated() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return !g.heardAt.IsZero() && time.Since(g.heardAt) > aloneAfter
+	return !g.lastHelloAt.IsZero() && time.Since(g.lastHelloAt) > isolatedAfter
 }
 
-// aloneAfter is how long nothing is heard of any other gateway by one that is cut
-// off: some hellos.
-const aloneAfter = 3 * helloEvery
+// isolatedAfter is how long a gateway receives no hello until it counts as cut off: a few hello
+// intervals.
+const isolatedAfter = 3 * helloInterval
 
-// SetOthers tells how many other gateways there are, and when one was last heard.
-func (g *Gateway) SetOthers(n int, heard time.Time) {
+// SetOtherGateways sets the number of other gateways and the time of the last hello from any.
+func (g *Gateway) SetOtherGateways(n int, lastHello time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.others, g.heardAt = n, heard
-	for _, w := range g.windows {
-		w.SetSpare(g.spare())
+	g.otherGateways, g.lastHelloAt = n, lastHello
+	for _, w := range g.retryWindows {
+		w.SetSpare(g.retryFloor())
 	}
 }
 
-// Parts of the published budget of repeats. Much of the spare is never used, since
-// gateways may not know of each other, and the rest is split among at least so
-// many gateways.
+// Portions of the published retry budget that one gateway uses. Only part of the floor is used,
+// since gateways may not know of each other; that part is divided among at least minGateways.
 const (
-	spareUsed     = 0.35
-	leastGateways = 8
-	// shareUsed is the part of the published share of repeats that is used: the
-	// windows of the gateways do not begin together, and a gateway that starts
-	// anew has forgotten its repeats.
-	shareUsed = 0.8
+	retryFloorUsed = 0.35
+	minGateways    = 8
+	// retryShareUsed is the portion of the published retry share that is used. The retry windows of
+	// gateways are not aligned, and a restarted gateway has lost the count of its retries.
+	retryShareUsed = 0.8
 )
 
-func (g *Gateway) spare() float64 {
-	return spareUsed * g.cfg.RetrySpare / float64(max(g.others+1, leastGateways))
+func (g *Gateway) retryFloor() float64 {
+	return retryFloorUsed * g.cfg.RetryFloor / float64(max(g.otherGateways+1, minGateways))
 }
 
-// window returns the budget of a service. The caller holds mu.
-func (g *Gateway) window(service string) *retry.Window {
-	w, ok := g.windows[service]
+// retryWindow returns the retry budget of a service. The caller holds mu.
+func (g *Gateway) retryWindow(service string) *retry.Window {
+	w, ok := g.retryWindows[service]
 	if !ok {
-		w = retry.NewWindow(g.cfg.RetryWindow, shareUsed*g.cfg.RetryShare, g.spare())
-		g.windows[service] = w
+		w = retry.NewWindow(g.cfg.RetryWindow, retryShareUsed*g.cfg.RetryShare, g.retryFloor())
+		g.retryWindows[service] = w
 	}
 	return w
 }
 
-// tookWeight is the weight of the newest answer in the usual time: as in the usual
-// estimate of round trips.
-const tookWeight = 0.125
+// responseTimeWeight is the weight of the newest sample in the average response time, as is usual
+// for estimates of round-trip times.
+const responseTimeWeight = 0.125
 
-// tookOf returns how long answers of a service in one piece take. The caller holds mu.
-func (g *Gateway) tookOf(service string) *estimate.Time {
-	t := g.took[service]
+// responseTime returns the estimated duration of a service's answers that are not streams. The
+// caller holds mu.
+func (g *Gateway) responseTime(service string) *estimate.Time {
+	t := g.responseTimes[service]
 	if t == nil {
-		fresh := estimate.New(tookWeight)
+		fresh := estimate.New(responseTimeWeight)
 		t = &fresh
-		g.took[service] = t
+		g.responseTimes[service] = t
 	}
 	return t
 }
 
-// Callers returns the connections of callers, which the callers' server must be attached to.
-func (g *Gateway) Callers() *keepalive.Tracker { return g.conns }
+// CallerConns returns the tracker of callers' connections. The HTTP server for callers must be
+// attached to it.
+func (g *Gateway) CallerConns() *keepalive.Tracker { return g.callerConns }
 
-// Busy returns the number of requests that have not ended.
-func (g *Gateway) Busy() int { return int(g.busy.Load()) }
+// InFlight returns the number of requests in flight.
+func (g *Gateway) InFlight() int { return int(g.inFlight.Load()) }
 
-// Stop begins the planned stop: everything that comes is still served, but
-// callers are told to use other connections.
+// Stop begins the planned stop: requests are still accepted and served, but callers are asked to
+// close their connections.
 func (g *Gateway) Stop() {
 	now := time.Now()
-	g.stopping.Store(&now)
-	g.conns.Stop(now)
+	g.stopBegan.Store(&now)
+	g.callerConns.Stop(now)
 }
 
-// End ends the time of all requests, since the process ends: those that can still be answered
-// are, and those that come are refused. Connections to endpoints that they use are closed.
-func (g *Gateway) End() {
-	g.end()
-	if g.stopping.Load() == nil {
-		g.Stop() // Callers are told to leave.
+// Terminate ends all requests because the process is about to exit. Requests that can still be
+// answered are answered, new ones are refused, and the connections to endpoints that requests use
+// are closed.
+func (g *Gateway) Terminate() {
+	g.cancelProcessCtx()
+	if g.stopBegan.Load() == nil {
+		g.Stop() // Callers are asked to close their connections.
 	}
 }
 
-// stopTakes is how long after the start of a planned stop requests are still
-// taken: whatever is taken must be able to end within the grace period.
-const stopTakes = 2700 * time.Millisecond
+// stopAcceptTime is how long after the start of a planned stop requests are still accepted. Any
+// accepted request must be able to end within the grace period.
+const stopAcceptTime = 2700 * time.Millisecond
 
-// maxAdvertised bounds the keep-alive timeout that callers are told: one that was
-// idle at the start of a planned stop then brings its next request while those are still taken.
-const maxAdvertised = 2 * time.Second
+// maxAdvertisedKeepAlive limits the keep-alive timeout that is advertised to callers, so that the
+// next request on a connection that was idle at the start of a planned stop arrives while requests
+// are still accepted.
+const maxAdvertisedKeepAlive = 2 * time.Second
 
-// leaving reports whether the planned stop has begun, and whether it is so far
-// on that nothing more is taken.
-func (g *Gateway) leaving(now time.Time) (begun, closed bool) {
-	if g.ended.Err() != nil {
+// stopState reports whether the planned stop has begun, and whether new requests are refused
+// because it has lasted too long.
+func (g *Gateway) stopState(now time.Time) (begun, refusing bool) {
+	if g.processCtx.Err() != nil {
 		return true, true
 	}
-	at := g.stopping.Load() // With its steady clock: the time of day may be set meanwhile.
-	return at != nil, at != nil && now.Sub(*at) > stopTakes
+	began := g.stopBegan.Load() // Measured by the monotonic clock, since the wall clock may be set meanwhile.
+	return began != nil, began != nil && now.Sub(*began) > stopAcceptTime
 }
 
-// readyAge is the age of the configuration above which the process asks for no
-// new callers: it could not serve their keys for much longer.
-const readyAge = 3200 * time.Millisecond
+// maxReadyAge is the configuration age from which the process reports that it is not ready for new
+// callers: it could not accept their keys for much longer.
+const maxReadyAge = 3200 * time.Millisecond
 
-// Ready reports whether new callers should come here.
+// Ready reports whether new callers should be routed to this gateway.
 func (g *Gateway) Ready(now time.Time) bool {
-	begun, _ := g.leaving(now)
-	return !begun && g.view.Age(now) < readyAge
+	begun, _ := g.stopState(now)
+	return !begun && g.view.Age(now) < maxReadyAge
 }
 
-// ReadinessHandler answers the platform's question for readiness.
+// ReadinessHandler returns the handler of the platform's readiness probe.
 func (g *Gateway) ReadinessHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.Ready(g.cfg.Now()) {
--- a/internal/gateway/kept.go
+++ b/internal/gateway/kept.go
@@ -13,48 +13,47 @@
 )
 
 const (
-	// keptShare is the part of the process's memory that bodies and whole answers may
-	// take together: as much again goes to sockets' buffers, and the rest is the process's
-	// own.
-	keptShare = 0.25
-	// fallbackKept bounds them where no limit of memory is set.
-	fallbackKept = 64 << 20
-	// chunkedGuess is taken for a body that does not tell its length, before it is read.
-	chunkedGuess = 64 << 10
-	// keptStep is taken at least as more comes than was counted.
-	keptStep = 64 << 10
-	// UnreadTime is for how long a caller may leave what is sent to it unread. It is more
-	// than the longest silence after which callers of streams leave themselves, and less
-	// than an endpoint waits for its answer to be read.
-	UnreadTime = 4 * time.Second
-	// pieceBytes is how much of a whole answer a caller reads at least in that time.
-	pieceBytes = 64 << 10
-	// drainTime is how long an answer waits for the rest of a body that nobody wants: less
-	// than it may then be left unread.
-	drainTime = UnreadTime / 2
-	// bodyMargin is how long after the time of its request a body may still come: callers
-	// who are a little late are refused on a connection that they keep.
-	bodyMargin = time.Second
+	// bufferedShare is the portion of the process's memory that buffered bodies and answers may
+	// take together. Socket buffers take as much again, and the rest is for the process itself.
+	bufferedShare = 0.25
+	// defaultBufferedLimit limits them if no memory limit is set.
+	defaultBufferedLimit = 64 << 20
+	// unknownLengthReserve is reserved for a body of unknown length before it is read.
+	unknownLengthReserve = 64 << 10
+	// reserveStep is the least number of bytes reserved when a body exceeds its reservation.
+	reserveStep = 64 << 10
+	// CallerWriteTimeout is how long a caller may leave sent data unread. It is more than the
+	// longest silence after which callers of streams leave by themselves, and less than an endpoint
+	// waits for its answer to be read.
+	CallerWriteTimeout = 4 * time.Second
+	// writeChunkBytes is how much of a complete answer a caller must read within that time.
+	writeChunkBytes = 64 << 10
+	// bodyDrainTimeout is how long an answer waits for the rest of a body that is not needed: less
+	// than the answer may then be left unread.
+	bodyDrainTimeout = CallerWriteTimeout / 2
+	// bodyGrace is how long after the request's deadline a body is still read, so that callers who
+	// are a little late are refused on a connection that stays open.
+	bodyGrace = time.Second
 )
 
-// keptBytes counts what is kept in memory for callers who may be slow to send or to read.
-type keptBytes struct {
-	most  int64
+// bufferedBytes counts the bytes in memory for callers, who may be slow to send or to read.
+type bufferedBytes struct {
+	limit int64
 	n     atomic.Int64
 	gauge metrics.Gauge
 }
 
-func newKeptBytes(memory int64, reg metrics.Registry) *keptBytes {
-	k := &keptBytes{most: fallbackKept, gauge: metrics.GetOrRegisterGauge("gateway.kept-bytes", reg)}
+func newBufferedBytes(memory int64, reg metrics.Registry) *bufferedBytes {
+	k := &bufferedBytes{limit: defaultBufferedLimit, gauge: metrics.GetOrRegisterGauge("gateway.kept-bytes", reg)}
 	if memory > 0 {
-		k.most = int64(keptShare * float64(memory))
+		k.limit = int64(bufferedShare * float64(memory))
 	}
 	return k
 }
 
-// take counts so many bytes, if they do not make it too many.
-func (k *keptBytes) take(n int64) bool {
-	if k.n.Add(n) > k.most {
+// tryReserve adds n bytes unless that would exceed the limit.
+func (k *bufferedBytes) tryReserve(n int64) bool {
+	if k.n.Add(n) > k.limit {
 		k.n.Add(-n)
 		return false
 	}
@@ -62,88 +61,88 @@
 	return true
 }
 
-// add counts bytes that are there already; less than none are given back.
-func (k *keptBytes) add(n int64) { k.gauge.Update(k.n.Add(n)) }
+// add counts bytes that are buffered already; a negative n releases bytes.
+func (k *bufferedBytes) add(n int64) { k.gauge.Update(k.n.Add(n)) }
 
-// keepBody counts the body that the caller is about to send; it reports false when too
-// much is kept already.
-func (q *request) keepBody() bool {
+// reserveBody reserves memory for the body that the caller is about to send. It returns false if
+// the limit would be exceeded.
+func (q *request) reserveBody() bool {
 	size := q.r.ContentLength
 	if size < 0 {
-		size = chunkedGuess
+		size = unknownLengthReserve
 	}
 	return q.reserve(size)
 }
 
-// reserve counts bytes that are about to be kept for the request; it reports false when too
-// much is kept already.
+// reserve reserves memory for the request. It returns false if the limit would be exceeded.
 func (q *request) reserve(n int64) bool {
-	if !q.g.kept.take(n) {
+	if !q.g.bufferedTotal.tryReserve(n) {
 		return false
 	}
-	q.keeps += n
+	q.buffered += n
 	return true
 }
 
-// errTooMuch tells that there is no room for what comes.
-var errTooMuch = errors.New("too many bytes are kept for callers")
+// errBufferFull means that the limit of buffered bytes leaves no memory for a body.
+var errBufferFull = errors.New("too many bytes are buffered for callers")
 
-// refuseUnkept refuses a request whose body there is no room for.
-func (q *request) refuseUnkept() {
-	q.closeAfter()
-	q.refuse(errTooMuch.Error(), fullRetry)
+// refuseBufferFull refuses a request whose body exceeds the limit of buffered bytes.
+func (q *request) refuseBufferFull() {
+	q.closeAfterAnswer()
+	q.refuse(errBufferFull.Error(), fullRetry)
 }
 
-// keeping is a body whose bytes are counted as kept for the request as they come.
-type keeping struct {
+// countedBody is a body whose bytes are counted as buffered for the request as they are read.
+type countedBody struct {
 	io.ReadCloser
-	q     *request
-	spare int64 // Counted already, and still to come.
+	q        *request
+	reserved int64 // Counted already, and not read yet.
 }
 
-// Read fails once too much is kept.
-func (k *keeping) Read(p []byte) (int, error) {
+// Read fails once the limit of buffered bytes is exceeded.
+func (k *countedBody) Read(p []byte) (int, error) {
 	n, err := k.ReadCloser.Read(p)
-	if k.spare -= int64(n); k.spare < 0 {
-		more := keptStep - k.spare
+	if k.reserved -= int64(n); k.reserved < 0 {
+		more := reserveStep - k.reserved
 		if !k.q.reserve(more) {
-			return 0, errTooMuch
+			return 0, errBufferFull
 		}
-		k.spare += more
+		k.reserved += more
 	}
 	return n, err
 }
 
-// keep counts bytes that are kept for the request until it ends.
-func (q *request) keep(n int) {
-	q.keeps += int64(n)
-	q.g.kept.add(int64(n))
+// addBuffered counts bytes that stay buffered until the request ends.
+func (q *request) addBuffered(n int) {
+	q.buffered += int64(n)
+	q.g.bufferedTotal.add(int64(n))
 }
 
-// letGo ends the counting of what was kept for the request.
-func (q *request) letGo() {
-	q.g.kept.add(-q.keeps)
-	q.keeps = 0
+// releaseBuffered releases all bytes counted for the request.
+func (q *request) releaseBuffered() {
+	q.g.bufferedTotal.add(-q.buffered)
+	q.buffered = 0
 }
 
-// boundWrite bounds for how long the next write to the caller may be left unread.
-func (p *reply) boundWrite() error {
-	err := http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(UnreadTime))
+// setWriteDeadline limits how long the next write to the caller may stay unread.
+func (p *reply) setWriteDeadline() error {
+	err := http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(CallerWriteTimeout))
 	if errors.Is(err, http.ErrNotSupported) {
-		return nil // It writes to no connection.
+		return nil // The writer has no connection.
 	}
 	return err
 }
 
-// boundRead bounds until when a body that has not come to its end must come. It ends with
-// the body: the server lifts it there, before it reads on to see whether the caller leaves.
-func (p *reply) boundRead(until time.Time) error {
-	if !p.bodyLeft {
+// setReadDeadline sets the time by which a body must have been read to its end. The deadline ends
+// with the body: the server removes it there, before it reads on to detect whether the caller
+// leaves.
+func (p *reply) setReadDeadline(until time.Time) error {
+	if !p.bodyPending {
 		return nil
 	}
 	err := http.NewResponseController(p.w).SetReadDeadline(until)
 	if errors.Is(err, http.ErrNotSupported) {
-		return nil // It reads from no connection.
+		return nil // The reader has no connection.
 	}
 	return err
 }
--- a/internal/gateway/kept_test.go
+++ b/internal/gateway/kept_test.go
@@ -27,45 +27,45 @@
 func large(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerID, r.Header.Get(headerID))
 	w.Header().Set("Content-Type", "text/plain")
-	_, _ = w.Write(make([]byte, maxAnswer-1)) // A gateway that has gone is the test's own doing.
+	_, _ = w.Write(make([]byte, maxAnswerBytes-1)) // A gateway that has gone is the test's own doing.
 }
 
 func TestACallerWhoDoesNotReadIsLetGo(t *testing.T) {
 	g := NewWithT(t)
 	s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.Repeatable }, http.HandlerFunc(large))
 	s.dial(t).send(t, head("one", int(patienceOf.Milliseconds()), "Content-Length: 2")+"{}")
-	g.Eventually(s.kept.n.Load, patienceOf).Should(BeEquivalentTo(maxAnswer - 1 + 2))
-	g.Eventually(s.kept.n.Load, patienceOf).Should(BeZero(), "nothing is kept for a caller who does not read")
-	g.Eventually(s.Busy, patienceOf).Should(BeZero())
+	g.Eventually(s.bufferedTotal.n.Load, patienceOf).Should(BeEquivalentTo(maxAnswerBytes - 1 + 2))
+	g.Eventually(s.bufferedTotal.n.Load, patienceOf).Should(BeZero(), "nothing is kept for a caller who does not read")
+	g.Eventually(s.InFlight, patienceOf).Should(BeZero())
 }
 
 // Callers who send much, or slowly, do not fill the memory together.
 func TestBodiesAreRefusedWhenTooMuchIsKept(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t, newStreamer(0))
-	s.kept.most = 100
-	s.kept.add(99)
+	s.bufferedTotal.limit = 100
+	s.bufferedTotal.add(99)
 	s.expectRefused(g, "one", "")
-	s.kept.add(-50)
+	s.bufferedTotal.add(-50)
 	s.expectServed(g, "two", "")
-	g.Eventually(s.kept.n.Load, patienceOf).Should(BeEquivalentTo(49), "what was kept is given back")
+	g.Eventually(s.bufferedTotal.n.Load, patienceOf).Should(BeEquivalentTo(49), "what was kept is given back")
 }
 
 // Guards against bodies without a length that fill the memory before they are whole.
 func TestAChunkedBodyIsRefusedOnceTooMuchIsKept(t *testing.T) {
-	const size = 4 * chunkedGuess
+	const size = 4 * unknownLengthReserve
 	g := NewWithT(t)
 	s, view, snap := newSiteOf(t, func(*fleet.Route) {}, newStreamer(0))
 	snap.Config = fleet.NewConfig(2, []fleet.Route{*snap.Config.Route("caller.test", "/")}, []fleet.Service{{Name: "s"}}, nil, fleet.Limits{HeaderBytes: 1 << 16, BodyBytes: size})
 	view.Replace(snap, time.Now(), false)
-	s.kept.most = size / 2
+	s.bufferedTotal.limit = size / 2
 	c := s.dial(t)
 	c.send(t, head("one", int(patienceOf.Milliseconds()), "Transfer-Encoding: chunked")+fmt.Sprintf("%x\r\n%s", size, strings.Repeat("x", size*3/4)))
 	resp := c.answer(t)
 	g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(resp.Header.Get("Retry-After")).NotTo(BeEmpty())
 	g.Expect(resp.Close).To(BeTrue())
-	g.Eventually(s.kept.n.Load, patienceOf).Should(BeZero(), "what was kept is given back")
+	g.Eventually(s.bufferedTotal.n.Load, patienceOf).Should(BeZero(), "what was kept is given back")
 }
 
 // Guards against answers that fill the memory before they are whole.
@@ -90,13 +90,13 @@
 			t.Cleanup(end)
 			var caller errgroup.Group
 			caller.Go(func() error { s.expectStatus(g, http.StatusOK); return nil })
-			g.Eventually(s.kept.n.Load, patienceOf).Should(BeNumerically(">=", size))
+			g.Eventually(s.bufferedTotal.n.Load, patienceOf).Should(BeNumerically(">=", size))
 			end()
 			g.Expect(caller.Wait()).To(Succeed())
-			s.kept.most = size
+			s.bufferedTotal.limit = size
 			s.expectStatus(g, http.StatusBadGateway)
-			g.Eventually(s.kept.n.Load, patienceOf).Should(BeZero(), "what was kept is given back")
-			s.kept.most = 2 * size
+			g.Eventually(s.bufferedTotal.n.Load, patienceOf).Should(BeZero(), "what was kept is given back")
+			s.bufferedTotal.limit = 2 * size
 			s.expectStatus(g, http.StatusOK)
 		})
 	}
@@ -113,13 +113,13 @@
 	defer func() { g.Expect(resp.Body.Close()).To(Succeed()) }()
 	var got int64
 	for err == nil {
-		time.Sleep(2 * UnreadTime / pieces)
+		time.Sleep(2 * CallerWriteTimeout / pieces)
 		var n int64
-		n, err = io.CopyN(io.Discard, resp.Body, maxAnswer/pieces)
+		n, err = io.CopyN(io.Discard, resp.Body, maxAnswerBytes/pieces)
 		got += n
 	}
 	g.Expect(err).To(MatchError(io.EOF))
-	g.Expect(got).To(BeEquivalentTo(maxAnswer - 1))
+	g.Expect(got).To(BeEquivalentTo(maxAnswerBytes - 1))
 }
 
 // expectStatus checks which answer a request gets.
@@ -171,7 +171,7 @@
 			s.codec.ReadAnswer = func(status int, h http.Header) fleet.Answer { fault(); return read(status, h) }
 		}, http.StatusInternalServerError},
 		{"under the mutex", func(s site, fault func()) {
-			s.figures.loadAge = faultyHistogram{s.figures.loadAge, fault}
+			s.stats.loadAgeMs = faultyHistogram{s.stats.loadAgeMs, fault}
 		}, http.StatusInternalServerError},
 		{"as the log is told of the answer", func(s site, fault func()) {
 			core, _ := observer.New(zap.InfoLevel)
@@ -195,7 +195,7 @@
 			})
 			faulty.Store(true)
 			s.expectStatus(g, tc.status)
-			g.Expect(metrics.GetOrRegisterCounter("process.panics.request", s.figures.reg).Count()).To(BeEquivalentTo(1))
+			g.Expect(metrics.GetOrRegisterCounter("process.panics.request", s.stats.reg).Count()).To(BeEquivalentTo(1))
 			s.expectServed(g, "two", "")
 		})
 	}
--- a/internal/gateway/known.go
+++ b/internal/gateway/known.go
@@ -11,9 +11,9 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// inPackets splits a list so that each part fits into one hello; it returns one part at
-// least.
-func inPackets(list []roster.Seen) (parts [][]roster.Seen) {
+// splitForHello splits a list into parts that fit into one hello each. It returns at least one
+// part.
+func splitForHello(list []roster.Seen) (parts [][]roster.Seen) {
 	parts = slices.Collect(slices.Chunk(list, peers.MostKnown))
 	if len(parts) == 0 {
 		return [][]roster.Seen{nil}
@@ -21,10 +21,10 @@
 	return parts
 }
 
-// knownOf returns gateways as a hello names them. One whose address is no IP number and port
-// cannot be named.
-func knownOf(list []roster.Seen) (known []peers.Known) {
-	at := map[string]int{} // Places in known, by failure domain.
+// toKnown converts gateways to the form of a hello. Gateways whose address is not an IP address and
+// port are omitted.
+func toKnown(list []roster.Seen) (known []peers.Known) {
+	at := map[string]int{} // Indexes in known, by failure domain.
 	for _, s := range list {
 		raw, err := peers.Packed(s.Address)
 		if err != nil {
@@ -41,9 +41,9 @@
 	return known
 }
 
-// seenOf returns the gateways that a hello names. Those that cannot be read are left out; the
-// error tells of the last one.
-func seenOf(known []peers.Known) (list []roster.Seen, err error) {
+// fromKnown returns the gateways that a hello lists. Invalid ones are omitted; the error is that of
+// the last of them.
+func fromKnown(known []peers.Known) (list []roster.Seen, err error) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
 			a, bad := g.Peer()
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -18,75 +18,78 @@
 )
 
 const (
-	// lendEvery is the time between two looks at what is to be asked for or given back, while
-	// there may be any.
-	lendEvery = 25 * time.Millisecond
-	// badPartsEvery is the least time between two lines on messages that are left out.
-	badPartsEvery = 10 * time.Second
-	// longestLent is far above the lease of a part.
-	longestLent = time.Hour
+	// lendInterval is the time between two checks for parts to request or to return, while there
+	// may be any.
+	lendInterval = 25 * time.Millisecond
+	// invalidPartsLogInterval is the least time between two log lines about ignored messages.
+	invalidPartsLogInterval = 10 * time.Second
+	// maxPartLifetime is the longest lifetime accepted for a part; leases are far shorter.
+	maxPartLifetime = time.Hour
 )
 
-// wantParts notes that a request found no token of a limit.
-func (g *Gateway) wantParts() {
+// signalPartsWanted signals that a request found no token of a rate limit.
+func (g *Gateway) signalPartsWanted() {
 	select {
-	case g.partWants <- struct{}{}:
-	default: // It is noted already.
+	case g.partsWanted <- struct{}{}:
+	default: // The signal is pending already.
 	}
 }
 
-// lend asks other gateways for parts of limits and gives them back, until ctx ends.
-func (n *Neighbours) lend(ctx context.Context) error {
+// lend requests parts of rate limits from other gateways and returns them, until ctx is done. A
+// part consists of tokens of another gateway's share of an endpoint's rate limit, lent for a
+// limited time.
+func (n *PeerExchange) lend(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.g.partWants:
+		case <-n.g.partsWanted:
 		}
-		for n.sendParts() && ctx.Err() == nil {
-			wait.For(ctx, lendEvery)
+		for n.sendDueParts() && ctx.Err() == nil {
+			wait.For(ctx, lendInterval)
 		}
 	}
 }
 
-// sendParts sends what is due; it reports whether more may fall due without another request.
-func (n *Neighbours) sendParts() (more bool) {
+// sendDueParts sends the messages about parts that are due. It reports whether more may become due
+// without another request.
+func (n *PeerExchange) sendDueParts() (more bool) {
 	now := n.g.cfg.Now()
-	var letters []throttle.Letter
+	var messages []throttle.Letter
 	duty.Locked(&n.g.mu, func() {
-		letters = n.g.limits.Letters(now)
+		messages = n.g.limits.Letters(now)
 		more = n.g.limits.Lending(now)
 	})
 	by := map[string][]peers.Part{}
-	for _, l := range letters {
+	for _, l := range messages {
 		if l.Kind == throttle.Ask {
-			n.g.figures.asked.Inc(1)
+			n.g.stats.partsAsked.Inc(1)
 		}
 		by[l.To] = append(by[l.To], partOf(l.Part))
 	}
 	for to, parts := range by {
-		n.tellParts(to, parts)
+		n.sendPartsTo(to, parts)
 	}
 	return more
 }
 
-func (n *Neighbours) tellParts(to string, parts []peers.Part) {
+func (n *PeerExchange) sendPartsTo(to string, parts []peers.Part) {
 	for list := range slices.Chunk(parts, peers.MostParts) {
 		n.socket.SendAll(addresses([]string{to}), peers.Message{Lend: &peers.Lend{Address: n.self, Parts: list}})
 	}
 }
 
-// hearParts takes in what another gateway says of parts, and answers it.
-func (n *Neighbours) hearParts(from netip.AddrPort, m peers.Lend) {
-	if bad := n.g.badParts(m); bad != "" {
-		n.g.leaveOut(from, bad)
+// receiveParts handles another gateway's message about parts, and answers it.
+func (n *PeerExchange) receiveParts(from netip.AddrPort, m peers.Lend) {
+	if cause := n.g.invalidCause(m); cause != "" {
+		n.g.recordInvalidParts(from, cause)
 		return
 	}
-	n.tellParts(m.Address, n.g.takeParts(m))
+	n.sendPartsTo(m.Address, n.g.applyParts(m))
 }
 
-// takeParts takes in parts and returns what is answered.
-func (g *Gateway) takeParts(m peers.Lend) (answers []peers.Part) {
+// applyParts applies received parts and returns the answers.
+func (g *Gateway) applyParts(m peers.Lend) (answers []peers.Part) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,10 +100,10 @@
 			answers = append(answers, partOf(answer))
 		}
 		if answer.Kind == throttle.Grant {
-			g.figures.lent.Inc(1)
+			g.stats.partsLent.Inc(1)
 		}
 		if part.Kind == throttle.Grant {
-			g.figures.borrowed.Inc(1)
+			g.stats.partsBorrowed.Inc(1)
 		}
 	}
 	return answers
@@ -110,19 +113,19 @@
 	return peers.Part{Kind: int(p.Kind), Endpoint: p.Endpoint, Number: p.Number, Tokens: p.Tokens, LastsMs: p.Lasts.Milliseconds()}
 }
 
-// badParts says what is not valid in a message, "" where all is.
-func (g *Gateway) badParts(m peers.Lend) string {
+// invalidCause returns why a message is invalid, or "" if it is valid.
+func (g *Gateway) invalidCause(m peers.Lend) string {
 	if len(m.Parts) > peers.MostParts {
 		return "too many parts"
 	}
 	var known bool
 	duty.Locked(&g.mu, func() { known = g.limits.Knows(m.Address) })
 	if !known {
-		return "of a gateway that is not heard"
+		return "from a gateway that is not known"
 	}
 	for _, p := range m.Parts {
 		if !validPart(p) {
-			return "a part with a value that it cannot have"
+			return "a part with an invalid value"
 		}
 	}
 	return ""
@@ -130,23 +133,24 @@
 
 func validPart(p peers.Part) bool {
 	return p.Kind >= int(throttle.Ask) && p.Kind <= int(throttle.Return) &&
-		p.Endpoint != "" && len(p.Endpoint) <= longestID && p.Number > 0 &&
-		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // No NaN either.
-		p.LastsMs >= 0 && p.LastsMs <= longestLent.Milliseconds()
+		p.Endpoint != "" && len(p.Endpoint) <= maxEndpointIDBytes && p.Number > 0 &&
+		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // False for NaN, too.
+		p.LastsMs >= 0 && p.LastsMs <= maxPartLifetime.Milliseconds()
 }
 
-// leaveOut counts a message that is left out, and logs some.
-func (g *Gateway) leaveOut(from netip.AddrPort, cause string) {
-	g.figures.badParts.Inc(1)
+// recordInvalidParts counts an ignored message and logs it, at most once per
+// invalidPartsLogInterval.
+func (g *Gateway) recordInvalidParts(from netip.AddrPort, cause string) {
+	g.stats.partsInvalid.Inc(1)
 	now := g.cfg.Now()
-	var said bool
+	var loggedLately bool
 	duty.Locked(&g.mu, func() {
-		said = now.Sub(g.badPartsAt) < badPartsEvery
-		if !said {
-			g.badPartsAt = now
+		loggedLately = now.Sub(g.invalidPartsLoggedAt) < invalidPartsLogInterval
+		if !loggedLately {
+			g.invalidPartsLoggedAt = now
 		}
 	})
-	if !said {
-		g.log.Warn("parts of rate limits left out", zap.Stringer("told-by", from), zap.String("cause", cause))
+	if !loggedLately {
+		g.log.Warn("ignored invalid message about parts of rate limits", zap.Stringer("told-by", from), zap.String("cause", cause))
 	}
 }
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -23,7 +23,7 @@
 	n := newStation(t, 1)
 	n.withSocket(t)
 	n.moveTo(n.socket.Address())
-	n.g.setGateways(n.self, []string{borrowerAddress})
+	n.g.setLimitGateways(n.self, []string{borrowerAddress})
 	n.g.limits.Answered("i", throttle.Word{Limited: true, Limit: 1, At: n.g.cfg.Now()})
 	return n
 }
@@ -40,8 +40,8 @@
 		g := NewWithT(t)
 		n := newLender(t)
 		n.Receive(netip.AddrPort{}, peers.Message{Lend: &m})
-		g.Expect(n.g.figures.lent.Count()).To(Equal(lent))
-		g.Expect(n.g.figures.badParts.Count()).To(Equal(bad))
+		g.Expect(n.g.stats.partsLent.Count()).To(Equal(lent))
+		g.Expect(n.g.stats.partsInvalid.Count()).To(Equal(bad))
 	}
 	t.Run("valid", func(t *testing.T) { assertLeft(t, change(func(*peers.Part) {}), 1, 0) })
 	for name, m := range map[string]peers.Lend{
@@ -49,7 +49,7 @@
 		"kind 6":                change(func(p *peers.Part) { p.Kind = 6 }),
 		"kind below 0":          change(func(p *peers.Part) { p.Kind = -1 }),
 		"no endpoint":           change(func(p *peers.Part) { p.Endpoint = "" }),
-		"a long endpoint":       change(func(p *peers.Part) { p.Endpoint = strings.Repeat("i", longestID+1) }),
+		"a long endpoint":       change(func(p *peers.Part) { p.Endpoint = strings.Repeat("i", maxEndpointIDBytes+1) }),
 		"number 0":              change(func(p *peers.Part) { p.Number = 0 }),
 		"tokens below 0":        change(func(p *peers.Part) { p.Tokens = -1 }),
 		"tokens that are none":  change(func(p *peers.Part) { p.Tokens = math.NaN() }),
@@ -65,7 +65,7 @@
 	t.Run("its own address", func(t *testing.T) {
 		n := newLender(t)
 		n.Receive(netip.AddrPort{}, peers.Message{Lend: &peers.Lend{Address: n.self, Parts: []peers.Part{valid}}})
-		NewWithT(t).Expect(n.g.figures.lent.Count()).To(BeZero())
+		NewWithT(t).Expect(n.g.stats.partsLent.Count()).To(BeZero())
 	})
 }
 
@@ -82,10 +82,10 @@
 func TestCallersAreToldWhenBorrowedPartsHaveRoom(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t, newStreamer(0))
-	q := &request{g: s.Gateway, service: "s", barred: barred{rate: 4}}
-	s.setGateways("10.0.0.2:80", []string{"10.0.0.3:80", "10.0.0.4:80", "10.0.0.5:80"})
-	g.Expect(q.barredRetry()).To(BeNumerically("~", time.Second, 50*time.Millisecond))
+	q := &request{g: s.Gateway, service: "s", excluded: exclusion{rate: 4}}
+	s.setLimitGateways("10.0.0.2:80", []string{"10.0.0.3:80", "10.0.0.4:80", "10.0.0.5:80"})
+	g.Expect(q.exclusionRetry()).To(BeNumerically("~", time.Second, 50*time.Millisecond))
 	s.backlogs = map[string]*throttle.Backlog{}
-	q.barred.held = 4
-	g.Expect(q.barredRetry()).To(BeNumerically("~", 250*time.Millisecond, 50*time.Millisecond))
+	q.excluded.localRate = 4
+	g.Expect(q.exclusionRetry()).To(BeNumerically("~", 250*time.Millisecond, 50*time.Millisecond))
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -27,7 +27,7 @@
 
 // station is a gateway that others can listen to.
 type station struct {
-	*Neighbours
+	*PeerExchange
 	view *follow.View
 }
 
@@ -35,11 +35,11 @@
 	view := follow.NewView()
 	g, closeGateway := New(Config{Domain: "a"}, Codec{}, view, zap.NewNop(), metrics.NewRegistry())
 	t.Cleanup(closeGateway)
-	n, closeNeighbours := NewNeighbours(NeighboursConfig{Name: "g", Domain: "a", Decode: func(raw []byte) (*fleet.Config, error) {
+	n, closeNeighbours := NewPeerExchange(PeerExchangeConfig{Name: "g", Domain: "a", Decode: func(raw []byte) (*fleet.Config, error) {
 		return configOf(uint64(len(raw))), nil
 	}}, g, nil, zap.NewNop())
 	t.Cleanup(closeNeighbours)
-	n.life = life
+	n.incarnation = life
 	srv := httptest.NewServer(n.Handler())
 	t.Cleanup(srv.Close)
 	s := station{n, view}
@@ -83,7 +83,7 @@
 	g := NewWithT(t)
 	ctx := context.Background()
 	reader, listener := newStation(t, 7), newStation(t, 9)
-	listener.hear(hello(reader, "a", false))
+	listener.receiveHello(hello(reader, "a", false))
 	reader.publish(3, 6, endpointAt("one", 5), endpointAt("two", 6))
 	ids := func() (list []string) {
 		for id := range listener.view.State().Endpoints {
@@ -109,7 +109,7 @@
 	// tells everything.
 	listener.view.Merge(follow.Changes{Endpoints: []fleet.Endpoint{endpointAt("one", 5)}})
 	g.Expect(ids()).To(ConsistOf("two", "three"))
-	reader.life++
+	reader.incarnation++
 	g.Expect(listener.Listen(ctx)).To(Succeed())
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 }
@@ -118,7 +118,7 @@
 	g := NewWithT(t)
 	ctx := context.Background()
 	behind, listener := newStation(t, 7), newStation(t, 9)
-	listener.hear(hello(behind, "a", false))
+	listener.receiveHello(hello(behind, "a", false))
 	behind.view.Replace(follow.Snapshot{Config: configOf(3), Endpoints: []fleet.Endpoint{endpointAt("old", 2)}, At: 2}, time.Now().Add(-time.Minute), false)
 	listener.publish(5, 9, endpointAt("new", 9))
 	g.Expect(listener.Listen(ctx)).To(Succeed())
@@ -133,10 +133,10 @@
 		for i, s := range all {
 			for j, other := range all {
 				if i != j {
-					s.hear(hello(other, "a", blind[j]))
+					s.receiveHello(hello(other, "a", blind[j]))
 				}
 			}
-			if s.Reads(!blind[i]) {
+			if s.ReadsStore(!blind[i]) {
 				n++
 			}
 		}
@@ -158,9 +158,9 @@
 		g := NewWithT(t)
 		alone := newStation(t, 6)
 		for _, other := range all {
-			alone.hear(hello(other, "b", false))
+			alone.receiveHello(hello(other, "b", false))
 		}
-		g.Expect(alone.Reads(true)).To(BeTrue())
+		g.Expect(alone.ReadsStore(true)).To(BeTrue())
 		g.Expect(alone.Listen(context.Background())).To(MatchError(errNoReader))
 	})
 }
@@ -172,8 +172,8 @@
 	ctx := context.Background()
 	seed, starter := newStation(t, 7), newStation(t, 9)
 	seed.seeds, starter.seeds = []string{seed.self}, []string{seed.self}
-	g.Expect(seed.Reads(true)).To(BeTrue())
-	g.Expect(starter.Reads(true)).To(BeFalse())
+	g.Expect(seed.ReadsStore(true)).To(BeTrue())
+	g.Expect(starter.ReadsStore(true)).To(BeFalse())
 
 	seed.view.Replace(follow.Snapshot{At: 1}, time.Now(), false)
 	g.Expect(starter.Listen(ctx)).To(Succeed())
@@ -184,8 +184,8 @@
 	g.Expect(starter.view.State().Config.Version()).To(BeEquivalentTo(3))
 	g.Expect(starter.view.State().Endpoints).To(HaveKey("one"))
 
-	starter.started = time.Now().Add(-2 * heardFor)
-	g.Expect(starter.Reads(true)).To(BeTrue(), "it has heard of no other one of its domain")
+	starter.started = time.Now().Add(-2 * gatewayTTL)
+	g.Expect(starter.ReadsStore(true)).To(BeTrue(), "it has heard of no other one of its domain")
 }
 
 func TestWhoDoesNotAnswerIsNotTheOnlyOneListenedTo(t *testing.T) {
@@ -193,16 +193,16 @@
 	ctx := context.Background()
 	dead, reader, listener := newStation(t, 7), newStation(t, 8), newStation(t, 9)
 	dead.moveTo("127.0.0.1:1") // Refuses.
-	listener.hear(hello(dead, "a", false))
-	listener.hear(hello(reader, "a", false))
+	listener.receiveHello(hello(dead, "a", false))
+	listener.receiveHello(hello(reader, "a", false))
 	reader.publish(3, 6)
 	for range 2 {
 		g.Expect(listener.Listen(ctx)).To(Succeed())
 		g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(3))
-		g.Expect(listener.listenable(time.Now())[0]).To(Equal(reader.self), "the one that answered comes first from then on")
+		g.Expect(listener.listenOrder(time.Now())[0]).To(Equal(reader.self), "the one that answered comes first from then on")
 	}
 	listener.moveTo(listener.self)
-	listener.hear(hello(dead, "a", false))
+	listener.receiveHello(hello(dead, "a", false))
 	g.Expect(listener.Listen(ctx)).NotTo(Succeed())
 }
 
@@ -212,9 +212,9 @@
 	lender, borrower := newStation(t, 7), newStation(t, 9)
 	lender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
 	lender.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
-	p, err := borrower.ask(ctx, lender.self)
+	p, err := borrower.fetchAll(ctx, lender.self)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(borrower.take(p, time.Now())).To(Succeed())
+	g.Expect(borrower.mergePublished(p, time.Now())).To(Succeed())
 	g.Expect(borrower.view.State().Endpoints).To(HaveKey("there"))
 	g.Expect(borrower.view.State().Endpoints).NotTo(HaveKey("missed"))
 }
@@ -228,14 +228,14 @@
 			listeners, depth := map[int]int{}, make([]int, gateways)
 			deepest := 0
 			for place := readersPerDomain; place < gateways; place++ {
-				to := listensTo(place)
+				to := parentPlace(place)
 				g.Expect(to).To(BeNumerically("<", place), "so that nobody waits for itself by way of others")
 				listeners[to]++
 				depth[place] = depth[to] + 1
 				deepest = max(deepest, depth[place])
 			}
 			for _, n := range listeners {
-				g.Expect(n).To(BeNumerically("<=", mostListeners))
+				g.Expect(n).To(BeNumerically("<=", maxListeners))
 			}
 			g.Expect(deepest).To(BeNumerically("<=", 4))
 		})
@@ -249,49 +249,49 @@
 	at := func(place int) string { return fmt.Sprintf("10.0.0.%d:80", 100+place) }
 	knowAll := func(place int) {
 		s.moveTo(at(place))
-		s.started = time.Now().Add(-2 * heardFor)
+		s.started = time.Now().Add(-2 * gatewayTTL)
 		for other := range 60 {
 			if other != place {
-				s.hear(peers.Hello{Life: 1, Address: at(other), Domain: "a"})
+				s.receiveHello(peers.Hello{Life: 1, Address: at(other), Domain: "a"})
 			}
 		}
 	}
 	knowAll(40)
-	g.Expect(s.listenable(time.Now())).To(Equal([]string{at(4), at(0), at(1)}))
-	g.Expect(s.Reads(true)).To(BeFalse())
-	s.deaf[at(4)] = time.Now()
-	g.Expect(s.listenable(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer comes last for a time")
-	g.Expect(s.listenable(time.Now().Add(2 * deafFor))).To(HaveExactElements(at(4), at(0), at(1)))
-	s.hear(peers.Hello{Life: 1, Address: at(4), Domain: "a", Leaving: true})
-	g.Expect(s.listenable(time.Now())[0]).To(Equal(at(4+1)), "the next one takes the place of one that leaves")
+	g.Expect(s.listenOrder(time.Now())).To(Equal([]string{at(4), at(0), at(1)}))
+	g.Expect(s.ReadsStore(true)).To(BeFalse())
+	s.unresponsive[at(4)] = time.Now()
+	g.Expect(s.listenOrder(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer comes last for a time")
+	g.Expect(s.listenOrder(time.Now().Add(2 * unresponsiveTTL))).To(HaveExactElements(at(4), at(0), at(1)))
+	s.receiveHello(peers.Hello{Life: 1, Address: at(4), Domain: "a", Leaving: true})
+	g.Expect(s.listenOrder(time.Now())[0]).To(Equal(at(4+1)), "the next one takes the place of one that leaves")
 
 	knowAll(1)
 	s.seeds = []string{"10.9.0.1:80"}
-	g.Expect(s.Reads(true)).To(BeTrue())
+	g.Expect(s.ReadsStore(true)).To(BeTrue())
 	s.started = time.Now()
-	g.Expect(s.Reads(true)).To(BeFalse())
-	g.Expect(s.listenable(time.Now())).To(Equal(s.seeds), "one of the first goes by its seeds while it settles")
+	g.Expect(s.ReadsStore(true)).To(BeFalse())
+	g.Expect(s.listenOrder(time.Now())).To(Equal(s.seeds), "one of the first goes by its seeds while it settles")
 	knowAll(40)
 	s.started = time.Now()
-	g.Expect(s.listenable(time.Now())[0]).To(Equal(at(4)), "the seeds would have too many listeners")
+	g.Expect(s.listenOrder(time.Now())[0]).To(Equal(at(4)), "the seeds would have too many listeners")
 }
 
 func TestWhatIsBorrowedComesFromTheOwnDomainByTurns(t *testing.T) {
 	g := NewWithT(t)
 	s := newStation(t, 1)
-	_, ok := s.lender()
+	_, ok := s.chooseLender()
 	g.Expect(ok).To(BeFalse())
 	s.seeds = []string{s.self, "10.9.0.1:80"}
-	from, ok := s.lender()
+	from, ok := s.chooseLender()
 	g.Expect(ok).To(BeTrue())
 	g.Expect(from).To(Equal("10.9.0.1:80"))
-	s.hear(peers.Hello{Life: 1, Address: "10.0.0.1:80", Domain: "a"})
+	s.receiveHello(peers.Hello{Life: 1, Address: "10.0.0.1:80", Domain: "a"})
 	for i := range 20 {
-		s.hear(peers.Hello{Life: 1, Address: fmt.Sprintf("10.1.0.%d:80", i), Domain: "b"})
+		s.receiveHello(peers.Hello{Life: 1, Address: fmt.Sprintf("10.1.0.%d:80", i), Domain: "b"})
 	}
 	near := 0
 	for range 100 {
-		if from, _ = s.lender(); from == "10.0.0.1:80" {
+		if from, _ = s.chooseLender(); from == "10.0.0.1:80" {
 			near++
 		}
 	}
@@ -342,11 +342,11 @@
 		asking.Go(func() error {
 			for range each {
 				time.Sleep(time.Duration(rand.IntN(2000)) * time.Microsecond)
-				p, err := listener.call(context.Background(), strings.TrimPrefix(srv.URL, "http://"), "")
+				p, err := listener.fetch(context.Background(), strings.TrimPrefix(srv.URL, "http://"), "")
 				switch {
 				case err != nil:
 					silent.Add(1)
-				case p.Life != reader.life || p.Version != 1<<12 || len(p.Config) != 1<<12:
+				case p.Life != reader.incarnation || p.Version != 1<<12 || len(p.Config) != 1<<12:
 					return errors.Newf("life %d, version %d, %d bytes", p.Life, p.Version, len(p.Config))
 				}
 			}
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -12,41 +12,41 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// takeLoad takes in the load of one engine, and passes it on if asked to.
-func (n *Neighbours) takeLoad(l peers.Load) {
+// receiveLoad records the load of one engine, and forwards it if asked to.
+func (n *PeerExchange) receiveLoad(l peers.Load) {
 	if l.Onward {
 		l.Onward = false
-		n.passOn(peers.Message{Load: &l})
+		n.forward(peers.Message{Load: &l})
 	}
-	n.g.hearSenders(l.Gateways, time.Now())
-	n.g.Report(l.Address, balance.Load{
+	n.g.reportGatewayCount(l.Gateways, time.Now())
+	n.g.ReportLoad(l.Address, balance.Load{
 		Born: l.Born, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: l.Pace, Pass: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
 	})
 }
 
-// takeLoads takes in the loads of ranks of a group, and passes them on if asked to.
-func (n *Neighbours) takeLoads(l peers.Loads) {
+// receiveLoads records the loads of ranks of a group, and forwards them if asked to.
+func (n *PeerExchange) receiveLoads(l peers.Loads) {
 	if l.Onward {
 		l.Onward = false
-		n.passOn(peers.Message{Loads: &l})
+		n.forward(peers.Message{Loads: &l})
 	}
 	now := time.Now()
-	n.g.hearSenders(l.Gateways, now)
-	n.g.hearLimit(l.Group, float64(l.Limit), now)
+	n.g.reportGatewayCount(l.Gateways, now)
+	n.g.setGroupLimit(l.Group, float64(l.Limit), now)
 	for _, r := range l.Ranks {
 		a, err := r.Engine()
 		if err != nil {
-			n.log.Warn("load left out", zap.String("group", l.Group), zap.String("error", err.Error()))
+			n.log.Warn("ignored the load of a rank with an invalid address", zap.String("group", l.Group), zap.String("error", err.Error()))
 			continue
 		}
-		n.g.Report(a.String(), balance.Load{
+		n.g.ReportLoad(a.String(), balance.Load{
 			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: float64(r.Pace), Pass: time.Duration(l.PassMs) * time.Millisecond, At: now,
 		})
 	}
 }
 
-// passOn tells loads to the other gateways of the own failure domain.
-func (n *Neighbours) passOn(m peers.Message) {
+// forward sends loads to the other gateways of the own failure domain.
+func (n *PeerExchange) forward(m peers.Message) {
 	var to []string
 	duty.Locked(&n.mu, func() {
 		for _, g := range n.roster.There(time.Now()) {
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -45,9 +45,9 @@
 		t.Run(fmt.Sprint(domains), func(t *testing.T) {
 			g := NewWithT(t)
 			list := gatewaysIn(domains, peers.MostKnown)
-			h := peers.Hello{Name: strings.Repeat("n", 32), Life: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16), Gateways: 100_000, Answer: true, Known: knownOf(list)}
+			h := peers.Hello{Name: strings.Repeat("n", 32), Life: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16), Gateways: 100_000, Answer: true, Known: toKnown(list)}
 			m := inOnePacket(g, peers.Message{Hello: &h})
-			heard, err := seenOf(m.Hello.Known)
+			heard, err := fromKnown(m.Hello.Known)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(heard).To(ConsistOf(list))
 		})
@@ -56,10 +56,10 @@
 
 func TestWhatCannotBeReadNamesNobody(t *testing.T) {
 	g := NewWithT(t)
-	list, err := seenOf([]peers.Known{{Domain: "d", Gateways: []peers.KnownGateway{{Address: []byte{1}}, {Address: []byte{10, 0, 0, 1, 80, 0}}}}})
+	list, err := fromKnown([]peers.Known{{Domain: "d", Gateways: []peers.KnownGateway{{Address: []byte{1}}, {Address: []byte{10, 0, 0, 1, 80, 0}}}}})
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(list).To(HaveLen(1))
-	g.Expect(knownOf([]roster.Seen{{Gateway: roster.Gateway{Address: "name:80"}}})).To(BeEmpty())
+	g.Expect(toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "name:80"}}})).To(BeEmpty())
 }
 
 // A gateway that is greeted answers with a hello, in parts where it is asked for many others.
@@ -112,7 +112,7 @@
 func FuzzHello(f *testing.F) {
 	for _, h := range []peers.Hello{
 		{Name: "g", Life: 1, Address: "10.0.0.1:80", Domain: "a", Asks: "b"},
-		{Address: "10.0.0.1:80", Known: knownOf(gatewaysIn(3, 5))},
+		{Address: "10.0.0.1:80", Known: toKnown(gatewaysIn(3, 5))},
 		{Life: -1, Known: []peers.Known{{Domain: "a", Gateways: []peers.KnownGateway{{Address: []byte{1, 2, 3}, AgeMs: -1}, {AgeMs: 1 << 62}}}}},
 	} {
 		raw, err := cbor.Marshal(peers.Message{Hello: &h})
@@ -128,7 +128,7 @@
 		}
 		g := NewWithT(t)
 		now := time.Unix(1_800_000_000, 0)
-		seen, _ := seenOf(m.Hello.Known) // What cannot be read is left out.
+		seen, _ := fromKnown(m.Hello.Known) // What cannot be read is left out.
 		r := roster.New(roster.Gateway{Address: "10.0.0.9:80", Domain: "a"}, nil, now)
 		r.HearOf(seen, now)
 		r.Hear(roster.Gateway{Address: "10.0.0.8:80", Domain: m.Hello.Domain, Life: m.Hello.Life}, now)
@@ -214,17 +214,17 @@
 	n := newStation(t, 1)
 	h := peers.Hello{Name: "g", Life: 7, Address: "10.0.0.1:80", Domain: "a"}
 	hears := func(h peers.Hello, before *peers.Before) bool {
-		fresh, was := n.hear(h)
+		fresh, was := n.receiveHello(h)
 		g.Expect(was).To(Equal(before))
 		return fresh
 	}
 	g.Expect(hears(h, nil)).To(BeTrue())
 	g.Expect(hears(h, nil)).To(BeFalse())
 	h.Life = 8
-	fresh, before := n.hear(h)
+	fresh, before := n.receiveHello(h)
 	g.Expect(fresh).To(BeTrue())
 	g.Expect(before.Life).To(BeEquivalentTo(7))
-	n.hear(peers.Hello{Name: "other", Life: 1, Address: "10.0.0.2:80", Known: knownOf([]roster.Seen{{Gateway: roster.Gateway{Address: "10.0.0.3:80", Domain: "a"}}})})
+	n.receiveHello(peers.Hello{Name: "other", Life: 1, Address: "10.0.0.2:80", Known: toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "10.0.0.3:80", Domain: "a"}}})})
 	g.Expect(hears(peers.Hello{Life: 3, Address: "10.0.0.3:80"}, nil)).To(BeTrue(), "it was known by hearsay only")
 }
 
@@ -240,7 +240,7 @@
 	}
 	for _, s := range list {
 		for _, other := range list {
-			s.hear(peers.Hello{Life: other.life, Address: other.self, Domain: "a"})
+			s.receiveHello(peers.Hello{Life: other.incarnation, Address: other.self, Domain: "a"})
 		}
 	}
 	owned := map[string]int{}
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -18,190 +18,190 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// Times of the talk with other processes.
+// Intervals, timeouts and limits of the exchange with other processes.
 const (
-	// helloEvery is the time between two rounds of hellos.
-	helloEvery = roster.Every
-	// heardFor is how long a gateway counts as there after its last hello.
-	heardFor = roster.HeardFor
-	// unheardEvery is the time between two hellos to sidecars while none is heard: gateways
-	// and sidecars that lost power together were up within a second of each other, and
-	// each hello that is missed keeps the callers of a gateway waiting.
-	unheardEvery = 200 * time.Millisecond
-	// unheardSidecars is how many of them such a hello goes to, drawn anew each time: what
-	// one rank tells holds for all, and hellos of all gateways to all sidecars would be
-	// most of what goes over their links after an outage.
-	unheardSidecars = 16
-	// sidecarsEvery is how many rounds of hellos come to one to sidecars, whose
-	// subscriptions last longer.
-	sidecarsEvery = 2
-	// someSidecars is how many sidecars, drawn anew each time, each gateway greets besides
-	// those of its failure domain that hubs greet: a sidecar hears of gateways also when
-	// all of its domain have ended.
-	someSidecars = 2
-	// borrowAge is the age of the configuration from which a neighbour is asked
-	// for it: the store's answers keep it below this while the store is there.
+	// helloInterval is the time between two rounds of hellos.
+	helloInterval = roster.Every
+	// gatewayTTL is how long a gateway counts as live after its last hello.
+	gatewayTTL = roster.HeardFor
+	// unheardHelloInterval is the time between two hellos to sidecars while none of them reports.
+	// Gateways and sidecars that lost power together were up within a second of each other, and
+	// each missed hello keeps the callers of a gateway waiting.
+	unheardHelloInterval = 200 * time.Millisecond
+	// unheardHelloFanout is the number of sidecars, drawn at random each time, to which such a
+	// hello is sent. The report of one rank is valid for its whole group, and hellos of all
+	// gateways to all sidecars would be most of the traffic on their links after an outage.
+	unheardHelloFanout = 16
+	// sidecarHelloRounds is the number of hello rounds per hello to sidecars, whose subscriptions
+	// last longer.
+	sidecarHelloRounds = 2
+	// sidecarHelloFanout is the number of sidecars, drawn at random each time, to which each
+	// gateway sends hellos in addition to those of its failure domain, which receive them from
+	// hubs. Sidecars thus know gateways even if all those of their own domain have ended.
+	sidecarHelloFanout = 2
+	// borrowAge is the configuration age from which the published state is fetched from another
+	// gateway. While the store is reachable, its answers keep the age below this.
 	borrowAge = 2200 * time.Millisecond
-	// borrowEvery and borrowTimeout are the times of asking.
-	borrowEvery   = 400 * time.Millisecond
-	borrowTimeout = 350 * time.Millisecond
-	// maxPublished bounds a neighbour's answer.
-	maxPublished = 16 << 20
+	// borrowInterval is the time between two such calls, and borrowTimeout limits each of them.
+	borrowInterval = 400 * time.Millisecond
+	borrowTimeout  = 350 * time.Millisecond
+	// maxPublishedBytes limits the size of another gateway's answer.
+	maxPublishedBytes = 16 << 20
 )
 
-// Neighbours finds other gateways, tells sidecars and gateways of this one, and
-// borrows the published state from a neighbour while the store does not answer.
-type Neighbours struct {
-	g          *Gateway
-	socket     *peers.Socket
-	log        *zap.Logger
-	decode     func(raw []byte) (*fleet.Config, error)
-	client     *http.Client
-	self       string
-	life       int64
-	started    time.Time
-	spread     time.Duration // Within which all read the store, where what they hear is old.
-	first      bool          // The whole system starts for the first time.
-	name       string
-	seeds      []string
-	port       int // Of sidecars.
-	domain     string
-	mu         sync.Mutex
-	roster     *roster.Roster
-	borrows    bool
-	lenders    int                  // Asked so far; of the duty that borrows.
-	subscribed bool                 // Sidecars were greeted as soon as they were listed; of the duty that greets.
-	greeted    int                  // Hellos so far; of the duty that greets.
-	blind      bool                 // As the follower last said; others do not listen to this gateway then.
-	heardOf    listenedTo           // What the last answers to listening were.
-	deaf       map[string]time.Time // When gateways did not answer a listener, by address.
+// PeerExchange discovers other gateways, announces this one to gateways and sidecars, and fetches
+// the published state from another gateway while the store does not answer.
+type PeerExchange struct {
+	g                *Gateway
+	socket           *peers.Socket
+	log              *zap.Logger
+	decode           func(raw []byte) (*fleet.Config, error)
+	client           *http.Client
+	self             string
+	incarnation      int64
+	started          time.Time
+	readSpread       time.Duration // Period over which store reads are spread if peers provide only old state.
+	firstStart       bool          // The whole system starts for the first time.
+	name             string
+	seeds            []string
+	sidecarPort      int // Port on which sidecars listen.
+	domain           string
+	mu               sync.Mutex
+	roster           *roster.Roster
+	borrowing        bool
+	lendersChosen    int                  // Number of lenders chosen; used by the hello-and-borrow duty only.
+	sidecarsGreeted  bool                 // The first hello to listed sidecars was sent; used by that duty only.
+	helloRounds      int                  // Number of hello rounds; used by that duty only.
+	storeUnreachable bool                 // As the follower last reported; other gateways do not listen to this one then.
+	positions        listenPositions      // Positions of the last answers to long polls.
+	unresponsive     map[string]time.Time // When a gateway last failed to answer a long poll, by address.
 }
 
-// NeighboursConfig is the setting of Neighbours.
-type NeighboursConfig struct {
+// PeerExchangeConfig holds the settings of a PeerExchange.
+type PeerExchangeConfig struct {
 	Name         string
 	Domain       string
 	Address      string // Peer listener of this gateway.
 	Seeds        []string
-	InForce      time.Duration // In which a new configuration must be in force.
-	First        bool          // The whole system starts for the first time.
+	InForce      time.Duration // Time within which a new configuration must be in force.
+	FirstStart   bool          // The whole system starts for the first time.
 	SidecarsPort int
-	Decode       func(raw []byte) (*fleet.Config, error) // Reads a configuration's text.
+	Decode       func(raw []byte) (*fleet.Config, error) // Parses the text of a configuration.
 }
 
-// NewNeighbours returns what a gateway knows of other processes. The function
-// closes its connections.
-func NewNeighbours(cfg NeighboursConfig, g *Gateway, socket *peers.Socket, log *zap.Logger) (n *Neighbours, cleanup func()) {
+// NewPeerExchange returns the peer exchange of a gateway. The cleanup function closes its
+// connections.
+func NewPeerExchange(cfg PeerExchangeConfig, g *Gateway, socket *peers.Socket, log *zap.Logger) (n *PeerExchange, cleanup func()) {
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: borrowTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     peers.CallerIdle,
 	}
-	n = &Neighbours{
+	n = &PeerExchange{
 		g: g, socket: socket, log: log, decode: cfg.Decode, client: &http.Client{Transport: t},
-		self: cfg.Address, life: time.Now().UnixMilli(), started: time.Now(), first: cfg.First, spread: max(cfg.InForce-turnMargin, 0), name: cfg.Name, domain: cfg.Domain, seeds: cfg.Seeds, port: cfg.SidecarsPort,
-		heardOf: listenedTo{}, deaf: map[string]time.Time{},
+		self: cfg.Address, incarnation: time.Now().UnixMilli(), started: time.Now(), firstStart: cfg.FirstStart, readSpread: max(cfg.InForce-turnMargin, 0), name: cfg.Name, domain: cfg.Domain, seeds: cfg.Seeds, sidecarPort: cfg.SidecarsPort,
+		positions: listenPositions{}, unresponsive: map[string]time.Time{},
 	}
 	n.roster = roster.New(roster.Gateway{Address: n.self, Domain: n.domain}, n.seeds, n.started)
-	duty.Locked(&g.mu, func() { g.ownerOf = n.owns })
+	duty.Locked(&g.mu, func() { g.ownsTrialKey = n.ownsKey })
 	return n, t.CloseIdleConnections
 }
 
-// Handler serves the calls of other gateways.
-func (n *Neighbours) Handler() http.Handler {
+// Handler returns the HTTP handler for calls of other gateways.
+func (n *PeerExchange) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathPublished, n.servePublished)
 	return mux
 }
 
-// Receive takes in a message. One that causes a panic is left out.
-func (n *Neighbours) Receive(from netip.AddrPort, m peers.Message) {
-	duty.Contain("message", n.log, n.g.figures.reg, func() { n.receive(from, m) })
+// Receive handles a message from another process. A message that causes a panic is ignored.
+func (n *PeerExchange) Receive(from netip.AddrPort, m peers.Message) {
+	duty.Contain("message", n.log, n.g.stats.reg, func() { n.receive(from, m) })
 }
 
-func (n *Neighbours) receive(from netip.AddrPort, m peers.Message) {
+func (n *PeerExchange) receive(from netip.AddrPort, m peers.Message) {
 	n.g.suspects.Hear(m.Ends, n.g.cfg.Now())
-	n.g.hearLimits(from, m.Limits)
+	n.g.receiveLimits(from, m.Limits)
 	if m.Lend != nil {
-		n.hearParts(from, *m.Lend)
+		n.receiveParts(from, *m.Lend)
 	}
 	switch {
 	case m.Hello != nil:
-		fresh, before := n.hear(*m.Hello)
-		if fresh {
-			n.tellNewcomer(from)
+		isNew, previous := n.receiveHello(*m.Hello)
+		if isNew {
+			n.sendStateTo(from)
 		}
 		if !m.Hello.Answer {
-			n.answer(from, *m.Hello, before)
+			n.answerHello(from, *m.Hello, previous)
 		}
-		n.hearBefore(*m.Hello)
+		n.logPreviousIncarnation(*m.Hello)
 	case m.Load != nil:
-		n.takeLoad(*m.Load)
+		n.receiveLoad(*m.Load)
 	case m.Loads != nil:
-		n.takeLoads(*m.Loads)
+		n.receiveLoads(*m.Loads)
 	}
 }
 
-// hear takes in a hello; it reports whether the gateway's process has not spoken before, and
-// what was last heard of an earlier life of it, nil for nothing.
-func (n *Neighbours) hear(h peers.Hello) (fresh bool, before *peers.Before) {
-	known, err := seenOf(h.Known)
+// receiveHello records a hello. It reports whether this is the first hello of the gateway's
+// process, and returns what was last received from an earlier process of that gateway, or nil.
+func (n *PeerExchange) receiveHello(h peers.Hello) (isNew bool, previous *peers.Before) {
+	known, err := fromKnown(h.Known)
 	if err != nil {
-		n.log.Warn("gateways left out", zap.String("told-by", h.Address), zap.String("error", err.Error()))
+		n.log.Warn("ignored invalid gateways in a hello", zap.String("told-by", h.Address), zap.String("error", err.Error()))
 	}
-	fresh, before = n.enroll(h, known, time.Now())
-	if before != nil && !before.Left {
+	isNew, previous = n.enroll(h, known, time.Now())
+	if previous != nil && !previous.Left {
 		n.log.Warn("peer ended without a planned stop", zap.String("name", h.Name), zap.String("address", h.Address),
-			zap.Duration("last-heard", before.Age()), zap.Int64("life", before.Life), zap.Int64("next-life", h.Life))
+			zap.Duration("last-heard", previous.Age()), zap.Int64("life", previous.Life), zap.Int64("next-life", h.Life))
 	}
-	if fresh {
-		n.g.setGateways(n.self, n.others())
-		n.log.Info("gateway heard", zap.String("name", h.Name), zap.String("address", h.Address), zap.Int64("life", h.Life))
+	if isNew {
+		n.g.setLimitGateways(n.self, n.liveGateways())
+		n.log.Info("gateway discovered", zap.String("name", h.Name), zap.String("address", h.Address), zap.Int64("life", h.Life))
 	}
-	return fresh, before
+	return isNew, previous
 }
 
-// hearBefore logs what another gateway heard last of this one's earlier life: nothing of
-// that is kept here.
-func (n *Neighbours) hearBefore(h peers.Hello) {
+// logPreviousIncarnation logs what another gateway last received from an earlier process of this
+// gateway, since this process keeps no record of that.
+func (n *PeerExchange) logPreviousIncarnation(h peers.Hello) {
 	if h.Before == nil {
 		return
 	}
-	line := n.log.Info
+	logLine := n.log.Info
 	if !h.Before.Left {
-		line = n.log.Warn
+		logLine = n.log.Warn
 	}
-	line("an earlier life of this process ended", zap.Bool("planned", h.Before.Left), zap.Int64("life", h.Before.Life),
+	logLine("an earlier incarnation of this process ended", zap.Bool("planned", h.Before.Left), zap.Int64("life", h.Before.Life),
 		zap.Duration("last-heard", h.Before.Age()), zap.String("told-by", h.Name))
 }
 
-// enroll takes a hello into the roster.
-func (n *Neighbours) enroll(h peers.Hello, known []roster.Seen, now time.Time) (fresh bool, before *peers.Before) {
+// enroll adds the sender of a hello, and the gateways that the hello lists, to the roster.
+func (n *PeerExchange) enroll(h peers.Hello, known []roster.Seen, now time.Time) (isNew bool, previous *peers.Before) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Life {
-		before = &peers.Before{Life: last.Life, AgeMs: last.Age.Milliseconds(), Left: last.Left}
+		previous = &peers.Before{Life: last.Life, AgeMs: last.Age.Milliseconds(), Left: last.Left}
 	}
-	fresh = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Life, Blind: h.Blind, Left: h.Leaving}, now)
+	isNew = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Life, Blind: h.Blind, Left: h.Leaving}, now)
 	n.roster.HearOf(known, now)
-	return fresh, before
+	return isNew, previous
 }
 
-// answer answers a hello, and names the gateways that it asks for.
-func (n *Neighbours) answer(to netip.AddrPort, h peers.Hello, before *peers.Before) {
+// answerHello answers a hello and lists the gateways that it asks for.
+func (n *PeerExchange) answerHello(to netip.AddrPort, h peers.Hello, previous *peers.Before) {
 	now := time.Now()
-	told := n.asked(h, now)
-	own := n.hello(now)
-	own.Answer, own.Before = true, before
-	for _, part := range inPackets(told) {
-		own.Known = knownOf(part)
+	known := n.gatewaysAsked(h, now)
+	own := n.ownHello(now)
+	own.Answer, own.Before = true, previous
+	for _, part := range splitForHello(known) {
+		own.Known = toKnown(part)
 		n.socket.Send(to, peers.Message{Hello: own})
 		own.Before = nil
 	}
 }
 
-// asked returns the gateways that a hello asks for.
-func (n *Neighbours) asked(h peers.Hello, now time.Time) []roster.Seen {
+// gatewaysAsked returns the gateways that a hello asks for.
+func (n *PeerExchange) gatewaysAsked(h peers.Hello, now time.Time) []roster.Seen {
 	if h.Asks == "" {
 		return nil
 	}
@@ -210,8 +210,8 @@
 	return n.roster.Answer(h.Domain, h.Asks, now)
 }
 
-// others returns the gateways that are there.
-func (n *Neighbours) others() (list []string) {
+// liveGateways returns the addresses of the other gateways that are live.
+func (n *PeerExchange) liveGateways() (list []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, g := range n.roster.There(time.Now()) {
@@ -220,118 +220,118 @@
 	return list
 }
 
-// Run talks to other processes until ctx ends.
-func (n *Neighbours) Run(ctx context.Context) error {
+// Run exchanges messages with other processes until ctx is done.
+func (n *PeerExchange) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	duties := duty.New(ctx, n.log, n.g.figures.reg, func(string) { cancel() })
-	duties.Go("greet", n.greetAndBorrow)
-	duties.Go("tell-news", n.tellNews)
+	duties := duty.New(ctx, n.log, n.g.stats.reg, func(string) { cancel() })
+	duties.Go("greet", n.helloAndBorrow)
+	duties.Go("tell-news", n.announceChanges)
 	duties.Go("lend", n.lend)
 	return duties.Wait()
 }
 
-func (n *Neighbours) greetAndBorrow(ctx context.Context) error {
-	hello := time.NewTicker(helloEvery)
+func (n *PeerExchange) helloAndBorrow(ctx context.Context) error {
+	hello := time.NewTicker(helloInterval)
 	defer hello.Stop()
-	borrow := time.NewTicker(borrowEvery)
+	borrow := time.NewTicker(borrowInterval)
 	defer borrow.Stop()
-	unheard := time.NewTicker(unheardEvery)
+	unheard := time.NewTicker(unheardHelloInterval)
 	defer unheard.Stop()
-	n.greet()
+	n.sendHellos()
 	for {
 		select {
 		case <-n.listed():
-			n.greetListed()
+			n.helloListedSidecars()
 		case <-ctx.Done():
 			return nil
 		case <-hello.C:
-			n.greet()
+			n.sendHellos()
 		case <-borrow.C:
 			n.borrow(ctx)
 		case <-unheard.C:
-			n.greetUnheard()
+			n.helloUnheardSidecars()
 		}
 	}
 }
 
-// listed returns a channel that is closed when the view changes, as long as sidecars may
-// be listed to which no hello has gone; nil later.
-func (n *Neighbours) listed() <-chan struct{} {
-	if n.subscribed {
+// listed returns a channel that is closed when the view changes, until the first hello to sidecars
+// has been sent; nil afterwards.
+func (n *PeerExchange) listed() <-chan struct{} {
+	if n.sidecarsGreeted {
 		return nil
 	}
 	return n.g.view.Moved()
 }
 
-// greetListed says hello to sidecars as soon as any are listed, so that loads are known
-// from the first moments on: groups that still form are not tried in vain then.
-func (n *Neighbours) greetListed() {
+// helloListedSidecars sends hellos to sidecars as soon as any are listed, so that loads are known
+// from the start and no requests are sent to groups that are still forming.
+func (n *PeerExchange) helloListedSidecars() {
 	to := n.sidecars()
 	if len(to) == 0 {
 		return
 	}
-	n.subscribed = true
-	n.greetSidecars(to)
+	n.sidecarsGreeted = true
+	n.helloSidecars(to)
 }
 
-// greetUnheard says hello to sidecars while none of them is heard: after an outage of
-// both sides those that were not up yet missed the hello, and what they have to tell is
-// waited for.
-func (n *Neighbours) greetUnheard() {
-	if leaving, _ := n.g.leaving(time.Now()); leaving || n.g.hearsRanks(time.Now()) {
+// helloUnheardSidecars sends hellos to sidecars while none of them reports: after an outage of both
+// sides, sidecars that were not up yet have missed the last hello, and requests wait for their
+// reports.
+func (n *PeerExchange) helloUnheardSidecars() {
+	if leaving, _ := n.g.stopState(time.Now()); leaving || n.g.hasRecentRankReports(time.Now()) {
 		return
 	}
-	n.socket.SendAll(addressesOf(roster.Some(n.sidecars(), unheardSidecars, random)), peers.Message{Hello: n.helloToSidecars()})
+	n.socket.SendAll(addressesOf(roster.Some(n.sidecars(), unheardHelloFanout, random)), peers.Message{Hello: n.sidecarHello()})
 }
 
-// hello returns what this gateway tells of itself.
-func (n *Neighbours) hello(now time.Time) *peers.Hello {
-	leaving, _ := n.g.leaving(now)
+// ownHello returns the hello that describes this gateway.
+func (n *PeerExchange) ownHello(now time.Time) *peers.Hello {
+	leaving, _ := n.g.stopState(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return &peers.Hello{Name: n.name, Life: n.life, Address: n.self, Domain: n.domain, Blind: n.blind, Leaving: leaving}
+	return &peers.Hello{Name: n.name, Life: n.incarnation, Address: n.self, Domain: n.domain, Blind: n.storeUnreachable, Leaving: leaving}
 }
 
-// helloToSidecars returns what sidecars are told of this gateway and of others, which greet
-// other sidecars.
-func (n *Neighbours) helloToSidecars() *peers.Hello {
+// sidecarHello returns the hello for sidecars, which also lists other gateways: those send hellos
+// to other sidecars.
+func (n *PeerExchange) sidecarHello() *peers.Hello {
 	now := time.Now()
-	h := n.hello(now)
+	h := n.ownHello(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h.Gateways = len(n.roster.There(now)) + 1
-	h.Known = knownOf(first(peers.MostKnown, n.roster.Sample(now, random)))
+	h.Known = toKnown(firstN(peers.MostKnown, n.roster.Sample(now, random)))
 	return h
 }
 
-// greet says hello to gateways and sidecars.
-func (n *Neighbours) greet() {
+// sendHellos sends hellos to gateways and sidecars.
+func (n *PeerExchange) sendHellos() {
 	now := time.Now()
-	lapsed, greetings, others, heard := n.round(now)
-	n.g.SetOthers(others, heard)
-	n.g.setGateways(n.self, n.others())
-	n.tellLimits()
+	lapsed, greetings, others, heard := n.beginRound(now)
+	n.g.SetOtherGateways(others, heard)
+	n.g.setLimitGateways(n.self, n.liveGateways())
+	n.announceLimits()
 	for _, a := range lapsed {
-		n.log.Info("gateway not heard any more", zap.String("address", a))
+		n.log.Info("gateway no longer sends hellos", zap.String("address", a))
 	}
-	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All are told the same.
-	h := n.hello(now)
+	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All gateways are sent the same ends.
+	h := n.ownHello(now)
 	for _, greeting := range greetings {
 		h.Asks = greeting.Asks
 		n.socket.SendAll(addresses([]string{greeting.Address}), peers.Message{Hello: h, Ends: ends})
 	}
-	n.greeted++
-	if leaving, _ := n.g.leaving(now); !leaving && n.greeted%sidecarsEvery != 1 {
+	n.helloRounds++
+	if leaving, _ := n.g.stopState(now); !leaving && n.helloRounds%sidecarHelloRounds != 1 {
 		return
 	}
 	sidecars := n.sidecars()
-	n.greetSidecars(sidecars)
-	n.entrust(sidecars)
+	n.helloSidecars(sidecars)
+	n.sendEndsToSidecars(sidecars)
 }
 
-// round begins a round of hellos.
-func (n *Neighbours) round(now time.Time) (lapsed []string, greetings []roster.Greeting, others int, heard time.Time) {
+// beginRound begins a round of hellos.
+func (n *PeerExchange) beginRound(now time.Time) (lapsed []string, greetings []roster.Greeting, others int, heard time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	lapsed = n.roster.Lapse(now)
@@ -339,20 +339,20 @@
 	return lapsed, greetings, len(n.roster.There(now)), n.roster.LastHeard()
 }
 
-// greetSidecars says hello to some of the sidecars, and, where this gateway is a hub, to
-// those of its failure domain.
-func (n *Neighbours) greetSidecars(all []sidecar) {
+// helloSidecars sends hellos to some of the sidecars and, if this gateway is a hub, to all sidecars
+// of its failure domain.
+func (n *PeerExchange) helloSidecars(all []sidecar) {
 	var hub bool
 	duty.Locked(&n.mu, func() { hub = n.roster.IsHub(time.Now()) })
-	to := roster.Some(all, someSidecars, random)
+	to := roster.Some(all, sidecarHelloFanout, random)
 	if hub {
-		to = append(to, keep(all, func(s sidecar) bool { return s.domain == n.domain })...)
+		to = append(to, filter(all, func(s sidecar) bool { return s.domain == n.domain })...)
 	}
-	n.socket.SendAll(addressesOf(to), peers.Message{Hello: n.helloToSidecars()})
+	n.socket.SendAll(addressesOf(to), peers.Message{Hello: n.sidecarHello()})
 }
 
-// first returns the first so many of a list.
-func first[T any](n int, list []T) []T { return list[:min(n, len(list))] }
+// firstN returns the first n elements of a list, or all if there are fewer.
+func firstN[T any](n int, list []T) []T { return list[:min(n, len(list))] }
 
 // sidecar is the process beside a listed engine.
 type sidecar struct {
@@ -367,8 +367,8 @@
 	return addresses
 }
 
-// sidecars returns the sidecars beside listed engines.
-func (n *Neighbours) sidecars() (list []sidecar) {
+// sidecars returns the sidecars beside all listed engines.
+func (n *PeerExchange) sidecars() (list []sidecar) {
 	s := n.g.view.State()
 	if s.Config == nil {
 		return nil
@@ -378,7 +378,7 @@
 			continue
 		}
 		for _, e := range endpoints {
-			if a, err := peers.Beside(e.Address, n.port); err == nil {
+			if a, err := peers.Beside(e.Address, n.sidecarPort); err == nil {
 				list = append(list, sidecar{a, e.Domain})
 			}
 		}
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -7,63 +7,63 @@
 	"time"
 )
 
-// patience learns how long the callers of each route wait at first, and tells
-// by that who comes again: what a caller has left is less then.
-type patience struct {
+// callerTimeouts learns for each route how long callers wait at their first request, and detects by
+// that which callers retry: less of their time is left.
+type callerTimeouts struct {
 	mu     sync.Mutex
-	routes map[string]patient // Invariant: at most maxRoutes.
+	routes map[string]routeTimeouts // Invariant: at most maxTrackedRoutes.
 }
 
-// patient is what is known of the callers of one route.
-type patient struct {
-	longest time.Duration // That one of them waits.
-	seen    int           // Callers, up to enoughSeen.
+// routeTimeouts is what is known of the callers of one route.
+type routeTimeouts struct {
+	longest     time.Duration // Longest time that one of them waits.
+	callersSeen int           // Number of callers, up to minCallersSeen.
 }
 
 const (
-	// maxRoutes bounds the routes that are remembered.
-	maxRoutes = 4096
-	// toldShare is the part of the shortest time after which a full service tells callers
-	// to come back that one must have used to count as refused before: times on the wire
-	// are whole milliseconds. Callers do not all wait equally long: where the patience of
-	// first tries differs by 15 in 100, taking a caller with 3 in 100 less than the longest
-	// for one who comes again made it so for 1,179 of 1,527 who came while a group was
-	// full, so that nearly everybody was put behind and kept waiting until it was late.
-	toldShare = 0.95
-	// honoured is the part of the time that callers have left up to which they wait as
-	// they are told.
-	honoured = 1.0 / 3
-	// enoughSeen is how many callers of a route tell how long they wait at first: most
-	// of them come for the first time, but for those of the first moments of a process
-	// that took the place of another one.
-	enoughSeen = 20
+	// maxTrackedRoutes limits the number of routes that are tracked.
+	maxTrackedRoutes = 4096
+	// retryAfterShare is the portion of the shortest Retry-After of a full service that a caller
+	// must have used up to count as refused before: times on the wire are whole milliseconds.
+	// Callers do not all wait equally long. Where the timeouts of first requests differed by 15%,
+	// treating a timeout 3% below the longest as a retry did so for 1,179 of 1,527 callers that
+	// came while a group was full, so that nearly all were put behind and kept waiting until they
+	// were late.
+	retryAfterShare = 0.95
+	// retryAfterHonored is the portion of their remaining time up to which callers wait as
+	// requested by Retry-After.
+	retryAfterHonored = 1.0 / 3
+	// minCallersSeen is how many callers of a route must be seen to know how long they wait at
+	// first. Most of them are at their first request, except just after this process has replaced
+	// another one.
+	minCallersSeen = 20
 )
 
-func newPatience() *patience { return &patience{routes: map[string]patient{}} }
+func newCallerTimeouts() *callerTimeouts { return &callerTimeouts{routes: map[string]routeTimeouts{}} }
 
-// again reports whether a caller with so much patience has tried before, and whether it
-// may have: as long as few callers were seen, those of a route are taken to wait for as
-// long as the route allows.
-func (p *patience) again(route string, left, timeout time.Duration) (surely, perhaps bool) {
+// classify reports whether a caller with the given time left has certainly been refused before, and
+// whether it may have been: until enough callers are seen, those of a route are assumed to wait at
+// first for the whole timeout of the route.
+func (p *callerTimeouts) classify(route string, left, timeout time.Duration) (surely, perhaps bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r, known := p.routes[route]
-	before := r.longest
-	if r.seen < enoughSeen {
-		r.seen++
-		perhaps = used(left, timeout)
+	longestBefore := r.longest
+	if r.callersSeen < minCallersSeen {
+		r.callersSeen++
+		perhaps = waitedRetryAfter(left, timeout)
 	}
 	r.longest = max(r.longest, left)
-	if known || len(p.routes) < maxRoutes {
+	if known || len(p.routes) < maxTrackedRoutes {
 		p.routes[route] = r
 	}
-	surely = used(left, before)
+	surely = waitedRetryAfter(left, longestBefore)
 	return surely, perhaps || surely
 }
 
-// used reports whether a caller that has so much patience left has waited as it was told
-// since it had the longest.
-func used(left, longest time.Duration) bool {
-	told := min(fullRetry, time.Duration(honoured*float64(longest)))
-	return left < longest-time.Duration(toldShare*float64(told))
+// waitedRetryAfter reports whether a caller with the given time left has waited for Retry-After
+// since it had the longest time left.
+func waitedRetryAfter(left, longest time.Duration) bool {
+	retryAfter := min(fullRetry, time.Duration(retryAfterHonored*float64(longest)))
+	return left < longest-time.Duration(retryAfterShare*float64(retryAfter))
 }
--- a/internal/gateway/published.go
+++ b/internal/gateway/published.go
@@ -13,15 +13,15 @@
 	"github.com/canvaspulley/canvaspulley/internal/httpjson"
 )
 
-// question is what a gateway wants to know of another one.
-type question struct {
-	version uint64 // Of its configuration.
-	life    int64  // Of the process that gave after.
-	after   uint64 // Number of the newest change that it knows.
-	hold    bool   // Wait for news.
+// publishedQuery is what a gateway asks of another one.
+type publishedQuery struct {
+	version     uint64 // Of the asking gateway's configuration.
+	incarnation int64  // Of the process that issued after.
+	after       uint64 // Number of the newest change that the asking gateway knows.
+	hold        bool   // Wait for a change.
 }
 
-func readQuestion(r *http.Request) (q question, err error) {
+func parsePublishedQuery(r *http.Request) (q publishedQuery, err error) {
 	values := r.URL.Query()
 	if q.version, err = strconv.ParseUint(values.Get("version"), 10, 64); err != nil {
 		return q, errors.Wrap(err, "version")
@@ -30,55 +30,55 @@
 	if !q.hold {
 		return q, nil
 	}
-	if q.life, err = strconv.ParseInt(values.Get("life"), 10, 64); err != nil {
+	if q.incarnation, err = strconv.ParseInt(values.Get("life"), 10, 64); err != nil {
 		return q, errors.Wrap(err, "life")
 	}
 	q.after, err = strconv.ParseUint(values.Get("after"), 10, 64)
 	return q, errors.Wrap(err, "after")
 }
 
-// servePublished tells another gateway what this one knows.
-func (n *Neighbours) servePublished(w http.ResponseWriter, r *http.Request) {
+// servePublished serves the view of this gateway to another one.
+func (n *PeerExchange) servePublished(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	q, err := readQuestion(r)
+	q, err := parsePublishedQuery(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if q.life != n.life {
+	if q.incarnation != n.incarnation {
 		q.after = 0
 	}
 	if q.hold {
-		n.awaitNews(r.Context(), q)
+		n.awaitChange(r.Context(), q)
 	}
 	s := n.g.view.State()
 	if s.Config == nil && !q.hold {
 		http.Error(w, "nothing known yet", http.StatusServiceUnavailable)
 		return
 	}
-	p := published{Life: n.life, Revision: s.ConfigRevision, Told: n.g.view.Tell(q.after)}
+	p := published{Life: n.incarnation, Revision: s.ConfigRevision, Told: n.g.view.Tell(q.after)}
 	if s.Config != nil {
 		p.Version = s.Config.Version()
 	}
 	if p.Version > q.version {
 		p.Config = s.Config.Raw()
 	}
-	// The age is taken after the state, and the time of holding before it: what is
-	// told may only be newer than it says.
+	// The age is taken after the state, and the held time before the age: the state may only be
+	// newer than stated.
 	p.Held = time.Since(began)
 	p.Age = n.g.view.CheckAge(n.g.cfg.Now())
 	httpjson.ReplyPacked(w, r, p)
 }
 
-// awaitNews waits until the view changes or is confirmed, at most holdTime, if
-// it holds nothing that is new to the other gateway.
-func (n *Neighbours) awaitNews(ctx context.Context, q question) {
+// awaitChange waits until the view changes or is confirmed, but no longer than longPollTime. It
+// returns at once if the view holds anything that is new to the other gateway.
+func (n *PeerExchange) awaitChange(ctx context.Context, q publishedQuery) {
 	moved := n.g.view.Moved()
 	s := n.g.view.State()
 	if s.Config != nil && s.Config.Version() > q.version || n.g.view.ChangedSince(q.after) {
 		return
 	}
-	timer := time.NewTimer(holdTime)
+	timer := time.NewTimer(longPollTime)
 	defer timer.Stop()
 	select {
 	case <-moved:
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -14,31 +14,31 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// hearLimit takes in what an answer says of its endpoint's rate limit.
-func (q *request) hearLimit(e fleet.Endpoint, a fleet.Answer) {
+// applyLimit applies what an answer says about its endpoint's rate limit.
+func (q *request) applyLimit(e fleet.Endpoint, a fleet.Answer) {
 	w := throttle.Word{Limited: a.Limited, Limit: a.Limit, At: q.g.cfg.Now()}
 	switch {
 	case a.Limited:
 	case a.Signed:
-		w.At = q.wentAt // A limit that is named since then still holds.
+		w.At = q.sentBoottime // A limit announced since the request was sent remains in force.
 	default:
-		return // Only an answer to a request that ran shows that a limit has ended.
+		return // Only the answer to a request that ran shows that a limit has ended.
 	}
-	if q.g.hearRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.Answered(e.ID, w) }) {
-		q.g.tellLimitsSoon()
+	if q.g.applyRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.Answered(e.ID, w) }) {
+		q.g.signalLimitsChanged()
 	}
 }
 
-// hearRateLimit takes in a word of an endpoint's rate limit and logs what it changes. The
-// source is the answer or the gateway that it is from.
-func (g *Gateway) hearRateLimit(id string, source zap.Field, hear func(l *throttle.Limits) bool) (news bool) {
+// applyRateLimit applies a report on an endpoint's rate limit by update, and logs the change. The
+// source field names the answer or the gateway that the report is from.
+func (g *Gateway) applyRateLimit(id string, source zap.Field, update func(l *throttle.Limits) bool) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	before, since, limited := g.limits.Limited(id)
-	if !hear(g.limits) {
+	if !update(g.limits) {
 		return false
 	}
-	g.figures.limited.Update(int64(g.limits.Count()))
+	g.stats.limited.Update(int64(g.limits.Count()))
 	fields := []zap.Field{zap.String("endpoint", id), source}
 	if limited {
 		fields = append(fields, zap.Float64("before-per-second", before), zap.Time("since", since))
@@ -52,40 +52,40 @@
 	return true
 }
 
-// tellLimitsSoon notes that a change of a limit waits to be told.
-func (g *Gateway) tellLimitsSoon() {
+// signalLimitsChanged signals that a changed limit waits to be announced.
+func (g *Gateway) signalLimitsChanged() {
 	select {
-	case g.limitNews <- struct{}{}:
-	default: // It is noted already.
+	case g.limitsChanged <- struct{}{}:
+	default: // The signal is pending already.
 	}
 }
 
-// hearLimits takes in the limits that another gateway tells.
-func (g *Gateway) hearLimits(from netip.AddrPort, list []peers.Limit) {
+// receiveLimits applies the limits announced by another gateway.
+func (g *Gateway) receiveLimits(from netip.AddrPort, list []peers.Limit) {
 	for _, told := range list {
 		if !validLimit(told) {
-			g.log.Warn("rate limit of an endpoint left out", zap.Stringer("told-by", from), zap.Float64("per-second", told.PerSecond), zap.Int64("age-ms", told.AgeMs))
+			g.log.Warn("ignored invalid rate limit of an endpoint", zap.Stringer("told-by", from), zap.Float64("per-second", told.PerSecond), zap.Int64("age-ms", told.AgeMs))
 			continue
 		}
 		w := throttle.Word{Limited: told.Limited, Limit: told.PerSecond, At: g.cfg.Now().Add(-told.Age())}
-		g.hearRateLimit(told.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Hear(throttle.Told{Endpoint: told.Endpoint, Word: w}) })
+		g.applyRateLimit(told.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Hear(throttle.Told{Endpoint: told.Endpoint, Word: w}) })
 	}
 }
 
-// Bounds of what another gateway may tell of a limit.
+// Limits on what another gateway may announce about a rate limit.
 const (
-	longestID     = 255            // Bytes of an endpoint's id.
-	oldestMention = 24 * time.Hour // Far above the age of a word that counts.
+	maxEndpointIDBytes = 255            // Longest id of an endpoint.
+	maxLimitAge        = 24 * time.Hour // Far above the age up to which a report is valid.
 )
 
 func validLimit(l peers.Limit) bool {
-	return l.Endpoint != "" && len(l.Endpoint) <= longestID &&
-		l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0) && // No NaN either.
-		l.AgeMs >= 0 && l.Age() <= oldestMention
+	return l.Endpoint != "" && len(l.Endpoint) <= maxEndpointIDBytes &&
+		l.PerSecond >= 0 && !math.IsInf(l.PerSecond, 0) && // False for NaN, too.
+		l.AgeMs >= 0 && l.Age() <= maxLimitAge
 }
 
-// toldLimits returns limits as a message tells them.
-func (g *Gateway) toldLimits(pick func(l *throttle.Limits) []throttle.Told) (list []peers.Limit) {
+// limitMessages returns the picked limits in the form of a message.
+func (g *Gateway) limitMessages(pick func(l *throttle.Limits) []throttle.Told) (list []peers.Limit) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,44 +95,43 @@
 	return list
 }
 
-// untoldLimits reports whether a change of a limit was never told.
-func (g *Gateway) untoldLimits() bool {
+// hasUnsentLimits reports whether a changed limit has never been announced.
+func (g *Gateway) hasUnsentLimits() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.limits.Untold()
 }
 
-// setGateways tells among which gateways, by their peer listeners, limits are shared.
-func (g *Gateway) setGateways(self string, others []string) {
+// setLimitGateways sets the gateways, by their peer listeners, among which limits are shared.
+func (g *Gateway) setLimitGateways(self string, others []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limits.SetGateways(self, append(others, self))
 }
 
-// takePermit takes for the request what it may send to the endpoint that it has chosen. The
-// caller holds mu.
+// takePermit charges the request to the limit of the chosen endpoint. The caller holds mu.
 func (q *request) takePermit(id string) {
 	q.g.limits.Take(id, q.g.cfg.Now())
-	q.permit = id
+	q.permitEndpoint = id
 }
 
-// returnPermit gives back what was taken for a request that was not sent. The caller holds mu.
+// returnPermit undoes the charge for a request that was not sent. The caller holds mu.
 func (q *request) returnPermit() {
-	if q.permit != "" {
-		q.g.limits.GiveBack(q.permit)
-		q.permit = ""
+	if q.permitEndpoint != "" {
+		q.g.limits.GiveBack(q.permitEndpoint)
+		q.permitEndpoint = ""
 	}
 }
 
-// throttledRetry returns when there is room under limits for one more of the callers who are
-// refused here. They come to any gateway then, and so do those of the others; where parts are
-// borrowed, most callers come here. The caller holds mu.
-func (q *request) throttledRetry(by barred) time.Duration {
+// throttledRetry returns the time after which the rate limits have capacity for one more of the
+// callers refused here. Callers return to any gateway, as do those refused by the others; if this
+// gateway borrows parts, most callers come here. The caller holds mu.
+func (q *request) throttledRetry(by exclusion) time.Duration {
 	g := q.g
 	b := g.backlogs[q.service]
 	if b == nil {
 		b = &throttle.Backlog{}
 		g.backlogs[q.service] = b
 	}
-	return b.Next(max(by.rate/float64(g.limits.Gateways()), by.held), g.cfg.Now())
+	return b.Next(max(by.rate/float64(g.limits.Gateways()), by.localRate), g.cfg.Now())
 }
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -11,114 +11,111 @@
 	"github.com/canvaspulley/canvaspulley/internal/follow"
 )
 
-// Few gateways of a failure domain read the store. The others wait for news from one of
-// them, or, where there are many, from another one that waits itself: each has few
-// listeners, so that what is published goes over no link more than some times. Nothing
-// depends on their agreeing: a gateway listens to those before it in the order of addresses
-// only, and whoever does not hear of anything new enough reads the store itself.
+// Few gateways of a failure domain read the store. The others receive changes by long polls of one
+// of them or, if there are many gateways, of another gateway that polls as well. Each gateway has
+// few listeners, so that the published state crosses a link only a few times. The gateways need not
+// agree on this order: a gateway listens only to those with lower addresses, and any gateway that
+// does not receive recent enough state reads the store itself.
 const (
-	// readersPerDomain is how many gateways of a domain read the store: with two,
-	// the loss of one leaves another that is up to date.
+	// readersPerDomain is the number of gateways of a domain that read the store: with two, another
+	// up-to-date one remains if one is lost.
 	readersPerDomain = 2
-	// mostListeners is how many listeners a gateway has at most: few enough for a whole
-	// configuration to reach all of them, over the narrowest link, well within the time for
-	// which they wait. Listeners that wait in vain would all read the store at once.
-	mostListeners = 8
+	// maxListeners is the most listeners that a gateway has: few enough for a whole configuration
+	// to reach all of them, over the slowest link, well within the timeout of their long polls.
+	// Listeners whose polls time out would all read the store at once.
+	maxListeners = 8
 )
 
-// Reads reports whether this gateway is one of the few of its domain that read
-// the store.
-func (n *Neighbours) Reads(able bool) bool {
-	duty.Locked(&n.mu, func() { n.blind = !able })
-	leaving, _ := n.g.leaving(time.Now())
+// ReadsStore reports whether this gateway is one of the few of its domain that read the store.
+func (n *PeerExchange) ReadsStore(storeReachable bool) bool {
+	duty.Locked(&n.mu, func() { n.storeUnreachable = !storeReachable })
+	leaving, _ := n.g.stopState(time.Now())
 	if leaving {
-		return len(n.readers()) == 0
+		return len(n.storeReaders()) == 0
 	}
-	if n.settling(time.Now()) {
+	if n.warmingUp(time.Now()) {
 		return false
 	}
-	readers, seeing := n.readersThat(able)
-	if !able && seeing {
+	readers, anyReachable := n.readerCandidates(storeReachable)
+	if !storeReachable && anyReachable {
 		return false
 	}
 	before, _ := slices.BinarySearch(readers, n.self)
 	return before < readersPerDomain
 }
 
-// settling reports whether this gateway has started so lately that it has not
-// heard of all others yet. It listens to its seeds then: were it to go by whom it
-// has heard of, nearly all gateways would take themselves for one of the few at a
-// start of the whole system. Seeds read, and so does whoever hears nothing from
-// them.
-func (n *Neighbours) settling(now time.Time) bool {
-	return now.Sub(n.started) < heardFor && len(n.seeds) > 0 && !slices.Contains(n.seeds, n.self)
+// warmingUp reports whether this gateway started so recently that it may not know all others yet.
+// It listens to its seeds then: if it went by the gateways known so far, nearly all gateways would
+// consider themselves one of the few readers when the whole system starts. Seeds read the store,
+// and so does any gateway that receives nothing from them.
+func (n *PeerExchange) warmingUp(now time.Time) bool {
+	return now.Sub(n.started) < gatewayTTL && len(n.seeds) > 0 && !slices.Contains(n.seeds, n.self)
 }
 
-// readers returns the other gateways of the domain that read the store, in the
-// order in which they do.
-func (n *Neighbours) readers() []string {
-	list, _ := n.readersThat(true)
+// storeReaders returns the other gateways of the domain that can read the store, in the order in
+// which they are chosen as readers.
+func (n *PeerExchange) storeReaders() []string {
+	list, _ := n.readerCandidates(true)
 	return list
 }
 
-// readersThat returns the other gateways of the domain that can read the store;
-// when there are none and this one cannot either, those that try to. Seeing is
-// false then.
-func (n *Neighbours) readersThat(able bool) (list []string, seeing bool) {
-	var blind []string
+// readerCandidates returns the other gateways of the domain that can read the store. If there are
+// none and this one cannot read it either, it returns those that try to, and anyReachable is false.
+func (n *PeerExchange) readerCandidates(storeReachable bool) (list []string, anyReachable bool) {
+	var unreachable []string
 	var near []roster.Gateway
 	duty.Locked(&n.mu, func() { near = n.roster.Near(time.Now()) })
 	for _, g := range near {
 		if g.Blind {
-			blind = append(blind, g.Address)
+			unreachable = append(unreachable, g.Address)
 		} else {
 			list = append(list, g.Address)
 		}
 	}
-	seeing = len(list) > 0
-	if !seeing && !able {
-		list = blind
+	anyReachable = len(list) > 0
+	if !anyReachable && !storeReachable {
+		list = unreachable
 	}
-	return list, seeing
+	return list, anyReachable
 }
 
-// before returns this gateway's place in the order of its failure domain, and those that it
-// may listen to: the one that it is a listener of, and those that read the store.
-func (n *Neighbours) before() (list []string, place int) {
-	all, _ := n.readersThat(false)
+// listenTargets returns the place of this gateway in the order of its failure domain, and the
+// gateways to which it may listen: its parent and those that read the store.
+func (n *PeerExchange) listenTargets() (list []string, place int) {
+	all, _ := n.readerCandidates(false)
 	place, _ = slices.BinarySearch(all, n.self)
-	readers := first(readersPerDomain, all)
+	readers := firstN(readersPerDomain, all)
 	if place < readersPerDomain {
 		return readers, place
 	}
-	parent := all[listensTo(place)]
-	return append([]string{parent}, keep(readers, func(a string) bool { return a != parent })...), place
+	parent := all[parentPlace(place)]
+	return append([]string{parent}, filter(readers, func(a string) bool { return a != parent })...), place
 }
 
-// listensTo returns the place, in the order of addresses, of the gateway to which the one at a
-// place listens that is not among the readers.
-func listensTo(place int) int {
+// parentPlace returns the place of the parent of the gateway at a place, which must not be one of
+// the readers. Places are those in the order of addresses.
+func parentPlace(place int) int {
 	listener := place - readersPerDomain
-	if listener < readersPerDomain*mostListeners {
+	if listener < readersPerDomain*maxListeners {
 		return listener % readersPerDomain
 	}
-	return listener / mostListeners
+	return listener / maxListeners
 }
 
-// turnMargin is what a gateway's turn to read the store itself keeps from the time
-// in which a configuration must be in force: that after which it notices that it
-// hears nothing new, and that of reading.
+// turnMargin is subtracted from the time within which a configuration must be in force, to get the
+// time over which gateways take turns in reading the store. It covers the time until a gateway
+// notices that it receives nothing new, and that of the read.
 const turnMargin = listenTimeout + 300*time.Millisecond
 
-// Follow returns what makes a follower listen to these neighbours.
-func (n *Neighbours) Follow() follow.Listener {
-	return follow.Listener{Reads: n.Reads, Listen: n.Listen, Turn: n.turn, Spread: n.spread}
+// FollowListener returns the listener by which a follower receives changes from other gateways.
+func (n *PeerExchange) FollowListener() follow.Listener {
+	return follow.Listener{Reads: n.ReadsStore, Listen: n.Listen, Turn: n.turn, Spread: n.readSpread}
 }
 
-// turn returns this gateway's place among those of its domain, in the order in which
-// they read the store: 0 for the first.
-func (n *Neighbours) turn() float64 {
-	list, _ := n.readersThat(true)
+// turn returns the place of this gateway, as a fraction from 0, in the order in which the gateways
+// of its domain read the store.
+func (n *PeerExchange) turn() float64 {
+	list, _ := n.readerCandidates(true)
 	before, _ := slices.BinarySearch(list, n.self)
 	return float64(before) / float64(len(list)+1)
 }
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -11,18 +11,18 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// openPoll is the time between two looks whether a group of ranks has opened: ranks tell
-// of themselves ten times a second.
-const openPoll = 25 * time.Millisecond
+// groupOpenPoll is the interval between checks whether a group of ranks has opened: ranks report
+// ten times a second.
+const groupOpenPoll = 25 * time.Millisecond
 
-// awaitConfig returns the state of the view as soon as there is a configuration, or when
-// the caller is better told to come back.
+// awaitConfig waits for the first configuration, but no longer than is useful before the caller is
+// asked to retry, and returns the state of the view.
 func (q *request) awaitConfig() *follow.State {
-	patience := defaultPatience
+	callerTimeout := defaultCallerTimeout
 	if q.call.HasPatience {
-		patience = q.call.Patience
+		callerTimeout = q.call.Patience
 	}
-	timer := time.NewTimer(time.Until(hold.ForStart(q.arrived, patience)))
+	timer := time.NewTimer(time.Until(hold.ForStart(q.arrived, callerTimeout)))
 	defer timer.Stop()
 	for {
 		moved := q.g.view.Moved()
@@ -35,71 +35,70 @@
 			return q.g.view.State()
 		case <-q.ctx.Done():
 			return q.g.view.State()
-		case <-q.g.ended.Done():
+		case <-q.g.processCtx.Done():
 			return q.g.view.State()
 		}
 	}
 }
 
-// awaitOpen waits for a group of ranks to open, while all are down, for a caller who
-// would not come again and who is there by the time at which that is expected: it is
-// served late, or not at all. It reports whether there is an endpoint now.
-func (q *request) awaitOpen(now time.Time) (e fleet.Endpoint, ok bool) {
-	if !q.lastTry() || !q.mayTryOn() || q.kept != nil {
+// awaitGroupOpen waits for a group of ranks to open while all are closed. It does so for a caller
+// that would not retry and would still be connected at the expected time: that caller is served
+// late, or not at all. It reports whether an endpoint is available now.
+func (q *request) awaitGroupOpen(now time.Time) (e fleet.Endpoint, ok bool) {
+	if !q.wontReturn() || !q.mayAttemptMore() || q.fallback != nil {
 		return e, false
 	}
-	until := q.keptUntil(max(q.turnover.First, q.route.Target/2))
-	if q.allDown && q.opens.After(until) {
-		return e, false // It would wait in vain.
+	until := q.holdUntil(max(q.turnover.First, q.route.Target/2))
+	if q.allGroupsDown && q.groupOpensAt.After(until) {
+		return e, false // The caller would have left by then.
 	}
-	q.g.figures.held.Inc(1)
-	for now.Before(until) && q.ctx.Err() == nil && q.g.ended.Err() == nil {
-		wait.For(q.ctx, min(openPoll, until.Sub(now)))
+	q.g.stats.heldForGroup.Inc(1)
+	for now.Before(until) && q.ctx.Err() == nil && q.g.processCtx.Err() == nil {
+		wait.For(q.ctx, min(groupOpenPoll, until.Sub(now)))
 		now = time.Now()
 		q.waited = now.Sub(q.arrived)
-		q.forgetDown(now)
-		if e, ok = q.choose(now); ok && q.open(e, now) {
+		q.clearGroupRejection(now)
+		if e, ok = q.chooseEndpoint(now); ok && q.endpointOpen(e, now) {
 			return e, true
 		}
 	}
 	return e, false
 }
 
-// lastTry reports whether the caller would not come again if it were refused: it has
-// come before, or has a part of its answer.
-func (q *request) lastTry() bool { return q.reply.begun() || q.again || q.mayHaveTried }
+// wontReturn reports whether the caller would not retry if it were refused: it has been refused
+// before, or has received a part of its answer.
+func (q *request) wontReturn() bool { return q.reply.begun() || q.refusedBefore || q.maybeRefused }
 
-// keptUntil is until when a caller who would not come again can be kept, where a first event
-// takes so long.
-func (q *request) keptUntil(first time.Duration) time.Time {
-	until := hold.ForGroup(q.heardLast(), q.leavesAfter(), first)
-	if until.After(q.final) {
-		return q.final
+// holdUntil returns until when a caller that would not retry can be kept waiting, if a first event
+// takes the given time.
+func (q *request) holdUntil(first time.Duration) time.Time {
+	until := hold.ForGroup(q.lastOutputAt(), q.callerLeavesAfter(), first)
+	if until.After(q.deadline) {
+		return q.deadline
 	}
 	return until
 }
 
-// heardLast is when the caller last heard something.
-func (q *request) heardLast() time.Time {
-	if q.lastAt.After(q.arrived) {
-		return q.lastAt
+// lastOutputAt returns when the caller last received an event, or when the request arrived.
+func (q *request) lastOutputAt() time.Time {
+	if q.lastEventAt.After(q.arrived) {
+		return q.lastEventAt
 	}
 	return q.arrived
 }
 
-// forgetDown forgets that a group turned the request away, once the group says that it
-// is open.
-func (q *request) forgetDown(now time.Time) {
-	if !q.groupDown {
+// clearGroupRejection clears the rejection by a group once the group reports that it is open.
+func (q *request) clearGroupRejection(now time.Time) {
+	if !q.groupRejected {
 		return
 	}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	q.groupDown = !q.g.table.OpenSince(q.downGroup, q.downAt, now)
+	q.groupRejected = !q.g.table.OpenSince(q.rejectingGroup, q.groupRejectedAt, now)
 }
 
-// open reports whether an endpoint is known to serve now.
-func (q *request) open(e fleet.Endpoint, now time.Time) bool {
+// endpointOpen reports whether an endpoint is known to be open now.
+func (q *request) endpointOpen(e fleet.Endpoint, now time.Time) bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	return q.g.table.Open(e.ID, now)
--- a/internal/gateway/recover_test.go
+++ b/internal/gateway/recover_test.go
@@ -71,7 +71,7 @@
 			s := newSiteWith(t, func(r *fleet.Route) { r.Target = 50 * time.Millisecond }, one, two)
 			s.expectServed(g, "a", "")
 			g.Expect(append(one.firsts(), two.firsts()...)).To(Equal([]int{tc.from}))
-			g.Expect(s.figures.silent.Count()).To(BeEquivalentTo(1))
+			g.Expect(s.stats.silentAttempts.Count()).To(BeEquivalentTo(1))
 		})
 	}
 }
@@ -92,7 +92,7 @@
 	g.Eventually(one.runs.Load, patienceOf).Should(BeEquivalentTo(1))
 	tell(50 * slots)
 	wait()
-	g.Expect(s.figures.silent.Count()).To(BeEquivalentTo(1))
+	g.Expect(s.stats.silentAttempts.Count()).To(BeEquivalentTo(1))
 }
 
 // What may run once only, or has no repeat or try left, is waited for.
@@ -114,7 +114,7 @@
 				r.Target = 20 * time.Millisecond
 				tc.change(r)
 			}, one, two)
-			s.cfg.RetrySpare = tc.spare
+			s.cfg.RetryFloor = tc.spare
 			time.AfterFunc(200*time.Millisecond, func() {
 				close(one.going)
 				close(two.going)
@@ -132,12 +132,12 @@
 	only := newStreamer(0)
 	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = time.Second, patienceOf }, only)
 	group := func(closed bool) {
-		s.Report(s.addresses[0], balance.Load{Group: "g", Closed: closed, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: closed, Pass: 20 * time.Millisecond, At: time.Now()})
 	}
 	group(true)
 	g.Expect(s.expectRefused(g, "first", "30000")).To(Equal("2.5"))
 	wait := s.begin(g, "again", "20000")
-	g.Eventually(s.figures.held.Count, patienceOf).Should(BeEquivalentTo(1))
+	g.Eventually(s.stats.heldForGroup.Count, patienceOf).Should(BeEquivalentTo(1))
 	g.Expect(only.firsts()).To(BeEmpty(), "nothing is sent to a group that is down")
 	group(false)
 	wait()
@@ -149,7 +149,7 @@
 	g := NewWithT(t)
 	only := newStreamer(0)
 	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = 100*time.Millisecond, 400*time.Millisecond }, only)
-	s.Report(s.addresses[0], balance.Load{Group: "g", Closed: true, At: time.Now().Add(time.Hour)})
+	s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: true, At: time.Now().Add(time.Hour)})
 	s.expectRefused(g, "again", "20000")
 	g.Expect(only.firsts()).To(BeEmpty(), "it did not run")
 }
@@ -158,7 +158,7 @@
 	g := NewWithT(t)
 	s, view, snap := newSiteOf(t, func(*fleet.Route) {}, newStreamer(0))
 	wait := s.begin(g, "early", "")
-	g.Eventually(s.Busy, patienceOf).Should(Equal(1))
+	g.Eventually(s.InFlight, patienceOf).Should(Equal(1))
 	view.Replace(snap, time.Now(), false)
 	wait()
 	s, _, _ = newSiteOf(t, func(*fleet.Route) {})
@@ -167,16 +167,16 @@
 
 func TestWhoHasComeBefore(t *testing.T) {
 	const timeout = 8 * time.Second
-	p := newPatience()
-	for n := range enoughSeen {
-		surely, perhaps := p.again("r", 5*time.Second, timeout)
+	p := newCallerTimeouts()
+	for n := range minCallersSeen {
+		surely, perhaps := p.classify("r", 5*time.Second, timeout)
 		NewWithT(t).Expect(surely).To(BeFalse(), "caller %d", n)
 		NewWithT(t).Expect(perhaps).To(BeTrue(), "little is known yet")
 	}
 	g := NewWithT(t)
-	surely, perhaps := p.again("r", 5*time.Second, timeout)
+	surely, perhaps := p.classify("r", 5*time.Second, timeout)
 	g.Expect(surely || perhaps).To(BeFalse(), "callers of this route wait for so long")
-	surely, _ = p.again("r", 3*time.Second, timeout)
+	surely, _ = p.classify("r", 3*time.Second, timeout)
 	g.Expect(surely).To(BeTrue())
 }
 
@@ -197,11 +197,11 @@
 	} {
 		t.Run(fmt.Sprint(tc.longest, "/", tc.left), func(t *testing.T) {
 			g := NewWithT(t)
-			p := newPatience()
-			for range enoughSeen {
-				p.again("r", tc.longest, tc.longest)
+			p := newCallerTimeouts()
+			for range minCallersSeen {
+				p.classify("r", tc.longest, tc.longest)
 			}
-			surely, perhaps := p.again("r", tc.left, tc.longest)
+			surely, perhaps := p.classify("r", tc.left, tc.longest)
 			g.Expect(surely).To(Equal(tc.again))
 			g.Expect(perhaps).To(Equal(tc.again))
 		})
--- a/internal/gateway/reply.go
+++ b/internal/gateway/reply.go
@@ -13,120 +13,120 @@
 	"github.com/canvaspulley/canvaspulley/internal/callerconn"
 )
 
-// replyState is how far the answer to a caller is.
+// replyState is the progress of the answer to a caller.
 type replyState int
 
-// The states, in their order; a reply never goes back.
+// States of a reply, in their order; a reply never returns to an earlier one.
 const (
-	replyUnsent replyState = iota // Nothing has gone out.
-	replyOpen                     // A head has gone out, and the end is still to come.
-	replyWhole                    // The answer has gone out to its end.
+	replyUnsent   replyState = iota // Nothing has been sent.
+	replyOpen                       // The head has been sent, and the end has not.
+	replyComplete                   // The answer has been sent completely.
 )
 
-// reply is the answer to one caller and the only writer of it. What has gone out
-// cannot be taken back, and a server ends whatever a handler leaves behind in order.
-// So a reply ends as complete in two ways only: as an answer that goes out at once
-// with its length, or as a stream whose own end was seen. In every other case close
-// breaks the connection off, and a caller never takes a part for the whole.
+// reply is the answer to one caller and the only writer of it. What has been sent cannot be taken
+// back, and the HTTP server finishes properly whatever a handler leaves unfinished. A reply is
+// therefore completed in two ways only: as an answer that is sent at once with its length, or as a
+// stream whose end was received. In all other cases close aborts the connection, so that a caller
+// never takes a part of an answer for the whole.
 type reply struct {
-	w         http.ResponseWriter
-	r         *http.Request
-	advertise func() // Sets the keep-alive timeout in the head that is to go out.
-	state     replyState
-	status    int    // Of the head that went out; 0 before.
-	disarm    func() // Ends the reset of an answer without framing; set when open.
-
-	bodyLeft bool // The request's body has not come to its end.
+	w           http.ResponseWriter
+	r           *http.Request
+	advertise   func() // Sets the keep-alive timeout in the head about to be sent.
+	state       replyState
+	status      int    // Of the head that was sent; 0 before.
+	disarmReset func() // Disarms the reset that would end an unframed answer; set once open.
+
+	bodyPending bool // The request's body has not been read to its end.
 }
 
-// replyHead is the head of an answer.
+// replyHead is the status and header of an answer.
 type replyHead struct {
 	status int
 	header http.Header
 }
 
-// Errors of writing where nothing more fits.
+// Errors of writes in the wrong state.
 var (
-	errReplyBegun = errors.New("an answer has begun already")
-	errReplyEnded = errors.New("the answer has ended already")
+	errReplyBegun = errors.New("the answer has already begun")
+	errReplyEnded = errors.New("the answer has already ended")
 	errNoStream   = errors.New("no stream has begun")
 )
 
-// begun reports whether a head has gone out.
+// begun reports whether the head has been sent.
 func (p *reply) begun() bool { return p.state != replyUnsent }
 
-// brokenOff reports whether the answer has begun and has not gone out to its end.
-func (p *reply) brokenOff() bool { return p.state == replyOpen }
+// incomplete reports whether the answer has begun but has not been sent completely.
+func (p *reply) incomplete() bool { return p.state == replyOpen }
 
-// setHeader adds to the head that is still to go out.
+// setHeader sets a field of the head, which must not have been sent yet.
 func (p *reply) setHeader(name, value string) { p.w.Header().Set(name, value) }
 
-// sendWhole sends a whole answer, with its length.
-func (p *reply) sendWhole(h replyHead, body []byte) (err error) {
+// sendComplete sends a complete answer with its length.
+func (p *reply) sendComplete(h replyHead, body []byte) (err error) {
 	defer func() { err = errors.Wrap(err, "answer to the caller") }()
 	if p.state != replyUnsent {
 		return errReplyBegun
 	}
-	if err := p.boundWrite(); err != nil {
+	if err := p.setWriteDeadline(); err != nil {
 		return err
 	}
-	if err := p.boundRead(time.Now().Add(drainTime)); err != nil {
+	if err := p.setReadDeadline(time.Now().Add(bodyDrainTimeout)); err != nil {
 		return err
 	}
 	p.setHeader("Content-Length", fmt.Sprint(len(body)))
-	p.open(h)
-	for piece := range slices.Chunk(body, pieceBytes) {
-		if err := p.boundWrite(); err != nil {
+	p.writeHead(h)
+	for piece := range slices.Chunk(body, writeChunkBytes) {
+		if err := p.setWriteDeadline(); err != nil {
 			return err
 		}
 		if _, err := p.w.Write(piece); err != nil {
 			return err
 		}
 	}
-	p.state = replyWhole
+	p.state = replyComplete
 	return nil
 }
 
-// sendEvent sends one event of a stream; the head goes out before the first.
+// sendEvent sends one event of a stream, preceded by the head if that has not been sent.
 func (p *reply) sendEvent(h replyHead, raw []byte) (err error) {
 	defer func() { err = errors.Wrap(err, "event to the caller") }()
 	switch p.state {
-	case replyWhole:
+	case replyComplete:
 		return errReplyEnded
 	case replyUnsent:
-		p.disarm = p.armReset()
-		p.open(h)
+		p.disarmReset = p.armReset()
+		p.writeHead(h)
 	}
-	if err := p.boundWrite(); err != nil {
+	if err := p.setWriteDeadline(); err != nil {
 		return err
 	}
 	_, err = p.w.Write(raw)
 	return err
 }
 
-// flush sends what was written and is still kept.
+// flush sends what was written and is still buffered.
 func (p *reply) flush() (err error) {
 	defer func() { err = errors.Wrap(err, "flush to the caller") }()
-	if err := p.boundWrite(); err != nil {
+	if err := p.setWriteDeadline(); err != nil {
 		return err
 	}
 	return http.NewResponseController(p.w).Flush()
 }
 
-// endStream ends a stream as complete. Only who has seen its end may call it.
+// endStream completes a stream. It must be called only if the end of the stream was received.
 func (p *reply) endStream() (err error) {
-	if p.state != replyOpen || p.disarm == nil {
+	if p.state != replyOpen || p.disarmReset == nil {
 		return errNoStream
 	}
-	if err := p.boundWrite(); err != nil { // The server writes the end.
+	if err := p.setWriteDeadline(); err != nil { // The server writes the final chunk after this.
 		return errors.Wrap(err, "end to the caller")
 	}
-	p.disarm()
-	p.state = replyWhole
+	p.disarmReset()
+	p.state = replyComplete
 	return nil
 }
 
-func (p *reply) open(h replyHead) {
+func (p *reply) writeHead(h replyHead) {
 	header := p.w.Header()
 	for name, values := range h.header {
 		header[name] = values
@@ -136,9 +136,9 @@
 	p.w.WriteHeader(h.status)
 }
 
-// armReset makes the connection of a caller that knows no framing end with a reset
-// until the stream's end was seen: to HTTP/1.0 an orderly end is the answer's, also
-// that of a process that is killed.
+// armReset makes the caller's connection end with a reset until the end of the stream is received,
+// for callers that know no framing: over HTTP/1.0 a proper close is the end of the answer, and a
+// killed process closes properly, too.
 func (p *reply) armReset() (disarm func()) {
 	if p.r.ProtoAtLeast(1, 1) {
 		return func() {}
@@ -146,10 +146,10 @@
 	return callerconn.Arm(p.r.Context())
 }
 
-// close must be the last that a handler calls. An answer that has not gone out to
-// its end, or of which nothing has gone out, ends with its connection.
+// close must be the last call of a handler. It aborts the connection unless a complete answer has
+// been sent.
 func (p *reply) close() {
-	if p.state != replyWhole {
+	if p.state != replyComplete {
 		panic(http.ErrAbortHandler)
 	}
 }
