--- a/internal/gateway/reply_test.go
+++ b/internal/gateway/reply_test.go
@@ -37,7 +37,7 @@
 	t.Run("whole answer", func(t *testing.T) {
 		g := NewWithT(t)
 		p, w := newReply()
-		g.Expect(p.sendWhole(okHead, []byte("body"))).To(Succeed())
+		g.Expect(p.sendComplete(okHead, []byte("body"))).To(Succeed())
 		g.Expect(w.Header().Get("Content-Length")).To(Equal("4"))
 		assertComplete(t, p, true)
 	})
@@ -45,7 +45,7 @@
 		g := NewWithT(t)
 		p, _ := newReply()
 		g.Expect(p.sendEvent(okHead, []byte("e"))).To(Succeed())
-		g.Expect(p.brokenOff()).To(BeTrue())
+		g.Expect(p.incomplete()).To(BeTrue())
 		assertComplete(t, p, false)
 	})
 	t.Run("stream with its end", func(t *testing.T) {
@@ -63,7 +63,7 @@
 		g := NewWithT(t)
 		p, w := newReply()
 		g.Expect(p.sendEvent(okHead, []byte("e"))).To(Succeed())
-		g.Expect(p.sendWhole(failure, []byte("failed"))).To(MatchError(errReplyBegun))
+		g.Expect(p.sendComplete(failure, []byte("failed"))).To(MatchError(errReplyBegun))
 		g.Expect(w.Body.String()).To(Equal("e"))
 		g.Expect(w.Header().Get("X")).To(Equal("first"))
 		g.Expect(p.status).To(Equal(http.StatusOK))
@@ -72,8 +72,8 @@
 	t.Run("second whole answer", func(t *testing.T) {
 		g := NewWithT(t)
 		p, w := newReply()
-		g.Expect(p.sendWhole(failure, []byte("failed"))).To(Succeed())
-		g.Expect(p.sendWhole(okHead, []byte("body"))).To(MatchError(errReplyBegun))
+		g.Expect(p.sendComplete(failure, []byte("failed"))).To(Succeed())
+		g.Expect(p.sendComplete(okHead, []byte("body"))).To(MatchError(errReplyBegun))
 		g.Expect(w.Body.String()).To(Equal("failed"))
 	})
 	t.Run("event after the end", func(t *testing.T) {
@@ -98,7 +98,7 @@
 	comment := event{}
 	after := func(events ...event) (c cursor) {
 		for i, ev := range events {
-			c.pass(ev, i == 0)
+			c.advance(ev, i == 0)
 		}
 		return c
 	}
@@ -112,14 +112,14 @@
 		{"first event", cursor{}, named(7), false, nil},
 		{"next of a run", after(named(1)), named(2), false, nil},
 		{"ids of a run that skip", after(named(1)), named(5), false, nil},
-		{"again within a run", after(named(2)), named(2), false, errEventAgain},
+		{"again within a run", after(named(2)), named(2), false, errDuplicateEvent},
 		{"next of another run", after(named(1)), named(2), true, nil},
-		{"again from another run", after(named(2)), named(1), true, errEventAgain},
+		{"again from another run", after(named(2)), named(1), true, errDuplicateEvent},
 		{"gap before another run", after(named(1)), named(3), true, errEventGap},
 		{"gap where ids skip", after(named(1), named(4)), named(7), true, nil},
-		{"no id from another run", after(named(1)), unnamed, true, errEventUnnamed},
+		{"no id from another run", after(named(1)), unnamed, true, errEventWithoutID},
 		{"comment from another run", after(named(1)), comment, true, nil},
-		{"what a caller has had", cursorFrom("2"), named(2), false, errEventAgain},
+		{"what a caller has had", cursorFrom("2"), named(2), false, errDuplicateEvent},
 		{"after what a caller has had", cursorFrom("2"), named(3), false, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -17,128 +17,130 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// request is one caller's request on its way.
+// request is the state of one caller's request.
 type request struct {
-	g        *Gateway
-	ctx      context.Context // Ends when the caller leaves.
-	reply    reply
-	r        *http.Request
-	call     fleet.Call
-	config   *fleet.Config // The version that decided.
-	route    *fleet.Route
-	service  string
-	customer *fleet.Customer // Nil when no key is needed.
-	body     []byte
-	arrived  time.Time
-	came     time.Time     // As arrived, by the clock that counts suspensions.
-	age      time.Duration // Of the configuration when the request came.
-	final    time.Time     // When it must have its final answer.
+	g               *Gateway
+	ctx             context.Context // Done when the caller leaves.
+	reply           reply
+	r               *http.Request
+	call            fleet.Call
+	config          *fleet.Config // The version by which the request is handled.
+	route           *fleet.Route
+	service         string
+	customer        *fleet.Customer // Nil when no key is required.
+	body            []byte
+	arrived         time.Time
+	arrivedBoottime time.Time     // Same moment as arrived, by the clock that counts suspensions.
+	configAge       time.Duration // Age of the configuration when the request arrived.
+	deadline        time.Time     // Time by which the final answer is due.
 
-	tried        []string    // Endpoints that it was sent to.
-	unsent       []string    // Endpoints that could not be reached.
-	closedUnder  string      // Endpoint that closed a kept connection under the last try and lives on; "" for none.
-	notes        []string    // What became of each try, for the log.
-	mayRun       bool        // Some endpoint may have run it.
-	kept         *keptAnswer // Nil until an endpoint failed by itself.
-	groupDown    bool        // A group of ranks turned it away as a whole.
-	allDown      bool        // All groups of ranks say that they serve nothing.
-	opens        time.Time   // When the first of them is expected to serve again.
-	downGroup    string
-	downAt       time.Time       // When it did so.
-	tooOld       bool            // The configuration is too old for the request's key.
-	keeps        int64           // Bytes that are kept for it.
-	toCold       bool            // The endpoint that was chosen last is cold.
-	full         bool            // No endpoint can take it now.
-	barred       barred          // What endpoints ask for that keeps it from all of them.
-	permit       string          // Endpoint under whose limit a request was taken that is not sent yet; "" for none.
-	turnover     passes.Turnover // Of all groups, as last looked at.
-	waited       time.Duration   // For room.
-	inLine       bool            // It waits for room.
-	asked        *lastAsked      // When it last wanted a place; nil before.
-	sentAt       time.Time       // When it was last sent to an endpoint.
-	unhold       func() bool     // Ends what closes the try's connection when the caller leaves or the process ends; false if it closes it.
-	leavePlace   func()          // Ends what vacate may do to the try; never nil.
-	moved        bool            // Its try was ended by vacate, which took a repeat for it; guarded by the gateway's mu.
-	paid         bool            // The next try's repeat is taken already.
-	again        bool            // The caller was refused before.
-	mayHaveTried bool            // The caller may have tried before: too little is known of how long callers wait.
-	lastRun      endpointRun     // What the last endpoint whose answer was read sent.
-	cursor       cursor          // What the caller has of a stream.
-	firstAt      time.Time       // When the answer or its first event went out.
-	events       int
-	lastAt       time.Time     // When the last event went out.
-	pause        time.Duration // Longest between two events.
-	outcome      outcome
-	retryIn      time.Duration
-	endpoint     string // Whose head the caller has.
+	attempted       []string        // Endpoints to which it was sent.
+	unreachable     []string        // Endpoints that could not be reached.
+	closedReused    string          // Endpoint that only closed a reused connection under the last attempt; "" for none.
+	notes           []string        // Result of each attempt, for the log.
+	mayHaveRun      bool            // An endpoint may have run it.
+	fallback        *fallbackAnswer // First error answer of an endpoint; nil if none.
+	groupRejected   bool            // A whole group of ranks rejected it.
+	allGroupsDown   bool            // All groups of ranks are closed.
+	groupOpensAt    time.Time       // When the first of them is expected to open again.
+	rejectingGroup  string
+	groupRejectedAt time.Time       // When rejectingGroup did so.
+	configTooOld    bool            // The configuration is too old to verify the request's key.
+	buffered        int64           // Bytes buffered for it.
+	chosenCold      bool            // The endpoint chosen last is cold.
+	full            bool            // No endpoint has capacity now.
+	excluded        exclusion       // Backoffs and rate limits that exclude all endpoints.
+	permitEndpoint  string          // Endpoint whose limit was charged for a request not sent yet; "" for none.
+	turnover        passes.Turnover // Of all groups, as of the last choice.
+	waited          time.Duration   // Time spent waiting for capacity or for a group to open.
+	inQueue         bool            // It waits in the queue of its service.
+	lastAsk         *capacityAsk    // Last time it asked for capacity; nil before.
+	sentAt          time.Time       // When it was last sent to an endpoint.
+	// Stops the attempt's connection from being closed when the caller leaves or the process
+	// terminates; returns false if it is being closed already.
+	detachConn        func() bool
+	unregisterMovable func()           // Excludes the attempt from moveRequests; never nil.
+	moved             bool             // moveRequests ended the attempt and took a retry; guarded by g.mu.
+	retryTaken        bool             // The retry for the next attempt is already taken.
+	refusedBefore     bool             // The caller was refused before.
+	maybeRefused      bool             // As above, but too few callers were seen to be sure.
+	lastResponse      endpointResponse // Sent by the last endpoint whose answer was read.
+	cursor            cursor           // Position up to which the caller has the stream.
+	firstByteAt       time.Time        // When the answer or its first event was sent to the caller.
+	events            int
+	lastEventAt       time.Time     // When the last event was sent to the caller.
+	maxEventGap       time.Duration // Longest time between two events.
+	outcome           outcome
+	retryAfter        time.Duration
+	servedBy          string // Endpoint whose answer head the caller received.
 	suspicion
 }
 
-// lastAsked is the group in which a request wanted a place, and the time of the
-// newest report that was known then.
-type lastAsked struct {
-	group string
-	at    time.Time
+// capacityAsk records the group in which a request asked for capacity, and the time of the newest
+// report that was known then.
+type capacityAsk struct {
+	group    string
+	reportAt time.Time
 }
 
-// outcome says how a request ended.
+// outcome is how a request ended.
 type outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	served    outcome = "served"     // An endpoint's answer went out whole.
-	refused   outcome = "refused"    // Not run, and never will be.
-	rejected  outcome = "rejected"   // The request is not one that may be served.
-	failed    outcome = "failed"     // It may have run; there is no answer.
-	timedOut  outcome = "timed-out"  // Its time was over.
-	cutStream outcome = "cut-stream" // The stream could not be gone on with.
-	left      outcome = "left"       // The caller left.
+	served     outcome = "served"     // An endpoint's complete answer was sent.
+	refused    outcome = "refused"    // Not run, and will not be run.
+	rejected   outcome = "rejected"   // The request is invalid or not authorized.
+	failed     outcome = "failed"     // It may have run, but there is no answer.
+	timedOut   outcome = "timed-out"  // Its deadline passed.
+	cutStream  outcome = "cut-stream" // The stream could not be continued.
+	callerLeft outcome = "left"       // The caller left.
 )
 
-// defaultPatience holds for callers that do not tell how long they wait.
-const defaultPatience = 30 * time.Second
+// defaultCallerTimeout applies to callers that do not say how long they wait.
+const defaultCallerTimeout = 30 * time.Second
 
-// fallbackBody bounds bodies when nothing is published.
-const fallbackBody = 4 << 20
+// defaultBodyLimit limits request bodies when no limit is published.
+const defaultBodyLimit = 4 << 20
 
-// Handler returns the handler for callers.
+// Handler returns the HTTP handler for callers.
 func (g *Gateway) Handler() http.Handler { return http.HandlerFunc(g.serve) }
 
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
-	g.busy.Add(1)
-	defer g.busy.Add(-1)
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
 	q := &request{
-		g: g, ctx: r.Context(), r: r, leavePlace: func() {}, arrived: time.Now(), came: g.cfg.Now(),
-		reply: reply{w: w, r: r, bodyLeft: r.Body != http.NoBody, advertise: func() { g.conns.Advertise(w, r) }},
+		g: g, ctx: r.Context(), r: r, unregisterMovable: func() {}, arrived: time.Now(), arrivedBoottime: g.cfg.Now(),
+		reply: reply{w: w, r: r, bodyPending: r.Body != http.NoBody, advertise: func() { g.callerConns.Advertise(w, r) }},
 	}
-	defer q.letGo()
-	decided := q.contained(func() { q.call = g.codec.ReadCall(r.Header) }) && q.contained(q.decide)
+	defer q.releaseBuffered()
+	decided := q.runRecovered(func() { q.call = g.codec.ReadCall(r.Header) }) && q.runRecovered(q.handle)
 	if !decided && !q.reply.begun() {
-		q.contained(func() { q.fail(http.StatusInternalServerError, "panic") })
+		q.runRecovered(func() { q.fail(http.StatusInternalServerError, "panic") })
 	}
-	q.contained(func() {
+	q.runRecovered(func() {
 		if q.onTrial {
 			g.suspects.EndTrial(q.key())
 		}
 	})
-	q.contained(q.finish)
+	q.runRecovered(q.logAndCount)
 	q.reply.close()
 }
 
-// contained calls do and reports whether it returned: a fault of the gateway's own must not
-// close the connection, also where the answer is still in the server's buffer.
-func (q *request) contained(do func()) (returned bool) {
-	return duty.Contain("request", q.g.log, q.g.figures.reg, do, zap.String("id", q.call.ID))
+// runRecovered calls do and reports whether it returned without a panic. A fault in the gateway
+// must not close the connection, not even while the answer is still in the server's buffer.
+func (q *request) runRecovered(do func()) (returned bool) {
+	return duty.Contain("request", q.g.log, q.g.stats.reg, do, zap.String("id", q.call.ID))
 }
 
-// decide gives the request its final answer.
-func (q *request) decide() {
-	if err := q.reply.boundWrite(); err != nil {
-		q.note("caller: " + err.Error()) // What is written next tells whether it is gone.
+// handle gives the request its final answer.
+func (q *request) handle() {
+	if err := q.reply.setWriteDeadline(); err != nil {
+		q.note("caller: " + err.Error()) // The next write shows whether the caller is gone.
 	}
-	begun, closed := q.g.leaving(q.arrived)
+	begun, closed := q.g.stopState(q.arrived)
 	if begun {
-		q.closeAfter()
+		q.closeAfterAnswer()
 	}
 	switch {
 	case closed:
@@ -148,66 +150,67 @@
 	}
 }
 
-// admit finds the route and the customer; it reports false when the request
+// admit finds the route and the customer of the request. It returns false if the request already
 // has its final answer.
 func (q *request) admit() bool {
 	s := q.awaitConfig()
 	switch {
 	case s.Config != nil:
-	case q.g.ended.Err() != nil:
-		q.refuseAtEnd("process ends before a configuration comes")
+	case q.g.processCtx.Err() != nil:
+		q.refuseOnTermination("process terminates before a configuration was received")
 		return false
 	default:
-		q.refuse("no configuration yet", outageRetry)
+		q.refuse("no configuration yet", storeOutageRetry)
 		return false
 	}
 	q.config = s.Config
-	if q.headerBytes() > max(s.Config.Limits().HeaderBytes, leastHeader) {
+	if q.headerBytes() > max(s.Config.Limits().HeaderBytes, minHeaderLimit) {
 		q.reject(http.StatusRequestHeaderFieldsTooLarge, "header too large")
 		return false
 	}
 	if q.call.ID == "" {
-		q.reject(http.StatusBadRequest, "no id")
+		q.reject(http.StatusBadRequest, "no request id")
 		return false
 	}
-	q.age = q.g.view.Age(q.g.cfg.Now())
+	q.configAge = q.g.view.Age(q.g.cfg.Now())
 	q.route = s.Config.Route(q.r.Host, q.r.URL.EscapedPath())
 	if q.route == nil {
-		q.rejectIfKnown(q.age, http.StatusNotFound, "no route")
+		q.rejectIfConfigCurrent(q.configAge, http.StatusNotFound, "no route")
 		return false
 	}
 	if s.Config.NeedsKey(q.route) {
 		if q.customer = s.Config.Customer(q.call.Key); q.customer == nil {
-			q.rejectIfKnown(q.age, http.StatusUnauthorized, "key not known")
+			q.rejectIfConfigCurrent(q.configAge, http.StatusUnauthorized, "key not known")
 			return false
 		}
 	}
 	q.service = q.pickService()
-	patience := defaultPatience
+	callerTimeout := defaultCallerTimeout
 	if q.call.HasPatience {
-		patience = q.call.Patience
-		q.again, q.mayHaveTried = q.g.patience.again(q.route.Name, patience, q.route.Timeout)
+		callerTimeout = q.call.Patience
+		q.refusedBefore, q.maybeRefused = q.g.callerTimeouts.classify(q.route.Name, callerTimeout, q.route.Timeout)
 	}
-	q.final = q.arrived.Add(min(patience, q.route.Timeout))
+	q.deadline = q.arrived.Add(min(callerTimeout, q.route.Timeout))
 	if q.route.Kind == fleet.Streaming && q.route.Resumable {
 		q.cursor = cursorFrom(q.call.LastEvent)
 	}
 	return true
 }
 
-// left returns how much of the request's time is left. A suspension of the machine counts:
-// its caller did not wait the less for it, and an endpoint would be given time that is over.
-func (q *request) left() time.Duration {
-	if q.g.ended.Err() != nil {
+// remaining returns the time left until the request's deadline. Suspensions of the machine count as
+// elapsed: the caller went on waiting meanwhile, and an endpoint would otherwise be granted time
+// that has passed.
+func (q *request) remaining() time.Duration {
+	if q.g.processCtx.Err() != nil {
 		return 0
 	}
 	now := time.Now()
-	suspended := q.g.cfg.Now().Sub(q.came) - now.Sub(q.arrived)
-	return q.final.Sub(now) - max(suspended, 0)
+	suspended := q.g.cfg.Now().Sub(q.arrivedBoottime) - now.Sub(q.arrived)
+	return q.deadline.Sub(now) - max(suspended, 0)
 }
 
-// leastHeader is the size of headers that is always taken.
-const leastHeader = 4 << 10
+// minHeaderLimit is the header size that is accepted whatever limit is published.
+const minHeaderLimit = 4 << 10
 
 func (q *request) headerBytes() (n int) {
 	n = len(q.r.RequestURI)
@@ -219,29 +222,29 @@
 	return n
 }
 
-// certainAge is the age of the configuration up to which it is taken as the
-// newest when a request is turned away by it: one long wait for changes.
-const certainAge = 2200 * time.Millisecond
+// maxRejectAge is the configuration age up to which the configuration counts as the newest when a
+// request is rejected because of it: the duration of one long poll for changes.
+const maxRejectAge = 2200 * time.Millisecond
 
-// rejectIfKnown turns a request away for good only if the configuration that
-// says so is surely the newest.
-func (q *request) rejectIfKnown(age time.Duration, status int, cause string) {
-	if age > certainAge {
-		q.refuse(cause+" in a configuration that may be old", staleRetry)
+// rejectIfConfigCurrent rejects a request if the configuration that excludes it is certainly the
+// newest; otherwise it refuses the request for a while.
+func (q *request) rejectIfConfigCurrent(age time.Duration, status int, cause string) {
+	if age > maxRejectAge {
+		q.refuse(cause+" in a configuration that may be outdated", staleConfigRetry)
 		return
 	}
 	q.reject(status, cause)
 }
 
-// keyFresh reports whether the configuration is young enough for the request's
-// key; a key may have been taken away since.
+// keyFresh reports whether the configuration is recent enough to accept the request's key; the key
+// may have been revoked since.
 func (q *request) keyFresh() bool {
-	return q.customer == nil || q.g.view.Age(q.g.cfg.Now()) < q.g.cfg.KeyAge
+	return q.customer == nil || q.g.view.Age(q.g.cfg.Now()) < q.g.cfg.MaxKeyAge
 }
 
-// recheck looks whether the newest configuration still allows the request,
-// which may have waited, or the process may have been stopped in between.
-func (q *request) recheck() (cause string, ok bool) {
+// revalidate reports whether the newest configuration still allows the request. The request may
+// have waited, or the process may have been suspended, since the last check.
+func (q *request) revalidate() (cause string, ok bool) {
 	c := q.g.view.State().Config
 	if c == q.config {
 		return "", true
@@ -252,7 +255,7 @@
 	}
 	if c.NeedsKey(route) {
 		if q.customer = c.Customer(q.call.Key); q.customer == nil {
-			return "key taken away", false
+			return "key revoked", false
 		}
 	}
 	q.config, q.route = c, route
@@ -265,9 +268,9 @@
 	return "", true
 }
 
-// staysAllowed reports whether the newest configuration would let the request be sent once
-// more, where it is bound to the same service if its answer has begun. It changes nothing.
-func (q *request) staysAllowed(begun bool) bool {
+// stillAllowed reports whether the newest configuration would allow another attempt; a request
+// whose answer has begun must stay with its service. It changes nothing.
+func (q *request) stillAllowed(begun bool) bool {
 	c := q.g.view.State().Config
 	if c != q.config {
 		route := c.Route(q.r.Host, q.r.URL.EscapedPath())
@@ -281,7 +284,7 @@
 	return q.keyFresh()
 }
 
-// pickService draws a service by the route's weights.
+// pickService draws a service at random by the route's weights.
 func (q *request) pickService() string {
 	total := 0
 	for _, s := range q.route.Split {
@@ -299,40 +302,40 @@
 	return q.route.Split[0].Service
 }
 
-// readBody reads the whole body, so that it can be sent more than once and
-// nothing is sent of a request that is not whole.
+// readBody reads the whole body, so that it can be sent more than once and no incomplete request is
+// sent.
 func (q *request) readBody() bool {
 	limit := q.config.Limits().BodyBytes
 	if limit <= 0 {
-		limit = fallbackBody
+		limit = defaultBodyLimit
 	}
 	if q.r.ContentLength > limit {
-		q.closeAfter()
+		q.closeAfterAnswer()
 		q.reject(http.StatusRequestEntityTooLarge, "body too large")
 		return false
 	}
-	if !q.keepBody() {
-		q.refuseUnkept()
+	if !q.reserveBody() {
+		q.refuseBufferFull()
 		return false
 	}
-	until := q.final.Add(bodyMargin)
-	if err := q.reply.boundRead(until); err != nil {
-		q.note("caller: " + err.Error()) // As of the next read.
+	until := q.deadline.Add(bodyGrace)
+	if err := q.reply.setReadDeadline(until); err != nil {
+		q.note("caller: " + err.Error()) // The next read fails in the same way.
 	}
-	goesOn := q.endRead()
-	body, err := io.ReadAll(&keeping{http.MaxBytesReader(q.reply.w, q.r.Body, limit), q, q.keeps})
-	if !goesOn() {
-		q.refuseAtEnd("process ends while the body comes")
+	stillRunning := q.abortReadOnTermination()
+	body, err := io.ReadAll(&countedBody{http.MaxBytesReader(q.reply.w, q.r.Body, limit), q, q.buffered})
+	if !stillRunning() {
+		q.refuseOnTermination("process terminates while the body is read")
 		return false
 	}
 	if err == nil {
-		q.reply.bodyLeft = false
-		q.keep(len(body) - int(q.keeps))
+		q.reply.bodyPending = false
+		q.addBuffered(len(body) - int(q.buffered))
 		q.body = body
 		return true
 	}
-	if errors.Is(err, errTooMuch) {
-		q.refuseUnkept()
+	if errors.Is(err, errBufferFull) {
+		q.refuseBufferFull()
 		return false
 	}
 	var large *http.MaxBytesError
@@ -342,34 +345,34 @@
 	}
 	q.note("body: " + err.Error())
 	if !time.Now().Before(until) {
-		q.closeAfter()
-		q.reject(http.StatusRequestTimeout, "body did not come in time")
+		q.closeAfterAnswer()
+		q.reject(http.StatusRequestTimeout, "body not received in time")
 		return false
 	}
-	q.outcome = left
-	q.closeAfter()
+	q.outcome = callerLeft
+	q.closeAfterAnswer()
 	q.answer(http.StatusBadRequest)
 	return false
 }
 
-// endRead ends the read of the body when the process ends. The function lifts that, and reports
-// whether the process goes on; it must be called once.
-func (q *request) endRead() (goesOn func() bool) {
-	ended := make(chan struct{})
-	stop := context.AfterFunc(q.g.ended, func() {
-		defer close(ended)
-		_ = q.reply.boundRead(time.Now()) // The read of a connection that is closed has ended.
+// abortReadOnTermination aborts reading the body when the process terminates. The returned function
+// cancels that and reports whether the process is still running; it must be called once.
+func (q *request) abortReadOnTermination() (stillRunning func() bool) {
+	aborted := make(chan struct{})
+	stop := context.AfterFunc(q.g.processCtx, func() {
+		defer close(aborted)
+		_ = q.reply.setReadDeadline(time.Now()) // On a closed connection the read has returned already.
 	})
 	return func() bool {
 		if stop() {
 			return true
 		}
-		<-ended // The answer sets a deadline of its own.
+		<-aborted // The answer sets its own deadline, which must not be overwritten.
 		return false
 	}
 }
 
-// priority returns the request's rank, 0 being the most urgent.
+// priority returns the request's priority, where 0 is the most urgent.
 func (q *request) priority() int {
 	if q.customer != nil && q.customer.HasPriority {
 		return q.customer.Priority
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -8,22 +8,21 @@
 	"time"
 )
 
-// result says what became of one try.
+// result is the result of one attempt.
 type result int
 
-// The results.
+// Results of an attempt.
 const (
-	over      result = iota // The request has its final answer.
-	unreached               // The endpoint could not be reached: nothing was sent.
-	notRun                  // The endpoint did not run it and never will.
+	done      result = iota // The request has its final answer.
+	unreached               // The endpoint could not be reached; nothing was sent.
+	notRun                  // The endpoint did not run it and will not run it.
 	unknown                 // It may have run.
 )
 
-// maxUnreached bounds the endpoints that are tried in vain before anything is
-// sent.
+// maxUnreached limits the endpoints that may fail to be reached before anything is sent.
 const maxUnreached = 2
 
-// run tries endpoints until the request has its final answer.
+// run sends the request to endpoints until it has its final answer.
 func (q *request) run() {
 	defer func() {
 		q.g.mu.Lock()
@@ -34,129 +33,129 @@
 	for {
 		now := time.Now()
 		if q.ctx.Err() != nil {
-			q.outcome = left
+			q.outcome = callerLeft
 			return
 		}
-		if q.left() <= 0 {
-			q.giveUp(last, true)
+		if q.remaining() <= 0 {
+			q.concludeUnserved(last, true)
 			return
 		}
-		if cause, ok := q.recheck(); !ok {
+		if cause, ok := q.revalidate(); !ok {
 			q.note(cause)
-			q.giveUp(last, false)
+			q.concludeUnserved(last, false)
 			return
 		}
 		if !q.keyFresh() {
-			q.note("configuration too old for keys")
-			q.tooOld = true
-			q.giveUp(last, false)
+			q.note("configuration too old to verify keys")
+			q.configTooOld = true
+			q.concludeUnserved(last, false)
 			return
 		}
 		if q.quarantined() {
-			q.note("endpoints ended under it")
-			q.giveUp(last, false)
+			q.note("quarantined, endpoints ended while running it")
+			q.concludeUnserved(last, false)
 			return
 		}
-		e, ok := q.choose(now)
-		if !ok && !q.barred.any() && (q.groupDown || q.allDown) {
-			e, ok = q.awaitOpen(now)
+		e, ok := q.chooseEndpoint(now)
+		if !ok && !q.excluded.nonEmpty() && (q.groupRejected || q.allGroupsDown) {
+			e, ok = q.awaitGroupOpen(now)
 		}
-		if !ok && q.full && !q.mayRun && q.kept == nil {
-			e, ok = q.await(now)
+		if !ok && q.full && !q.mayHaveRun && q.fallback == nil {
+			e, ok = q.awaitCapacity(now)
 		}
 		if !ok {
-			q.giveUp(last, false)
+			q.concludeUnserved(last, false)
 			return
 		}
-		if len(q.tried) > 0 && !q.paid && !q.takeRepeat() {
-			q.note("repeats used up")
-			q.giveUp(last, false)
+		if len(q.attempted) > 0 && !q.retryTaken && !q.takeRetry() {
+			q.note("retry budget exhausted")
+			q.concludeUnserved(last, false)
 			return
 		}
-		q.paid = false
-		if last = q.try(e); last == over {
+		q.retryTaken = false
+		if last = q.attempt(e); last == done {
 			return
 		}
-		q.paid = q.takeMoved() || q.paid
+		q.retryTaken = q.consumeMoved() || q.retryTaken
 		if last == unknown {
-			q.mayRun = true
-			if !q.mayGoOn() {
-				q.giveUp(last, false)
+			q.mayHaveRun = true
+			if !q.mayResend() {
+				q.concludeUnserved(last, false)
 				return
 			}
 		}
 	}
 }
 
-// mayGoOn reports whether a request that may have run may be sent again: a stream of
-// which the caller has a part only to where it can go on after that.
-func (q *request) mayGoOn() bool {
+// mayResend reports whether a request that may have run may be sent again. If the caller has
+// received part of a stream, that requires that the stream can be resumed after that part.
+func (q *request) mayResend() bool {
 	return q.route.MayRepeat() && (!q.reply.begun() || q.cursor.resumable())
 }
 
-// giveUp gives the final answer of a request that nothing more is tried for.
-func (q *request) giveUp(last result, late bool) {
+// concludeUnserved gives the final answer of a request for which no further attempt is made.
+func (q *request) concludeUnserved(last result, late bool) {
 	switch {
 	case q.ctx.Err() != nil:
-		q.outcome = left
+		q.outcome = callerLeft
 	case q.reply.begun():
 		q.outcome = cutStream
-	case q.kept != nil:
-		q.passOn(q.kept.from, q.kept.resp, q.kept.body)
-	case q.mayRun || last == unknown:
+	case q.fallback != nil:
+		q.sendAnswer(q.fallback.from, q.fallback.resp, q.fallback.body)
+	case q.mayHaveRun || last == unknown:
 		if late {
-			q.fail(http.StatusGatewayTimeout, "time over")
+			q.fail(http.StatusGatewayTimeout, "deadline exceeded")
 			return
 		}
-		q.fail(http.StatusBadGateway, "no answer that can be passed on")
+		q.fail(http.StatusBadGateway, "no answer that can be relayed")
 	case late:
-		q.refuse("time over before anything ran", fullRetry)
+		q.refuse("deadline exceeded before any endpoint ran it", fullRetry)
 	default:
 		q.refuseNotRun()
 	}
 }
 
-// refuseNotRun refuses a request that no endpoint could be found for.
+// refuseNotRun refuses a request for which no endpoint could be found.
 func (q *request) refuseNotRun() {
-	if !q.barred.any() {
-		q.barred = q.barredFromAll() // The last endpoint that turned it away may have been the last to ask.
+	if !q.excluded.nonEmpty() {
+		q.excluded = q.exclusionFromAll() // The endpoint that rejected it last may have been the last one not excluded.
 	}
-	cause := "not run"
-	if q.barred.any() {
-		cause = "all endpoints have asked for rest, or are at the rate limits that they name"
+	cause := "not run by any endpoint"
+	if q.excluded.nonEmpty() {
+		cause = "all endpoints are backing off or at their rate limits"
 	}
-	q.refuse(cause, q.comeBack())
+	q.refuse(cause, q.retryDelay())
 }
 
-// comeBack says when a request that has not run should be tried again.
-func (q *request) comeBack() time.Duration {
+// retryDelay returns the time after which a request that has not run should be retried.
+func (q *request) retryDelay() time.Duration {
 	switch {
-	case q.heldFor > 0:
-		return q.heldFor
-	case q.barred.any():
-		return q.barredRetry()
-	case q.groupDown || q.allDown:
-		return groupRetry
-	case q.tooOld && q.g.alone():
-		return aloneRetry
-	case q.tooOld:
-		return outageRetry
+	case q.quarantinedFor > 0:
+		return q.quarantinedFor
+	case q.excluded.nonEmpty():
+		return q.exclusionRetry()
+	case q.groupRejected || q.allGroupsDown:
+		return groupDownRetry
+	case q.configTooOld && q.g.isolated():
+		return isolatedRetry
+	case q.configTooOld:
+		return storeOutageRetry
 	case q.full:
-		return fullRetry + time.Duration(random(int(fullSpread)))
+		return fullRetry + time.Duration(random(int(fullRetryJitter)))
 	}
-	if len(q.tried) > 0 {
+	if len(q.attempted) > 0 {
 		return fullRetry
 	}
-	return emptyRetry
+	return noEndpointRetry
 }
 
-// takeRepeat spends one repeat of the service's budget.
-func (q *request) takeRepeat() bool {
+// takeRetry takes one retry from the service's budget.
+func (q *request) takeRetry() bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	if !q.g.window(q.service).Take(q.g.cfg.Now(), rand.Float64) {
+	if !q.g.retryWindow(q.service).Take(q.g.cfg.Now(), rand.Float64) {
 		return false
 	}
-	q.g.figures.repeats.Inc(1)
+	q.g.stats.retries.Inc(1)
 	return true
 }
--- a/internal/gateway/short_stream_test.go
+++ b/internal/gateway/short_stream_test.go
@@ -88,5 +88,5 @@
 	s.tell(slow, 1, 2)
 	s.tell(slow, 1, 12)
 	g.Expect(caller.Wait()).To(Succeed())
-	g.Expect(s.figures.moved.Count()).To(BeEquivalentTo(1))
+	g.Expect(s.stats.moved.Count()).To(BeEquivalentTo(1))
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -11,80 +11,81 @@
 	"github.com/canvaspulley/canvaspulley/internal/upstream"
 )
 
-// deadlineShare is the part of a request's time after which the caller of an answer in
-// one piece counts as leaving: it waits until its deadline, and another try needs the
-// rest.
+// deadlineShare is the portion of a request's time after which the caller counts as leaving if the
+// answer is not a stream: the caller waits until its deadline, and another attempt needs the rest
+// of the time.
 const deadlineShare = 0.9
 
-// watch has a try given up whose answer is silent for too long, if the request can go
-// on elsewhere. Without a target nothing says what is too long.
-func (q *request) watch(e fleet.Endpoint, x *upstream.Exchange) {
-	if q.route.Target <= 0 || !q.route.MayRepeat() || len(q.tried) >= q.route.Attempts {
+// watchSilence has an attempt aborted if its answer is silent for too long and the request can be
+// continued elsewhere. Without a target latency there is no measure of too long.
+func (q *request) watchSilence(e fleet.Endpoint, x *upstream.Exchange) {
+	if q.route.Target <= 0 || !q.route.MayRepeat() || len(q.attempted) >= q.route.Attempts {
 		return
 	}
 	x.Watch(upstream.Watch{
-		Limit:  func() time.Duration { return q.eventDue(e, x) },
-		GiveUp: func(silent time.Duration) bool { return q.giveUpSilent(e, silent) },
+		Limit:  func() time.Duration { return q.silenceLimit(e, x) },
+		GiveUp: func(silent time.Duration) bool { return q.abortSilent(e, silent) },
 	})
 }
 
-// eventDue returns for how long from now an answer may be silent.
-func (q *request) eventDue(e fleet.Endpoint, x *upstream.Exchange) time.Duration {
-	a := q.answerOf(e)
-	if x.Progress() == upstream.Answered && q.lastRun.events > 0 {
+// silenceLimit returns for how long from now the answer may be silent.
+func (q *request) silenceLimit(e fleet.Endpoint, x *upstream.Exchange) time.Duration {
+	a := q.answerTiming(e)
+	if x.Progress() == upstream.Answered && q.lastResponse.events > 0 {
 		return a.Midway()
 	}
 	return max(a.BeforeFirst()-time.Since(q.sentAt), 0)
 }
 
-// leavesAfter is after how long without a word the caller leaves.
-func (q *request) leavesAfter() time.Duration {
+// callerLeavesAfter returns how long the caller waits without receiving anything.
+func (q *request) callerLeavesAfter() time.Duration {
 	if q.route.Silence > 0 {
 		return q.route.Silence
 	}
-	return time.Duration(deadlineShare * float64(q.final.Sub(q.arrived)))
+	return time.Duration(deadlineShare * float64(q.deadline.Sub(q.arrived)))
 }
 
-// answerOf returns what is known of the answer of the try under way.
-func (q *request) answerOf(e fleet.Endpoint) silence.Answer {
-	a := silence.Answer{Target: q.route.Target, Leaves: q.leavesAfter()}
+// answerTiming returns what is known of the timing of the current attempt's answer.
+func (q *request) answerTiming(e fleet.Endpoint) silence.Answer {
+	a := silence.Answer{Target: q.route.Target, Leaves: q.callerLeavesAfter()}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	a.First, a.Pass = q.g.passes.Usual(e.ID)
-	if took := q.g.took[q.service]; took != nil && a.First == 0 {
+	if took := q.g.responseTimes[q.service]; took != nil && a.First == 0 {
 		a.First = took.Most()
 	}
 	return a
 }
 
-// giveUpSilent reports whether the request goes on elsewhere since the answer of an
-// endpoint is silent, and takes the repeat for it.
-func (q *request) giveUpSilent(e fleet.Endpoint, silent time.Duration) bool {
-	if q.ctx.Err() != nil || !q.mayGoOn() || !q.mayMove() || !q.takeRepeat() {
+// abortSilent decides whether the attempt is aborted because its answer is silent, so that the
+// request continues elsewhere. If so, it takes the retry for that.
+func (q *request) abortSilent(e fleet.Endpoint, silent time.Duration) bool {
+	if q.ctx.Err() != nil || !q.mayResend() || !q.mayMoveElsewhere() || !q.takeRetry() {
 		return false
 	}
-	q.paid = true
-	q.g.figures.silent.Inc(1)
-	q.bad(e, 1, fmt.Sprintf("silent for %d ms", silent.Milliseconds()))
+	q.retryTaken = true
+	q.g.stats.silentAttempts.Inc(1)
+	q.recordFailure(e, 1, fmt.Sprintf("silent for %d ms", silent.Milliseconds()))
 	return true
 }
 
-// mayMove reports whether the try under way could go on at another endpoint. It has its
-// place among what is under way and needs no new room: a full group kept such requests at
-// a rank whose instance was frozen until their callers left, and it took them as it woke.
-func (q *request) mayMove() bool {
-	if !q.staysAllowed(q.reply.begun()) {
+// mayMoveElsewhere reports whether the current attempt could be continued at another endpoint. The
+// request already counts as in flight and needs no additional capacity: while a group was full,
+// such requests were held at a rank on a frozen instance until their callers left, although the
+// rank accepted them again once it resumed.
+func (q *request) mayMoveElsewhere() bool {
+	if !q.stillAllowed(q.reply.begun()) {
 		return false
 	}
-	before := q.mayRun
-	q.mayRun = true // Of the try under way; whether it was turned away is not known yet.
-	defer func() { q.mayRun = before }()
-	return q.mayAskAnother()
+	before := q.mayHaveRun
+	q.mayHaveRun = true // Assumed of the current attempt; whether it was rejected is not known yet.
+	defer func() { q.mayHaveRun = before }()
+	return q.mayTryAnother()
 }
 
-// noteTook takes in how long an answer in one piece took.
-func (q *request) noteTook(now time.Time) {
+// recordResponseTime records the duration of an answer that is not a stream.
+func (q *request) recordResponseTime(now time.Time) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	q.g.tookOf(q.service).Add(now.Sub(q.sentAt))
+	q.g.responseTime(q.service).Add(now.Sub(q.sentAt))
 }
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -118,8 +118,8 @@
 				c.expectEnd(t)
 				_ = c.Close()
 				wait()
-				g.Eventually(s.Busy, patienceOf).Should(BeZero())
-				g.Expect(s.kept.n.Load()).To(BeZero())
+				g.Eventually(s.InFlight, patienceOf).Should(BeZero())
+				g.Expect(s.bufferedTotal.n.Load()).To(BeZero())
 				g.Expect(runs.Load()).To(BeZero())
 			})
 		}
@@ -153,7 +153,7 @@
 					sent := time.Now()
 					c.send(t, head(fmt.Sprint(i), int(patience.Milliseconds()), framing.header)+framing.body[:1])
 					// Half of them come around the end of the time for bodies.
-					time.Sleep(patience + bodyMargin*time.Duration(i)/30 - bodyMargin/2)
+					time.Sleep(patience + bodyGrace*time.Duration(i)/30 - bodyGrace/2)
 					if _, err := io.WriteString(c, framing.body[1:]); err != nil {
 						return nil // It was refused, and the connection has ended.
 					}
@@ -177,7 +177,7 @@
 		s := newSite(t, counted(&runs))
 		c := s.dial(t)
 		c.send(t, head("one", 100, "Content-Length: 2")+"{")
-		time.Sleep(100*time.Millisecond + bodyMargin/4)
+		time.Sleep(100*time.Millisecond + bodyGrace/4)
 		c.send(t, "}")
 		resp := c.answer(t)
 		g.Expect(resp.StatusCode).To(BeElementOf(http.StatusServiceUnavailable, http.StatusRequestTimeout))
@@ -198,8 +198,8 @@
 			g := NewWithT(t)
 			var left atomic.Bool
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				p := reply{w: w, r: r, bodyLeft: true}
-				if err := p.boundRead(time.Now().Add(limit)); err != nil {
+				p := reply{w: w, r: r, bodyPending: true}
+				if err := p.setReadDeadline(time.Now().Add(limit)); err != nil {
 					return
 				}
 				if _, err := io.Copy(io.Discard, r.Body); err != nil {
@@ -224,8 +224,8 @@
 		configured bool
 		waits      func(s site) bool
 	}{
-		"for the rest of a body": {true, func(s site) bool { return s.kept.n.Load() > 0 }},
-		"for a configuration":    {false, func(s site) bool { return s.Busy() > 0 }},
+		"for the rest of a body": {true, func(s site) bool { return s.bufferedTotal.n.Load() > 0 }},
+		"for a configuration":    {false, func(s site) bool { return s.InFlight() > 0 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -239,13 +239,13 @@
 			c.send(t, head("one", 10*int(patienceOf/time.Millisecond), "Content-Length: 20")+"{}")
 			g.Eventually(func() bool { return tc.waits(s) }, patienceOf).Should(BeTrue())
 			time.Sleep(20 * time.Millisecond) // So that it waits.
-			s.End()
+			s.Terminate()
 			resp := c.answer(t)
 			g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(resp.Header.Get("Retry-After")).To(Equal("0.05"))
 			g.Expect(resp.Close).To(BeTrue())
 			c.expectEnd(t)
-			g.Eventually(s.Callers().Open, patienceOf).Should(BeZero())
+			g.Eventually(s.CallerConns().Open, patienceOf).Should(BeZero())
 			g.Expect(runs.Load()).To(BeZero())
 		})
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -14,17 +14,17 @@
 	"github.com/canvaspulley/canvaspulley/internal/upstream"
 )
 
-// Errors of streams that end before their end.
+// Errors of streams that were cut.
 var (
-	errPartial   = errors.New("the stream ended within an event")
-	errUnsureEnd = errors.New("the connection ended, and with it perhaps the endpoint's process")
+	errPartialEvent = errors.New("the stream ended within an event")
+	errAmbiguousEnd = errors.New("the connection ended, possibly together with the endpoint's process")
 )
 
 // eventStream is the media type of streams.
 const eventStream = "text/event-stream"
 
-// isStream reports whether an answer is a stream of events; all else is passed on
-// when it is whole.
+// isStream reports whether an answer is a stream of events. All other answers are relayed once they
+// are complete.
 func (q *request) isStream(resp *http.Response) bool {
 	if q.route.Kind != fleet.Streaming || resp.StatusCode != http.StatusOK {
 		return false
@@ -33,43 +33,42 @@
 	return (err == nil || errors.Is(err, mime.ErrInvalidMediaParameter)) && media == eventStream
 }
 
-// fits returns why an answer cannot go on with a stream that has begun. Its head
-// cannot reach the caller any more, so nothing but a stream of the same weights may
-// follow: the body of an endpoint's own failure would end the caller's answer as if
-// the stream were whole.
-func (q *request) fits(resp *http.Response, a fleet.Answer) error {
+// checkContinuation returns why an answer cannot continue a stream that has begun. Its head can no
+// longer reach the caller, so it must be a stream of the same weights version: the body of an error
+// answer would end the caller's answer as if the stream were complete.
+func (q *request) checkContinuation(resp *http.Response, a fleet.Answer) error {
 	switch {
 	case !q.isStream(resp):
-		return errors.Newf("status %d where a stream goes on", resp.StatusCode)
+		return errors.Newf("status %d where a stream is continued", resp.StatusCode)
 	case a.Weights != "" && q.cursor.weights != "" && a.Weights != q.cursor.weights:
-		return errors.Newf("weights %s where a stream of weights %s goes on", a.Weights, q.cursor.weights)
+		return errors.Newf("weights %s where a stream of weights %s is continued", a.Weights, q.cursor.weights)
 	}
 	return nil
 }
 
-// notJoined drops an answer, or the rest of one, that cannot go on with the stream.
-// The endpoint is at fault for a failure of its own and for events out of order, but
-// not for a request that it does not take.
-func (q *request) notJoined(e fleet.Endpoint, x *upstream.Exchange, weight float64, why error) result {
+// rejectContinuation drops an answer, or the rest of one, that cannot continue the stream. The
+// endpoint is at fault for an error of its own and for events out of order, but not for a request
+// that it does not accept.
+func (q *request) rejectContinuation(e fleet.Endpoint, x *upstream.Exchange, weight float64, why error) result {
 	x.Abort()
-	q.g.figures.notJoined.Inc(1)
-	q.bad(e, weight, why.Error())
+	q.g.stats.continuationsRejected.Inc(1)
+	q.recordFailure(e, weight, why.Error())
 	return unknown
 }
 
-// joinFault is the weight with which events out of order count against an endpoint:
-// nothing when all that is known of their order is what the caller claims to have.
-func (q *request) joinFault() float64 {
+// continuationFault returns the weight with which events out of order count as a failure of an
+// endpoint: zero if their order is known only from what the caller claims to have received.
+func (q *request) continuationFault() float64 {
 	if q.events == 0 {
 		return 0
 	}
 	return 1
 }
 
-// relayStream passes events on as they come. Only whole events go out, so that
-// another endpoint can go on after the last one.
+// relayStream passes events on as they arrive. Only complete events are sent, so that another
+// endpoint can continue after the last one.
 func (q *request) relayStream(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
-	joined := q.events > 0
+	continuing := q.events > 0
 	br := x.Reader()
 	var buf []byte
 	for {
@@ -80,52 +79,52 @@
 		}
 		if err != nil {
 			x.Abort()
-			return q.brokenStream(e, err)
+			return q.streamFailed(e, err)
 		}
-		first := q.lastRun.events == 0
-		if err := q.cursor.check(ev, joined && first); err != nil {
-			return q.notJoined(e, x, q.joinFault(), err)
+		first := q.lastResponse.events == 0
+		if err := q.cursor.check(ev, continuing && first); err != nil {
+			return q.rejectContinuation(e, x, q.continuationFault(), err)
 		}
-		if !ev.placed() && !q.stays() {
+		if !ev.marksPosition() && !q.pinToEndpoint() {
 			x.Abort()
 			return unknown
 		}
 		if err := q.sendEvent(e, resp, ev, br.Buffered() == 0); err != nil {
 			x.Abort()
 			q.note("caller: " + err.Error())
-			q.outcome = left
-			return over
+			q.outcome = callerLeft
+			return done
 		}
-		q.cursor.pass(ev, first)
+		q.cursor.advance(ev, first)
 	}
 }
 
-// stays keeps the request from being moved, since after an event without an id it
-// can go on nowhere else. It reports false if it is being moved already.
-func (q *request) stays() bool {
-	q.leavePlace()
+// pinToEndpoint excludes the request from being moved, since it cannot be continued elsewhere after
+// an event without an id. It returns false if the request is being moved already.
+func (q *request) pinToEndpoint() bool {
+	q.unregisterMovable()
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	return !q.moved
 }
 
-// sendEvent passes one event on; flush is set when no further one is at hand.
+// sendEvent passes one event on; flush is true if no further event is buffered.
 func (q *request) sendEvent(e fleet.Endpoint, resp *http.Response, ev event, flush bool) error {
 	var h replyHead
 	if !q.reply.begun() {
-		h = q.headOf(resp)
-		q.endpoint = e.ID
-		q.firstAt = time.Now()
+		h = q.callerHead(resp)
+		q.servedBy = e.ID
+		q.firstByteAt = time.Now()
 	}
 	if err := q.reply.sendEvent(h, ev.raw); err != nil {
 		return err
 	}
 	if ev.hasData {
 		now := time.Now()
-		q.noteTime(e, now)
-		q.lastAt = now
+		q.recordEventTime(e, now)
+		q.lastEventAt = now
 		q.events++
-		q.lastRun.events++
+		q.lastResponse.events++
 	}
 	if !flush {
 		return nil
@@ -133,78 +132,78 @@
 	return q.reply.flush()
 }
 
-// noteTime tells what the time of an event says of the passes of its group.
-func (q *request) noteTime(e fleet.Endpoint, now time.Time) {
+// recordEventTime records what the time of an event shows of the passes of its group.
+func (q *request) recordEventTime(e fleet.Endpoint, now time.Time) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if q.events == 0 {
 		q.g.passes.First(e.ID, now.Sub(q.sentAt))
 		return
 	}
-	q.pause = max(q.pause, now.Sub(q.lastAt))
-	q.g.passes.Gap(e.ID, now.Sub(q.lastAt), now)
+	q.maxEventGap = max(q.maxEventGap, now.Sub(q.lastEventAt))
+	q.g.passes.Gap(e.ID, now.Sub(q.lastEventAt), now)
 }
 
-// endStream ends a stream that its endpoint ended as whole.
+// endStream ends a stream that its endpoint ended as complete.
 func (q *request) endStream(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
 	if !q.reply.begun() {
-		return q.endEmpty(e, x, resp)
+		return q.endEmptyStream(e, x, resp)
 	}
-	q.handBack(x)
-	if !q.sawEnd(e, x) {
-		return q.brokenStream(e, errUnsureEnd)
+	q.returnToPool(x)
+	if !q.confirmEnd(e, x) {
+		return q.streamFailed(e, errAmbiguousEnd)
 	}
 	if err := q.reply.endStream(); err != nil {
 		q.note(err.Error())
 		q.outcome = cutStream
-		return over
+		return done
 	}
-	q.g.figures.streamEnd(q.lastRun)
-	q.good(e)
-	q.ranToEnd()
+	q.g.stats.countStreamEnd(q.lastResponse)
+	q.recordSuccess(e)
+	q.recordCompletion()
 	q.outcome = served
-	return over
+	return done
 }
 
-// endEmpty ends a stream of which no event came. It is whole for a caller that has
-// had events before, if its framing says so: it had the last one.
-func (q *request) endEmpty(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
-	if !q.cursor.known || !x.Framed() {
+// endEmptyStream ends a stream without any event. It is complete if its framing says so and the
+// caller had received events before: the last of them was the end.
+func (q *request) endEmptyStream(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
+	if !q.cursor.idKnown || !x.Framed() {
 		x.Abort()
-		q.bad(e, 1, "a stream without events")
+		q.recordFailure(e, 1, "a stream without events")
 		return unknown
 	}
-	q.handBack(x)
-	q.finished = true // It had run before; that says nothing of what it does to endpoints.
-	q.g.figures.streamEnd(q.lastRun)
-	q.good(e)
-	q.passOn(e, resp, nil)
-	return over
+	q.returnToPool(x)
+	q.attemptFinished = true // It had run before, so this shows nothing of its effect on endpoints.
+	q.g.stats.countStreamEnd(q.lastResponse)
+	q.recordSuccess(e)
+	q.sendAnswer(e, resp, nil)
+	return done
 }
 
-// brokenStream judges a stream that broke off.
-func (q *request) brokenStream(e fleet.Endpoint, err error) result {
+// streamFailed handles a stream that was cut.
+func (q *request) streamFailed(e fleet.Endpoint, err error) result {
 	if q.ctx.Err() != nil {
-		q.noteLeft(e, "stream not ended", q.sentAt)
-		q.outcome = left
-		return over
+		q.noteCallerLeft(e, "stream not ended", q.sentAt)
+		q.outcome = callerLeft
+		return done
 	}
-	if !errors.Is(err, upstream.ErrSilent) && !q.moving(e) {
-		q.bad(e, 1, "stream: "+err.Error())
-		q.brokeOff(e, err)
+	if !errors.Is(err, upstream.ErrSilent) && !q.isBeingMoved(e) {
+		q.recordFailure(e, 1, "stream: "+err.Error())
+		q.checkEndpointEnded(e, err)
 	}
-	q.leaveOff()
+	q.flushPartialStream()
 	return unknown
 }
 
-// leaveOff passes on what came whole of a stream that ends here: it is the caller's,
-// whatever becomes of the rest.
-func (q *request) leaveOff() {
+// flushPartialStream sends the complete events of a stream that ends here: they reach the caller
+// whether or not the stream is continued.
+func (q *request) flushPartialStream() {
 	if !q.reply.begun() {
 		return
 	}
 	if err := q.reply.flush(); err != nil {
 		q.note("caller: " + err.Error())
 	}
-	q.g.figures.resumed.Inc(1)
+	q.g.stats.resumedStreams.Inc(1)
 }
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -17,50 +17,51 @@
 )
 
 const (
-	// gatherTime is the least time between two messages that tell of ends: the tries at an
-	// endpoint that ends break off together, and the first is told at once, all others in
-	// one message. It is far below the seconds after which a caller or a group of ranks is
-	// there again.
-	gatherTime = 10 * time.Millisecond
-	// entrusted is how many sidecars are told of ends at a time, drawn anew each time: all
-	// know within some hellos of some gateways, and the bytes do not grow with their number.
-	entrusted = 4
-	// mostNamed is how many rate limits a newcomer is told by each gateway: it hears of the
-	// others by its own requests.
-	mostNamed = 4 * peers.MostLimits
+	// announceInterval is the least time between two announcements of ends. The attempts at an
+	// ending endpoint are cut together; the first is announced at once, and all others in one
+	// message. The interval is far below the seconds after which a caller returns or a group of
+	// ranks has restarted.
+	announceInterval = 10 * time.Millisecond
+	// endsFanout is the number of sidecars, drawn at random each time, to which ends are sent at a
+	// time: all sidecars know them after a few hello rounds of a few gateways, and the traffic does
+	// not grow with the number of sidecars.
+	endsFanout = 4
+	// maxLimitsToNewcomer is the number of rate limits that each gateway sends to a new gateway,
+	// which learns the others from its own requests.
+	maxLimitsToNewcomer = 4 * peers.MostLimits
 )
 
-// tellNews tells all other gateways at once of ends that were seen here, until ctx ends.
-// Hellos repeat them, as messages may be lost.
-func (n *Neighbours) tellNews(ctx context.Context) error {
+// announceChanges announces ends and changed rate limits seen here to all other gateways at once,
+// until ctx is done. Hellos repeat the ends, since messages may be lost.
+func (n *PeerExchange) announceChanges(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-n.g.suspects.News():
-		case <-n.g.limitNews:
+		case <-n.g.limitsChanged:
 		}
-		for n.g.untoldLimits() {
-			n.tellLimits()
+		for n.g.hasUnsentLimits() {
+			n.announceLimits()
 		}
 		for n.g.suspects.Untold() {
-			n.socket.SendAll(addresses(n.others()), peers.Message{Ends: n.g.suspects.Tell(n.g.cfg.Now())})
+			n.socket.SendAll(addresses(n.liveGateways()), peers.Message{Ends: n.g.suspects.Tell(n.g.cfg.Now())})
 		}
-		wait.For(ctx, gatherTime)
+		wait.For(ctx, announceInterval)
 	}
 }
 
-// tellLimits tells all other gateways of rate limits that have changed.
-func (n *Neighbours) tellLimits() {
-	list := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MostLimits) })
+// announceLimits sends changed rate limits to all other gateways.
+func (n *PeerExchange) announceLimits() {
+	list := n.g.limitMessages(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MostLimits) })
 	if len(list) > 0 {
-		n.socket.SendAll(addresses(n.others()), peers.Message{Limits: list})
+		n.socket.SendAll(addresses(n.liveGateways()), peers.Message{Limits: list})
 	}
 }
 
-// tellNewcomer tells a gateway that has just started, or was away, of ends and rate limits.
-func (n *Neighbours) tellNewcomer(to netip.AddrPort) {
-	limits := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Named(mostNamed) })
+// sendStateTo sends ends and rate limits to a gateway that has just started or was unreachable.
+func (n *PeerExchange) sendStateTo(to netip.AddrPort) {
+	limits := n.g.limitMessages(func(l *throttle.Limits) []throttle.Told { return l.Named(maxLimitsToNewcomer) })
 	for part := range slices.Chunk(limits, peers.MostLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
@@ -69,20 +70,21 @@
 	}
 }
 
-// entrust tells some sidecars of ends: they tell gateways that have just started.
-func (n *Neighbours) entrust(sidecars []sidecar) {
+// sendEndsToSidecars sends ends to some sidecars, which pass them on to gateways that have just
+// started.
+func (n *PeerExchange) sendEndsToSidecars(sidecars []sidecar) {
 	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
-		n.socket.SendAll(addressesOf(roster.Some(sidecars, entrusted, random)), peers.Message{Ends: list})
+		n.socket.SendAll(addressesOf(roster.Some(sidecars, endsFanout, random)), peers.Message{Ends: list})
 	}
 }
 
-// owns reports whether this gateway is the one that tries a request of a key, by the
-// gateways that it knows.
-func (n *Neighbours) owns(k quarantine.Key) bool {
-	return own.Owner(k.String(), append(n.others(), n.self)) == n.self
+// ownsKey reports whether this gateway is the one that runs trials of requests with a key, among
+// the gateways that it knows.
+func (n *PeerExchange) ownsKey(k quarantine.Key) bool {
+	return own.Owner(k.String(), append(n.liveGateways(), n.self)) == n.self
 }
 
-// addresses returns those of a list that can be read.
+// addresses returns the valid addresses of a list.
 func addresses(list []string) (parsed []netip.AddrPort) {
 	for _, a := range list {
 		if ap, err := netip.ParseAddrPort(a); err == nil {
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -16,31 +16,31 @@
 	"github.com/canvaspulley/canvaspulley/internal/upstream"
 )
 
-// onceIdle and repeatIdle are how long a connection may have been idle for a
-// request. One that may not run twice gets a new one, since what a kept
-// connection swallowed may have run, and so does the last repeat of any.
+// maxIdleNonRepeatable and maxIdleRepeatable limit how long a reused connection may have been idle.
+// A request that must not run twice gets a new connection, since a request lost on a reused one may
+// have run. So does the last retry of any request.
 const (
-	onceIdle   = 0
-	repeatIdle = 30 * time.Second
+	maxIdleNonRepeatable = 0
+	maxIdleRepeatable    = 30 * time.Second
 )
 
 func (q *request) maxIdle(e fleet.Endpoint) time.Duration {
-	lastRepeat := len(q.tried) > 0 && len(q.tried)+1 >= q.route.Attempts
-	if !q.route.MayRepeat() || lastRepeat || e.ID == q.closedUnder {
-		return onceIdle
+	lastRepeat := len(q.attempted) > 0 && len(q.attempted)+1 >= q.route.Attempts
+	if !q.route.MayRepeat() || lastRepeat || e.ID == q.closedReused {
+		return maxIdleNonRepeatable
 	}
-	return repeatIdle
+	return maxIdleRepeatable
 }
 
-// try sends the request to one endpoint and relays its answer.
-func (q *request) try(e fleet.Endpoint) result {
+// attempt sends the request to one endpoint and relays its answer.
+func (q *request) attempt(e fleet.Endpoint) result {
 	g := q.g
 	duty.Locked(&g.mu, func() {
 		if age, ok := g.table.Age(e.ID, time.Now()); ok {
-			g.figures.loadAge.Update(age.Milliseconds())
+			g.stats.loadAgeMs.Update(age.Milliseconds())
 		}
 		g.table.Start(e.ID)
-		q.sendsTo(e.ID, time.Now())
+		q.recordColdSend(e.ID, time.Now())
 	})
 	defer func() {
 		g.mu.Lock()
@@ -51,78 +51,78 @@
 	conn, err := g.pool.Get(q.ctx, e.ID, e.Address, q.maxIdle(e))
 	if err != nil {
 		if q.ctx.Err() != nil {
-			q.noteLeft(e, "connecting", began)
+			q.noteCallerLeft(e, "connecting", began)
 		} else {
-			q.bad(e, 1, "unreached: "+err.Error())
-			duty.Locked(&g.mu, func() { q.noteUnreached(e.ID, err, time.Now()) })
+			q.recordFailure(e, 1, "unreached: "+err.Error())
+			duty.Locked(&g.mu, func() { q.recordUnreachable(e.ID, err, time.Now()) })
 			if connectionRefused(err) {
 				g.endpointEnded(e)
 			}
 		}
-		q.unsent = append(q.unsent, e.ID)
+		q.unreachable = append(q.unreachable, e.ID)
 		return unreached
 	}
-	defer q.hold(conn)()
+	defer q.bindConn(conn)()
 	if !q.mayStillSend(e) {
 		conn.Close()
-		q.unsent = append(q.unsent, e.ID)
+		q.unreachable = append(q.unreachable, e.ID)
 		return unreached
 	}
-	if len(q.tried) == 0 {
-		duty.Locked(&g.mu, func() { g.window(q.service).Request(g.cfg.Now()) })
+	if len(q.attempted) == 0 {
+		duty.Locked(&g.mu, func() { g.retryWindow(q.service).Request(g.cfg.Now()) })
 	}
 	return q.exchange(e, conn)
 }
 
-// hold ends the connection with the caller or the process, for as long as the request uses it. The
-// function ends that; a connection that is handed back is another request's.
-func (q *request) hold(conn *upstream.Conn) (release func()) {
-	left := context.AfterFunc(q.ctx, conn.Close)
-	ended := context.AfterFunc(q.g.ended, conn.Close)
-	unhold := func() bool {
-		there, goesOn := left(), ended()
-		return there && goesOn
+// bindConn closes the connection when the caller leaves or the process terminates, for as long as
+// the request uses it. The returned function ends that; a connection returned to the pool belongs
+// to another request.
+func (q *request) bindConn(conn *upstream.Conn) (release func()) {
+	detachCaller := context.AfterFunc(q.ctx, conn.Close)
+	detachProcess := context.AfterFunc(q.g.processCtx, conn.Close)
+	detach := func() bool {
+		callerDetached, processDetached := detachCaller(), detachProcess()
+		return callerDetached && processDetached
 	}
-	q.unhold = unhold
-	return func() { unhold() }
+	q.detachConn = detach
+	return func() { detach() }
 }
 
-// handBack gives the connection of an answer that was read to its end to the pool.
-// Nothing that ends this request's connection may then find it any more.
-func (q *request) handBack(x *upstream.Exchange) {
-	q.leavePlace()
-	if !q.unhold() {
+// returnToPool returns the connection of an answer that was read to its end to the pool. From then
+// on nothing that ends this request may close the connection.
+func (q *request) returnToPool(x *upstream.Exchange) {
+	q.unregisterMovable()
+	if !q.detachConn() {
 		x.Abort() // The caller has left, and the connection is being closed.
 		return
 	}
 	x.Done(q.g.pool)
 }
 
-// mayStillSend looks once more, right before the send, whether the endpoint
-// takes anything new and the configuration still counts: the process may have
-// been stopped since.
+// mayStillSend checks again, right before sending, whether the endpoint accepts new requests and
+// the configuration is still valid: the process may have been suspended since the last check.
 func (q *request) mayStillSend(e fleet.Endpoint) bool {
 	s := q.g.view.State()
 	now, ok := s.Endpoints[e.ID]
-	if !ok || q.g.leaves(now) || now.Address != e.Address {
-		q.note(e.ID + " leaves")
+	if !ok || q.g.isLeaving(now) || now.Address != e.Address {
+		q.note(e.ID + " is leaving")
 		return false
 	}
-	if q.g.rests(e) {
-		q.note(e.ID + " has asked for rest")
+	if q.g.isBackingOff(e) {
+		q.note(e.ID + " is backing off")
 		return false
 	}
 	if s.Evacuated(e.Domain) {
 		q.note(e.ID + ": its failure domain is evacuated")
 		return false
 	}
-	if _, ok := q.recheck(); !ok || !q.keyFresh() {
-		return false // The loop looks again and says why.
+	if _, ok := q.revalidate(); !ok || !q.keyFresh() {
+		return false // The loop in run repeats the check and notes the cause.
 	}
 	if q.quarantined() {
 		return false // As above.
 	}
-	return q.left() > 0
+	return q.remaining() > 0
 }
 
 // exchange sends the request on a connection and relays the answer.
@@ -130,27 +130,27 @@
 	sentAt := time.Now()
 	q.sentAt = sentAt
 	q.usePermit(e)
-	q.noteSending() // After that: a trial's answer counts if it was sent no earlier than the trial.
-	q.finished = false
+	q.recordSending() // After usePermit: a trial's answer counts only if it was sent no earlier than the trial began.
+	q.attemptFinished = false
 	defer func() {
-		if !q.finished && len(q.tried) > 0 && q.tried[len(q.tried)-1] == e.ID {
+		if !q.attemptFinished && len(q.attempted) > 0 && q.attempted[len(q.attempted)-1] == e.ID {
 			q.noteUnfinished(e)
-			q.g.lookLater(e)
+			q.g.checkEndedLater(e)
 		}
 	}()
-	q.tried, q.closedUnder = append(q.tried, e.ID), ""
+	q.attempted, q.closedReused = append(q.attempted, e.ID), ""
 	if q.route.MayRepeat() && q.route.Kind == fleet.Streaming {
-		q.leavePlace = q.g.enter(e.ID, q, conn)
-		defer q.leavePlace()
+		q.unregisterMovable = q.g.registerMovable(e.ID, q, conn)
+		defer q.unregisterMovable()
 	}
 	out := &upstream.Request{Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Body: q.body}
 	out.Header = q.g.codec.EndpointHeader(q.r.Header, q.stamp(e))
-	x, err := conn.Send(out, q.final)
+	x, err := conn.Send(out, q.deadline)
 	if err != nil {
 		conn.Close()
-		return q.broken(e, x, err)
+		return q.connectionFailed(e, x, err)
 	}
-	q.watch(e, x)
+	q.watchSilence(e, x)
 	var answer fleet.Answer
 	resp, err := x.Head(out, func(status int, h http.Header) bool {
 		answer = q.g.codec.ReadAnswer(status, h)
@@ -158,31 +158,31 @@
 	})
 	if err != nil {
 		conn.Close()
-		return q.broken(e, x, err)
+		return q.connectionFailed(e, x, err)
 	}
 	return q.relay(e, x, resp, answer)
 }
 
-// relay judges an answer, whose head has come, by what it says of itself, and passes
-// on what is the caller's.
+// relay handles an answer whose head was received: it decides by the answer's headers whether the
+// answer is valid, and passes on what is meant for the caller.
 func (q *request) relay(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response, answer fleet.Answer) result {
-	q.hearAnswer(e, resp.StatusCode, answer)
+	q.applyAnswerHints(e, resp.StatusCode, answer)
 	if answer.NotRun {
-		q.finished = true
-		q.turnedAway(e, resp.StatusCode, answer)
+		q.attemptFinished = true
+		q.notRunByEndpoint(e, resp.StatusCode, answer)
 		x.Abort()
 		return notRun
 	}
 	if !answer.Signed || answer.Encoded {
 		x.Abort()
-		q.bad(e, 1, fmt.Sprintf("status %d without signature", resp.StatusCode))
+		q.recordFailure(e, 1, fmt.Sprintf("status %d without signature", resp.StatusCode))
 		return unknown
 	}
-	q.g.suspects.Alive(e.ID, q.wentAt)
-	q.lastRun = endpointRun{endpoint: e.ID, status: resp.StatusCode, framed: x.Framed()}
+	q.g.suspects.Alive(e.ID, q.sentBoottime)
+	q.lastResponse = endpointResponse{endpoint: e.ID, status: resp.StatusCode, framed: x.Framed()}
 	if q.reply.begun() {
-		if err := q.fits(resp, answer); err != nil {
-			return q.notJoined(e, x, fault(resp.StatusCode), err)
+		if err := q.checkContinuation(resp, answer); err != nil {
+			return q.rejectContinuation(e, x, faultWeight(resp.StatusCode), err)
 		}
 	}
 	if q.isStream(resp) {
@@ -191,12 +191,12 @@
 		}
 		return q.relayStream(e, x, resp)
 	}
-	return q.relayWhole(e, x, resp)
+	return q.relayComplete(e, x, resp)
 }
 
-// stamp is what the endpoint is told besides the caller's headers.
+// stamp returns what is sent to the endpoint in addition to the caller's headers.
 func (q *request) stamp(e fleet.Endpoint) fleet.Stamp {
-	s := fleet.Stamp{EndpointName: e.Name(), Left: q.left(), Priority: q.priority()}
+	s := fleet.Stamp{EndpointName: e.Name(), Left: q.remaining(), Priority: q.priority()}
 	if q.customer != nil {
 		s.Customer = q.customer.Name
 	}
@@ -207,69 +207,71 @@
 	return s
 }
 
-// fault is the weight with which an answer's status counts against its endpoint.
-func fault(status int) float64 {
+// faultWeight returns the weight with which the status of an answer counts as a failure of its
+// endpoint.
+func faultWeight(status int) float64 {
 	if status >= http.StatusInternalServerError {
 		return 1
 	}
 	return 0
 }
 
-// broken judges a connection that failed before the head of an answer.
-func (q *request) broken(e fleet.Endpoint, x *upstream.Exchange, err error) result {
+// connectionFailed handles a connection that failed before the head of an answer was received.
+func (q *request) connectionFailed(e fleet.Endpoint, x *upstream.Exchange, err error) result {
 	if q.ctx.Err() != nil {
-		q.noteLeft(e, "no answer yet", q.sentAt)
-		q.outcome = left
-		return over
+		q.noteCallerLeft(e, "no answer yet", q.sentAt)
+		q.outcome = callerLeft
+		return done
 	}
 	if x.Progress() == upstream.Unsent {
-		q.tried = q.tried[:len(q.tried)-1]
-		q.unsent = append(q.unsent, e.ID)
-		if !q.moving(e) {
-			q.bad(e, 1, "unsent: "+err.Error())
+		q.attempted = q.attempted[:len(q.attempted)-1]
+		q.unreachable = append(q.unreachable, e.ID)
+		if !q.isBeingMoved(e) {
+			q.recordFailure(e, 1, "unsent: "+err.Error())
 		}
 		return unreached
 	}
-	if errors.Is(err, upstream.ErrSilent) || q.moving(e) {
-		return unknown // Judged already, or no fault.
+	if errors.Is(err, upstream.ErrSilent) || q.isBeingMoved(e) {
+		return unknown // The failure is recorded already, or the endpoint is not at fault.
 	}
 	weight, reused := 1.0, x.Conn().Reused()
 	if reused {
 		weight = 0.5 // It may just have closed an idle connection.
 	}
-	q.bad(e, weight, err.Error())
-	if ended := q.brokeOff(e, err); reused && !ended && closedByPeer(err) {
-		q.closedUnder = e.ID
+	q.recordFailure(e, weight, err.Error())
+	if ended := q.checkEndpointEnded(e, err); reused && !ended && closedByPeer(err) {
+		q.closedReused = e.ID
 	}
 	return unknown
 }
 
-// turnedAway notes an answer that says that the request was not run.
-func (q *request) turnedAway(e fleet.Endpoint, status int, a fleet.Answer) {
-	q.bad(e, 0, fmt.Sprintf("turned away: %d %s", status, a.AtFault)) // Being full is no fault.
+// notRunByEndpoint records an answer saying that the request was not run.
+func (q *request) notRunByEndpoint(e fleet.Endpoint, status int, a fleet.Answer) {
+	q.recordFailure(e, 0, fmt.Sprintf("rejected without running it: %d %s", status, a.AtFault)) // Being full is no fault.
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() && !q.asksForWeights() {
+	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() && !q.pinsWeights() {
 		q.g.table.Misplaced(e.ID, time.Now())
 	}
 	if a.AtFault != "" {
-		q.downGroup, q.groupDown, q.downAt = q.g.passes.Group(e.ID), true, time.Now()
+		q.rejectingGroup, q.groupRejected, q.groupRejectedAt = q.g.passes.Group(e.ID), true, time.Now()
 	}
 }
 
-// asksForWeights reports whether the request may be turned away because of the
-// endpoint's weights, by its caller's wish or since a stream goes on under them.
-func (q *request) asksForWeights() bool {
+// pinsWeights reports whether the endpoint may reject the request because of its weights version:
+// the caller asked for a version, or a stream is continued under one.
+func (q *request) pinsWeights() bool {
 	return q.call.Weights != "" || q.reply.begun() && q.cursor.weights != ""
 }
 
-// noteLeft notes the try that was under way as the caller left: it has no end of its own.
-func (q *request) noteLeft(e fleet.Endpoint, where string, since time.Time) {
+// noteCallerLeft records the attempt in flight when the caller left, which has no result of its
+// own.
+func (q *request) noteCallerLeft(e fleet.Endpoint, where string, since time.Time) {
 	q.note(fmt.Sprintf("%s: %s after %d ms, as the caller left", e.ID, where, time.Since(since).Milliseconds()))
 }
 
-// bad notes a failure of an endpoint.
-func (q *request) bad(e fleet.Endpoint, weight float64, text string) {
+// recordFailure records a failure of an endpoint with the given weight.
+func (q *request) recordFailure(e fleet.Endpoint, weight float64, text string) {
 	q.note(e.ID + ": " + text)
 	if weight == 0 {
 		return
@@ -278,11 +280,11 @@
 	var ok bool
 	duty.Locked(&q.g.mu, func() { out, ok = q.g.table.Bad(e.ID, weight, time.Now()) })
 	if ok {
-		q.g.log.Warn("endpoint taken out", zap.String("endpoint", e.ID), zap.String("cause", text), zap.Duration("for", out))
+		q.g.log.Warn("endpoint ejected", zap.String("endpoint", e.ID), zap.String("cause", text), zap.Duration("for", out))
 	}
 }
 
-func (q *request) good(e fleet.Endpoint) {
+func (q *request) recordSuccess(e fleet.Endpoint) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	q.g.table.Good(e.ID, time.Now())
--- a/internal/gateway/unfinished.go
+++ b/internal/gateway/unfinished.go
@@ -11,73 +11,73 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/quarantine"
 )
 
-// unfinished is a try that did not come to its end, and of which it is not known whether its
-// endpoint lives on: the caller left, the answer was silent or could not be used, or the
-// connection broke.
-type unfinished struct {
+// unfinishedAttempt is an attempt that did not come to its end, and after which it is unknown
+// whether the endpoint is still running: the caller left, the answer was silent or unusable, or the
+// connection failed.
+type unfinishedAttempt struct {
 	key     quarantine.Key
 	sending quarantine.Sending
-	at      time.Time // When it was given up.
+	endedAt time.Time // When the attempt ended.
 }
 
 const (
-	// unfinishedFor is for how long after a try was given up the end of its endpoint is
-	// put down to it: endpoints drop a request once its connection closes, and the next
-	// request finds within such a time that they have ended.
-	unfinishedFor = time.Second
-	// mostUnfinished bounds the tries that are remembered of one endpoint: twice what it
+	// unfinishedTTL is the time after the end of an attempt within which the end of its endpoint is
+	// attributed to it. Endpoints drop a request when its connection closes, and within this time
+	// the next request finds that they have ended.
+	unfinishedTTL = time.Second
+	// maxUnfinishedPerEndpoint limits the attempts recorded per endpoint: twice the number that it
 	// runs at once.
-	mostUnfinished = 32
+	maxUnfinishedPerEndpoint = 32
 )
 
-// unfinishedTries are those of late, by endpoint.
-type unfinishedTries struct {
-	mu         sync.Mutex // Guards what follows.
-	byEndpoint map[string][]unfinished
-	looks      map[string]bool // Endpoints that are about to be looked at.
+// unfinishedAttempts holds recent unfinished attempts by endpoint.
+type unfinishedAttempts struct {
+	mu            sync.Mutex // Guards the fields below.
+	byEndpoint    map[string][]unfinishedAttempt
+	pendingChecks map[string]bool // Endpoints for which a delayed check is scheduled.
 }
 
-func newUnfinishedTries() *unfinishedTries {
-	return &unfinishedTries{byEndpoint: map[string][]unfinished{}, looks: map[string]bool{}}
+func newUnfinishedAttempts() *unfinishedAttempts {
+	return &unfinishedAttempts{byEndpoint: map[string][]unfinishedAttempt{}, pendingChecks: map[string]bool{}}
 }
 
-// note remembers a try at an endpoint.
-func (t *unfinishedTries) note(endpoint string, u unfinished) {
+// note records an attempt at an endpoint.
+func (t *unfinishedAttempts) note(endpoint string, u unfinishedAttempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := append(t.byEndpoint[endpoint], u)
-	t.byEndpoint[endpoint] = list[max(len(list)-mostUnfinished, 0):]
+	t.byEndpoint[endpoint] = list[max(len(list)-maxUnfinishedPerEndpoint, 0):]
 }
 
-// take returns the tries at an endpoint to which its end is put down, and forgets them.
-func (t *unfinishedTries) take(endpoint string, now time.Time) (list []unfinished) {
+// take removes and returns the attempts to which the end of an endpoint is attributed.
+func (t *unfinishedAttempts) take(endpoint string, now time.Time) (list []unfinishedAttempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list = t.byEndpoint[endpoint]
 	delete(t.byEndpoint, endpoint)
-	return slices.DeleteFunc(list, func(u unfinished) bool { return now.Sub(u.at) >= unfinishedFor })
+	return slices.DeleteFunc(list, func(u unfinishedAttempt) bool { return now.Sub(u.endedAt) >= unfinishedTTL })
 }
 
-// forget drops what is too old to count.
-func (t *unfinishedTries) forget(now time.Time) {
+// forget removes attempts older than unfinishedTTL.
+func (t *unfinishedAttempts) forget(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	maps.DeleteFunc(t.byEndpoint, func(_ string, list []unfinished) bool {
-		return now.Sub(list[len(list)-1].at) >= unfinishedFor
+	maps.DeleteFunc(t.byEndpoint, func(_ string, list []unfinishedAttempt) bool {
+		return now.Sub(list[len(list)-1].endedAt) >= unfinishedTTL
 	})
 }
 
-// beginLook reports whether nobody is about to look at an endpoint yet.
-func (t *unfinishedTries) beginLook(endpoint string) bool {
+// beginCheck reports whether no check of an endpoint is scheduled yet, and records that one is.
+func (t *unfinishedAttempts) beginCheck(endpoint string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	begins := !t.looks[endpoint]
-	t.looks[endpoint] = true
+	begins := !t.pendingChecks[endpoint]
+	t.pendingChecks[endpoint] = true
 	return begins
 }
 
-func (t *unfinishedTries) endLook(endpoint string) {
+func (t *unfinishedAttempts) endCheck(endpoint string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.looks, endpoint)
+	delete(t.pendingChecks, endpoint)
 }
--- a/internal/gateway/vacate.go
+++ b/internal/gateway/vacate.go
@@ -11,68 +11,67 @@
 	"github.com/canvaspulley/canvaspulley/internal/upstream"
 )
 
-// place is where a request is that may be moved. The request's own fields are its
-// goroutine's, so what vacate needs of them is kept here, but for what a request does not
-// change while it is at an endpoint: its configuration, service and customer.
-type place struct {
+// movableRequest is the current attempt of a request that may be moved. The fields of request
+// belong to its own goroutine, so moveRequests uses these copies, except for what does not change
+// during an attempt: configuration, service and customer.
+type movableRequest struct {
 	conn     *upstream.Conn
 	mayRetry bool // It may be sent to one more endpoint.
 }
 
-// enter notes that a request is at an endpoint, from which it may be moved. The
-// function takes it out again.
-func (g *Gateway) enter(id string, q *request, conn *upstream.Conn) (leave func()) {
+// registerMovable records that a request is at an endpoint from which it may be moved. The returned
+// function removes the record.
+func (g *Gateway) registerMovable(id string, q *request, conn *upstream.Conn) (unregister func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.at[id] == nil {
-		g.at[id] = map[*request]place{}
+	if g.movable[id] == nil {
+		g.movable[id] = map[*request]movableRequest{}
 	}
-	g.at[id][q] = place{conn: conn, mayRetry: len(q.tried) < q.route.Attempts}
+	g.movable[id][q] = movableRequest{conn: conn, mayRetry: len(q.attempted) < q.route.Attempts}
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if delete(g.at[id], q); len(g.at[id]) == 0 {
-			delete(g.at, id)
+		if delete(g.movable[id], q); len(g.movable[id]) == 0 {
+			delete(g.movable, id)
 		}
 	}
 }
 
-// vacate moves the requests of this process away from an endpoint, as far as the
-// budget of repeats allows: their connections end, and each goes on at another
-// rank after the last event that its caller got.
-func (g *Gateway) vacate(id string) {
+// moveRequests moves this process's requests away from an endpoint, as far as the retry budget
+// allows: it closes their connections, and each request continues at another rank after the last
+// event that its caller received.
+func (g *Gateway) moveRequests(id string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.othersTake(id) {
+	if !g.otherEndpointAccepts(id) {
 		return
 	}
-	for q, at := range g.at[id] {
-		if !at.mayRetry || q.moved || !q.staysAllowed(true) || !g.window(q.service).Take(g.cfg.Now(), rand.Float64) {
+	for q, placement := range g.movable[id] {
+		if !placement.mayRetry || q.moved || !q.stillAllowed(true) || !g.retryWindow(q.service).Take(g.cfg.Now(), rand.Float64) {
 			continue
 		}
-		g.figures.moved.Inc(1)
+		g.stats.moved.Inc(1)
 		q.moved = true
 		g.log.Info("request moved", zap.String("id", q.call.ID), zap.String("from", id))
-		at.conn.Close()
+		placement.conn.Close()
 	}
 }
 
-// othersTake reports whether another endpoint of the same service takes anything new. The
-// caller holds mu.
-func (g *Gateway) othersTake(id string) bool {
+// otherEndpointAccepts reports whether another endpoint of the same service accepts new requests.
+// The caller holds mu.
+func (g *Gateway) otherEndpointAccepts(id string) bool {
 	s := g.view.State()
 	service := s.Endpoints[id].Service
 	for _, e := range s.Endpoints {
-		if e.ID != id && e.Service == service && !e.Leaving && !g.backoffs.Leaving(life(e)) && !s.Evacuated(e.Domain) {
+		if e.ID != id && e.Service == service && !e.Leaving && !g.backoffs.Leaving(incarnationOf(e)) && !s.Evacuated(e.Domain) {
 			return true
 		}
 	}
 	return false
 }
 
-// takeMoved reports whether the try that has just ended was ended by vacate, and
-// forgets it.
-func (q *request) takeMoved() bool {
+// consumeMoved reports whether moveRequests ended the last attempt, and clears that mark.
+func (q *request) consumeMoved() bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	moved := q.moved
@@ -80,13 +79,13 @@
 	return moved
 }
 
-// moving reports whether the try under way is being ended by vacate, which is no
-// fault of its endpoint.
-func (q *request) moving(e fleet.Endpoint) bool {
+// isBeingMoved reports whether moveRequests is ending the current attempt, which is no fault of its
+// endpoint.
+func (q *request) isBeingMoved(e fleet.Endpoint) bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if q.moved {
-		q.note(e.ID + ": moved away, it is slow")
+		q.note(e.ID + ": request moved away from a slow rank")
 	}
 	return q.moved
 }
--- a/internal/gateway/vacate_test.go
+++ b/internal/gateway/vacate_test.go
@@ -41,7 +41,7 @@
 				return nil
 			case <-ticker.C:
 				s.tell(i%len(ranks), 0, 1)
-				s.vacate(fmt.Sprint(i % len(ranks)))
+				s.moveRequests(fmt.Sprint(i % len(ranks)))
 			}
 		}
 	})
@@ -66,8 +66,8 @@
 	close(over)
 	g.Expect(moving.Wait()).To(Succeed())
 	g.Expect(err).NotTo(HaveOccurred())
-	t.Logf("%d of %d streams whole, %d moved", whole.Load(), callers*each, s.figures.moved.Count())
-	g.Expect(s.figures.moved.Count()).To(BeNumerically(">", 0))
+	t.Logf("%d of %d streams whole, %d moved", whole.Load(), callers*each, s.stats.moved.Count())
+	g.Expect(s.stats.moved.Count()).To(BeNumerically(">", 0))
 	g.Expect(whole.Load()).To(BeNumerically(">", callers*each/2))
 	for _, e := range lines.FilterMessage("request").All() {
 		if text := fmt.Sprint(e.ContextMap()["tries"]); strings.Contains(text, net.ErrClosed.Error()) {
@@ -119,9 +119,9 @@
 		return nil
 	})
 	g.Eventually(begun, patienceOf).Should(BeClosed())
-	g.Expect(s.figures.dialed.Count()).To(BeEquivalentTo(1), "they share a connection")
+	g.Expect(s.stats.dialed.Count()).To(BeEquivalentTo(1), "they share a connection")
 	g.Expect(c.Close()).To(Succeed())
-	g.Eventually(s.Busy, patienceOf).Should(BeNumerically("<=", 1), "the first request has ended")
+	g.Eventually(s.InFlight, patienceOf).Should(BeNumerically("<=", 1), "the first request has ended")
 	close(going)
 	g.Expect(other.Wait()).To(Succeed())
 	g.Expect(asked.Load()).To(BeEquivalentTo(1), "it was sent once")
@@ -156,7 +156,7 @@
 				}
 				close(ranks[at].going)
 				wait()
-				g.Expect(s.figures.moved.Count() + s.figures.silent.Count()).To(BeZero())
+				g.Expect(s.stats.moved.Count() + s.stats.silentAttempts.Count()).To(BeZero())
 			})
 		}
 	}
@@ -197,7 +197,7 @@
 	body, err := io.ReadAll(resp.Body)
 	g.Expect(err).NotTo(HaveOccurred(), "it was broken off")
 	g.Expect(string(body)).To(Equal(unnamed))
-	g.Expect(s.figures.moved.Count()).To(BeZero())
+	g.Expect(s.stats.moved.Count()).To(BeZero())
 }
 
 // Guards against a log that names only the tries before the one that the caller did not wait for.
@@ -256,7 +256,7 @@
 				r.Kind = fleet.Repeatable
 				tc.change(r)
 			}, http.HandlerFunc(endpoint))
-			s.cfg.RetrySpare = tc.spare
+			s.cfg.RetryFloor = tc.spare
 			view.Replace(snap, time.Now(), false)
 			for n, want := range []int{http.StatusOK, tc.status} {
 				runs.Store(0)
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -13,68 +13,68 @@
 )
 
 const (
-	// waitPoll is the time between two looks of the request that is next: a part of
-	// the shortest pass, so that room is used while it is new.
-	waitPoll = 12 * time.Millisecond
+	// queuePoll is the interval between checks by the request at the head of the queue: a fraction
+	// of the shortest pass, so that new capacity is used promptly.
+	queuePoll = 12 * time.Millisecond
 )
 
-// await waits for room as long as the request will be served in time, in the line
-// of its service. It reports whether there is an endpoint now.
-func (q *request) await(now time.Time) (e fleet.Endpoint, ok bool) {
+// awaitCapacity waits in the queue of its service for capacity, as long as the request can still be
+// served in time. It reports whether an endpoint is available now.
+func (q *request) awaitCapacity(now time.Time) (e fleet.Endpoint, ok bool) {
 	g := q.g
 	until := q.arrived.Add(q.route.Target - q.turnover.First)
-	if q.lastTry() {
-		until = q.keptUntil(q.turnover.First)
+	if q.wontReturn() {
+		until = q.holdUntil(q.turnover.First)
 	}
-	if until.After(q.final) {
-		until = q.final
+	if until.After(q.deadline) {
+		until = q.deadline
 	}
-	w := line.Waiter{ID: g.lastWaiter.Add(1), Class: int(q.class()), Until: until}
+	w := line.Waiter{ID: g.lastWaiterID.Add(1), Class: int(q.class()), Until: until}
 	if q.customer != nil {
 		w.Customer = q.customer.Name
 	}
 	var joined bool
-	duty.Locked(&g.mu, func() { joined = g.line(q.service).Join(w, q.turnover.Rate, g.sharers(), q.lastTry(), now) })
+	duty.Locked(&g.mu, func() { joined = g.queue(q.service).Join(w, q.turnover.Rate, g.competitors(), q.wontReturn(), now) })
 	if !joined {
 		return e, false
 	}
-	g.figures.waited.Inc(1)
-	q.inLine = true
+	g.stats.waited.Inc(1)
+	q.inQueue = true
 	defer func() {
-		q.inLine = false
+		q.inQueue = false
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.line(q.service).Leave(w.ID, ok, time.Now())
+		g.queue(q.service).Leave(w.ID, ok, time.Now())
 	}()
-	for now.Before(until) && q.ctx.Err() == nil && q.g.ended.Err() == nil {
-		wait.For(q.ctx, min(waitPoll, until.Sub(now)))
+	for now.Before(until) && q.ctx.Err() == nil && q.g.processCtx.Err() == nil {
+		wait.For(q.ctx, min(queuePoll, until.Sub(now)))
 		now = time.Now()
 		q.waited = now.Sub(q.arrived)
 		var next bool
-		duty.Locked(&g.mu, func() { next = g.line(q.service).First(w.ID, now) })
+		duty.Locked(&g.mu, func() { next = g.queue(q.service).First(w.ID, now) })
 		if !next {
 			continue
 		}
-		if e, ok = q.choose(now); ok || !q.full {
+		if e, ok = q.chooseEndpoint(now); ok || !q.full {
 			return e, ok
 		}
 	}
 	return e, false
 }
 
-// class returns the request's place in the order in which requests get room. An answer
-// to a caller who was refused before is late anyhow.
-func (q *request) class() room.Class { return room.ClassOf(q.priority(), q.lastTry()) }
+// class returns the request's class in the order of admission. An answer to a caller that was
+// refused before is late anyway.
+func (q *request) class() room.Class { return room.ClassOf(q.priority(), q.wontReturn()) }
 
-// line returns the line of a service. The caller holds mu.
-func (g *Gateway) line(service string) *line.Line {
-	l, ok := g.lines[service]
+// queue returns the queue of a service. The caller holds mu.
+func (g *Gateway) queue(service string) *line.Line {
+	l, ok := g.queues[service]
 	if !ok {
 		l = &line.Line{}
-		g.lines[service] = l
+		g.queues[service] = l
 	}
 	return l
 }
 
-// queued reports whether others wait for a service already. The caller holds mu.
-func (g *Gateway) queued(service string) bool { return g.line(service).Len() > 0 }
+// queued reports whether requests are already waiting for a service. The caller holds mu.
+func (g *Gateway) queued(service string) bool { return g.queue(service).Len() > 0 }
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -14,147 +14,146 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// maxAnswer bounds an answer that is not a stream.
-const maxAnswer = 16 << 20
+// maxAnswerBytes limits the size of an answer that is not a stream.
+const maxAnswerBytes = 16 << 20
 
-// relayWhole reads an answer to its end and only then passes it on, so that
-// nothing goes out of one that is not whole.
-func (q *request) relayWhole(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
-	body, err := q.readWhole(x, resp)
+// relayComplete reads an answer to its end before passing it on, so that no incomplete answer is
+// sent.
+func (q *request) relayComplete(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
+	body, err := q.readCompleteBody(x, resp)
 	if err != nil {
 		x.Abort()
 		if q.ctx.Err() != nil {
-			q.noteLeft(e, "answer not whole", q.sentAt)
-			q.outcome = left
-			return over
+			q.noteCallerLeft(e, "answer incomplete", q.sentAt)
+			q.outcome = callerLeft
+			return done
 		}
 		switch {
-		case errors.Is(err, errTooMuch):
-			q.finished = true
-			q.bad(e, 0, err.Error()) // The lack is the gateway's own.
+		case errors.Is(err, errBufferFull):
+			q.attemptFinished = true
+			q.recordFailure(e, 0, err.Error()) // The gateway, not the endpoint, lacks memory.
 		case !errors.Is(err, upstream.ErrSilent):
-			q.bad(e, 1, err.Error())
-			q.brokeOff(e, err)
+			q.recordFailure(e, 1, err.Error())
+			q.checkEndpointEnded(e, err)
 		}
 		return unknown
 	}
-	q.handBack(x)
-	q.noteTook(time.Now())
-	if !q.sawEnd(e, x) {
-		q.bad(e, 1, errUnsureEnd.Error())
-		q.brokeOff(e, errUnsureEnd)
+	q.returnToPool(x)
+	q.recordResponseTime(time.Now())
+	if !q.confirmEnd(e, x) {
+		q.recordFailure(e, 1, errAmbiguousEnd.Error())
+		q.checkEndpointEnded(e, errAmbiguousEnd)
 		return unknown
 	}
-	q.ranToEnd()
+	q.recordCompletion()
 	if resp.StatusCode >= 500 {
-		q.bad(e, 1, fmt.Sprintf("status %d", resp.StatusCode))
-		if q.mayAskAnother() {
-			q.kept = &keptAnswer{e, resp, body}
+		q.recordFailure(e, 1, fmt.Sprintf("status %d", resp.StatusCode))
+		if q.mayTryAnother() {
+			q.fallback = &fallbackAnswer{e, resp, body}
 			return unknown
 		}
 	} else {
-		q.good(e)
+		q.recordSuccess(e)
 	}
-	q.passOn(e, resp, body)
-	return over
+	q.sendAnswer(e, resp, body)
+	return done
 }
 
-// readWhole reads an answer's body, which counts as kept as it comes; one that fails does not
-// count any more.
-func (q *request) readWhole(x *upstream.Exchange, resp *http.Response) (body []byte, err error) {
-	before := q.keeps
-	defer func() { q.keep(len(body) - int(q.keeps-before)) }()
+// readCompleteBody reads the body of an answer. The body counts as buffered while it is read; if
+// reading fails, it no longer counts.
+func (q *request) readCompleteBody(x *upstream.Exchange, resp *http.Response) (body []byte, err error) {
+	before := q.buffered
+	defer func() { q.addBuffered(len(body) - int(q.buffered-before)) }()
 	announced := resp.ContentLength
-	if resp.Body == http.NoBody || announced > maxAnswer { // None, or one that is not read.
+	if resp.Body == http.NoBody || announced > maxAnswerBytes { // No body, or one too large to be read.
 		announced = 0
 	}
 	announced = max(announced, 0)
 	if !q.reserve(announced) {
-		return nil, errTooMuch
+		return nil, errBufferFull
 	}
-	resp.Body = &keeping{resp.Body, q, announced}
-	return x.ReadWhole(maxAnswer)
+	resp.Body = &countedBody{resp.Body, q, announced}
+	return x.ReadWhole(maxAnswerBytes)
 }
 
-// endpointRun is what an endpoint sent in answer to a request, for the log.
-type endpointRun struct {
+// endpointResponse is what an endpoint sent in answer to a request, for the log.
+type endpointResponse struct {
 	endpoint string
 	status   int
-	framed   bool // Its answer told where it ends.
-	events   int  // That went to the caller.
+	framed   bool // The answer marked its own end.
+	events   int  // Number of events sent to the caller.
 }
 
-// keptAnswer is an endpoint's own failure, which is passed on when no other
-// endpoint does better.
-type keptAnswer struct {
+// fallbackAnswer is the error answer of an endpoint, which is passed on if no other endpoint gives
+// a better one.
+type fallbackAnswer struct {
 	from fleet.Endpoint
 	resp *http.Response
 	body []byte
 }
 
-// leaves reports whether an endpoint is known to end soon, or is not listed any more.
-func (q *request) leaves(e fleet.Endpoint) bool {
+// endpointLeaving reports whether an endpoint is leaving or no longer listed.
+func (q *request) endpointLeaving(e fleet.Endpoint) bool {
 	s := q.g.view.State()
 	_, missing := s.Missing[e.ID]
 	now, listed := s.Endpoints[e.ID]
-	return missing || !listed || q.g.leaves(now)
+	return missing || !listed || q.g.isLeaving(now)
 }
 
-// mayAskAnother reports whether the request could be sent to a further
-// endpoint.
-func (q *request) mayAskAnother() bool {
-	if !q.route.MayRepeat() || len(q.tried) >= q.route.Attempts {
+// mayTryAnother reports whether the request could be sent to another endpoint.
+func (q *request) mayTryAnother() bool {
+	if !q.route.MayRepeat() || len(q.attempted) >= q.route.Attempts {
 		return false
 	}
 	now := time.Now()
-	if _, ok := q.choose(now); !ok {
+	if _, ok := q.chooseEndpoint(now); !ok {
 		return false
 	}
-	return now.Before(q.final)
+	return now.Before(q.deadline)
 }
 
-// passOn sends a whole answer to the caller.
-func (q *request) passOn(e fleet.Endpoint, resp *http.Response, body []byte) {
-	q.endpoint, q.outcome = e.ID, served
-	q.firstAt = time.Now()
-	if err := q.reply.sendWhole(q.headOf(resp), body); err != nil {
+// sendAnswer sends a complete answer to the caller.
+func (q *request) sendAnswer(e fleet.Endpoint, resp *http.Response, body []byte) {
+	q.servedBy, q.outcome = e.ID, served
+	q.firstByteAt = time.Now()
+	if err := q.reply.sendComplete(q.callerHead(resp), body); err != nil {
 		q.note("caller: " + err.Error())
-		q.outcome = left
+		q.outcome = callerLeft
 	}
 }
 
-// headOf returns the head of an endpoint's answer as the caller gets it.
-func (q *request) headOf(resp *http.Response) replyHead {
+// callerHead returns the head of an endpoint's answer for the caller.
+func (q *request) callerHead(resp *http.Response) replyHead {
 	h := q.g.codec.CallerHeader(resp.Header)
-	if begun, _ := q.g.leaving(time.Now()); begun {
+	if begun, _ := q.g.stopState(time.Now()); begun {
 		h.Set("Connection", "close")
 	}
 	return replyHead{status: resp.StatusCode, header: h}
 }
 
-// sawEnd reports whether the end of a body that was read is the end of the answer. A
-// body without framing ends with its connection, which a process that ends closes in
-// order as well. It counts if the endpoint still takes connections, and for a stream,
-// which a process may end in the middle of, if it brought an event and its endpoint
-// is not leaving and still takes them a while later. The new connection is kept for
-// the next request.
-func (q *request) sawEnd(e fleet.Endpoint, x *upstream.Exchange) bool {
+// confirmEnd reports whether the end of a body that was read is the end of the answer. An unframed
+// body ends with its connection, but a process that ends closes the connection properly, too. The
+// end counts if the endpoint still accepts connections. A process may end in the middle of a
+// stream, so the end of a stream counts only if the stream had an event, the endpoint is not
+// leaving, and the endpoint accepts connections a while later. The new connection is kept for the
+// next request.
+func (q *request) confirmEnd(e fleet.Endpoint, x *upstream.Exchange) bool {
 	if x.Framed() {
 		return true
 	}
-	if q.reply.begun() { // A stream; other answers are sent on later.
-		if q.lastRun.events == 0 || q.leaves(e) {
+	if q.reply.begun() { // A stream; any other answer is sent after this check.
+		if q.lastResponse.events == 0 || q.endpointLeaving(e) {
 			return false
 		}
-		wait.For(q.ctx, q.g.cfg.EndSettle)
+		wait.For(q.ctx, q.g.cfg.EndCheckDelay)
 	}
-	conn, err := q.g.pool.Get(q.ctx, e.ID, e.Address, onceIdle)
+	conn, err := q.g.pool.Get(q.ctx, e.ID, e.Address, maxIdleNonRepeatable)
 	if err != nil {
 		q.note(e.ID + ": after an answer without a length: " + err.Error())
 		return false
 	}
 	if !q.route.MayRepeat() {
-		conn.Close() // No request of this kind would use it.
+		conn.Close() // Requests of this kind do not reuse connections.
 		return true
 	}
 	q.g.pool.Put(conn)
