--- a/internal/gateway/broken_messages_test.go
+++ b/internal/gateway/broken_messages_test.go
@@ -21,7 +21,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// Guards against messages that end the process, or leave it locked.
+// Guards against messages that crash the process or leave its mutex locked.
 func TestMessages(t *testing.T) {
 	g := NewWithT(t)
 	socket, closeSocket, err := peers.Listen("127.0.0.1:0", zap.NewNop())
@@ -44,7 +44,7 @@
 		{Limits: []peers.Limit{{Endpoint: "e", Limited: true, PerSecond: 1}}},
 		{Lend: &peers.Lend{Address: "127.0.0.1:2", Parts: []peers.Part{{Kind: 1, Endpoint: "e", Number: 1, Tokens: 1, LastsMs: 9}}}},
 	}
-	t.Run("broken ones cause no panic", func(t *testing.T) {
+	t.Run("invalid messages cause no panic", func(t *testing.T) {
 		g := NewWithT(t)
 		random := rand.New(rand.NewPCG(1, 2))
 		taken := 0
@@ -73,8 +73,8 @@
 	})
 }
 
-// Guards against ends of a process of which no log tells whether they were planned.
-func TestPeersTellHowTheLifeBeforeEnded(t *testing.T) {
+// Guards against process ends for which no log shows whether they were planned.
+func TestPeersReportHowThePreviousIncarnationEnded(t *testing.T) {
 	for name, planned := range map[string]bool{"without a planned stop": false, "in a planned stop": true} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -94,14 +94,14 @@
 			group.Go(func() error {
 				return newcomer.Run(ctx, func(from netip.AddrPort, m peers.Message) {
 					if m.Hello != nil && m.Hello.Before != nil {
-						n.Receive(from, m) // As the newcomer itself would take it in.
+						n.Receive(from, m) // As the newcomer itself would handle it.
 						cancel()
 					}
 				})
 			})
 			from := netip.MustParseAddrPort(newcomer.Address())
 			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Life: 1, Address: "127.0.0.1:2", Leaving: planned}})
-			if planned { // Others may hear the next life first.
+			if planned { // Others may receive hellos of the new process first.
 				n.mu.Lock()
 				n.roster.HearOf([]roster.Seen{{Gateway: roster.Gateway{Address: "127.0.0.1:2"}}}, time.Now())
 				n.mu.Unlock()
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -16,15 +16,15 @@
 	"github.com/canvaspulley/canvaspulley/internal/follow"
 )
 
-// longPatience is patienceOf, as callers tell it.
-const longPatience = "30000"
+// longCallerTimeout is testTimeout as sent by callers.
+const longCallerTimeout = "30000"
 
-// coldSite is a site of endpoints in the failure domains d0, d1 and so on,
-// whose service bears so many requests a second while it is cold.
-func coldSite(t *testing.T, n int, rate float64) (s site, view *follow.View, list []*streamer) {
+// coldSite returns a site of endpoints in the failure domains d0, d1 and so on, whose service
+// accepts the given number of requests per second while it is cold.
+func coldSite(t *testing.T, n int, rate float64) (s site, view *follow.View, list []*streamingEndpoint) {
 	var handlers []http.Handler
 	for range n {
-		c := newStreamer(0)
+		c := newStreamingEndpoint(0)
 		list, handlers = append(list, c), append(handlers, c)
 	}
 	s, view, snap := newSiteOf(t, func(*fleet.Route) {}, handlers...)
@@ -38,61 +38,61 @@
 	return s, view, list
 }
 
-// evacuate publishes a word on a failure domain.
+// evacuate publishes the start or end of the evacuation of a failure domain.
 func evacuate(s site, view *follow.View, domain string, revision uint64, over bool) {
 	view.Apply(follow.Changes{Evacuations: []follow.Evacuation{{Domain: domain, Revision: revision, Over: over}}, At: revision}, time.Now(), false)
 	s.ViewChanged()
 }
 
-func TestNothingNewGoesToAnEvacuatedDomain(t *testing.T) {
+func TestNoNewRequestsAreSentToAnEvacuatedDomain(t *testing.T) {
 	g := NewWithT(t)
 	s, view, list := coldSite(t, 2, 0)
 	evacuate(s, view, "d0", 5, false)
 	for i := range 6 {
-		s.expectServed(g, fmt.Sprint(i), longPatience)
+		s.expectServed(g, fmt.Sprint(i), longCallerTimeout)
 	}
-	g.Expect(list[0].firsts()).To(BeEmpty())
+	g.Expect(list[0].startEvents()).To(BeEmpty())
 
 	evacuate(s, view, "d1", 6, false)
-	s.expectRefused(g, "none", longPatience)
-	g.Expect(list[1].firsts()).To(HaveLen(6))
+	s.expectRefused(g, "none", longCallerTimeout)
+	g.Expect(list[1].startEvents()).To(HaveLen(6))
 
 	evacuate(s, view, "d1", 7, true)
-	s.expectServed(g, "back", longPatience)
-	g.Expect(list[0].firsts()).To(BeEmpty())
+	s.expectServed(g, "back", longCallerTimeout)
+	g.Expect(list[0].startEvents()).To(BeEmpty())
 }
 
-// Between the choice and the send a request may have waited for a connection.
-func TestARequestIsNotSentWhereAnEvacuationHasJustBegun(t *testing.T) {
+// A request may have waited for a connection between the choice of the endpoint and the send.
+func TestRequestIsNotSentAfterAnEvacuationHasBegun(t *testing.T) {
 	g := NewWithT(t)
 	s, view, _ := coldSite(t, 1, 0)
 	q := &request{g: s.Gateway, config: view.State().Config, route: view.State().Config.Route("caller.test", "/x"), service: "s", deadline: time.Now().Add(time.Hour)}
-	q.r, _ = http.NewRequest(http.MethodPost, "http://caller.test/x", nil) // A constant address.
+	q.r, _ = http.NewRequest(http.MethodPost, "http://caller.test/x", nil) // The URL is constant and valid.
 	e := view.State().Endpoints["0"]
 	g.Expect(q.mayStillSend(e)).To(BeTrue())
 	evacuate(s, view, "d0", 5, false)
 	g.Expect(q.mayStillSend(e)).To(BeFalse())
 }
 
-// After an outage the ranks of a group form it anew; what is sent before they are heard
-// is turned away and overruns them. What is heard of one holds for all.
-func TestRanksAreNotTriedBeforeTheirGroupIsHeard(t *testing.T) {
+// After an outage the ranks of a group form it again. Requests sent before the ranks report are
+// rejected and overload them. The report of one rank is valid for all.
+func TestRanksAreNotTriedBeforeTheirGroupReports(t *testing.T) {
 	g := NewWithT(t)
 	s, _, list := coldSite(t, 3, 1e6)
-	s.expectRefused(g, "early", longPatience)
+	s.expectRefused(g, "early", longCallerTimeout)
 	s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
 	for i := range 60 {
 		s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
-		s.expectServed(g, fmt.Sprint(i), longPatience)
+		s.expectServed(g, fmt.Sprint(i), longCallerTimeout)
 	}
 	for _, c := range list {
-		g.Expect(c.firsts()).NotTo(BeEmpty(), "all get their part, not only the one that is heard")
+		g.Expect(c.startEvents()).NotTo(BeEmpty(), "all ranks get requests, not only the one that reports")
 	}
 }
 
-// A group that has formed anew is cold: of a service that bears little then, each of its
-// ranks gets no more than this gateway's part.
-func TestColdRanksArePaced(t *testing.T) {
+// A group that has formed again is cold: if its service accepts little while cold, each rank gets
+// no more than this gateway's share.
+func TestColdRanksAreRateLimited(t *testing.T) {
 	g := NewWithT(t)
 	s, _, list := coldSite(t, 2, 0.001)
 	tell := func() {
@@ -104,10 +104,10 @@
 		tell()
 		s.expectRefused(g, fmt.Sprint(i), "300")
 	}
-	g.Expect(len(list[0].firsts()) + len(list[1].firsts())).To(BeZero())
+	g.Expect(len(list[0].startEvents()) + len(list[1].startEvents())).To(BeZero())
 }
 
-// received returns how many datagrams come to a socket until none has come for a while.
+// received returns how many datagrams a socket receives until none arrives for 300 ms.
 func received(g *WithT, conn *net.UDPConn) (n int) {
 	buf := make([]byte, 2048)
 	for {
@@ -119,14 +119,14 @@
 	}
 }
 
-// After an outage sidecars that were not up yet missed the hello of a gateway, which lets
-// nobody in before it hears of a rank.
-func TestSidecarsAreGreetedAgainWhileNoneIsHeard(t *testing.T) {
+// After an outage, sidecars that were not up yet have missed the hello of a gateway, which admits
+// no requests before a rank reports.
+func TestHellosAreRepeatedWhileNoSidecarReports(t *testing.T) {
 	g := NewWithT(t)
 	sidecar, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { g.Expect(sidecar.Close()).To(Succeed()) }()
-	s := newStation(t, 1)
+	s := newTestPeer(t, 1)
 	s.withSocket(t)
 	s.sidecarPort = sidecar.LocalAddr().(*net.UDPAddr).Port
 	snap := follow.Snapshot{Config: fleet.NewConfig(1, nil, []fleet.Service{{Name: "s", Engine: &fleet.Engine{}}}, nil, fleet.Limits{}), At: 1}
@@ -135,7 +135,7 @@
 	}
 	s.view.Replace(snap, time.Now(), false)
 	s.helloUnheardSidecars()
-	g.Expect(received(g, sidecar)).To(Equal(unheardHelloFanout), "one word is enough for all")
+	g.Expect(received(g, sidecar)).To(Equal(unheardHelloFanout), "the report of one is enough for all")
 	s.g.ReportLoad("127.0.0.1:1", balance.Load{Group: "g", At: time.Now()})
 	s.helloUnheardSidecars()
 	g.Expect(received(g, sidecar)).To(BeZero())
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -18,17 +18,18 @@
 
 const borrowerAddress = "10.0.0.1:80"
 
-// newLender returns a gateway with a part of the limit of the endpoint "i", beside another one.
-func newLender(t *testing.T) station {
-	n := newStation(t, 1)
+// newLender returns a gateway that has a share of the rate limit of the endpoint "i", beside one
+// other gateway.
+func newLender(t *testing.T) testPeer {
+	n := newTestPeer(t, 1)
 	n.withSocket(t)
-	n.moveTo(n.socket.Address())
+	n.setAddress(n.socket.Address())
 	n.g.setLimitGateways(n.self, []string{borrowerAddress})
 	n.g.limits.Answered("i", throttle.Word{Limited: true, Limit: 1, At: n.g.cfg.Now()})
 	return n
 }
 
-func TestMessagesOnPartsThatAreNotValidAreLeftOut(t *testing.T) {
+func TestInvalidMessagesAboutPartsAreIgnored(t *testing.T) {
 	valid := peers.Part{Kind: int(throttle.Ask), Endpoint: "i", Number: 1}
 	change := func(f func(p *peers.Part)) peers.Lend {
 		p := valid
@@ -52,13 +53,13 @@
 		"a long endpoint":       change(func(p *peers.Part) { p.Endpoint = strings.Repeat("i", maxEndpointIDBytes+1) }),
 		"number 0":              change(func(p *peers.Part) { p.Number = 0 }),
 		"tokens below 0":        change(func(p *peers.Part) { p.Tokens = -1 }),
-		"tokens that are none":  change(func(p *peers.Part) { p.Tokens = math.NaN() }),
-		"tokens without end":    change(func(p *peers.Part) { p.Tokens = math.Inf(1) }),
+		"tokens not a number":   change(func(p *peers.Part) { p.Tokens = math.NaN() }),
+		"infinite tokens":       change(func(p *peers.Part) { p.Tokens = math.Inf(1) }),
 		"a time below 0":        change(func(p *peers.Part) { p.LastsMs = -1 }),
 		"a time that overflows": change(func(p *peers.Part) { p.LastsMs = math.MaxInt64 }),
 		"an unknown gateway":    {Address: "10.0.0.9:80", Parts: []peers.Part{valid}},
 		"no gateway":            {Parts: []peers.Part{valid}},
-		"more parts than fit":   {Address: borrowerAddress, Parts: make([]peers.Part, peers.MostParts+1)},
+		"too many parts":        {Address: borrowerAddress, Parts: make([]peers.Part, peers.MostParts+1)},
 	} {
 		t.Run(name, func(t *testing.T) { assertLeft(t, m, 0, 1) })
 	}
@@ -69,19 +70,19 @@
 	})
 }
 
-func TestAMessageOnPartsFitsAPacket(t *testing.T) {
+func TestMessageAboutPartsFitsAPacket(t *testing.T) {
 	g := NewWithT(t)
 	m := peers.Message{Lend: &peers.Lend{Address: "100.100.100.100:10000"}}
 	for i := range peers.MostParts {
 		m.Lend.Parts = append(m.Lend.Parts, peers.Part{Kind: int(throttle.Grant), Endpoint: fmt.Sprintf("%s-%d@1786946211702", strings.Repeat("x", 24), i), Number: time.Now().UnixNano(), Tokens: 0.123, LastsMs: 1000})
 	}
-	inOnePacket(g, m)
+	expectFitsPacket(g, m)
 }
 
-// Callers are told to come when the parts that are here have room.
-func TestCallersAreToldWhenBorrowedPartsHaveRoom(t *testing.T) {
+// Callers are asked to retry when the borrowed parts have capacity.
+func TestRetryAfterAccountsForBorrowedParts(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t, newStreamer(0))
+	s := newSite(t, newStreamingEndpoint(0))
 	q := &request{g: s.Gateway, service: "s", excluded: exclusion{rate: 4}}
 	s.setLimitGateways("10.0.0.2:80", []string{"10.0.0.3:80", "10.0.0.4:80", "10.0.0.5:80"})
 	g.Expect(q.exclusionRetry()).To(BeNumerically("~", time.Second, 50*time.Millisecond))
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -25,13 +25,13 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// station is a gateway that others can listen to.
-type station struct {
+// testPeer is a gateway that others can long-poll.
+type testPeer struct {
 	*PeerExchange
 	view *follow.View
 }
 
-func newStation(t *testing.T, life int64) station {
+func newTestPeer(t *testing.T, incarnation int64) testPeer {
 	view := follow.NewView()
 	g, closeGateway := New(Config{Domain: "a"}, Codec{}, view, zap.NewNop(), metrics.NewRegistry())
 	t.Cleanup(closeGateway)
@@ -39,34 +39,34 @@
 		return configOf(uint64(len(raw))), nil
 	}}, g, nil, zap.NewNop())
 	t.Cleanup(closeNeighbours)
-	n.incarnation = life
+	n.incarnation = incarnation
 	srv := httptest.NewServer(n.Handler())
 	t.Cleanup(srv.Close)
-	s := station{n, view}
-	s.moveTo(strings.TrimPrefix(srv.URL, "http://"))
+	s := testPeer{n, view}
+	s.setAddress(strings.TrimPrefix(srv.URL, "http://"))
 	return s
 }
 
-// withSocket gives the gateway a socket for datagrams.
-func (s station) withSocket(t *testing.T) {
+// withSocket gives the gateway a datagram socket.
+func (s testPeer) withSocket(t *testing.T) {
 	socket, closeSocket, err := peers.Listen("127.0.0.1:0", zap.NewNop())
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(closeSocket)
 	s.socket = socket
 }
 
-// publish has the gateway know a version and endpoints, all of some revision at most.
-func (s station) publish(version, at uint64, endpoints ...fleet.Endpoint) {
+// publish sets the version and endpoints that the gateway knows, all up to a revision.
+func (s testPeer) publish(version, at uint64, endpoints ...fleet.Endpoint) {
 	s.view.Replace(follow.Snapshot{Config: configOf(version), Endpoints: endpoints, At: at}, time.Now(), false)
 }
 
-// moveTo gives the gateway an address; it knows no others then.
-func (s station) moveTo(address string) {
+// setAddress sets the address of the gateway and clears its knowledge of others.
+func (s testPeer) setAddress(address string) {
 	s.self = address
 	s.roster = roster.New(roster.Gateway{Address: address, Domain: s.domain}, s.seeds, s.started)
 }
 
-// configOf is a configuration whose text is as long as its version is high.
+// configOf returns a configuration whose text has as many bytes as its version number.
 func configOf(version uint64) *fleet.Config {
 	return fleet.NewConfig(version, nil, nil, nil, fleet.Limits{}).WithRaw([]byte(strings.Repeat("x", int(version))))
 }
@@ -75,14 +75,14 @@
 	return fleet.Endpoint{ID: id, Service: "s", Address: id + ":1", Revision: revision, Made: revision}
 }
 
-func hello(s station, domain string, blind bool) peers.Hello {
+func hello(s testPeer, domain string, blind bool) peers.Hello {
 	return peers.Hello{Name: "g", Address: s.self, Domain: domain, Blind: blind}
 }
 
-func TestAGatewayListensToOneThatReads(t *testing.T) {
+func TestGatewayListensToStoreReader(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	reader, listener := newStation(t, 7), newStation(t, 9)
+	reader, listener := newTestPeer(t, 7), newTestPeer(t, 9)
 	listener.receiveHello(hello(reader, "a", false))
 	reader.publish(3, 6, endpointAt("one", 5), endpointAt("two", 6))
 	ids := func() (list []string) {
@@ -97,7 +97,7 @@
 	g.Expect(ids()).To(ConsistOf("one", "two"))
 	g.Expect(listener.view.Age(time.Now())).To(BeNumerically(">=", reader.view.Age(time.Now().Add(-time.Millisecond))))
 
-	// The call is held until something changes, and only that is told.
+	// The call is held until something changes, and only the change is sent.
 	var held errgroup.Group
 	held.Go(func() error { return listener.Listen(ctx) })
 	reader.view.Apply(follow.Changes{Config: configOf(4), Gone: []follow.Gone{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
@@ -105,8 +105,7 @@
 	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(4))
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 
-	// What went is not brought back by an older word, and a reader that began anew
-	// tells everything.
+	// A removed endpoint is not restored by older state, and a restarted reader sends everything.
 	listener.view.Merge(follow.Changes{Endpoints: []fleet.Endpoint{endpointAt("one", 5)}})
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 	reader.incarnation++
@@ -114,10 +113,10 @@
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 }
 
-func TestAnOlderWordChangesNothing(t *testing.T) {
+func TestOlderStateChangesNothing(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	behind, listener := newStation(t, 7), newStation(t, 9)
+	behind, listener := newTestPeer(t, 7), newTestPeer(t, 9)
 	listener.receiveHello(hello(behind, "a", false))
 	behind.view.Replace(follow.Snapshot{Config: configOf(3), Endpoints: []fleet.Endpoint{endpointAt("old", 2)}, At: 2}, time.Now().Add(-time.Minute), false)
 	listener.publish(5, 9, endpointAt("new", 9))
@@ -127,8 +126,8 @@
 	g.Expect(listener.view.Age(time.Now())).To(BeNumerically("<", 30*time.Second))
 }
 
-func TestFewGatewaysRead(t *testing.T) {
-	all := []station{newStation(t, 1), newStation(t, 2), newStation(t, 3), newStation(t, 4), newStation(t, 5)}
+func TestFewGatewaysReadTheStore(t *testing.T) {
+	all := []testPeer{newTestPeer(t, 1), newTestPeer(t, 2), newTestPeer(t, 3), newTestPeer(t, 4), newTestPeer(t, 5)}
 	reading := func(blind map[int]bool) (n int) {
 		for i, s := range all {
 			for j, other := range all {
@@ -150,13 +149,13 @@
 		{"all can", nil, readersPerDomain},
 		{"one cannot", map[int]bool{0: true}, readersPerDomain},
 		{"four cannot", map[int]bool{0: true, 1: true, 2: true, 3: true}, 1},
-		{"none can: two go on trying", map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true}, readersPerDomain},
+		{"none can: two keep trying", map[int]bool{0: true, 1: true, 2: true, 3: true, 4: true}, readersPerDomain},
 	} {
 		t.Run(tc.name, func(t *testing.T) { NewWithT(t).Expect(reading(tc.blind)).To(Equal(tc.want)) })
 	}
-	t.Run("another domain's do not count", func(t *testing.T) {
+	t.Run("gateways of another domain do not count", func(t *testing.T) {
 		g := NewWithT(t)
-		alone := newStation(t, 6)
+		alone := newTestPeer(t, 6)
 		for _, other := range all {
 			alone.receiveHello(hello(other, "b", false))
 		}
@@ -165,51 +164,51 @@
 	})
 }
 
-// At a start of everything at once only the seeds read the store; the others hear
-// from them, also that nothing is published yet.
-func TestWhoStartsListensToItsSeeds(t *testing.T) {
+// When the whole system starts, only the seeds read the store. The others receive its state from
+// them, including that nothing is published yet.
+func TestNewGatewayListensToItsSeeds(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	seed, starter := newStation(t, 7), newStation(t, 9)
+	seed, starter := newTestPeer(t, 7), newTestPeer(t, 9)
 	seed.seeds, starter.seeds = []string{seed.self}, []string{seed.self}
 	g.Expect(seed.ReadsStore(true)).To(BeTrue())
 	g.Expect(starter.ReadsStore(true)).To(BeFalse())
 
 	seed.view.Replace(follow.Snapshot{At: 1}, time.Now(), false)
 	g.Expect(starter.Listen(ctx)).To(Succeed())
-	g.Expect(starter.view.CheckAge(time.Now())).To(BeNumerically("<", 30*time.Second), "there is nothing yet, which is news")
-	g.Expect(starter.view.Age(time.Now())).To(BeNumerically(">", time.Hour), "of no configuration")
+	g.Expect(starter.view.CheckAge(time.Now())).To(BeNumerically("<", 30*time.Second), "nothing is published yet, which is an update, too")
+	g.Expect(starter.view.Age(time.Now())).To(BeNumerically(">", time.Hour), "there is no configuration")
 	seed.publish(3, 3, endpointAt("one", 2))
 	g.Expect(starter.Listen(ctx)).To(Succeed())
 	g.Expect(starter.view.State().Config.Version()).To(BeEquivalentTo(3))
 	g.Expect(starter.view.State().Endpoints).To(HaveKey("one"))
 
 	starter.started = time.Now().Add(-2 * gatewayTTL)
-	g.Expect(starter.ReadsStore(true)).To(BeTrue(), "it has heard of no other one of its domain")
+	g.Expect(starter.ReadsStore(true)).To(BeTrue(), "it knows no other gateway of its domain")
 }
 
-func TestWhoDoesNotAnswerIsNotTheOnlyOneListenedTo(t *testing.T) {
+func TestUnresponsiveGatewayIsNotTheOnlyOnePolled(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	dead, reader, listener := newStation(t, 7), newStation(t, 8), newStation(t, 9)
-	dead.moveTo("127.0.0.1:1") // Refuses.
+	dead, reader, listener := newTestPeer(t, 7), newTestPeer(t, 8), newTestPeer(t, 9)
+	dead.setAddress("127.0.0.1:1") // Refuses connections.
 	listener.receiveHello(hello(dead, "a", false))
 	listener.receiveHello(hello(reader, "a", false))
 	reader.publish(3, 6)
 	for range 2 {
 		g.Expect(listener.Listen(ctx)).To(Succeed())
 		g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(3))
-		g.Expect(listener.listenOrder(time.Now())[0]).To(Equal(reader.self), "the one that answered comes first from then on")
+		g.Expect(listener.listenOrder(time.Now())[0]).To(Equal(reader.self), "the one that answered is polled first from then on")
 	}
-	listener.moveTo(listener.self)
+	listener.setAddress(listener.self)
 	listener.receiveHello(hello(dead, "a", false))
 	g.Expect(listener.Listen(ctx)).NotTo(Succeed())
 }
 
-func TestWhatMayHaveLapsedIsNotBorrowed(t *testing.T) {
+func TestPossiblyExpiredEndpointsAreNotBorrowed(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	lender, borrower := newStation(t, 7), newStation(t, 9)
+	lender, borrower := newTestPeer(t, 7), newTestPeer(t, 9)
 	lender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
 	lender.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
 	p, err := borrower.fetchAll(ctx, lender.self)
@@ -219,9 +218,10 @@
 	g.Expect(borrower.view.State().Endpoints).NotTo(HaveKey("missed"))
 }
 
-// Where a hundred gateways waited for two, a new configuration did not go over their links in
-// the time for which it was waited, and all read the store at once.
-func TestNobodyHasManyListeners(t *testing.T) {
+// Guards against many gateways that poll the same reader. With 100 gateways polling two readers, a
+// new configuration did not cross their links within the timeout of the polls, and all gateways
+// read the store at once.
+func TestNoGatewayHasManyListeners(t *testing.T) {
 	for _, gateways := range []int{3, 10, 18, 19, 106, 200, 1000} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			g := NewWithT(t)
@@ -229,7 +229,7 @@
 			deepest := 0
 			for place := readersPerDomain; place < gateways; place++ {
 				to := parentPlace(place)
-				g.Expect(to).To(BeNumerically("<", place), "so that nobody waits for itself by way of others")
+				g.Expect(to).To(BeNumerically("<", place), "no cycles of gateways that poll each other")
 				listeners[to]++
 				depth[place] = depth[to] + 1
 				deepest = max(deepest, depth[place])
@@ -242,13 +242,13 @@
 	}
 }
 
-// In a domain of many, what is published goes from one to the next.
-func TestAGatewayListensToTheOneBeforeIt(t *testing.T) {
+// In a large domain published state is passed on from one gateway to the next.
+func TestGatewayListensToItsParent(t *testing.T) {
 	g := NewWithT(t)
-	s := newStation(t, 1)
+	s := newTestPeer(t, 1)
 	at := func(place int) string { return fmt.Sprintf("10.0.0.%d:80", 100+place) }
 	knowAll := func(place int) {
-		s.moveTo(at(place))
+		s.setAddress(at(place))
 		s.started = time.Now().Add(-2 * gatewayTTL)
 		for other := range 60 {
 			if other != place {
@@ -260,25 +260,25 @@
 	g.Expect(s.listenOrder(time.Now())).To(Equal([]string{at(4), at(0), at(1)}))
 	g.Expect(s.ReadsStore(true)).To(BeFalse())
 	s.unresponsive[at(4)] = time.Now()
-	g.Expect(s.listenOrder(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer comes last for a time")
+	g.Expect(s.listenOrder(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer is polled last for a while")
 	g.Expect(s.listenOrder(time.Now().Add(2 * unresponsiveTTL))).To(HaveExactElements(at(4), at(0), at(1)))
 	s.receiveHello(peers.Hello{Life: 1, Address: at(4), Domain: "a", Leaving: true})
-	g.Expect(s.listenOrder(time.Now())[0]).To(Equal(at(4+1)), "the next one takes the place of one that leaves")
+	g.Expect(s.listenOrder(time.Now())[0]).To(Equal(at(4+1)), "the next one takes the place of a leaving one")
 
 	knowAll(1)
 	s.seeds = []string{"10.9.0.1:80"}
 	g.Expect(s.ReadsStore(true)).To(BeTrue())
 	s.started = time.Now()
 	g.Expect(s.ReadsStore(true)).To(BeFalse())
-	g.Expect(s.listenOrder(time.Now())).To(Equal(s.seeds), "one of the first goes by its seeds while it settles")
+	g.Expect(s.listenOrder(time.Now())).To(Equal(s.seeds), "one of the first gateways polls its seeds while it is new")
 	knowAll(40)
 	s.started = time.Now()
 	g.Expect(s.listenOrder(time.Now())[0]).To(Equal(at(4)), "the seeds would have too many listeners")
 }
 
-func TestWhatIsBorrowedComesFromTheOwnDomainByTurns(t *testing.T) {
+func TestBorrowingAlternatesBetweenOwnDomainAndAny(t *testing.T) {
 	g := NewWithT(t)
-	s := newStation(t, 1)
+	s := newTestPeer(t, 1)
 	_, ok := s.chooseLender()
 	g.Expect(ok).To(BeFalse())
 	s.seeds = []string{s.self, "10.9.0.1:80"}
@@ -299,14 +299,14 @@
 	g.Expect(near).To(BeNumerically("<", 90))
 }
 
-// What a gateway tells that listens itself holds up to where its own source's word does: whoever
-// hears it anew drops what has gone meanwhile.
-func TestAListenerOfAListenerDropsWhatHasGone(t *testing.T) {
+// The state sent by a gateway that is a listener itself is valid up to the position of its own
+// source, so that a new listener drops what has been removed meanwhile.
+func TestListenerOfAListenerDropsRemovedEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	reader, middle, leaf := newStation(t, 7), newStation(t, 8), newStation(t, 9)
+	reader, middle, leaf := newTestPeer(t, 7), newTestPeer(t, 8), newTestPeer(t, 9)
 	reader.publish(3, 6, endpointAt("one", 5), endpointAt("two", 6))
-	for _, s := range []station{middle, leaf} {
+	for _, s := range []testPeer{middle, leaf} {
 		g.Expect(s.listenTo(ctx, reader.self)).To(Succeed())
 		g.Expect(s.view.State().Endpoints).To(HaveLen(2))
 	}
@@ -317,11 +317,12 @@
 	g.Expect(leaf.view.State().Endpoints).To(HaveKey("two"))
 }
 
-// Guards against half of a neighbour's word where its connections end as it is asked.
-func TestANeighbourWhoseConnectionsEndIsHeardWholeOrNotAtAll(t *testing.T) {
+// Guards against taking a part of another gateway's answer for the whole when its connections are
+// cut.
+func TestCutAnswerOfAGatewayIsAnError(t *testing.T) {
 	const callers, each = 200, 4
 	g := NewWithT(t)
-	reader, listener := newStation(t, 8), newStation(t, 9)
+	reader, listener := newTestPeer(t, 8), newTestPeer(t, 9)
 	reader.publish(1<<12, 6)
 	h := reader.Handler()
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -330,7 +331,7 @@
 		}
 		h.ServeHTTP(w, r)
 		if rand.IntN(20) == 0 {
-			panic(http.ErrAbortHandler) // Perhaps in the middle of the answer.
+			panic(http.ErrAbortHandler) // Possibly in the middle of the answer.
 		}
 	}))
 	srv.Config.IdleTimeout = time.Millisecond
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -19,7 +19,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// gatewaysIn are as many gateways, dealt out to failure domains with long names.
+// gatewaysIn returns n gateways, distributed over failure domains with long names.
 func gatewaysIn(domains, n int) (list []roster.Seen) {
 	for i := range n {
 		list = append(list, roster.Seen{
@@ -30,23 +30,23 @@
 	return list
 }
 
-// inOnePacket checks that a message fits a packet, and returns it as it comes.
-func inOnePacket(g *WithT, m peers.Message) (heard peers.Message) {
+// expectFitsPacket checks that a message fits into one packet, and returns the decoded message.
+func expectFitsPacket(g *WithT, m peers.Message) (decoded peers.Message) {
 	g.THelper()
 	raw, err := cbor.Marshal(m)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(raw)).To(BeNumerically("<", 1400))
-	g.Expect(cbor.Unmarshal(raw, &heard)).To(Succeed())
-	return heard
+	g.Expect(cbor.Unmarshal(raw, &decoded)).To(Succeed())
+	return decoded
 }
 
-func TestAHelloThatNamesOthersFitsAPacket(t *testing.T) {
+func TestHelloThatListsOthersFitsAPacket(t *testing.T) {
 	for _, domains := range []int{1, 21} {
 		t.Run(fmt.Sprint(domains), func(t *testing.T) {
 			g := NewWithT(t)
 			list := gatewaysIn(domains, peers.MostKnown)
 			h := peers.Hello{Name: strings.Repeat("n", 32), Life: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16), Gateways: 100_000, Answer: true, Known: toKnown(list)}
-			m := inOnePacket(g, peers.Message{Hello: &h})
+			m := expectFitsPacket(g, peers.Message{Hello: &h})
 			heard, err := fromKnown(m.Hello.Known)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(heard).To(ConsistOf(list))
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestWhatCannotBeReadNamesNobody(t *testing.T) {
+func TestInvalidAddressesAreOmittedFromHellos(t *testing.T) {
 	g := NewWithT(t)
 	list, err := fromKnown([]peers.Known{{Domain: "d", Gateways: []peers.KnownGateway{{Address: []byte{1}}, {Address: []byte{10, 0, 0, 1, 80, 0}}}}})
 	g.Expect(err).To(HaveOccurred())
@@ -62,16 +62,16 @@
 	g.Expect(toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "name:80"}}})).To(BeEmpty())
 }
 
-// A gateway that is greeted answers with a hello, in parts where it is asked for many others.
+// A gateway answers a hello with a hello, split into several if many other gateways are asked for.
 func TestAHelloIsAnswered(t *testing.T) {
 	g := NewWithT(t)
-	n := newStation(t, 1)
+	n := newTestPeer(t, 1)
 	n.withSocket(t)
 	asker, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { g.Expect(asker.Close()).To(Succeed()) })
-	there := gatewaysIn(1, 2*peers.MostKnown)
-	n.roster.HearOf(there, time.Now())
+	known := gatewaysIn(1, 2*peers.MostKnown)
+	n.roster.HearOf(known, time.Now())
 	greet := func(h peers.Hello) {
 		h.Life, h.Address, h.Domain = 1, asker.LocalAddr().String(), "a"
 		n.Receive(netip.MustParseAddrPort(h.Address), peers.Message{Hello: &h})
@@ -82,15 +82,15 @@
 	g.Expect(h.Answer).To(BeTrue())
 	g.Expect(h.Known).To(BeEmpty())
 
-	greet(peers.Hello{Answer: true}) // Is not answered itself.
-	greet(peers.Hello{Asks: there[0].Domain})
-	told := 0
-	for told < len(there) {
+	greet(peers.Hello{Answer: true}) // An answer is not answered.
+	greet(peers.Hello{Asks: known[0].Domain})
+	listed := 0
+	for listed < len(known) {
 		h = readHello(g, asker)
 		g.Expect(h.Answer).To(BeTrue())
 		g.Expect(h.Known).NotTo(BeEmpty())
 		for _, k := range h.Known {
-			told += len(k.Gateways)
+			listed += len(k.Gateways)
 		}
 	}
 }
@@ -107,8 +107,8 @@
 	return m.Hello
 }
 
-// Whatever bytes come as a hello, those that it names are told on as gateways with an address,
-// and the view goes on.
+// Whatever bytes a hello contains, the gateways it lists are passed on with valid addresses, and
+// the view stays usable.
 func FuzzHello(f *testing.F) {
 	for _, h := range []peers.Hello{
 		{Name: "g", Life: 1, Address: "10.0.0.1:80", Domain: "a", Asks: "b"},
@@ -128,17 +128,17 @@
 		}
 		g := NewWithT(t)
 		now := time.Unix(1_800_000_000, 0)
-		seen, _ := fromKnown(m.Hello.Known) // What cannot be read is left out.
+		seen, _ := fromKnown(m.Hello.Known) // Invalid gateways are omitted.
 		r := roster.New(roster.Gateway{Address: "10.0.0.9:80", Domain: "a"}, nil, now)
 		r.HearOf(seen, now)
 		r.Hear(roster.Gateway{Address: "10.0.0.8:80", Domain: m.Hello.Domain, Life: m.Hello.Life}, now)
-		told := r.Answer("a", m.Hello.Asks, now)
-		for _, s := range told {
+		answered := r.Answer("a", m.Hello.Asks, now)
+		for _, s := range answered {
 			_, err := netip.ParseAddrPort(s.Address)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(s.Age).To(BeNumerically(">=", 0))
 		}
-		g.Expect(len(told)).To(BeNumerically("<=", len(seen)+1))
+		g.Expect(len(answered)).To(BeNumerically("<=", len(seen)+1))
 		g.Expect(len(r.There(now))).To(BeNumerically("<=", len(seen)+1))
 		r.Greet(now, func(n int) int { return n - 1 })
 		r.Lapse(now.Add(time.Hour))
@@ -146,7 +146,7 @@
 	})
 }
 
-// loadsOf are the loads of so many ranks: rank r runs r requests.
+// loadsOf returns the loads of ranks, where rank r runs r requests.
 func loadsOf(g *WithT, ranks int) (l peers.Loads) {
 	l.Group = "g"
 	for r := range ranks {
@@ -157,12 +157,12 @@
 	return l
 }
 
-func TestOneMessageTellsTheLoadsOfManyRanks(t *testing.T) {
+func TestOneMessageCarriesTheLoadsOfManyRanks(t *testing.T) {
 	g := NewWithT(t)
 	l := loadsOf(g, peers.MostRanks)
-	m := inOnePacket(g, peers.Message{Loads: &l})
+	m := expectFitsPacket(g, peers.Message{Loads: &l})
 
-	n := newStation(t, 1)
+	n := newTestPeer(t, 1)
 	var list []fleet.Endpoint
 	for r := range peers.MostRanks {
 		list = append(list, fleet.Endpoint{ID: fmt.Sprint(r), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", r+1), Revision: 1})
@@ -174,9 +174,9 @@
 	}
 }
 
-func TestALoadThatCannotBeReadIsLeftOut(t *testing.T) {
+func TestInvalidLoadIsIgnored(t *testing.T) {
 	g := NewWithT(t)
-	n := newStation(t, 1)
+	n := newTestPeer(t, 1)
 	l := loadsOf(g, 2)
 	l.Ranks[0].Address = []byte{1, 2}
 	n.publish(1, 1, fleet.Endpoint{ID: "b", Service: "s", Address: "10.0.0.2:80", Revision: 1})
@@ -184,8 +184,8 @@
 	g.Expect(n.g.table.Busy("b", time.Now())).To(Equal(1))
 }
 
-// endsOf are as many ends as one message names, each of another request and of an endpoint
-// with a long id, some minutes ago.
+// endsOf returns as many ends as one message holds, each of another request and of an endpoint with
+// a long id, recorded 10 minutes ago.
 func endsOf(now time.Time, s *Gateway) []peers.End {
 	for i := range 2 * peers.MostEnds {
 		k := quarantine.KeyOf("POST", "h", "/p", "c", fmt.Append(nil, i))
@@ -196,46 +196,45 @@
 
 func TestAHelloWithEndsFitsAPacket(t *testing.T) {
 	g := NewWithT(t)
-	n := newStation(t, 1)
+	n := newTestPeer(t, 1)
 	m := peers.Message{Hello: &peers.Hello{Name: strings.Repeat("n", 32), Life: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16)}}
 	m.Hello.Asks, m.Hello.Gateways = m.Hello.Domain, 100_000
 	m.Ends = endsOf(time.Now(), n.g)
 	g.Expect(m.Ends).To(HaveLen(peers.MostEnds))
-	heard := inOnePacket(g, m)
-	other := newStation(t, 2)
-	heard.Hello = nil // A station has no socket to answer it.
+	heard := expectFitsPacket(g, m)
+	other := newTestPeer(t, 2)
+	heard.Hello = nil // A test peer has no socket to answer it.
 	other.Receive(netip.AddrPort{}, heard)
 	g.Expect(other.g.suspects.Tell(time.Now())).To(HaveLen(peers.MostEnds))
 }
 
-// A gateway that starts anew under its address is new to the others.
-func TestAGatewayIsNewWithEachLife(t *testing.T) {
+// A gateway that restarts under its address is new to the others.
+func TestGatewayIsNewAfterEachRestart(t *testing.T) {
 	g := NewWithT(t)
-	n := newStation(t, 1)
+	n := newTestPeer(t, 1)
 	h := peers.Hello{Name: "g", Life: 7, Address: "10.0.0.1:80", Domain: "a"}
-	hears := func(h peers.Hello, before *peers.Before) bool {
-		fresh, was := n.receiveHello(h)
-		g.Expect(was).To(Equal(before))
-		return fresh
+	isNewAfter := func(h peers.Hello, before *peers.Before) bool {
+		isNew, got := n.receiveHello(h)
+		g.Expect(got).To(Equal(before))
+		return isNew
 	}
-	g.Expect(hears(h, nil)).To(BeTrue())
-	g.Expect(hears(h, nil)).To(BeFalse())
+	g.Expect(isNewAfter(h, nil)).To(BeTrue())
+	g.Expect(isNewAfter(h, nil)).To(BeFalse())
 	h.Life = 8
-	fresh, before := n.receiveHello(h)
-	g.Expect(fresh).To(BeTrue())
-	g.Expect(before.Life).To(BeEquivalentTo(7))
+	isNew, previous := n.receiveHello(h)
+	g.Expect(isNew).To(BeTrue())
+	g.Expect(previous.Life).To(BeEquivalentTo(7))
 	n.receiveHello(peers.Hello{Name: "other", Life: 1, Address: "10.0.0.2:80", Known: toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "10.0.0.3:80", Domain: "a"}}})})
-	g.Expect(hears(peers.Hello{Life: 3, Address: "10.0.0.3:80"}, nil)).To(BeTrue(), "it was known by hearsay only")
+	g.Expect(isNewAfter(peers.Hello{Life: 3, Address: "10.0.0.3:80"}, nil)).To(BeTrue(), "it was known from another gateway only")
 }
 
-// A request that is to be tried at one place is tried at exactly one of the gateways that
-// hear each other.
+// Trials of a request run at exactly one of the gateways that know each other.
 func TestOneGatewayOwnsATrial(t *testing.T) {
 	g := NewWithT(t)
-	var list []station
+	var list []testPeer
 	for i := range 5 {
-		s := newStation(t, int64(i+1))
-		s.moveTo(fmt.Sprintf("10.0.0.%d:80", i+1))
+		s := newTestPeer(t, int64(i+1))
+		s.setAddress(fmt.Sprintf("10.0.0.%d:80", i+1))
 		list = append(list, s)
 	}
 	for _, s := range list {
@@ -255,5 +254,5 @@
 		}
 		g.Expect(owners).To(Equal(1))
 	}
-	g.Expect(owned).To(HaveLen(len(list)), "not all at one")
+	g.Expect(owned).To(HaveLen(len(list)), "not all at one gateway")
 }
--- a/internal/gateway/recover_test.go
+++ b/internal/gateway/recover_test.go
@@ -16,27 +16,27 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// silentFirst is an endpoint of which the first request of all gets so many events and
-// then nothing until going is closed; the others are streamed whole.
+// silentFirst is one of several endpoints. The first request to any of them gets a number of events
+// and then nothing until resume is closed; all others get a complete stream.
 type silentFirst struct {
-	*streamer
+	*streamingEndpoint
 	runs  *atomic.Int32
 	after int
 }
 
 func (s silentFirst) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.runs.Add(1) > 1 {
-		s.streamer.ServeHTTP(w, r)
+		s.streamingEndpoint.ServeHTTP(w, r)
 		return
 	}
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		return // Only a body that was read lets the end of the connection show.
+		return // The end of the connection is detected only after the body has been read.
 	}
 	beginStream(w, r)
 	for n := range streamEvents {
 		if n == s.after {
 			select {
-			case <-s.going:
+			case <-s.resume:
 			case <-r.Context().Done():
 				return
 			}
@@ -46,20 +46,20 @@
 	}
 }
 
-// twoSilentFirst returns two endpoints that are silent to the first request of both.
+// twoSilentFirst returns two such endpoints that share the count of requests.
 func twoSilentFirst(after int) (one, two silentFirst) {
 	runs := &atomic.Int32{}
-	return silentFirst{newStreamer(0), runs, after}, silentFirst{newStreamer(0), runs, after}
+	return silentFirst{newStreamingEndpoint(0), runs, after}, silentFirst{newStreamingEndpoint(0), runs, after}
 }
 
-// expectWhole checks that a caller got a whole stream.
-func expectWhole(g *WithT, status int, body string, err error) {
+// expectWholeStream checks that a caller received a complete stream.
+func expectWholeStream(g *WithT, status int, body string, err error) {
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(status).To(Equal(http.StatusOK))
-	g.Expect(body).To(Equal(wholeStream()), "neither a gap nor a repeat")
+	g.Expect(body).To(Equal(wholeStream()), "no event is missing or repeated")
 }
 
-func TestASilentTryGoesOnElsewhere(t *testing.T) {
+func TestSilentAttemptContinuesElsewhere(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		after int
@@ -70,42 +70,42 @@
 			one, two := twoSilentFirst(tc.after)
 			s := newSiteWith(t, func(r *fleet.Route) { r.Target = 50 * time.Millisecond }, one, two)
 			s.expectServed(g, "a", "")
-			g.Expect(append(one.firsts(), two.firsts()...)).To(Equal([]int{tc.from}))
+			g.Expect(append(one.startEvents(), two.startEvents()...)).To(Equal([]int{tc.from}))
 			g.Expect(s.stats.silentAttempts.Count()).To(BeEquivalentTo(1))
 		})
 	}
 }
 
-// A request under way has its place: a group that got full meanwhile does not keep it where
-// nothing comes. Callers left and their requests reached a frozen rank as it woke
-// (GONE, ptmoa-orders-grown, deploy/days/frozen-leader.toml --vary --seed 984424383173).
-func TestASilentTryGoesOnThoughItsGroupIsFull(t *testing.T) {
+// A request in flight already counts in its group: a group that became full meanwhile must not keep
+// the request at a silent endpoint. Callers left, and their requests reached a frozen rank when it
+// resumed (GONE, ptmoa-orders-grown, deploy/days/frozen-leader.toml --vary --seed 984424383173).
+func TestSilentAttemptContinuesElsewhereInAFullGroup(t *testing.T) {
 	g := NewWithT(t)
 	one, two := twoSilentFirst(0)
 	s := newSiteWith(t, func(r *fleet.Route) { r.Target = 400 * time.Millisecond }, one, two)
 	tell := func(running int) {
-		s.tell(0, running, 1)
-		s.tell(1, running, 1)
+		s.reportLoad(0, running, 1)
+		s.reportLoad(1, running, 1)
 	}
 	tell(0)
-	wait := s.begin(g, "a", "")
-	g.Eventually(one.runs.Load, patienceOf).Should(BeEquivalentTo(1))
+	wait := s.startStream(g, "a", "")
+	g.Eventually(one.runs.Load, testTimeout).Should(BeEquivalentTo(1))
 	tell(50 * slots)
 	wait()
 	g.Expect(s.stats.silentAttempts.Count()).To(BeEquivalentTo(1))
 }
 
-// What may run once only, or has no repeat or try left, is waited for.
-func TestASilentTryIsWaitedFor(t *testing.T) {
+// A request that may run only once, or has no retry or attempt left, waits for its endpoint.
+func TestSilentAttemptIsNotAborted(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		change func(r *fleet.Route)
-		spare  float64
+		name       string
+		change     func(r *fleet.Route)
+		retryFloor float64
 	}{
 		{"it may run once only", func(r *fleet.Route) { r.Resumable = false }, 1000},
-		{"no try is left", func(r *fleet.Route) { r.Attempts = 1 }, 1000},
-		{"no repeat is left", func(*fleet.Route) {}, 0},
-		{"nothing says what is too long", func(r *fleet.Route) { r.Target = 0 }, 1000},
+		{"no attempt is left", func(r *fleet.Route) { r.Attempts = 1 }, 1000},
+		{"no retry is left", func(*fleet.Route) {}, 0},
+		{"there is no measure of too long", func(r *fleet.Route) { r.Target = 0 }, 1000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -114,10 +114,10 @@
 				r.Target = 20 * time.Millisecond
 				tc.change(r)
 			}, one, two)
-			s.cfg.RetryFloor = tc.spare
+			s.cfg.RetryFloor = tc.retryFloor
 			time.AfterFunc(200*time.Millisecond, func() {
-				close(one.going)
-				close(two.going)
+				close(one.resume)
+				close(two.resume)
 			})
 			s.expectServed(g, "a", "")
 			g.Expect(one.runs.Load()).To(BeEquivalentTo(1))
@@ -125,64 +125,64 @@
 	}
 }
 
-// A caller that comes for the first time while its group is down is told at once when to
-// come back; one that would not come again waits until the group opens.
-func TestWhoWouldNotComeAgainWaitsForAGroup(t *testing.T) {
+// A caller at its first request while its group is closed is asked at once to retry later. One that
+// would not retry waits until the group opens.
+func TestCallerThatWouldNotRetryWaitsForGroup(t *testing.T) {
 	g := NewWithT(t)
-	only := newStreamer(0)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = time.Second, patienceOf }, only)
+	only := newStreamingEndpoint(0)
+	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = time.Second, testTimeout }, only)
 	group := func(closed bool) {
 		s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: closed, Pass: 20 * time.Millisecond, At: time.Now()})
 	}
 	group(true)
 	g.Expect(s.expectRefused(g, "first", "30000")).To(Equal("2.5"))
-	wait := s.begin(g, "again", "20000")
-	g.Eventually(s.stats.heldForGroup.Count, patienceOf).Should(BeEquivalentTo(1))
-	g.Expect(only.firsts()).To(BeEmpty(), "nothing is sent to a group that is down")
+	wait := s.startStream(g, "again", "20000")
+	g.Eventually(s.stats.heldForGroup.Count, testTimeout).Should(BeEquivalentTo(1))
+	g.Expect(only.startEvents()).To(BeEmpty(), "nothing is sent to a closed group")
 	group(false)
 	wait()
-	g.Expect(only.firsts()).To(Equal([]int{1}))
+	g.Expect(only.startEvents()).To(Equal([]int{1}))
 }
 
-// A caller who leaves before the group opens is not held any longer than that.
+// A request whose caller leaves before the group opens is refused before the caller leaves.
 func TestAHeldRequestIsRefusedBeforeItsCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
-	only := newStreamer(0)
+	only := newStreamingEndpoint(0)
 	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = 100*time.Millisecond, 400*time.Millisecond }, only)
 	s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: true, At: time.Now().Add(time.Hour)})
 	s.expectRefused(g, "again", "20000")
-	g.Expect(only.firsts()).To(BeEmpty(), "it did not run")
+	g.Expect(only.startEvents()).To(BeEmpty(), "it did not run")
 }
 
 func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
 	g := NewWithT(t)
-	s, view, snap := newSiteOf(t, func(*fleet.Route) {}, newStreamer(0))
-	wait := s.begin(g, "early", "")
-	g.Eventually(s.InFlight, patienceOf).Should(Equal(1))
+	s, view, snap := newSiteOf(t, func(*fleet.Route) {}, newStreamingEndpoint(0))
+	wait := s.startStream(g, "early", "")
+	g.Eventually(s.InFlight, testTimeout).Should(Equal(1))
 	view.Replace(snap, time.Now(), false)
 	wait()
 	s, _, _ = newSiteOf(t, func(*fleet.Route) {})
 	g.Expect(s.expectRefused(g, "in vain", "90")).To(Equal("2.5"))
 }
 
-func TestWhoHasComeBefore(t *testing.T) {
+func TestRefusedCallersAreRecognized(t *testing.T) {
 	const timeout = 8 * time.Second
 	p := newCallerTimeouts()
 	for n := range minCallersSeen {
 		surely, perhaps := p.classify("r", 5*time.Second, timeout)
 		NewWithT(t).Expect(surely).To(BeFalse(), "caller %d", n)
-		NewWithT(t).Expect(perhaps).To(BeTrue(), "little is known yet")
+		NewWithT(t).Expect(perhaps).To(BeTrue(), "few callers were seen yet")
 	}
 	g := NewWithT(t)
 	surely, perhaps := p.classify("r", 5*time.Second, timeout)
-	g.Expect(surely || perhaps).To(BeFalse(), "callers of this route wait for so long")
+	g.Expect(surely || perhaps).To(BeFalse(), "callers of this route wait this long")
 	surely, _ = p.classify("r", 3*time.Second, timeout)
 	g.Expect(surely).To(BeTrue())
 }
 
-// First tries of callers wait between 6.8 and 8 s; those that come again were refused
-// and told to wait for 1.2 s or more.
-func TestWhoHasComeBeforeIsToldByItsPatience(t *testing.T) {
+// First requests of callers wait between 6.8 and 8 s. Callers that retry were refused with a
+// Retry-After of 1.2 s or more.
+func TestRefusedCallersAreRecognizedByTheirTimeout(t *testing.T) {
 	for _, tc := range []struct {
 		longest, left time.Duration
 		again         bool
@@ -193,7 +193,7 @@
 		{8 * time.Second, 6790 * time.Millisecond, true},
 		{8 * time.Second, 5 * time.Second, true},
 		{1200 * time.Millisecond, 1050 * time.Millisecond, false},
-		{1200 * time.Millisecond, 800 * time.Millisecond, true}, // They wait a third of what they have at most.
+		{1200 * time.Millisecond, 800 * time.Millisecond, true}, // They wait for at most a third of their remaining time.
 	} {
 		t.Run(fmt.Sprint(tc.longest, "/", tc.left), func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/gateway/reply_test.go
+++ b/internal/gateway/reply_test.go
@@ -12,13 +12,13 @@
 
 var okHead = replyHead{status: http.StatusOK, header: http.Header{"X": {"first"}}}
 
-// newReply returns a reply and what it has sent.
+// newReply returns a reply and the recorder of what it sends.
 func newReply() (*reply, *httptest.ResponseRecorder) {
 	w := httptest.NewRecorder()
 	return &reply{w: w, r: httptest.NewRequest(http.MethodPost, "/", nil), advertise: func() {}}, w
 }
 
-// assertComplete checks whether close lets the server end the answer in order.
+// assertComplete checks whether close lets the server complete the answer.
 func assertComplete(t *testing.T, p *reply, complete bool) {
 	t.Helper()
 	g := NewWithT(t)
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestReplySendsNothingWhereItDoesNotFit(t *testing.T) {
+func TestReplyRejectsWritesInTheWrongState(t *testing.T) {
 	failure := replyHead{status: http.StatusInternalServerError, header: http.Header{"X": {"second"}}}
 	t.Run("whole answer within a stream", func(t *testing.T) {
 		g := NewWithT(t)
@@ -92,7 +92,7 @@
 	})
 }
 
-func TestCursorTellsWhatFollows(t *testing.T) {
+func TestCursorChecksTheNextEvent(t *testing.T) {
 	named := func(id int64) event { return event{id: id, hasID: true, hasData: true} }
 	unnamed := event{hasData: true}
 	comment := event{}
@@ -112,15 +112,15 @@
 		{"first event", cursor{}, named(7), false, nil},
 		{"next of a run", after(named(1)), named(2), false, nil},
 		{"ids of a run that skip", after(named(1)), named(5), false, nil},
-		{"again within a run", after(named(2)), named(2), false, errDuplicateEvent},
+		{"repeated id within a run", after(named(2)), named(2), false, errDuplicateEvent},
 		{"next of another run", after(named(1)), named(2), true, nil},
-		{"again from another run", after(named(2)), named(1), true, errDuplicateEvent},
+		{"repeated id from another run", after(named(2)), named(1), true, errDuplicateEvent},
 		{"gap before another run", after(named(1)), named(3), true, errEventGap},
 		{"gap where ids skip", after(named(1), named(4)), named(7), true, nil},
 		{"no id from another run", after(named(1)), unnamed, true, errEventWithoutID},
 		{"comment from another run", after(named(1)), comment, true, nil},
-		{"what a caller has had", cursorFrom("2"), named(2), false, errDuplicateEvent},
-		{"after what a caller has had", cursorFrom("2"), named(3), false, nil},
+		{"last event of the caller", cursorFrom("2"), named(2), false, errDuplicateEvent},
+		{"after the last event of the caller", cursorFrom("2"), named(3), false, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -131,7 +131,7 @@
 			g.Expect(tc.at.check(tc.next, tc.joined)).To(MatchError(tc.why))
 		})
 	}
-	t.Run("where a run may go on", func(t *testing.T) {
+	t.Run("where a run may continue", func(t *testing.T) {
 		g := NewWithT(t)
 		can := func(c cursor) bool { return c.resumable() }
 		g.Expect(can(after(named(1)))).To(BeTrue())
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -27,17 +27,17 @@
 	streamEvents = 6
 	headerID     = "Call"
 	headerLast   = "Last"
-	// headerPatience is in milliseconds.
-	headerPatience = "Patience"
-	slots          = 2
-	patienceOf     = 30 * time.Second // Long enough for a loaded machine.
+	// headerCallerTimeout names how long the caller waits, in milliseconds.
+	headerCallerTimeout = "Patience"
+	slots               = 2
+	testTimeout         = 30 * time.Second // Long enough for a loaded machine.
 )
 
-// testCodec is a codec with names of its own.
+// testCodec returns a codec with header names used by these tests only.
 func testCodec() Codec {
 	return Codec{
 		ReadCall: func(h http.Header) fleet.Call {
-			ms, err := strconv.Atoi(h.Get(headerPatience))
+			ms, err := strconv.Atoi(h.Get(headerCallerTimeout))
 			return fleet.Call{ID: h.Get(headerID), Patience: time.Duration(ms) * time.Millisecond, HasPatience: err == nil}
 		},
 		EndpointHeader: func(in http.Header, s fleet.Stamp) http.Header {
@@ -54,31 +54,31 @@
 	}
 }
 
-// streamer is an endpoint that streams events; one that begins with the first
-// stops before the event that halts, until it is let go on.
-type streamer struct {
-	halt   int // 0 for never.
-	going  chan struct{}
-	mu     sync.Mutex
-	begun  []int // First event of each stream.
-	halted chan struct{}
+// streamingEndpoint is an endpoint that streams events. A stream that begins with the first event
+// stops before the event haltBefore until resume is closed.
+type streamingEndpoint struct {
+	haltBefore int // 0 for never.
+	resume     chan struct{}
+	mu         sync.Mutex
+	started    []int // First event of each stream.
+	halted     chan struct{}
 }
 
-func newStreamer(halt int) *streamer {
-	return &streamer{halt: halt, going: make(chan struct{}), halted: make(chan struct{}, 8)}
+func newStreamingEndpoint(halt int) *streamingEndpoint {
+	return &streamingEndpoint{haltBefore: halt, resume: make(chan struct{}), halted: make(chan struct{}, 8)}
 }
 
-func (s *streamer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	last, _ := strconv.Atoi(r.Header.Get(headerLast)) // None is the start.
+func (s *streamingEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	last, _ := strconv.Atoi(r.Header.Get(headerLast)) // No id is the start.
 	s.mu.Lock()
-	s.begun = append(s.begun, last+1)
+	s.started = append(s.started, last+1)
 	s.mu.Unlock()
 	beginStream(w, r)
 	for n := last + 1; n <= streamEvents; n++ {
-		if n == s.halt && last == 0 {
+		if n == s.haltBefore && last == 0 {
 			s.halted <- struct{}{}
 			select {
-			case <-s.going:
+			case <-s.resume:
 			case <-r.Context().Done():
 				return
 			}
@@ -88,13 +88,13 @@
 	}
 }
 
-func (s *streamer) firsts() []int {
+func (s *streamingEndpoint) startEvents() []int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]int(nil), s.begun...)
+	return append([]int(nil), s.started...)
 }
 
-// site is a gateway before a group of endpoints.
+// site is a gateway in front of a group of endpoints.
 type site struct {
 	*Gateway
 	url       string
@@ -105,15 +105,15 @@
 	return newSiteWith(t, func(*fleet.Route) {}, endpoints...)
 }
 
-// newSiteWith returns a site whose route is changed so.
+// newSiteWith returns a site whose route is modified by change.
 func newSiteWith(t *testing.T, change func(r *fleet.Route), endpoints ...http.Handler) site {
 	s, view, snap := newSiteOf(t, change, endpoints...)
 	view.Replace(snap, time.Now(), false)
 	return s
 }
 
-// newSiteOf returns a site whose route is changed so, and what is to be published; its
-// view is empty.
+// newSiteOf returns a site with an empty view, and the snapshot to publish, in which the route is
+// modified by change.
 func newSiteOf(t *testing.T, change func(r *fleet.Route), endpoints ...http.Handler) (s site, view *follow.View, snap follow.Snapshot) {
 	view = follow.NewView()
 	gw, cleanup := New(Config{MaxKeyAge: time.Hour, RetryWindow: time.Minute, RetryFloor: 1000}, testCodec(), view, zap.NewNop(), metrics.NewRegistry())
@@ -142,8 +142,8 @@
 	return s, view, snap
 }
 
-// tell reports the load of one endpoint.
-func (s site) tell(i, running int, pace float64) {
+// reportLoad reports the load of one endpoint.
+func (s site) reportLoad(i, running int, pace float64) {
 	s.ReportLoad(s.addresses[i], balance.Load{Running: running, Group: "g", Pass: 20 * time.Millisecond, Pace: pace, At: time.Now()})
 }
 
@@ -152,9 +152,9 @@
 	return s.askWith(id, "")
 }
 
-// askWith is ask for a caller who tells, in milliseconds, for how long it waits.
-func (s site) askWith(id, patience string) (status int, retryAfter, body string, err error) {
-	resp, err := s.open(id, patience)
+// askWith is ask for a caller that sends how long it waits, in milliseconds.
+func (s site) askWith(id, callerTimeout string) (status int, retryAfter, body string, err error) {
+	resp, err := s.open(id, callerTimeout)
 	if err != nil {
 		return 0, "", "", err
 	}
@@ -164,39 +164,40 @@
 }
 
 // open sends a caller's request and returns the answer with its body unread.
-func (s site) open(id, patience string) (*http.Response, error) {
+func (s site) open(id, callerTimeout string) (*http.Response, error) {
 	r, err := http.NewRequest(http.MethodPost, s.url+"/", strings.NewReader("{}"))
 	if err != nil {
 		return nil, err
 	}
 	r.Host = "caller.test"
 	r.Header.Set(headerID, id)
-	r.Header.Set(headerPatience, patience)
+	r.Header.Set(headerCallerTimeout, callerTimeout)
 	return http.DefaultClient.Do(r)
 }
 
-// expectServed checks that a request gets a whole stream.
-func (s site) expectServed(g *WithT, id, patience string) {
+// expectServed checks that a request is answered with a complete stream.
+func (s site) expectServed(g *WithT, id, callerTimeout string) {
 	g.THelper()
-	status, _, body, err := s.askWith(id, patience)
-	expectWhole(g, status, body, err)
+	status, _, body, err := s.askWith(id, callerTimeout)
+	expectWholeStream(g, status, body, err)
 }
 
-// expectRefused checks that a request is refused as not run, with a time to come again.
-func (s site) expectRefused(g *WithT, id, patience string) (retryAfter string) {
+// expectRefused checks that a request is refused as not run, with a Retry-After.
+func (s site) expectRefused(g *WithT, id, callerTimeout string) (retryAfter string) {
 	g.THelper()
-	status, retryAfter, _, err := s.askWith(id, patience)
+	status, retryAfter, _, err := s.askWith(id, callerTimeout)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(status).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(retryAfter).NotTo(BeEmpty())
 	return retryAfter
 }
 
-// begin has a caller ask for a stream, which must come whole. The function waits for it.
-func (s site) begin(g *WithT, id, patience string) (wait func()) {
+// startStream has a caller request a stream, which must be complete. The returned function waits
+// for it.
+func (s site) startStream(g *WithT, id, callerTimeout string) (wait func()) {
 	var caller errgroup.Group
 	caller.Go(func() error {
-		s.expectServed(g, id, patience)
+		s.expectServed(g, id, callerTimeout)
 		return nil
 	})
 	return func() { g.Expect(caller.Wait()).To(Succeed()) }
@@ -208,7 +209,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 }
 
-// wholeStream is the body of a whole answer.
+// wholeStream returns the body of a complete answer.
 func wholeStream() (s string) {
 	for n := 1; n <= streamEvents; n++ {
 		s += fmt.Sprintf("id: %d\ndata: x\n\n", n)
@@ -216,8 +217,8 @@
 	return s
 }
 
-// haltedRank waits until a rank has stopped within a stream, and returns which.
-func haltedRank(g *WithT, ranks []*streamer) (which int) {
+// haltedRank waits until a rank has stopped within a stream, and returns its index.
+func haltedRank(g *WithT, ranks []*streamingEndpoint) (which int) {
 	which = -1
 	g.Eventually(func() int {
 		for i, r := range ranks {
@@ -226,65 +227,66 @@
 			}
 		}
 		return which
-	}, patienceOf).Should(BeNumerically(">=", 0))
+	}, testTimeout).Should(BeNumerically(">=", 0))
 	return which
 }
 
-func TestAStreamOnASlowRankGoesOnAtAnother(t *testing.T) {
+func TestStreamOnSlowRankContinuesAtAnother(t *testing.T) {
 	g := NewWithT(t)
-	ranks := []*streamer{newStreamer(3), newStreamer(3)}
+	ranks := []*streamingEndpoint{newStreamingEndpoint(3), newStreamingEndpoint(3)}
 	s := newSite(t, ranks[0], ranks[1])
-	s.tell(0, 0, 1)
-	s.tell(1, 0, 1)
-	wait := s.begin(g, "one", "")
+	s.reportLoad(0, 0, 1)
+	s.reportLoad(1, 0, 1)
+	wait := s.startStream(g, "one", "")
 	slow := haltedRank(g, ranks)
 	other := ranks[1-slow]
-	s.tell(slow, 1, 2)
-	g.Expect(s.stats.moved.Count()).To(BeZero(), "a little slow: it stays")
-	s.tell(slow, 1, 12)
+	s.reportLoad(slow, 1, 2)
+	g.Expect(s.stats.moved.Count()).To(BeZero(), "a rank that is a little slow keeps its stream")
+	s.reportLoad(slow, 1, 12)
 	wait()
-	g.Expect(ranks[slow].firsts()).To(Equal([]int{1}))
-	g.Expect(other.firsts()).To(Equal([]int{3}), "it went on after the last event that the caller had")
+	g.Expect(ranks[slow].startEvents()).To(Equal([]int{1}))
+	g.Expect(other.startEvents()).To(Equal([]int{3}), "it continued after the last event that the caller had received")
 	g.Expect(s.stats.moved.Count()).To(BeEquivalentTo(1))
 }
 
-func TestARequestWaitsForRoomThatComesInTime(t *testing.T) {
+func TestRequestWaitsForCapacityAvailableInTime(t *testing.T) {
 	g := NewWithT(t)
-	only := newStreamer(2)
+	only := newStreamingEndpoint(2)
 	s := newSite(t, only)
-	s.tell(0, 0, 1)
-	full := func() { s.tell(0, slots, 1) }
+	s.reportLoad(0, 0, 1)
+	full := func() { s.reportLoad(0, slots, 1) }
 	full()
 	s.expectRefused(g, "too early, since nothing is known of how soon room comes", "")
-	g.Expect(only.firsts()).To(BeEmpty(), "what was refused did not run")
+	g.Expect(only.startEvents()).To(BeEmpty(), "the refused request did not run")
 
-	s.tell(0, 0, 1)
-	first := s.begin(g, "first", "")
-	g.Eventually(only.halted, patienceOf).Should(Receive())
+	s.reportLoad(0, 0, 1)
+	first := s.startStream(g, "first", "")
+	g.Eventually(only.halted, testTimeout).Should(Receive())
 	g.Eventually(func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		_, known := s.passes.Turnover("g", slots, time.Now())
 		return known
-	}, patienceOf).Should(BeTrue(), "its first event tells how soon one comes")
+	}, testTimeout).Should(BeTrue(), "its first event shows how soon one arrives")
 	full()
-	second := s.begin(g, "second", "")
-	g.Eventually(s.stats.waited.Count, patienceOf).Should(BeEquivalentTo(1))
-	g.Expect(only.firsts()).To(HaveLen(1))
-	s.tell(0, 0, 1)
-	g.Eventually(only.halted, patienceOf).Should(Receive())
-	close(only.going)
+	second := s.startStream(g, "second", "")
+	g.Eventually(s.stats.waited.Count, testTimeout).Should(BeEquivalentTo(1))
+	g.Expect(only.startEvents()).To(HaveLen(1))
+	s.reportLoad(0, 0, 1)
+	g.Eventually(only.halted, testTimeout).Should(Receive())
+	close(only.resume)
 	first()
 	second()
-	g.Expect(only.firsts()).To(Equal([]int{1, 1}))
+	g.Expect(only.startEvents()).To(Equal([]int{1, 1}))
 }
 
-// Guards against callers that keep a connection by a head that went out after the stop began.
-func TestAStreamThatBeginsInAPlannedStopTellsItsCallerToLeave(t *testing.T) {
+// Guards against callers that keep a connection open because the head of their answer was sent
+// after the planned stop began.
+func TestStreamBegunDuringPlannedStopClosesItsConnection(t *testing.T) {
 	g := NewWithT(t)
-	only := newStreamer(1)
+	only := newStreamingEndpoint(1)
 	s := newSite(t, only)
-	s.tell(0, 0, 1)
+	s.reportLoad(0, 0, 1)
 	var caller errgroup.Group
 	caller.Go(func() error {
 		resp, err := s.open("one", "")
@@ -298,8 +300,8 @@
 		g.Expect(resp.Header).NotTo(HaveKey("Keep-Alive"))
 		return err
 	})
-	g.Eventually(only.halted, patienceOf).Should(Receive())
+	g.Eventually(only.halted, testTimeout).Should(Receive())
 	s.Stop()
-	close(only.going)
+	close(only.resume)
 	g.Expect(caller.Wait()).To(Succeed())
 }
--- a/internal/gateway/short_stream_test.go
+++ b/internal/gateway/short_stream_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// breaking is an endpoint that sends the first events of a stream and then breaks
-// off.
-func breaking(events int) http.HandlerFunc {
+// cutsAfter returns an endpoint that sends the first events of a stream and then cuts the
+// connection.
+func cutsAfter(events int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		beginStream(w, r)
 		for n := 1; n <= events; n++ {
@@ -24,29 +24,28 @@
 	}
 }
 
-// failing is an endpoint that runs each request and fails by itself.
-func failing(w http.ResponseWriter, r *http.Request) {
+// failsWith500 is an endpoint that runs each request and answers 500.
+func failsWith500(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(headerID, r.Header.Get(headerID))
 	w.WriteHeader(http.StatusInternalServerError)
 }
 
-// Users got answers to streams that were framed as complete and held only the first
-// events, on days on which many endpoints broke answers off while others failed
-// requests by themselves. The order of events: a stream has sent events to its
-// caller; its run is cut; the request goes on at a second endpoint, the last that its
-// route allows, which answers 500 at once. The gateway passed that answer on as the
-// request's own: its head came to nothing, since one had gone out, its body was empty,
-// and the server ended the chunked answer in order.
+// Guards against answers that are framed as complete streams but hold only the first events. Users
+// received such answers on days on which many endpoints cut answers while others answered 500. A
+// stream had sent events to its caller when its run was cut, and the request continued at a second
+// endpoint, the last that its route allowed, which answered 500 at once. The gateway passed that
+// answer on as its own: its head had no effect, since a head had been sent, its body was empty, and
+// the server completed the chunked answer.
 //
-// Evidence: of a day on which this was seen 11 times, the 11 requests' log lines, and
-// no others, had the head 200 of a first endpoint, a last run that answered 500 with no
-// event, and an answer that was not broken off.
+// This was seen 11 times on one day. The log lines of these 11 requests, and no others, had the
+// status 200 of a first endpoint, a last run that answered 500 without any event, and an answer
+// that was not cut.
 func TestAStreamCutShortIsNeverEndedByAnEndpointsFailure(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t, breaking(2), http.HandlerFunc(failing))
-	s.tell(0, 0, 1)
-	s.tell(1, slots-1, 1) // So that the first endpoint is asked first.
-	for i := range 20 {   // The choice is by chance when loads are alike.
+	s := newSite(t, cutsAfter(2), http.HandlerFunc(failsWith500))
+	s.reportLoad(0, 0, 1)
+	s.reportLoad(1, slots-1, 1) // So that the first endpoint is chosen first.
+	for i := range 20 {         // The choice is random among equal loads.
 		status, _, body, err := s.ask(fmt.Sprint(i))
 		if status == http.StatusOK {
 			g.Expect(err).To(HaveOccurred(), "an answer of %q looked whole", body)
@@ -54,28 +53,28 @@
 			return
 		}
 	}
-	t.Fatal("no request began at the endpoint that breaks off")
+	t.Fatal("no request began at the endpoint that cuts its stream")
 }
 
-// failsLater is a streamer that fails by itself where a stream goes on.
-type failsLater struct{ *streamer }
+// failsOnContinuation is a streamingEndpoint that answers 500 when a stream is continued.
+type failsOnContinuation struct{ *streamingEndpoint }
 
-func (f failsLater) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (f failsOnContinuation) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(headerLast) != "" {
-		failing(w, r)
+		failsWith500(w, r)
 		return
 	}
-	f.streamer.ServeHTTP(w, r)
+	f.streamingEndpoint.ServeHTTP(w, r)
 }
 
-// The gateway itself ends a sound run when it moves a stream off a slow rank; the
-// next endpoint's failure must not end the caller's answer either.
+// The gateway itself ends a sound run when it moves a stream off a slow rank. A failure of the next
+// endpoint must not complete the caller's answer either.
 func TestAMovedStreamIsNeverEndedByAnEndpointsFailure(t *testing.T) {
 	g := NewWithT(t)
-	ranks := []*streamer{newStreamer(3), newStreamer(3)} // Chance says which is asked first.
-	s := newSite(t, failsLater{ranks[0]}, failsLater{ranks[1]})
-	s.tell(0, 0, 1)
-	s.tell(1, 0, 1)
+	ranks := []*streamingEndpoint{newStreamingEndpoint(3), newStreamingEndpoint(3)} // The first choice is random.
+	s := newSite(t, failsOnContinuation{ranks[0]}, failsOnContinuation{ranks[1]})
+	s.reportLoad(0, 0, 1)
+	s.reportLoad(1, 0, 1)
 	var caller errgroup.Group
 	caller.Go(func() error {
 		status, _, body, err := s.ask("one")
@@ -85,8 +84,8 @@
 		return nil
 	})
 	slow := haltedRank(g, ranks)
-	s.tell(slow, 1, 2)
-	s.tell(slow, 1, 12)
+	s.reportLoad(slow, 1, 2)
+	s.reportLoad(slow, 1, 12)
 	g.Expect(caller.Wait()).To(Succeed())
 	g.Expect(s.stats.moved.Count()).To(BeEquivalentTo(1))
 }
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -31,13 +31,13 @@
 	c, err := net.Dial("tcp", strings.TrimPrefix(s.url, "http://"))
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = c.Close() })
-	g.Expect(c.SetDeadline(time.Now().Add(patienceOf))).To(Succeed())
+	g.Expect(c.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	return &slowCaller{Conn: c, br: bufio.NewReader(c)}
 }
 
-// head is that of a request with a body, of a caller that waits for some milliseconds.
-func head(id string, patience int, framing string) string {
-	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: caller.test\r\n%s: %s\r\n%s: %d\r\n%s\r\n\r\n", headerID, id, headerPatience, patience, framing)
+// head returns the head of a request with a body, from a caller that waits for the given time.
+func head(id string, callerTimeoutMs int, framing string) string {
+	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: caller.test\r\n%s: %s\r\n%s: %d\r\n%s\r\n\r\n", headerID, id, headerCallerTimeout, callerTimeoutMs, framing)
 }
 
 func (c *slowCaller) send(t *testing.T, text string) {
@@ -62,7 +62,7 @@
 	NewWithT(t).Expect(err).To(Or(MatchError(io.EOF), MatchError(ContainSubstring("reset"))))
 }
 
-// trickle sends bytes until the connection ends. The function waits for that.
+// trickle sends bytes until the connection ends. The returned function waits for that.
 func (c *slowCaller) trickle(piece string) (wait func()) {
 	var group errgroup.Group
 	group.Go(func() error {
@@ -76,24 +76,24 @@
 	return func() { _ = group.Wait() }
 }
 
-// counted is an endpoint that counts what it is sent.
-func counted(runs *atomic.Int32) http.Handler {
+// countingEndpoint returns an endpoint that counts its requests.
+func countingEndpoint(runs *atomic.Int32) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		runs.Add(1)
-		newStreamer(0).ServeHTTP(w, r)
+		newStreamingEndpoint(0).ServeHTTP(w, r)
 	})
 }
 
-// framings are the ways to tell the length of a body that is not sent whole.
+// framings are the ways to announce the length of a body that is not sent completely.
 var framings = map[string]struct{ header, piece string }{
 	"with its length": {"Content-Length: 60000", "x"},
 	"in chunks":       {"Transfer-Encoding: chunked", "1\r\nx\r\n"},
 	"on demand":       {"Content-Length: 60000\r\nExpect: 100-continue", ""},
 }
 
-// checkRefusals has callers of a host send heads whose bodies do not come, or byte by byte
-// without end, and checks that each is refused and its connection ends.
-func checkRefusals(t *testing.T, host string, patience, status int, askedOn bool) {
+// checkRefusals sends request heads to a host, followed by no body or by one that arrives byte by
+// byte without end, and checks that each request is refused and its connection closed.
+func checkRefusals(t *testing.T, host string, callerTimeoutMs, status int, expectContinue bool) {
 	t.Parallel()
 	for name, f := range framings {
 		for _, trickles := range []bool{false, true} {
@@ -101,10 +101,10 @@
 				t.Parallel()
 				g := NewWithT(t)
 				var runs atomic.Int32
-				s := newSite(t, counted(&runs))
+				s := newSite(t, countingEndpoint(&runs))
 				c := s.dial(t)
-				c.send(t, strings.Replace(head("one", patience, f.header), "caller.test", host, 1))
-				if f.piece == "" && askedOn {
+				c.send(t, strings.Replace(head("one", callerTimeoutMs, f.header), "caller.test", host, 1))
+				if f.piece == "" && expectContinue {
 					g.Expect(c.answer(t).StatusCode).To(Equal(http.StatusContinue))
 				}
 				wait := func() {}
@@ -118,7 +118,7 @@
 				c.expectEnd(t)
 				_ = c.Close()
 				wait()
-				g.Eventually(s.InFlight, patienceOf).Should(BeZero())
+				g.Eventually(s.InFlight, testTimeout).Should(BeZero())
 				g.Expect(s.bufferedTotal.n.Load()).To(BeZero())
 				g.Expect(runs.Load()).To(BeZero())
 			})
@@ -126,16 +126,16 @@
 	}
 }
 
-func TestABodyThatDoesNotComeInTimeIsRefused(t *testing.T) {
+func TestBodyNotReceivedInTimeIsRefused(t *testing.T) {
 	checkRefusals(t, "caller.test", 200, http.StatusRequestTimeout, true)
 }
 
-// Guards against a refusal that waits for a body, and is lost when it comes late.
+// Guards against a refusal that waits for a body, and is lost if the body is late.
 func TestARefusalDoesNotWaitForABody(t *testing.T) {
 	checkRefusals(t, "other.test", 60_000, http.StatusNotFound, false)
 }
 
-// Guards against a body's time limit that ends a request whose body came whole.
+// Guards against a time limit on the body that ends a request whose body arrived completely.
 func TestABodyThatComesLateEndsNoRequestWithoutAnAnswer(t *testing.T) {
 	t.Parallel()
 	for _, framing := range []struct{ header, body string }{
@@ -144,7 +144,7 @@
 	} {
 		t.Run(framing.header, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t, newStreamer(0))
+			s := newSite(t, newStreamingEndpoint(0))
 			const patience = 100 * time.Millisecond
 			var callers errgroup.Group
 			for i := range 60 {
@@ -152,14 +152,15 @@
 				callers.Go(func() error {
 					sent := time.Now()
 					c.send(t, head(fmt.Sprint(i), int(patience.Milliseconds()), framing.header)+framing.body[:1])
-					// Half of them come around the end of the time for bodies.
+					// Half of them arrive around the end of the time limit for bodies.
 					time.Sleep(patience + bodyGrace*time.Duration(i)/30 - bodyGrace/2)
 					if _, err := io.WriteString(c, framing.body[1:]); err != nil {
-						return nil // It was refused, and the connection has ended.
+						return nil // It was refused, and the connection has been closed.
 					}
 					resp, err := http.ReadResponse(c.br, nil)
 					NewWithT(t).Expect(err).NotTo(HaveOccurred())
-					// One whose body came just in time is passed on, and its time may end there, or in the answer.
+					// A request whose body arrived just in time is sent on, and its deadline may
+					// pass then or during the answer.
 					if _, err = io.Copy(io.Discard, resp.Body); resp.StatusCode != http.StatusOK || time.Since(sent) < patience {
 						NewWithT(t).Expect(err).NotTo(HaveOccurred())
 					}
@@ -170,11 +171,11 @@
 			NewWithT(t).Expect(callers.Wait()).To(Succeed())
 		})
 	}
-	t.Run("it is refused without being passed on", func(t *testing.T) {
+	t.Run("it is refused without being sent on", func(t *testing.T) {
 		t.Parallel()
 		g := NewWithT(t)
 		var runs atomic.Int32
-		s := newSite(t, counted(&runs))
+		s := newSite(t, countingEndpoint(&runs))
 		c := s.dial(t)
 		c.send(t, head("one", 100, "Content-Length: 2")+"{")
 		time.Sleep(100*time.Millisecond + bodyGrace/4)
@@ -185,8 +186,9 @@
 	})
 }
 
-// Guards against a body's time limit that stays in force and ends what comes after the body.
-func TestTheTimeOfABodyEndsWithIt(t *testing.T) {
+// Guards against a time limit on the body that remains in force after the body and ends what
+// follows.
+func TestBodyDeadlineEndsWithTheBody(t *testing.T) {
 	t.Parallel()
 	const limit = 100 * time.Millisecond
 	for name, f := range map[string]string{
@@ -212,13 +214,13 @@
 			c := site{url: srv.URL}.dial(t)
 			c.send(t, "POST / HTTP/1.1\r\nHost: h\r\n"+f)
 			g.Expect(c.answer(t).StatusCode).To(Equal(http.StatusOK))
-			g.Expect(left.Load()).To(BeFalse(), "its caller is still there")
+			g.Expect(left.Load()).To(BeFalse(), "its caller is still connected")
 		})
 	}
 }
 
-// Guards against requests that the end of the process cuts before they are passed on.
-func TestRequestsThatWaitAsTheProcessEndsAreRefused(t *testing.T) {
+// Guards against requests that are cut on termination before they are sent to an endpoint.
+func TestWaitingRequestsAreRefusedOnTermination(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		configured bool
@@ -231,21 +233,21 @@
 			t.Parallel()
 			g := NewWithT(t)
 			var runs atomic.Int32
-			s, view, snap := newSiteOf(t, func(*fleet.Route) {}, counted(&runs))
+			s, view, snap := newSiteOf(t, func(*fleet.Route) {}, countingEndpoint(&runs))
 			if tc.configured {
 				view.Replace(snap, time.Now(), false)
 			}
 			c := s.dial(t)
-			c.send(t, head("one", 10*int(patienceOf/time.Millisecond), "Content-Length: 20")+"{}")
-			g.Eventually(func() bool { return tc.waits(s) }, patienceOf).Should(BeTrue())
-			time.Sleep(20 * time.Millisecond) // So that it waits.
+			c.send(t, head("one", 10*int(testTimeout/time.Millisecond), "Content-Length: 20")+"{}")
+			g.Eventually(func() bool { return tc.waits(s) }, testTimeout).Should(BeTrue())
+			time.Sleep(20 * time.Millisecond) // So that the request is waiting.
 			s.Terminate()
 			resp := c.answer(t)
 			g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(resp.Header.Get("Retry-After")).To(Equal("0.05"))
 			g.Expect(resp.Close).To(BeTrue())
 			c.expectEnd(t)
-			g.Eventually(s.CallerConns().Open, patienceOf).Should(BeZero())
+			g.Eventually(s.CallerConns().Open, testTimeout).Should(BeZero())
 			g.Expect(runs.Load()).To(BeZero())
 		})
 	}
--- a/internal/gateway/slow_stream_test.go
+++ b/internal/gateway/slow_stream_test.go
@@ -14,14 +14,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// restsBefore is an endpoint that streams events and rests for longer than a caller may
-// leave its answer unread; rest says before what, and what goes out with the event before.
-func restsBefore(event int, with string) http.HandlerFunc {
+// pausesBefore returns an endpoint that streams events and pauses before one of them for longer
+// than a caller may leave its answer unread. The text in with is sent before the pause.
+func pausesBefore(event int, with string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		beginStream(w, r)
 		for n := 1; n <= streamEvents+1; n++ {
 			if n == event {
-				_, _ = io.WriteString(w, with) // The caller's view is what is tested.
+				_, _ = io.WriteString(w, with) // Errors show in what the caller receives.
 				w.(http.Flusher).Flush()
 				time.Sleep(CallerWriteTimeout + time.Second)
 			}
@@ -33,12 +33,12 @@
 	}
 }
 
-// Guards against a stream that is cut after a silence, as if its caller had not read.
+// Guards against cutting a stream after a silence, as if its caller had not read it.
 func TestASilentStreamIsNotTakenForOneThatIsNotRead(t *testing.T) {
 	t.Parallel()
 	for name, endpoint := range map[string]http.Handler{
-		"before an event": restsBefore(4, ""),
-		"before its end":  restsBefore(streamEvents+1, ""),
+		"before an event": pausesBefore(4, ""),
+		"before its end":  pausesBefore(streamEvents+1, ""),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -47,10 +47,11 @@
 	}
 }
 
-// breaksLater is an endpoint that sends events and a part of one at once, rests, and breaks off.
-func breaksLater(w http.ResponseWriter, r *http.Request) {
+// cutsAfterPause is an endpoint that sends one event and a part of the next at once, pauses, and
+// cuts the connection.
+func cutsAfterPause(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(headerLast) != "" {
-		newStreamer(0).ServeHTTP(w, r)
+		newStreamingEndpoint(0).ServeHTTP(w, r)
 		return
 	}
 	beginStream(w, r)
@@ -60,14 +61,15 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Guards against events that are lost, with the rest of their stream, where it goes on elsewhere.
-func TestAStreamThatBreaksOffAfterASilenceGoesOn(t *testing.T) {
+// Guards against losing complete events when a stream is cut after a silence and continued
+// elsewhere.
+func TestStreamCutAfterASilenceIsContinued(t *testing.T) {
 	t.Parallel()
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target = 0 }, http.HandlerFunc(breaksLater), http.HandlerFunc(breaksLater))
+	s := newSiteWith(t, func(r *fleet.Route) { r.Target = 0 }, http.HandlerFunc(cutsAfterPause), http.HandlerFunc(cutsAfterPause))
 	s.expectServed(NewWithT(t), "one", "")
 }
 
-// endless streams events for as long as somebody reads them.
+// endless streams events for as long as its client reads them.
 func endless(w http.ResponseWriter, r *http.Request) {
 	beginStream(w, r)
 	for n := 1; r.Context().Err() == nil; n++ {
@@ -77,15 +79,15 @@
 	}
 }
 
-func TestACallerWhoDoesNotReadItsStreamIsLetGo(t *testing.T) {
+func TestCallerThatDoesNotReadItsStreamIsDropped(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Timeout = patienceOf }, http.HandlerFunc(endless))
+	s := newSiteWith(t, func(r *fleet.Route) { r.Timeout = testTimeout }, http.HandlerFunc(endless))
 	c := s.dial(t)
-	c.send(t, head("one", int(patienceOf.Milliseconds()), "Content-Length: 0"))
-	g.Eventually(s.InFlight, patienceOf).Should(Equal(1))
+	c.send(t, head("one", int(testTimeout.Milliseconds()), "Content-Length: 0"))
+	g.Eventually(s.InFlight, testTimeout).Should(Equal(1))
 	began := time.Now()
-	g.Eventually(s.InFlight, patienceOf).Should(BeZero())
-	g.Expect(time.Since(began)).To(BeNumerically("<", patienceOf*3/4), "well before its time is over")
-	g.Eventually(s.CallerConns().Open, patienceOf).Should(BeZero())
+	g.Eventually(s.InFlight, testTimeout).Should(BeZero())
+	g.Expect(time.Since(began)).To(BeNumerically("<", testTimeout*3/4), "well before its deadline")
+	g.Eventually(s.CallerConns().Open, testTimeout).Should(BeZero())
 }
--- a/internal/gateway/vacate_test.go
+++ b/internal/gateway/vacate_test.go
@@ -22,11 +22,12 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// Guards against the end of a connection that was handed back by the request that is moved.
-func TestRequestsThatMoveAsTheyEndEndNoOthers(t *testing.T) {
+// Guards against closing a connection that the request being moved has already returned to the
+// pool.
+func TestMovingARequestThatEndsDoesNotEndOthers(t *testing.T) {
 	const callers, each = 20, 30
 	g := NewWithT(t)
-	ranks := []*streamer{newStreamer(0), newStreamer(0), newStreamer(0)}
+	ranks := []*streamingEndpoint{newStreamingEndpoint(0), newStreamingEndpoint(0), newStreamingEndpoint(0)}
 	s := newSite(t, ranks[0], ranks[1], ranks[2])
 	core, lines := observer.New(zap.WarnLevel)
 	s.log, s.cfg.RetryShare = zap.New(core), 1
@@ -40,7 +41,7 @@
 			case <-over:
 				return nil
 			case <-ticker.C:
-				s.tell(i%len(ranks), 0, 1)
+				s.reportLoad(i%len(ranks), 0, 1)
 				s.moveRequests(fmt.Sprint(i % len(ranks)))
 			}
 		}
@@ -54,7 +55,7 @@
 				case err != nil:
 					return err
 				case status == http.StatusOK && body != wholeStream():
-					return errors.Newf("a stream that is not whole: %q", body)
+					return errors.Newf("an incomplete stream: %q", body)
 				case status == http.StatusOK:
 					whole.Add(1)
 				}
@@ -66,7 +67,7 @@
 	close(over)
 	g.Expect(moving.Wait()).To(Succeed())
 	g.Expect(err).NotTo(HaveOccurred())
-	t.Logf("%d of %d streams whole, %d moved", whole.Load(), callers*each, s.stats.moved.Count())
+	t.Logf("%d of %d streams complete, %d moved", whole.Load(), callers*each, s.stats.moved.Count())
 	g.Expect(s.stats.moved.Count()).To(BeNumerically(">", 0))
 	g.Expect(whole.Load()).To(BeNumerically(">", callers*each/2))
 	for _, e := range lines.FilterMessage("request").All() {
@@ -76,10 +77,10 @@
 	}
 }
 
-// A caller that leaves while its answer is still being written ends nothing but its
-// own request: the endpoint's connection may serve another one by then.
+// A caller that leaves while its answer is still being written ends no request but its own: the
+// connection to the endpoint may serve another request by then.
 func TestACallerThatLeavesEndsNoOtherRequest(t *testing.T) {
-	const large = 12 << 20 // More than the caller's connection takes unread.
+	const large = 12 << 20 // More than the caller's connection buffers unread.
 	g := NewWithT(t)
 	begun, going := make(chan struct{}), make(chan struct{})
 	var broken, asked atomic.Int32
@@ -101,13 +102,13 @@
 		}
 		_, _ = io.WriteString(w, "mine")
 	})
-	s := newSite(t, endpoint) // Nothing is told of its load, so that it takes both.
+	s := newSite(t, endpoint) // Its load is not reported, so that it is sent both requests.
 	c, err := net.Dial("tcp4", strings.TrimPrefix(s.url, "http://"))
 	g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(func() { _ = c.Close() }) // Else the servers wait for it.
+	t.Cleanup(func() { _ = c.Close() }) // Otherwise the servers wait for it.
 	_, err = io.WriteString(c, "POST / HTTP/1.1\r\nHost: caller.test\r\n"+headerID+": large\r\nContent-Length: 0\r\n\r\n")
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = io.ReadFull(c, make([]byte, 1)) // The answer has been read whole at the gateway.
+	_, err = io.ReadFull(c, make([]byte, 1)) // The gateway has read the whole answer by now.
 	g.Expect(err).NotTo(HaveOccurred())
 
 	var other errgroup.Group
@@ -118,20 +119,21 @@
 		g.Expect(body).To(Equal("mine"))
 		return nil
 	})
-	g.Eventually(begun, patienceOf).Should(BeClosed())
+	g.Eventually(begun, testTimeout).Should(BeClosed())
 	g.Expect(s.stats.dialed.Count()).To(BeEquivalentTo(1), "they share a connection")
 	g.Expect(c.Close()).To(Succeed())
-	g.Eventually(s.InFlight, patienceOf).Should(BeNumerically("<=", 1), "the first request has ended")
+	g.Eventually(s.InFlight, testTimeout).Should(BeNumerically("<=", 1), "the first request has ended")
 	close(going)
 	g.Expect(other.Wait()).To(Succeed())
 	g.Expect(asked.Load()).To(BeEquivalentTo(1), "it was sent once")
 	g.Expect(broken.Load()).To(BeZero())
 }
 
-// Guards against streams that are ended to go on elsewhere, where nothing may take them any more.
-func TestAStreamThatMayGoOnNowhereStays(t *testing.T) {
+// Guards against cutting streams to continue them elsewhere when no endpoint may accept them any
+// more.
+func TestStreamThatMayNotContinueElsewhereIsNotMoved(t *testing.T) {
 	t.Parallel()
-	const silent = 2500 * time.Millisecond // Longer than a stream at another rank is waited for.
+	const silent = 2500 * time.Millisecond // More than the silence after which a stream continues elsewhere.
 	elsewhere := fleet.Route{Name: "r", Host: "caller.test", PathPrefix: "/", Kind: fleet.Streaming, Resumable: true, Attempts: 2,
 		Timeout: 30 * time.Second, Target: 20 * time.Second, Split: []fleet.Share{{Service: "other", Weight: 1}}}
 	for name, routes := range map[string][]fleet.Route{"route moved": {elsewhere}, "route dropped": nil} {
@@ -139,22 +141,22 @@
 			t.Run(name+map[bool]string{true: ", slow", false: ", silent"}[slow], func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
-				ranks := []*streamer{newStreamer(3), newStreamer(3)}
+				ranks := []*streamingEndpoint{newStreamingEndpoint(3), newStreamingEndpoint(3)}
 				s, view, snap := newSiteOf(t, func(r *fleet.Route) { r.Silence = time.Second }, ranks[0], ranks[1])
 				view.Replace(snap, time.Now(), false)
-				s.tell(0, 0, 1)
-				s.tell(1, 0, 1)
-				wait := s.begin(g, "one", "")
+				s.reportLoad(0, 0, 1)
+				s.reportLoad(1, 0, 1)
+				wait := s.startStream(g, "one", "")
 				at := haltedRank(g, ranks)
 				next := snap
 				next.Config, next.At = fleet.NewConfig(2, routes, []fleet.Service{*snap.Config.Service("s"), {Name: "other"}}, nil, snap.Config.Limits()), 2
 				view.Replace(next, time.Now(), false)
 				if slow {
-					s.tell(at, 1, 12)
+					s.reportLoad(at, 1, 12)
 				} else {
 					time.Sleep(silent)
 				}
-				close(ranks[at].going)
+				close(ranks[at].resume)
 				wait()
 				g.Expect(s.stats.moved.Count() + s.stats.silentAttempts.Count()).To(BeZero())
 			})
@@ -162,9 +164,9 @@
 	}
 }
 
-// A stream whose events have no ids can go on nowhere else, so it stays at its rank,
-// however slow that is.
-func TestAStreamThatCannotGoOnIsNotMoved(t *testing.T) {
+// A stream whose events have no ids cannot be continued elsewhere, so it stays at its rank, however
+// slow that is.
+func TestStreamWithoutEventIDsIsNotMoved(t *testing.T) {
 	const unnamed = "data: x\n\n"
 	g := NewWithT(t)
 	halted, going := make(chan int, 8), make(chan struct{})
@@ -183,25 +185,25 @@
 		})
 	}
 	s := newSite(t, rank(0), rank(1))
-	s.tell(0, 0, 1)
-	s.tell(1, 0, 1)
+	s.reportLoad(0, 0, 1)
+	s.reportLoad(1, 0, 1)
 	resp, err := s.open("one", "")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = resp.Body.Close() }()
 	_, err = io.ReadFull(resp.Body, make([]byte, len(unnamed)))
 	g.Expect(err).NotTo(HaveOccurred(), "the caller has the first event")
 	slow := <-halted
-	s.tell(slow, 1, 12)
-	s.tell(slow, 1, 12)
+	s.reportLoad(slow, 1, 12)
+	s.reportLoad(slow, 1, 12)
 	close(going)
 	body, err := io.ReadAll(resp.Body)
-	g.Expect(err).NotTo(HaveOccurred(), "it was broken off")
+	g.Expect(err).NotTo(HaveOccurred(), "it was cut")
 	g.Expect(string(body)).To(Equal(unnamed))
 	g.Expect(s.stats.moved.Count()).To(BeZero())
 }
 
-// Guards against a log that names only the tries before the one that the caller did not wait for.
-func TestTheLogNamesTheTryThatIsUnderWayAsItsCallerLeaves(t *testing.T) {
+// Guards against a log line that lacks the attempt in flight when the caller left.
+func TestLogNamesTheAttemptInFlightWhenTheCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	arrived := make(chan struct{}, 2)
 	silent := http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -219,31 +221,31 @@
 	_, err = io.WriteString(c, "GET / HTTP/1.1\r\nHost: caller.test\r\n"+headerID+": a\r\n\r\n")
 	g.Expect(err).NotTo(HaveOccurred())
 	for range 2 {
-		g.Eventually(arrived, patienceOf).Should(Receive(), "the silent try is followed by another one")
+		g.Eventually(arrived, testTimeout).Should(Receive(), "the silent attempt is followed by another one")
 	}
 	g.Expect(c.Close()).To(Succeed())
 	lines := func() []observer.LoggedEntry { return logs.FilterMessage("request").All() }
-	g.Eventually(lines, patienceOf).Should(HaveLen(1))
+	g.Eventually(lines, testTimeout).Should(HaveLen(1))
 	g.Expect(lines()[0].ContextMap()).To(HaveKeyWithValue("tries", ConsistOf(
 		ContainSubstring("silent for"), ContainSubstring("no answer yet"))))
 }
 
-// Guards against a request that fails since its only endpoint closed a kept connection under it.
+// Guards against failing a request because its only endpoint closed a reused connection under it.
 func TestTheOnlyEndpointIsTriedAgainOnANewConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		change       func(r *fleet.Route)
-		spare        float64
+		retryFloor   float64
 		status, runs int // Of the second request.
 	}{
-		{"a second try", func(*fleet.Route) {}, 1000, http.StatusOK, 2},
-		{"no try is left", func(r *fleet.Route) { r.Attempts = 1 }, 1000, http.StatusBadGateway, 1},
-		{"no repeat is left", func(*fleet.Route) {}, 0, http.StatusBadGateway, 1},
+		{"a second attempt", func(*fleet.Route) {}, 1000, http.StatusOK, 2},
+		{"no attempt is left", func(r *fleet.Route) { r.Attempts = 1 }, 1000, http.StatusBadGateway, 1},
+		{"no retry is left", func(*fleet.Route) {}, 0, http.StatusBadGateway, 1},
 		{"it may run once only", func(r *fleet.Route) { r.Kind = fleet.Once }, 1000, http.StatusOK, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			var used sync.Map // Callers' addresses of connections.
+			var used sync.Map // Remote addresses of connections that have served a request.
 			var runs atomic.Int32
 			endpoint := func(w http.ResponseWriter, r *http.Request) {
 				runs.Add(1)
@@ -256,7 +258,7 @@
 				r.Kind = fleet.Repeatable
 				tc.change(r)
 			}, http.HandlerFunc(endpoint))
-			s.cfg.RetryFloor = tc.spare
+			s.cfg.RetryFloor = tc.retryFloor
 			view.Replace(snap, time.Now(), false)
 			for n, want := range []int{http.StatusOK, tc.status} {
 				runs.Store(0)
