--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -82,7 +82,7 @@
 		Domain:       p.set.Domain,
 		Address:      p.set.Peers,
 		Seeds:        p.set.Seeds,
-		InForce:      p.set.InForce,
+		EffectTime:   p.set.InForce,
 		FirstStart:   p.set.First,
 		SidecarsPort: p.set.PeersPort,
 		Decode:       platform.DecodeConfig,
@@ -103,7 +103,7 @@
 	duties := duty.New(ctx, p.log, p.reg, p.failed)
 	duties.Go("signals", func(ctx context.Context) error { return p.signals(ctx, stopAsPlanned, cancel) })
 	follower := follow.NewFollower(view, store.Source(), p.set.InForce, p.log)
-	follower.ListenTo(neighbours.FollowListener())
+	follower.ListenTo(neighbours.PeerSource())
 	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.ViewChanged) })
 	duties.Go("housekeeping", g.Run)
 	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, neighbours.Receive) })
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	q.endedEndpoints++
-	q.g.stats.endedUnderAttempt.Inc(1)
+	q.g.stats.endedDuringAttempt.Inc(1)
 	q.note(e.ID + ": process has ended")
 	q.noteUnfinished(e)
 	q.g.endpointEnded(e)
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -34,7 +34,7 @@
 	invalidHeaders        metrics.Counter      // Invalid headers of answers that were ignored.
 	evacuatedDomains      metrics.Gauge        // Failure domains that are evacuated.
 	continuationsRejected metrics.Counter      // Answers and events that did not continue a cut stream at its position.
-	endedUnderAttempt     metrics.Counter      // Attempts cut because their endpoint ended.
+	endedDuringAttempt    metrics.Counter      // Attempts cut because their endpoint ended.
 	firstByteMs           metrics.Histogram    // Milliseconds until the answer or its first event.
 	loadAgeMs             metrics.Histogram    // Age of an endpoint's load report, in ms, when a request is sent there.
 }
@@ -68,7 +68,7 @@
 		invalidHeaders:        metrics.GetOrRegisterCounter("gateway.invalid-headers", reg),
 		evacuatedDomains:      metrics.GetOrRegisterGauge("gateway.evacuated-domains", reg),
 		continuationsRejected: metrics.GetOrRegisterCounter("gateway.not-joined", reg),
-		endedUnderAttempt:     metrics.GetOrRegisterCounter("gateway.ended-under-try", reg),
+		endedDuringAttempt:    metrics.GetOrRegisterCounter("gateway.ended-under-try", reg),
 		loadAgeMs:             metrics.GetOrRegisterHistogram("gateway.load-age", reg, metrics.NewUniformSample(histogramSize)),
 		firstByteMs:           metrics.GetOrRegisterHistogram("gateway.first-ms", reg, metrics.NewUniformSample(histogramSize)),
 	}
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -30,10 +30,10 @@
 	// longPollTime is how long a long poll is held. A reader has an update, if only that nothing
 	// changed, after each one-second poll of the store plus the time of the answer.
 	longPollTime = 1300 * time.Millisecond
-	// listenTimeout limits a long poll. It is the time in which the silent death of a reader is
-	// detected, and must be well below the time within which a new configuration is to be in force
+	// longPollTimeout limits a long poll. It is the time in which the silent death of a reader is
+	// detected, and must be well below the time within which a new configuration is to take effect
 	// (2 s).
-	listenTimeout = longPollTime + 200*time.Millisecond
+	longPollTimeout = longPollTime + 200*time.Millisecond
 	// startWindow is the time within which all processes are up when the whole system starts: the
 	// platform starts them within 0.3 s, and each start takes some time.
 	startWindow = 600 * time.Millisecond
@@ -42,8 +42,8 @@
 // errNoReader means that no gateway is known that reads the store.
 var errNoReader = errors.New("no gateway of the domain is known to read the store")
 
-// listenPositions holds the position of the last answer of the polled gateways, by address.
-type listenPositions map[string]changePosition
+// peerPositions holds the position of the last answer of the polled gateways, by address.
+type peerPositions map[string]changePosition
 
 // changePosition is the number of the last change that is known from one process of a gateway.
 type changePosition struct {
@@ -51,9 +51,9 @@
 	number      uint64
 }
 
-// Listen long-polls a gateway that reads the store and applies the changes. If that gateway does
+// FollowPeers polls a gateway that reads the store and applies the changes. If that gateway does
 // not answer, the others are polled in turn.
-func (n *PeerExchange) Listen(ctx context.Context) (err error) {
+func (n *PeerExchange) FollowPeers(ctx context.Context) (err error) {
 	if n.firstStart && time.Since(n.started) < startWindow {
 		wait.For(ctx, startWindow-time.Since(n.started)) // The seeds may not be up yet.
 	}
@@ -61,8 +61,8 @@
 		wait.For(ctx, firstHelloPoll)
 	}
 	err = errNoReader
-	for _, from := range n.listenOrder(time.Now()) {
-		if err = n.listenTo(ctx, from); err == nil || ctx.Err() != nil {
+	for _, from := range n.followOrder(time.Now()) {
+		if err = n.pollPeer(ctx, from); err == nil || ctx.Err() != nil {
 			return err
 		}
 		duty.Locked(&n.mu, func() { n.unresponsive[from] = time.Now() })
@@ -71,9 +71,9 @@
 	return err
 }
 
-// listenOrder returns the gateways to poll, in the order in which to try them.
-func (n *PeerExchange) listenOrder(now time.Time) []string {
-	list, place := n.listenTargets()
+// followOrder returns the gateways to poll, in the order in which to try them.
+func (n *PeerExchange) followOrder(now time.Time) []string {
+	list, place := n.followTargets()
 	if n.warmingUp(now) && place < readersPerDomain {
 		list = n.seeds
 		begin := int(n.incarnation) % len(list) // Each gateway begins with a different seed.
@@ -97,12 +97,12 @@
 	return kept
 }
 
-// listenTo long-polls one gateway and applies its changes.
-func (n *PeerExchange) listenTo(ctx context.Context, from string) (err error) {
+// pollPeer sends one long poll to a gateway and applies its changes.
+func (n *PeerExchange) pollPeer(ctx context.Context, from string) (err error) {
 	var last changePosition
 	duty.Locked(&n.mu, func() { last = n.positions[from] })
 	asked := n.g.cfg.Now()
-	ctx, cancel := context.WithTimeout(ctx, listenTimeout)
+	ctx, cancel := context.WithTimeout(ctx, longPollTimeout)
 	defer cancel()
 	p, err := n.fetch(ctx, from, fmt.Sprintf("&life=%d&after=%d&hold=1", last.incarnation, last.number))
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 	n.g.view.Hear(p.Told, n.g.cfg.Now())
 	n.g.view.Confirm(p.Version, asked.Add(p.Held-p.Age))
-	duty.Locked(&n.mu, func() { n.positions = listenPositions{from: {incarnation: p.Life, number: p.Number}} })
+	duty.Locked(&n.mu, func() { n.positions = peerPositions{from: {incarnation: p.Life, number: p.Number}} })
 	n.logChanges(from, p)
 	return nil
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -79,51 +79,51 @@
 	return peers.Hello{Name: "g", Address: s.self, Domain: domain, Blind: blind}
 }
 
-func TestGatewayListensToStoreReader(t *testing.T) {
+func TestGatewayFollowsStoreReader(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	reader, listener := newTestPeer(t, 7), newTestPeer(t, 9)
-	listener.receiveHello(hello(reader, "a", false))
+	reader, follower := newTestPeer(t, 7), newTestPeer(t, 9)
+	follower.receiveHello(hello(reader, "a", false))
 	reader.publish(3, 6, endpointAt("one", 5), endpointAt("two", 6))
 	ids := func() (list []string) {
-		for id := range listener.view.State().Endpoints {
+		for id := range follower.view.State().Endpoints {
 			list = append(list, id)
 		}
 		return list
 	}
 
-	g.Expect(listener.Listen(ctx)).To(Succeed())
-	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(3))
+	g.Expect(follower.FollowPeers(ctx)).To(Succeed())
+	g.Expect(follower.view.State().Config.Version()).To(BeEquivalentTo(3))
 	g.Expect(ids()).To(ConsistOf("one", "two"))
-	g.Expect(listener.view.Age(time.Now())).To(BeNumerically(">=", reader.view.Age(time.Now().Add(-time.Millisecond))))
+	g.Expect(follower.view.Age(time.Now())).To(BeNumerically(">=", reader.view.Age(time.Now().Add(-time.Millisecond))))
 
 	// The call is held until something changes, and only the change is sent.
 	var held errgroup.Group
-	held.Go(func() error { return listener.Listen(ctx) })
+	held.Go(func() error { return follower.FollowPeers(ctx) })
 	reader.view.Apply(follow.Changes{Config: configOf(4), Gone: []follow.Gone{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
 	g.Expect(held.Wait()).To(Succeed())
-	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(4))
+	g.Expect(follower.view.State().Config.Version()).To(BeEquivalentTo(4))
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 
 	// A removed endpoint is not restored by older state, and a restarted reader sends everything.
-	listener.view.Merge(follow.Changes{Endpoints: []fleet.Endpoint{endpointAt("one", 5)}})
+	follower.view.Merge(follow.Changes{Endpoints: []fleet.Endpoint{endpointAt("one", 5)}})
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 	reader.incarnation++
-	g.Expect(listener.Listen(ctx)).To(Succeed())
+	g.Expect(follower.FollowPeers(ctx)).To(Succeed())
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 }
 
 func TestOlderStateChangesNothing(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	behind, listener := newTestPeer(t, 7), newTestPeer(t, 9)
-	listener.receiveHello(hello(behind, "a", false))
+	behind, follower := newTestPeer(t, 7), newTestPeer(t, 9)
+	follower.receiveHello(hello(behind, "a", false))
 	behind.view.Replace(follow.Snapshot{Config: configOf(3), Endpoints: []fleet.Endpoint{endpointAt("old", 2)}, At: 2}, time.Now().Add(-time.Minute), false)
-	listener.publish(5, 9, endpointAt("new", 9))
-	g.Expect(listener.Listen(ctx)).To(Succeed())
-	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(5))
-	g.Expect(listener.view.State().Endpoints).To(HaveKey("new"))
-	g.Expect(listener.view.Age(time.Now())).To(BeNumerically("<", 30*time.Second))
+	follower.publish(5, 9, endpointAt("new", 9))
+	g.Expect(follower.FollowPeers(ctx)).To(Succeed())
+	g.Expect(follower.view.State().Config.Version()).To(BeEquivalentTo(5))
+	g.Expect(follower.view.State().Endpoints).To(HaveKey("new"))
+	g.Expect(follower.view.Age(time.Now())).To(BeNumerically("<", 30*time.Second))
 }
 
 func TestFewGatewaysReadTheStore(t *testing.T) {
@@ -160,13 +160,13 @@
 			alone.receiveHello(hello(other, "b", false))
 		}
 		g.Expect(alone.ReadsStore(true)).To(BeTrue())
-		g.Expect(alone.Listen(context.Background())).To(MatchError(errNoReader))
+		g.Expect(alone.FollowPeers(context.Background())).To(MatchError(errNoReader))
 	})
 }
 
 // When the whole system starts, only the seeds read the store. The others receive its state from
 // them, including that nothing is published yet.
-func TestNewGatewayListensToItsSeeds(t *testing.T) {
+func TestNewGatewayFollowsItsSeeds(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	seed, starter := newTestPeer(t, 7), newTestPeer(t, 9)
@@ -175,11 +175,11 @@
 	g.Expect(starter.ReadsStore(true)).To(BeFalse())
 
 	seed.view.Replace(follow.Snapshot{At: 1}, time.Now(), false)
-	g.Expect(starter.Listen(ctx)).To(Succeed())
+	g.Expect(starter.FollowPeers(ctx)).To(Succeed())
 	g.Expect(starter.view.CheckAge(time.Now())).To(BeNumerically("<", 30*time.Second), "nothing is published yet, which is an update, too")
 	g.Expect(starter.view.Age(time.Now())).To(BeNumerically(">", time.Hour), "there is no configuration")
 	seed.publish(3, 3, endpointAt("one", 2))
-	g.Expect(starter.Listen(ctx)).To(Succeed())
+	g.Expect(starter.FollowPeers(ctx)).To(Succeed())
 	g.Expect(starter.view.State().Config.Version()).To(BeEquivalentTo(3))
 	g.Expect(starter.view.State().Endpoints).To(HaveKey("one"))
 
@@ -190,19 +190,19 @@
 func TestUnresponsiveGatewayIsNotTheOnlyOnePolled(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	dead, reader, listener := newTestPeer(t, 7), newTestPeer(t, 8), newTestPeer(t, 9)
+	dead, reader, follower := newTestPeer(t, 7), newTestPeer(t, 8), newTestPeer(t, 9)
 	dead.setAddress("127.0.0.1:1") // Refuses connections.
-	listener.receiveHello(hello(dead, "a", false))
-	listener.receiveHello(hello(reader, "a", false))
+	follower.receiveHello(hello(dead, "a", false))
+	follower.receiveHello(hello(reader, "a", false))
 	reader.publish(3, 6)
 	for range 2 {
-		g.Expect(listener.Listen(ctx)).To(Succeed())
-		g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(3))
-		g.Expect(listener.listenOrder(time.Now())[0]).To(Equal(reader.self), "the one that answered is polled first from then on")
+		g.Expect(follower.FollowPeers(ctx)).To(Succeed())
+		g.Expect(follower.view.State().Config.Version()).To(BeEquivalentTo(3))
+		g.Expect(follower.followOrder(time.Now())[0]).To(Equal(reader.self), "the one that answered is polled first from then on")
 	}
-	listener.setAddress(listener.self)
-	listener.receiveHello(hello(dead, "a", false))
-	g.Expect(listener.Listen(ctx)).NotTo(Succeed())
+	follower.setAddress(follower.self)
+	follower.receiveHello(hello(dead, "a", false))
+	g.Expect(follower.FollowPeers(ctx)).NotTo(Succeed())
 }
 
 func TestPossiblyExpiredEndpointsAreNotBorrowed(t *testing.T) {
@@ -221,21 +221,21 @@
 // Guards against many gateways that poll the same reader. With 100 gateways polling two readers, a
 // new configuration did not cross their links within the timeout of the polls, and all gateways
 // read the store at once.
-func TestNoGatewayHasManyListeners(t *testing.T) {
+func TestNoGatewayHasManyFollowers(t *testing.T) {
 	for _, gateways := range []int{3, 10, 18, 19, 106, 200, 1000} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			g := NewWithT(t)
-			listeners, depth := map[int]int{}, make([]int, gateways)
+			followers, depth := map[int]int{}, make([]int, gateways)
 			deepest := 0
 			for place := readersPerDomain; place < gateways; place++ {
 				to := parentPlace(place)
 				g.Expect(to).To(BeNumerically("<", place), "no cycles of gateways that poll each other")
-				listeners[to]++
+				followers[to]++
 				depth[place] = depth[to] + 1
 				deepest = max(deepest, depth[place])
 			}
-			for _, n := range listeners {
-				g.Expect(n).To(BeNumerically("<=", maxListeners))
+			for _, n := range followers {
+				g.Expect(n).To(BeNumerically("<=", maxFollowers))
 			}
 			g.Expect(deepest).To(BeNumerically("<=", 4))
 		})
@@ -243,7 +243,7 @@
 }
 
 // In a large domain published state is passed on from one gateway to the next.
-func TestGatewayListensToItsParent(t *testing.T) {
+func TestGatewayFollowsItsParent(t *testing.T) {
 	g := NewWithT(t)
 	s := newTestPeer(t, 1)
 	at := func(place int) string { return fmt.Sprintf("10.0.0.%d:80", 100+place) }
@@ -257,23 +257,23 @@
 		}
 	}
 	knowAll(40)
-	g.Expect(s.listenOrder(time.Now())).To(Equal([]string{at(4), at(0), at(1)}))
+	g.Expect(s.followOrder(time.Now())).To(Equal([]string{at(4), at(0), at(1)}))
 	g.Expect(s.ReadsStore(true)).To(BeFalse())
 	s.unresponsive[at(4)] = time.Now()
-	g.Expect(s.listenOrder(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer is polled last for a while")
-	g.Expect(s.listenOrder(time.Now().Add(2 * unresponsiveTTL))).To(HaveExactElements(at(4), at(0), at(1)))
+	g.Expect(s.followOrder(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer is polled last for a while")
+	g.Expect(s.followOrder(time.Now().Add(2 * unresponsiveTTL))).To(HaveExactElements(at(4), at(0), at(1)))
 	s.receiveHello(peers.Hello{Life: 1, Address: at(4), Domain: "a", Leaving: true})
-	g.Expect(s.listenOrder(time.Now())[0]).To(Equal(at(4+1)), "the next one takes the place of a leaving one")
+	g.Expect(s.followOrder(time.Now())[0]).To(Equal(at(4+1)), "the next one takes the place of a leaving one")
 
 	knowAll(1)
 	s.seeds = []string{"10.9.0.1:80"}
 	g.Expect(s.ReadsStore(true)).To(BeTrue())
 	s.started = time.Now()
 	g.Expect(s.ReadsStore(true)).To(BeFalse())
-	g.Expect(s.listenOrder(time.Now())).To(Equal(s.seeds), "one of the first gateways polls its seeds while it is new")
+	g.Expect(s.followOrder(time.Now())).To(Equal(s.seeds), "one of the first gateways polls its seeds while it is new")
 	knowAll(40)
 	s.started = time.Now()
-	g.Expect(s.listenOrder(time.Now())[0]).To(Equal(at(4)), "the seeds would have too many listeners")
+	g.Expect(s.followOrder(time.Now())[0]).To(Equal(at(4)), "the seeds would have too many followers")
 }
 
 func TestBorrowingAlternatesBetweenOwnDomainAndAny(t *testing.T) {
@@ -299,20 +299,20 @@
 	g.Expect(near).To(BeNumerically("<", 90))
 }
 
-// The state sent by a gateway that is a listener itself is valid up to the position of its own
-// source, so that a new listener drops what has been removed meanwhile.
-func TestListenerOfAListenerDropsRemovedEndpoints(t *testing.T) {
+// The state sent by a gateway that follows another one is valid up to the position of its own
+// source, so that a new follower drops what has been removed meanwhile.
+func TestFollowerOfAFollowerDropsRemovedEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
 	reader, middle, leaf := newTestPeer(t, 7), newTestPeer(t, 8), newTestPeer(t, 9)
 	reader.publish(3, 6, endpointAt("one", 5), endpointAt("two", 6))
 	for _, s := range []testPeer{middle, leaf} {
-		g.Expect(s.listenTo(ctx, reader.self)).To(Succeed())
+		g.Expect(s.pollPeer(ctx, reader.self)).To(Succeed())
 		g.Expect(s.view.State().Endpoints).To(HaveLen(2))
 	}
 	reader.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
-	g.Expect(middle.listenTo(ctx, reader.self)).To(Succeed())
-	g.Expect(leaf.listenTo(ctx, middle.self)).To(Succeed())
+	g.Expect(middle.pollPeer(ctx, reader.self)).To(Succeed())
+	g.Expect(leaf.pollPeer(ctx, middle.self)).To(Succeed())
 	g.Expect(leaf.view.State().Endpoints).To(HaveLen(1))
 	g.Expect(leaf.view.State().Endpoints).To(HaveKey("two"))
 }
@@ -322,7 +322,7 @@
 func TestCutAnswerOfAGatewayIsAnError(t *testing.T) {
 	const callers, each = 200, 4
 	g := NewWithT(t)
-	reader, listener := newTestPeer(t, 8), newTestPeer(t, 9)
+	reader, follower := newTestPeer(t, 8), newTestPeer(t, 9)
 	reader.publish(1<<12, 6)
 	h := reader.Handler()
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -343,7 +343,7 @@
 		asking.Go(func() error {
 			for range each {
 				time.Sleep(time.Duration(rand.IntN(2000)) * time.Microsecond)
-				p, err := listener.fetch(context.Background(), strings.TrimPrefix(srv.URL, "http://"), "")
+				p, err := follower.fetch(context.Background(), strings.TrimPrefix(srv.URL, "http://"), "")
 				switch {
 				case err != nil:
 					silent.Add(1)
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -72,8 +72,8 @@
 	lendersChosen    int                  // Number of lenders chosen; used by the hello-and-borrow duty only.
 	sidecarsGreeted  bool                 // The first hello to listed sidecars was sent; used by that duty only.
 	helloRounds      int                  // Number of hello rounds; used by that duty only.
-	storeUnreachable bool                 // As the follower last reported; other gateways do not listen to this one then.
-	positions        listenPositions      // Positions of the last answers to long polls.
+	storeUnreachable bool                 // As the follower last reported; other gateways do not follow this one then.
+	positions        peerPositions        // Positions of the last answers to long polls.
 	unresponsive     map[string]time.Time // When a gateway last failed to answer a long poll, by address.
 }
 
@@ -83,7 +83,7 @@
 	Domain       string
 	Address      string // Peer listener of this gateway.
 	Seeds        []string
-	InForce      time.Duration // Time within which a new configuration must be in force.
+	EffectTime   time.Duration // Time within which a new configuration must take effect.
 	FirstStart   bool          // The whole system starts for the first time.
 	SidecarsPort int
 	Decode       func(raw []byte) (*fleet.Config, error) // Parses the text of a configuration.
@@ -99,8 +99,8 @@
 	}
 	n = &PeerExchange{
 		g: g, socket: socket, log: log, decode: cfg.Decode, client: &http.Client{Transport: t},
-		self: cfg.Address, incarnation: time.Now().UnixMilli(), started: time.Now(), firstStart: cfg.FirstStart, readSpread: max(cfg.InForce-turnMargin, 0), name: cfg.Name, domain: cfg.Domain, seeds: cfg.Seeds, sidecarPort: cfg.SidecarsPort,
-		positions: listenPositions{}, unresponsive: map[string]time.Time{},
+		self: cfg.Address, incarnation: time.Now().UnixMilli(), started: time.Now(), firstStart: cfg.FirstStart, readSpread: max(cfg.EffectTime-turnMargin, 0), name: cfg.Name, domain: cfg.Domain, seeds: cfg.Seeds, sidecarPort: cfg.SidecarsPort,
+		positions: peerPositions{}, unresponsive: map[string]time.Time{},
 	}
 	n.roster = roster.New(roster.Gateway{Address: n.self, Domain: n.domain}, n.seeds, n.started)
 	duty.Locked(&g.mu, func() { g.ownsTrialKey = n.ownsKey })
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -20,7 +20,7 @@
 	switch {
 	case a.Limited:
 	case a.Signed:
-		w.At = q.sentBoottime // A limit announced since the request was sent remains in force.
+		w.At = q.sentBoottime // A limit announced since the request was sent remains in effect.
 	default:
 		return // Only the answer to a request that ran shows that a limit has ended.
 	}
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -13,17 +13,17 @@
 
 // Few gateways of a failure domain read the store. The others receive changes by long polls of one
 // of them or, if there are many gateways, of another gateway that polls as well. Each gateway has
-// few listeners, so that the published state crosses a link only a few times. The gateways need not
-// agree on this order: a gateway listens only to those with lower addresses, and any gateway that
+// few followers, so that the published state crosses a link only a few times. The gateways need not
+// agree on this order: a gateway follows only those with lower addresses, and any gateway that
 // does not receive recent enough state reads the store itself.
 const (
 	// readersPerDomain is the number of gateways of a domain that read the store: with two, another
 	// up-to-date one remains if one is lost.
 	readersPerDomain = 2
-	// maxListeners is the most listeners that a gateway has: few enough for a whole configuration
+	// maxFollowers is the most followers that a gateway has: few enough for a whole configuration
 	// to reach all of them, over the slowest link, well within the timeout of their long polls.
-	// Listeners whose polls time out would all read the store at once.
-	maxListeners = 8
+	// Followers whose polls time out would all read the store at once.
+	maxFollowers = 8
 )
 
 // ReadsStore reports whether this gateway is one of the few of its domain that read the store.
@@ -45,7 +45,7 @@
 }
 
 // warmingUp reports whether this gateway started so recently that it may not know all others yet.
-// It listens to its seeds then: if it went by the gateways known so far, nearly all gateways would
+// It follows its seeds then: if it went by the gateways known so far, nearly all gateways would
 // consider themselves one of the few readers when the whole system starts. Seeds read the store,
 // and so does any gateway that receives nothing from them.
 func (n *PeerExchange) warmingUp(now time.Time) bool {
@@ -79,9 +79,9 @@
 	return list, anyReachable
 }
 
-// listenTargets returns the place of this gateway in the order of its failure domain, and the
-// gateways to which it may listen: its parent and those that read the store.
-func (n *PeerExchange) listenTargets() (list []string, place int) {
+// followTargets returns the place of this gateway in the order of its failure domain, and the
+// gateways that it may follow: its parent and those that read the store.
+func (n *PeerExchange) followTargets() (list []string, place int) {
 	all, _ := n.readerCandidates(false)
 	place, _ = slices.BinarySearch(all, n.self)
 	readers := firstN(readersPerDomain, all)
@@ -95,21 +95,21 @@
 // parentPlace returns the place of the parent of the gateway at a place, which must not be one of
 // the readers. Places are those in the order of addresses.
 func parentPlace(place int) int {
-	listener := place - readersPerDomain
-	if listener < readersPerDomain*maxListeners {
-		return listener % readersPerDomain
+	follower := place - readersPerDomain
+	if follower < readersPerDomain*maxFollowers {
+		return follower % readersPerDomain
 	}
-	return listener / maxListeners
+	return follower / maxFollowers
 }
 
-// turnMargin is subtracted from the time within which a configuration must be in force, to get the
+// turnMargin is subtracted from the time within which a configuration must take effect, to get the
 // time over which gateways take turns in reading the store. It covers the time until a gateway
 // notices that it receives nothing new, and that of the read.
-const turnMargin = listenTimeout + 300*time.Millisecond
+const turnMargin = longPollTimeout + 300*time.Millisecond
 
-// FollowListener returns the listener by which a follower receives changes from other gateways.
-func (n *PeerExchange) FollowListener() follow.Listener {
-	return follow.Listener{Reads: n.ReadsStore, Listen: n.Listen, Turn: n.turn, Spread: n.readSpread}
+// PeerSource returns the source by which the view follows other gateways.
+func (n *PeerExchange) PeerSource() follow.Listener {
+	return follow.Listener{Reads: n.ReadsStore, Listen: n.FollowPeers, Turn: n.turn, Spread: n.readSpread}
 }
 
 // turn returns the place of this gateway, as a fraction from 0, in the order in which the gateways
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -186,7 +186,7 @@
 	})
 }
 
-// Guards against a time limit on the body that remains in force after the body and ends what
+// Guards against a time limit on the body that remains in effect after the body and ends what
 // follows.
 func TestBodyDeadlineEndsWithTheBody(t *testing.T) {
 	t.Parallel()
--- a/internal/gateway/vacate_test.go
+++ b/internal/gateway/vacate_test.go
@@ -230,7 +230,7 @@
 		ContainSubstring("silent for"), ContainSubstring("no answer yet"))))
 }
 
-// Guards against failing a request because its only endpoint closed a reused connection under it.
+// Guards against failing a request because its only endpoint closed a reused connection during it.
 func TestTheOnlyEndpointIsTriedAgainOnANewConnection(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
