--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -134,8 +134,8 @@
 	after = q.excluded.backoff
 	if q.excluded.rate > 0 {
 		q.g.stats.throttled.Inc(1)
-		if room := q.throttledRetry(q.excluded); after == 0 || room < after {
-			after = room
+		if limitRetry := q.throttledRetry(q.excluded); after == 0 || limitRetry < after {
+			after = limitRetry
 		}
 	}
 	return after
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -44,13 +44,13 @@
 	if !ok {
 		return
 	}
-	asked := n.g.cfg.Now()
+	requestedAt := n.g.cfg.Now()
 	p, err := n.fetchAll(ctx, from)
 	if err != nil {
 		n.log.Debug("fetching published state from another gateway failed", zap.String("from", from), zap.String("error", err.Error()))
 		return
 	}
-	if err := n.mergePublished(p, asked); err != nil {
+	if err := n.mergePublished(p, requestedAt); err != nil {
 		n.log.Warn("fetching published state from another gateway failed", zap.String("from", from), zap.String("error", err.Error()))
 		return
 	}
@@ -106,13 +106,13 @@
 // mergePublished merges another gateway's state into the own view. Its age is counted from before
 // the call was sent. Nothing is removed, since the other gateway may be behind this one, and
 // endpoints that may have expired are not added.
-func (n *PeerExchange) mergePublished(p published, asked time.Time) error {
+func (n *PeerExchange) mergePublished(p published, requestedAt time.Time) error {
 	if err := n.offerConfig(p); err != nil {
 		return err
 	}
 	present := slices.DeleteFunc(p.Endpoints, func(e fleet.Endpoint) bool { return slices.Contains(p.Missing, e.ID) })
 	n.g.view.Merge(follow.Changes{Endpoints: present, Evacuations: p.Evacuations})
-	n.g.view.Confirm(p.Version, asked.Add(p.Held-p.Age))
+	n.g.view.Confirm(p.Version, requestedAt.Add(p.Held-p.Age))
 	return nil
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -315,8 +315,8 @@
 func (g *Gateway) responseTime(service string) *estimate.Time {
 	t := g.responseTimes[service]
 	if t == nil {
-		fresh := estimate.New(responseTimeWeight)
-		t = &fresh
+		estimated := estimate.New(responseTimeWeight)
+		t = &estimated
 		g.responseTimes[service] = t
 	}
 	return t
--- a/internal/gateway/known.go
+++ b/internal/gateway/known.go
@@ -46,9 +46,9 @@
 func fromKnown(known []peers.Known) (list []roster.Seen, err error) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
-			a, bad := g.Peer()
-			if bad != nil {
-				err = errors.Wrap(bad, k.Domain)
+			a, invalid := g.Peer()
+			if invalid != nil {
+				err = errors.Wrap(invalid, k.Domain)
 				continue
 			}
 			s := roster.Seen{Age: g.Age()}
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -101,7 +101,7 @@
 func (n *PeerExchange) pollPeer(ctx context.Context, from string) (err error) {
 	var last changePosition
 	duty.Locked(&n.mu, func() { last = n.positions[from] })
-	asked := n.g.cfg.Now()
+	requestedAt := n.g.cfg.Now()
 	ctx, cancel := context.WithTimeout(ctx, longPollTimeout)
 	defer cancel()
 	p, err := n.fetch(ctx, from, fmt.Sprintf("&life=%d&after=%d&hold=1", last.incarnation, last.number))
@@ -112,7 +112,7 @@
 		return err
 	}
 	n.g.view.Hear(p.Told, n.g.cfg.Now())
-	n.g.view.Confirm(p.Version, asked.Add(p.Held-p.Age))
+	n.g.view.Confirm(p.Version, requestedAt.Add(p.Held-p.Age))
 	duty.Locked(&n.mu, func() { n.positions = peerPositions{from: {incarnation: p.Life, number: p.Number}} })
 	n.logChanges(from, p)
 	return nil
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -308,11 +308,11 @@
 // sendHellos sends hellos to gateways and sidecars.
 func (n *PeerExchange) sendHellos() {
 	now := time.Now()
-	lapsed, greetings, others, heard := n.beginRound(now)
-	n.g.SetOtherGateways(others, heard)
+	expired, greetings, others, lastHello := n.beginRound(now)
+	n.g.SetOtherGateways(others, lastHello)
 	n.g.setLimitGateways(n.self, n.liveGateways())
 	n.announceLimits()
-	for _, a := range lapsed {
+	for _, a := range expired {
 		n.log.Info("gateway no longer sends hellos", zap.String("address", a))
 	}
 	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All gateways are sent the same ends.
@@ -331,12 +331,12 @@
 }
 
 // beginRound begins a round of hellos.
-func (n *PeerExchange) beginRound(now time.Time) (lapsed []string, greetings []roster.Greeting, others int, heard time.Time) {
+func (n *PeerExchange) beginRound(now time.Time) (expired []string, greetings []roster.Greeting, others int, lastHello time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lapsed = n.roster.Lapse(now)
+	expired = n.roster.Lapse(now)
 	greetings = n.roster.Greet(now, random)
-	return lapsed, greetings, len(n.roster.There(now)), n.roster.LastHeard()
+	return expired, greetings, len(n.roster.There(now)), n.roster.LastHeard()
 }
 
 // helloSidecars sends hellos to some of the sidecars and, if this gateway is a hub, to all sidecars
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -44,21 +44,21 @@
 // classify reports whether a caller with the given time left has certainly been refused before, and
 // whether it may have been: until enough callers are seen, those of a route are assumed to wait at
 // first for the whole timeout of the route.
-func (p *callerTimeouts) classify(route string, left, timeout time.Duration) (surely, perhaps bool) {
+func (p *callerTimeouts) classify(route string, left, timeout time.Duration) (certain, possible bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r, known := p.routes[route]
 	longestBefore := r.longest
 	if r.callersSeen < minCallersSeen {
 		r.callersSeen++
-		perhaps = waitedRetryAfter(left, timeout)
+		possible = waitedRetryAfter(left, timeout)
 	}
 	r.longest = max(r.longest, left)
 	if known || len(p.routes) < maxTrackedRoutes {
 		p.routes[route] = r
 	}
-	surely = waitedRetryAfter(left, longestBefore)
-	return surely, perhaps || surely
+	certain = waitedRetryAfter(left, longestBefore)
+	return certain, possible || certain
 }
 
 // waitedRetryAfter reports whether a caller with the given time left has waited for Retry-After
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -34,14 +34,14 @@
 func (g *Gateway) applyRateLimit(id string, source zap.Field, update func(l *throttle.Limits) bool) (changed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	before, since, limited := g.limits.Limited(id)
+	previous, since, limited := g.limits.Limited(id)
 	if !update(g.limits) {
 		return false
 	}
 	g.stats.limited.Update(int64(g.limits.Count()))
 	fields := []zap.Field{zap.String("endpoint", id), source}
 	if limited {
-		fields = append(fields, zap.Float64("before-per-second", before), zap.Time("since", since))
+		fields = append(fields, zap.Float64("before-per-second", previous), zap.Time("since", since))
 	}
 	now, _, limited := g.limits.Limited(id)
 	if !limited {
@@ -62,13 +62,13 @@
 
 // receiveLimits applies the limits announced by another gateway.
 func (g *Gateway) receiveLimits(from netip.AddrPort, list []peers.Limit) {
-	for _, told := range list {
-		if !validLimit(told) {
-			g.log.Warn("ignored invalid rate limit of an endpoint", zap.Stringer("told-by", from), zap.Float64("per-second", told.PerSecond), zap.Int64("age-ms", told.AgeMs))
+	for _, limit := range list {
+		if !validLimit(limit) {
+			g.log.Warn("ignored invalid rate limit of an endpoint", zap.Stringer("told-by", from), zap.Float64("per-second", limit.PerSecond), zap.Int64("age-ms", limit.AgeMs))
 			continue
 		}
-		w := throttle.Word{Limited: told.Limited, Limit: told.PerSecond, At: g.cfg.Now().Add(-told.Age())}
-		g.applyRateLimit(told.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Hear(throttle.Told{Endpoint: told.Endpoint, Word: w}) })
+		w := throttle.Word{Limited: limit.Limited, Limit: limit.PerSecond, At: g.cfg.Now().Add(-limit.Age())}
+		g.applyRateLimit(limit.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Hear(throttle.Told{Endpoint: limit.Endpoint, Word: w}) })
 	}
 }
 
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -40,8 +40,8 @@
 	if !storeReachable && anyReachable {
 		return false
 	}
-	before, _ := slices.BinarySearch(readers, n.self)
-	return before < readersPerDomain
+	place, _ := slices.BinarySearch(readers, n.self)
+	return place < readersPerDomain
 }
 
 // warmingUp reports whether this gateway started so recently that it may not know all others yet.
@@ -116,6 +116,6 @@
 // of its domain read the store.
 func (n *PeerExchange) turn() float64 {
 	list, _ := n.readerCandidates(true)
-	before, _ := slices.BinarySearch(list, n.self)
-	return float64(before) / float64(len(list)+1)
+	place, _ := slices.BinarySearch(list, n.self)
+	return float64(place) / float64(len(list)+1)
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -77,9 +77,9 @@
 	if !q.stillAllowed(q.reply.begun()) {
 		return false
 	}
-	before := q.mayHaveRun
+	previous := q.mayHaveRun
 	q.mayHaveRun = true // Assumed of the current attempt; whether it was rejected is not known yet.
-	defer func() { q.mayHaveRun = before }()
+	defer func() { q.mayHaveRun = previous }()
 	return q.mayTryAnother()
 }
 
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -62,17 +62,17 @@
 // readCompleteBody reads the body of an answer. The body counts as buffered while it is read; if
 // reading fails, it no longer counts.
 func (q *request) readCompleteBody(x *upstream.Exchange, resp *http.Response) (body []byte, err error) {
-	before := q.buffered
-	defer func() { q.addBuffered(len(body) - int(q.buffered-before)) }()
-	announced := resp.ContentLength
-	if resp.Body == http.NoBody || announced > maxAnswerBytes { // No body, or one too large to be read.
-		announced = 0
+	bufferedBefore := q.buffered
+	defer func() { q.addBuffered(len(body) - int(q.buffered-bufferedBefore)) }()
+	length := resp.ContentLength
+	if resp.Body == http.NoBody || length > maxAnswerBytes { // No body, or one too large to be read.
+		length = 0
 	}
-	announced = max(announced, 0)
-	if !q.reserve(announced) {
+	length = max(length, 0)
+	if !q.reserve(length) {
 		return nil, errBufferFull
 	}
-	resp.Body = &countedBody{resp.Body, q, announced}
+	resp.Body = &countedBody{resp.Body, q, length}
 	return x.ReadWhole(maxAnswerBytes)
 }
 
