--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -44,7 +44,7 @@
 	t.Cleanup(srv.Close)
 	p := &fleetProcess{set: &settings.Fleet{}}
 	for range orders {
-		result, err := p.otherEngine(strings.TrimPrefix(srv.URL, "http://")).Order(context.Background(), rank.Order{Op: rank.Go, Step: 4})
+		result, err := p.otherEngine(strings.TrimPrefix(srv.URL, "http://")).Order(context.Background(), rank.Order{Op: rank.Release, Step: 4})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(result).To(Equal(rank.Done))
 	}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -119,7 +119,7 @@
 		ReadHeaderTimeout: gateway.CallerHeaderTimeout,
 		ReadTimeout:       callTime,
 		WriteTimeout:      callTime,
-		IdleTimeout:       peers.ServerIdle,
+		IdleTimeout:       peers.ServerIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          p.serverLog,
 		// An empty success of the server's own is none of an endpoint's.
--- a/internal/gateway/known.go
+++ b/internal/gateway/known.go
@@ -14,7 +14,7 @@
 // splitForHello splits a list into parts that fit into one hello each. It returns at least one
 // part.
 func splitForHello(list []roster.Seen) (parts [][]roster.Seen) {
-	parts = slices.Collect(slices.Chunk(list, peers.MostKnown))
+	parts = slices.Collect(slices.Chunk(list, peers.MaxKnownGateways))
 	if len(parts) == 0 {
 		return [][]roster.Seen{nil}
 	}
@@ -23,10 +23,10 @@
 
 // toKnown converts gateways to the form of a hello. Gateways whose address is not an IP address and
 // port are omitted.
-func toKnown(list []roster.Seen) (known []peers.Known) {
+func toKnown(list []roster.Seen) (known []peers.DomainGateways) {
 	at := map[string]int{} // Indexes in known, by failure domain.
 	for _, s := range list {
-		raw, err := peers.Packed(s.Address)
+		raw, err := peers.PackAddress(s.Address)
 		if err != nil {
 			continue
 		}
@@ -34,25 +34,25 @@
 		if !ok {
 			i = len(known)
 			at[s.Domain] = i
-			known = append(known, peers.Known{Domain: s.Domain})
+			known = append(known, peers.DomainGateways{Domain: s.Domain})
 		}
-		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), Blind: s.Blind, Left: s.Left})
+		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), StoreUnreachable: s.Blind, Leaving: s.Left})
 	}
 	return known
 }
 
 // fromKnown returns the gateways that a hello lists. Invalid ones are omitted; the error is that of
 // the last of them.
-func fromKnown(known []peers.Known) (list []roster.Seen, err error) {
+func fromKnown(known []peers.DomainGateways) (list []roster.Seen, err error) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
-			a, invalid := g.Peer()
+			a, invalid := g.PeerAddress()
 			if invalid != nil {
 				err = errors.Wrap(invalid, k.Domain)
 				continue
 			}
 			s := roster.Seen{Age: g.Age()}
-			s.Address, s.Domain, s.Blind, s.Left = a.String(), k.Domain, g.Blind, g.Left
+			s.Address, s.Domain, s.Blind, s.Left = a.String(), k.Domain, g.StoreUnreachable, g.Leaving
 			list = append(list, s)
 		}
 	}
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -60,7 +60,7 @@
 		messages = n.g.limits.Letters(now)
 		more = n.g.limits.Lending(now)
 	})
-	by := map[string][]peers.Part{}
+	by := map[string][]peers.ShareMessage{}
 	for _, l := range messages {
 		if l.Kind == throttle.Ask {
 			n.g.stats.partsAsked.Inc(1)
@@ -73,14 +73,14 @@
 	return more
 }
 
-func (n *PeerExchange) sendPartsTo(to string, parts []peers.Part) {
-	for list := range slices.Chunk(parts, peers.MostParts) {
-		n.socket.SendAll(addresses([]string{to}), peers.Message{Lend: &peers.Lend{Address: n.self, Parts: list}})
+func (n *PeerExchange) sendPartsTo(to string, parts []peers.ShareMessage) {
+	for list := range slices.Chunk(parts, peers.MaxShares) {
+		n.socket.SendAll(addresses([]string{to}), peers.Message{Lending: &peers.Lending{Address: n.self, Shares: list}})
 	}
 }
 
 // receiveParts handles another gateway's message about parts, and answers it.
-func (n *PeerExchange) receiveParts(from netip.AddrPort, m peers.Lend) {
+func (n *PeerExchange) receiveParts(from netip.AddrPort, m peers.Lending) {
 	if cause := n.g.invalidCause(m); cause != "" {
 		n.g.recordInvalidParts(from, cause)
 		return
@@ -89,12 +89,12 @@
 }
 
 // applyParts applies received parts and returns the answers.
-func (g *Gateway) applyParts(m peers.Lend) (answers []peers.Part) {
+func (g *Gateway) applyParts(m peers.Lending) (answers []peers.ShareMessage) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, p := range m.Parts {
-		part := throttle.Part{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, Number: p.Number, Tokens: p.Tokens, Lasts: p.Lasts()}
+	for _, p := range m.Shares {
+		part := throttle.Part{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, Number: p.RequestNumber, Tokens: p.Tokens, Lasts: p.LeaseTime()}
 		answer, ok := g.limits.Receive(m.Address, part, now)
 		if ok {
 			answers = append(answers, partOf(answer))
@@ -109,13 +109,13 @@
 	return answers
 }
 
-func partOf(p throttle.Part) peers.Part {
-	return peers.Part{Kind: int(p.Kind), Endpoint: p.Endpoint, Number: p.Number, Tokens: p.Tokens, LastsMs: p.Lasts.Milliseconds()}
+func partOf(p throttle.Part) peers.ShareMessage {
+	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.Number, Tokens: p.Tokens, LeaseMs: p.Lasts.Milliseconds()}
 }
 
 // invalidCause returns why a message is invalid, or "" if it is valid.
-func (g *Gateway) invalidCause(m peers.Lend) string {
-	if len(m.Parts) > peers.MostParts {
+func (g *Gateway) invalidCause(m peers.Lending) string {
+	if len(m.Shares) > peers.MaxShares {
 		return "too many parts"
 	}
 	var known bool
@@ -123,7 +123,7 @@
 	if !known {
 		return "from a gateway that is not known"
 	}
-	for _, p := range m.Parts {
+	for _, p := range m.Shares {
 		if !validPart(p) {
 			return "a part with an invalid value"
 		}
@@ -131,11 +131,11 @@
 	return ""
 }
 
-func validPart(p peers.Part) bool {
+func validPart(p peers.ShareMessage) bool {
 	return p.Kind >= int(throttle.Ask) && p.Kind <= int(throttle.Return) &&
-		p.Endpoint != "" && len(p.Endpoint) <= maxEndpointIDBytes && p.Number > 0 &&
+		p.Endpoint != "" && len(p.Endpoint) <= maxEndpointIDBytes && p.RequestNumber > 0 &&
 		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // False for NaN, too.
-		p.LastsMs >= 0 && p.LastsMs <= maxPartLifetime.Milliseconds()
+		p.LeaseMs >= 0 && p.LeaseMs <= maxPartLifetime.Milliseconds()
 }
 
 // recordInvalidParts counts an ignored message and logs it, at most once per
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -76,7 +76,7 @@
 }
 
 func hello(s testPeer, domain string, blind bool) peers.Hello {
-	return peers.Hello{Name: "g", Address: s.self, Domain: domain, Blind: blind}
+	return peers.Hello{Name: "g", Address: s.self, Domain: domain, StoreUnreachable: blind}
 }
 
 func TestGatewayFollowsStoreReader(t *testing.T) {
@@ -252,7 +252,7 @@
 		s.started = time.Now().Add(-2 * gatewayTTL)
 		for other := range 60 {
 			if other != place {
-				s.receiveHello(peers.Hello{Life: 1, Address: at(other), Domain: "a"})
+				s.receiveHello(peers.Hello{Incarnation: 1, Address: at(other), Domain: "a"})
 			}
 		}
 	}
@@ -262,7 +262,7 @@
 	s.unresponsive[at(4)] = time.Now()
 	g.Expect(s.followOrder(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer is polled last for a while")
 	g.Expect(s.followOrder(time.Now().Add(2 * unresponsiveTTL))).To(HaveExactElements(at(4), at(0), at(1)))
-	s.receiveHello(peers.Hello{Life: 1, Address: at(4), Domain: "a", Leaving: true})
+	s.receiveHello(peers.Hello{Incarnation: 1, Address: at(4), Domain: "a", Leaving: true})
 	g.Expect(s.followOrder(time.Now())[0]).To(Equal(at(4+1)), "the next one takes the place of a leaving one")
 
 	knowAll(1)
@@ -285,9 +285,9 @@
 	from, ok := s.chooseLender()
 	g.Expect(ok).To(BeTrue())
 	g.Expect(from).To(Equal("10.9.0.1:80"))
-	s.receiveHello(peers.Hello{Life: 1, Address: "10.0.0.1:80", Domain: "a"})
+	s.receiveHello(peers.Hello{Incarnation: 1, Address: "10.0.0.1:80", Domain: "a"})
 	for i := range 20 {
-		s.receiveHello(peers.Hello{Life: 1, Address: fmt.Sprintf("10.1.0.%d:80", i), Domain: "b"})
+		s.receiveHello(peers.Hello{Incarnation: 1, Address: fmt.Sprintf("10.1.0.%d:80", i), Domain: "b"})
 	}
 	near := 0
 	for range 100 {
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -14,33 +14,33 @@
 
 // receiveLoad records the load of one engine, and forwards it if asked to.
 func (n *PeerExchange) receiveLoad(l peers.Load) {
-	if l.Onward {
-		l.Onward = false
+	if l.Forward {
+		l.Forward = false
 		n.forward(peers.Message{Load: &l})
 	}
-	n.g.reportGatewayCount(l.Gateways, time.Now())
+	n.g.reportGatewayCount(l.GatewayCount, time.Now())
 	n.g.ReportLoad(l.Address, balance.Load{
-		Born: l.Born, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: l.Pace, Pass: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
+		Born: l.StartedAt, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: l.Slowdown, Pass: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
 	})
 }
 
 // receiveLoads records the loads of ranks of a group, and forwards them if asked to.
 func (n *PeerExchange) receiveLoads(l peers.Loads) {
-	if l.Onward {
-		l.Onward = false
+	if l.Forward {
+		l.Forward = false
 		n.forward(peers.Message{Loads: &l})
 	}
 	now := time.Now()
-	n.g.reportGatewayCount(l.Gateways, now)
-	n.g.setGroupLimit(l.Group, float64(l.Limit), now)
+	n.g.reportGatewayCount(l.GatewayCount, now)
+	n.g.setGroupLimit(l.Group, float64(l.LimitPerRank), now)
 	for _, r := range l.Ranks {
-		a, err := r.Engine()
+		a, err := r.EngineAddress()
 		if err != nil {
 			n.log.Warn("ignored the load of a rank with an invalid address", zap.String("group", l.Group), zap.String("error", err.Error()))
 			continue
 		}
 		n.g.ReportLoad(a.String(), balance.Load{
-			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: float64(r.Pace), Pass: time.Duration(l.PassMs) * time.Millisecond, At: now,
+			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: float64(r.Slowdown), Pass: time.Duration(l.PassMs) * time.Millisecond, At: now,
 		})
 	}
 }
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -44,10 +44,10 @@
 	for _, domains := range []int{1, 21} {
 		t.Run(fmt.Sprint(domains), func(t *testing.T) {
 			g := NewWithT(t)
-			list := gatewaysIn(domains, peers.MostKnown)
-			h := peers.Hello{Name: strings.Repeat("n", 32), Life: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16), Gateways: 100_000, Answer: true, Known: toKnown(list)}
+			list := gatewaysIn(domains, peers.MaxKnownGateways)
+			h := peers.Hello{Name: strings.Repeat("n", 32), Incarnation: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16), GatewayCount: 100_000, IsAnswer: true, KnownGateways: toKnown(list)}
 			m := expectFitsPacket(g, peers.Message{Hello: &h})
-			heard, err := fromKnown(m.Hello.Known)
+			heard, err := fromKnown(m.Hello.KnownGateways)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(heard).To(ConsistOf(list))
 		})
@@ -56,7 +56,7 @@
 
 func TestInvalidAddressesAreOmittedFromHellos(t *testing.T) {
 	g := NewWithT(t)
-	list, err := fromKnown([]peers.Known{{Domain: "d", Gateways: []peers.KnownGateway{{Address: []byte{1}}, {Address: []byte{10, 0, 0, 1, 80, 0}}}}})
+	list, err := fromKnown([]peers.DomainGateways{{Domain: "d", Gateways: []peers.KnownGateway{{Address: []byte{1}}, {Address: []byte{10, 0, 0, 1, 80, 0}}}}})
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(list).To(HaveLen(1))
 	g.Expect(toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "name:80"}}})).To(BeEmpty())
@@ -70,26 +70,26 @@
 	asker, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { g.Expect(asker.Close()).To(Succeed()) })
-	known := gatewaysIn(1, 2*peers.MostKnown)
+	known := gatewaysIn(1, 2*peers.MaxKnownGateways)
 	n.roster.HearOf(known, time.Now())
 	greet := func(h peers.Hello) {
-		h.Life, h.Address, h.Domain = 1, asker.LocalAddr().String(), "a"
+		h.Incarnation, h.Address, h.Domain = 1, asker.LocalAddr().String(), "a"
 		n.Receive(netip.MustParseAddrPort(h.Address), peers.Message{Hello: &h})
 	}
 
 	greet(peers.Hello{})
 	h := readHello(g, asker)
-	g.Expect(h.Answer).To(BeTrue())
-	g.Expect(h.Known).To(BeEmpty())
+	g.Expect(h.IsAnswer).To(BeTrue())
+	g.Expect(h.KnownGateways).To(BeEmpty())
 
-	greet(peers.Hello{Answer: true}) // An answer is not answered.
-	greet(peers.Hello{Asks: known[0].Domain})
+	greet(peers.Hello{IsAnswer: true}) // An answer is not answered.
+	greet(peers.Hello{QueriedDomain: known[0].Domain})
 	listed := 0
 	for listed < len(known) {
 		h = readHello(g, asker)
-		g.Expect(h.Answer).To(BeTrue())
-		g.Expect(h.Known).NotTo(BeEmpty())
-		for _, k := range h.Known {
+		g.Expect(h.IsAnswer).To(BeTrue())
+		g.Expect(h.KnownGateways).NotTo(BeEmpty())
+		for _, k := range h.KnownGateways {
 			listed += len(k.Gateways)
 		}
 	}
@@ -111,9 +111,9 @@
 // the view stays usable.
 func FuzzHello(f *testing.F) {
 	for _, h := range []peers.Hello{
-		{Name: "g", Life: 1, Address: "10.0.0.1:80", Domain: "a", Asks: "b"},
-		{Address: "10.0.0.1:80", Known: toKnown(gatewaysIn(3, 5))},
-		{Life: -1, Known: []peers.Known{{Domain: "a", Gateways: []peers.KnownGateway{{Address: []byte{1, 2, 3}, AgeMs: -1}, {AgeMs: 1 << 62}}}}},
+		{Name: "g", Incarnation: 1, Address: "10.0.0.1:80", Domain: "a", QueriedDomain: "b"},
+		{Address: "10.0.0.1:80", KnownGateways: toKnown(gatewaysIn(3, 5))},
+		{Incarnation: -1, KnownGateways: []peers.DomainGateways{{Domain: "a", Gateways: []peers.KnownGateway{{Address: []byte{1, 2, 3}, AgeMs: -1}, {AgeMs: 1 << 62}}}}},
 	} {
 		raw, err := cbor.Marshal(peers.Message{Hello: &h})
 		if err != nil {
@@ -128,11 +128,11 @@
 		}
 		g := NewWithT(t)
 		now := time.Unix(1_800_000_000, 0)
-		seen, _ := fromKnown(m.Hello.Known) // Invalid gateways are omitted.
+		seen, _ := fromKnown(m.Hello.KnownGateways) // Invalid gateways are omitted.
 		r := roster.New(roster.Gateway{Address: "10.0.0.9:80", Domain: "a"}, nil, now)
 		r.HearOf(seen, now)
-		r.Hear(roster.Gateway{Address: "10.0.0.8:80", Domain: m.Hello.Domain, Life: m.Hello.Life}, now)
-		answered := r.Answer("a", m.Hello.Asks, now)
+		r.Hear(roster.Gateway{Address: "10.0.0.8:80", Domain: m.Hello.Domain, Life: m.Hello.Incarnation}, now)
+		answered := r.Answer("a", m.Hello.QueriedDomain, now)
 		for _, s := range answered {
 			_, err := netip.ParseAddrPort(s.Address)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -152,24 +152,24 @@
 	for r := range ranks {
 		raw, err := netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:80", r/200, r%200+1)).MarshalBinary()
 		g.Expect(err).NotTo(HaveOccurred())
-		l.Ranks = append(l.Ranks, peers.RankLoad{Address: raw, Running: r, Pace: 1.5})
+		l.Ranks = append(l.Ranks, peers.RankLoad{Address: raw, Running: r, Slowdown: 1.5})
 	}
 	return l
 }
 
 func TestOneMessageCarriesTheLoadsOfManyRanks(t *testing.T) {
 	g := NewWithT(t)
-	l := loadsOf(g, peers.MostRanks)
+	l := loadsOf(g, peers.MaxRankLoads)
 	m := expectFitsPacket(g, peers.Message{Loads: &l})
 
 	n := newTestPeer(t, 1)
 	var list []fleet.Endpoint
-	for r := range peers.MostRanks {
+	for r := range peers.MaxRankLoads {
 		list = append(list, fleet.Endpoint{ID: fmt.Sprint(r), Service: "s", Address: fmt.Sprintf("10.0.0.%d:80", r+1), Revision: 1})
 	}
 	n.publish(1, 1, list...)
 	n.Receive(netip.AddrPort{}, m)
-	for r := range peers.MostRanks {
+	for r := range peers.MaxRankLoads {
 		g.Expect(n.g.table.Busy(fmt.Sprint(r), time.Now())).To(Equal(r))
 	}
 }
@@ -187,7 +187,7 @@
 // endsOf returns as many ends as one message holds, each of another request and of an endpoint with
 // a long id, recorded 10 minutes ago.
 func endsOf(now time.Time, s *Gateway) []peers.End {
-	for i := range 2 * peers.MostEnds {
+	for i := range 2 * peers.MaxEnds {
 		k := quarantine.KeyOf("POST", "h", "/p", "c", fmt.Append(nil, i))
 		s.suspects.Ended(k, fmt.Sprintf("%s-%d@1786946211702", strings.Repeat("x", 24), i), quarantine.OnTrial, now.Add(-10*time.Minute))
 	}
@@ -197,35 +197,35 @@
 func TestAHelloWithEndsFitsAPacket(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestPeer(t, 1)
-	m := peers.Message{Hello: &peers.Hello{Name: strings.Repeat("n", 32), Life: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16)}}
-	m.Hello.Asks, m.Hello.Gateways = m.Hello.Domain, 100_000
+	m := peers.Message{Hello: &peers.Hello{Name: strings.Repeat("n", 32), Incarnation: time.Now().UnixMilli(), Address: "100.100.100.100:10000", Domain: strings.Repeat("d", 16)}}
+	m.Hello.QueriedDomain, m.Hello.GatewayCount = m.Hello.Domain, 100_000
 	m.Ends = endsOf(time.Now(), n.g)
-	g.Expect(m.Ends).To(HaveLen(peers.MostEnds))
+	g.Expect(m.Ends).To(HaveLen(peers.MaxEnds))
 	heard := expectFitsPacket(g, m)
 	other := newTestPeer(t, 2)
 	heard.Hello = nil // A test peer has no socket to answer it.
 	other.Receive(netip.AddrPort{}, heard)
-	g.Expect(other.g.suspects.Tell(time.Now())).To(HaveLen(peers.MostEnds))
+	g.Expect(other.g.suspects.Tell(time.Now())).To(HaveLen(peers.MaxEnds))
 }
 
 // A gateway that restarts under its address is new to the others.
 func TestGatewayIsNewAfterEachRestart(t *testing.T) {
 	g := NewWithT(t)
 	n := newTestPeer(t, 1)
-	h := peers.Hello{Name: "g", Life: 7, Address: "10.0.0.1:80", Domain: "a"}
-	isNewAfter := func(h peers.Hello, before *peers.Before) bool {
+	h := peers.Hello{Name: "g", Incarnation: 7, Address: "10.0.0.1:80", Domain: "a"}
+	isNewAfter := func(h peers.Hello, before *peers.PreviousIncarnation) bool {
 		isNew, got := n.receiveHello(h)
 		g.Expect(got).To(Equal(before))
 		return isNew
 	}
 	g.Expect(isNewAfter(h, nil)).To(BeTrue())
 	g.Expect(isNewAfter(h, nil)).To(BeFalse())
-	h.Life = 8
+	h.Incarnation = 8
 	isNew, previous := n.receiveHello(h)
 	g.Expect(isNew).To(BeTrue())
-	g.Expect(previous.Life).To(BeEquivalentTo(7))
-	n.receiveHello(peers.Hello{Name: "other", Life: 1, Address: "10.0.0.2:80", Known: toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "10.0.0.3:80", Domain: "a"}}})})
-	g.Expect(isNewAfter(peers.Hello{Life: 3, Address: "10.0.0.3:80"}, nil)).To(BeTrue(), "it was known from another gateway only")
+	g.Expect(previous.Incarnation).To(BeEquivalentTo(7))
+	n.receiveHello(peers.Hello{Name: "other", Incarnation: 1, Address: "10.0.0.2:80", KnownGateways: toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "10.0.0.3:80", Domain: "a"}}})})
+	g.Expect(isNewAfter(peers.Hello{Incarnation: 3, Address: "10.0.0.3:80"}, nil)).To(BeTrue(), "it was known from another gateway only")
 }
 
 // Trials of a request run at exactly one of the gateways that know each other.
@@ -239,7 +239,7 @@
 	}
 	for _, s := range list {
 		for _, other := range list {
-			s.receiveHello(peers.Hello{Life: other.incarnation, Address: other.self, Domain: "a"})
+			s.receiveHello(peers.Hello{Incarnation: other.incarnation, Address: other.self, Domain: "a"})
 		}
 	}
 	owned := map[string]int{}
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -95,7 +95,7 @@
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: borrowTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
-		IdleConnTimeout:     peers.CallerIdle,
+		IdleConnTimeout:     peers.ClientIdleTimeout,
 	}
 	n = &PeerExchange{
 		g: g, socket: socket, log: log, decode: cfg.Decode, client: &http.Client{Transport: t},
@@ -122,8 +122,8 @@
 func (n *PeerExchange) receive(from netip.AddrPort, m peers.Message) {
 	n.g.suspects.Hear(m.Ends, n.g.cfg.Now())
 	n.g.receiveLimits(from, m.Limits)
-	if m.Lend != nil {
-		n.receiveParts(from, *m.Lend)
+	if m.Lending != nil {
+		n.receiveParts(from, *m.Lending)
 	}
 	switch {
 	case m.Hello != nil:
@@ -131,7 +131,7 @@
 		if isNew {
 			n.sendStateTo(from)
 		}
-		if !m.Hello.Answer {
+		if !m.Hello.IsAnswer {
 			n.answerHello(from, *m.Hello, previous)
 		}
 		n.logPreviousIncarnation(*m.Hello)
@@ -144,19 +144,19 @@
 
 // receiveHello records a hello. It reports whether this is the first hello of the gateway's
 // process, and returns what was last received from an earlier process of that gateway, or nil.
-func (n *PeerExchange) receiveHello(h peers.Hello) (isNew bool, previous *peers.Before) {
-	known, err := fromKnown(h.Known)
+func (n *PeerExchange) receiveHello(h peers.Hello) (isNew bool, previous *peers.PreviousIncarnation) {
+	known, err := fromKnown(h.KnownGateways)
 	if err != nil {
 		n.log.Warn("ignored invalid gateways in a hello", zap.String("told-by", h.Address), zap.String("error", err.Error()))
 	}
 	isNew, previous = n.enroll(h, known, time.Now())
-	if previous != nil && !previous.Left {
+	if previous != nil && !previous.Leaving {
 		n.log.Warn("peer ended without a planned stop", zap.String("name", h.Name), zap.String("address", h.Address),
-			zap.Duration("last-heard", previous.Age()), zap.Int64("life", previous.Life), zap.Int64("next-life", h.Life))
+			zap.Duration("last-heard", previous.Age()), zap.Int64("life", previous.Incarnation), zap.Int64("next-life", h.Incarnation))
 	}
 	if isNew {
 		n.g.setLimitGateways(n.self, n.liveGateways())
-		n.log.Info("gateway discovered", zap.String("name", h.Name), zap.String("address", h.Address), zap.Int64("life", h.Life))
+		n.log.Info("gateway discovered", zap.String("name", h.Name), zap.String("address", h.Address), zap.Int64("life", h.Incarnation))
 	}
 	return isNew, previous
 }
@@ -164,50 +164,50 @@
 // logPreviousIncarnation logs what another gateway last received from an earlier process of this
 // gateway, since this process keeps no record of that.
 func (n *PeerExchange) logPreviousIncarnation(h peers.Hello) {
-	if h.Before == nil {
+	if h.Previous == nil {
 		return
 	}
 	logLine := n.log.Info
-	if !h.Before.Left {
+	if !h.Previous.Leaving {
 		logLine = n.log.Warn
 	}
-	logLine("an earlier incarnation of this process ended", zap.Bool("planned", h.Before.Left), zap.Int64("life", h.Before.Life),
-		zap.Duration("last-heard", h.Before.Age()), zap.String("told-by", h.Name))
+	logLine("an earlier incarnation of this process ended", zap.Bool("planned", h.Previous.Leaving), zap.Int64("life", h.Previous.Incarnation),
+		zap.Duration("last-heard", h.Previous.Age()), zap.String("told-by", h.Name))
 }
 
 // enroll adds the sender of a hello, and the gateways that the hello lists, to the roster.
-func (n *PeerExchange) enroll(h peers.Hello, known []roster.Seen, now time.Time) (isNew bool, previous *peers.Before) {
+func (n *PeerExchange) enroll(h peers.Hello, known []roster.Seen, now time.Time) (isNew bool, previous *peers.PreviousIncarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Life {
-		previous = &peers.Before{Life: last.Life, AgeMs: last.Age.Milliseconds(), Left: last.Left}
+	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Incarnation {
+		previous = &peers.PreviousIncarnation{Incarnation: last.Life, AgeMs: last.Age.Milliseconds(), Leaving: last.Left}
 	}
-	isNew = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Life, Blind: h.Blind, Left: h.Leaving}, now)
+	isNew = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Incarnation, Blind: h.StoreUnreachable, Left: h.Leaving}, now)
 	n.roster.HearOf(known, now)
 	return isNew, previous
 }
 
 // answerHello answers a hello and lists the gateways that it asks for.
-func (n *PeerExchange) answerHello(to netip.AddrPort, h peers.Hello, previous *peers.Before) {
+func (n *PeerExchange) answerHello(to netip.AddrPort, h peers.Hello, previous *peers.PreviousIncarnation) {
 	now := time.Now()
 	known := n.gatewaysAsked(h, now)
 	own := n.ownHello(now)
-	own.Answer, own.Before = true, previous
+	own.IsAnswer, own.Previous = true, previous
 	for _, part := range splitForHello(known) {
-		own.Known = toKnown(part)
+		own.KnownGateways = toKnown(part)
 		n.socket.Send(to, peers.Message{Hello: own})
-		own.Before = nil
+		own.Previous = nil
 	}
 }
 
 // gatewaysAsked returns the gateways that a hello asks for.
 func (n *PeerExchange) gatewaysAsked(h peers.Hello, now time.Time) []roster.Seen {
-	if h.Asks == "" {
+	if h.QueriedDomain == "" {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.Answer(h.Domain, h.Asks, now)
+	return n.roster.Answer(h.Domain, h.QueriedDomain, now)
 }
 
 // liveGateways returns the addresses of the other gateways that are live.
@@ -290,7 +290,7 @@
 	leaving, _ := n.g.stopState(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return &peers.Hello{Name: n.name, Life: n.incarnation, Address: n.self, Domain: n.domain, Blind: n.storeUnreachable, Leaving: leaving}
+	return &peers.Hello{Name: n.name, Incarnation: n.incarnation, Address: n.self, Domain: n.domain, StoreUnreachable: n.storeUnreachable, Leaving: leaving}
 }
 
 // sidecarHello returns the hello for sidecars, which also lists other gateways: those send hellos
@@ -300,8 +300,8 @@
 	h := n.ownHello(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.Gateways = len(n.roster.There(now)) + 1
-	h.Known = toKnown(firstN(peers.MostKnown, n.roster.Sample(now, random)))
+	h.GatewayCount = len(n.roster.There(now)) + 1
+	h.KnownGateways = toKnown(firstN(peers.MaxKnownGateways, n.roster.Sample(now, random)))
 	return h
 }
 
@@ -318,7 +318,7 @@
 	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All gateways are sent the same ends.
 	h := n.ownHello(now)
 	for _, greeting := range greetings {
-		h.Asks = greeting.Asks
+		h.QueriedDomain = greeting.Asks
 		n.socket.SendAll(addresses([]string{greeting.Address}), peers.Message{Hello: h, Ends: ends})
 	}
 	n.helloRounds++
@@ -378,7 +378,7 @@
 			continue
 		}
 		for _, e := range endpoints {
-			if a, err := peers.Beside(e.Address, n.sidecarPort); err == nil {
+			if a, err := peers.SidecarAddress(e.Address, n.sidecarPort); err == nil {
 				list = append(list, sidecar{a, e.Domain})
 			}
 		}
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -28,7 +28,7 @@
 	endsFanout = 4
 	// maxLimitsToNewcomer is the number of rate limits that each gateway sends to a new gateway,
 	// which learns the others from its own requests.
-	maxLimitsToNewcomer = 4 * peers.MostLimits
+	maxLimitsToNewcomer = 4 * peers.MaxLimits
 )
 
 // announceChanges announces ends and changed rate limits seen here to all other gateways at once,
@@ -53,7 +53,7 @@
 
 // announceLimits sends changed rate limits to all other gateways.
 func (n *PeerExchange) announceLimits() {
-	list := n.g.limitMessages(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MostLimits) })
+	list := n.g.limitMessages(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MaxLimits) })
 	if len(list) > 0 {
 		n.socket.SendAll(addresses(n.liveGateways()), peers.Message{Limits: list})
 	}
@@ -62,7 +62,7 @@
 // sendStateTo sends ends and rate limits to a gateway that has just started or was unreachable.
 func (n *PeerExchange) sendStateTo(to netip.AddrPort) {
 	limits := n.g.limitMessages(func(l *throttle.Limits) []throttle.Told { return l.Named(maxLimitsToNewcomer) })
-	for part := range slices.Chunk(limits, peers.MostLimits) {
+	for part := range slices.Chunk(limits, peers.MaxLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
 	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -47,14 +47,14 @@
 func (s *Set) Tell(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Tell(peers.MostEnds, now), now)
+	return encode(s.book.Tell(peers.MaxEnds, now), now)
 }
 
 // TellOne returns what to tell one process that may know nothing.
 func (s *Set) TellOne(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Gravest(peers.MostEnds), now)
+	return encode(s.book.Gravest(peers.MaxEnds), now)
 }
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
