--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -232,7 +232,7 @@
 	duty.Locked(&a.mu, func() { news = a.rests.Rest(a.endpoint(), d, clock.Now()) })
 	if news {
 		a.count("endpoint.rests")
-		a.node.Log().Info("endpoint asks for rest", zap.Duration("for", d))
+		a.node.Log().Info("endpoint requests backoff", zap.Duration("for", d))
 	}
 }
 
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -18,17 +18,18 @@
 
 const borrowerAddress = "10.0.0.1:80"
 
-// newLender returns a gateway with a part of the limit of the endpoint "i", beside another one.
-func newLender(t *testing.T) station {
-	n := newStation(t, 1)
+// newLender returns a gateway that has a share of the rate limit of the endpoint "i", beside one
+// other gateway.
+func newLender(t *testing.T) testPeer {
+	n := newTestPeer(t, 1)
 	n.withSocket(t)
-	n.moveTo(n.socket.Address())
-	n.g.setGateways(n.self, []string{borrowerAddress})
+	n.setAddress(n.socket.Address())
+	n.g.setLimitGateways(n.self, []string{borrowerAddress})
 	n.g.limits.Answered("i", throttle.Word{Limited: true, Limit: 1, At: n.g.cfg.Now()})
 	return n
 }
 
-func TestMessagesOnPartsThatAreNotValidAreLeftOut(t *testing.T) {
+func TestInvalidMessagesAboutPartsAreIgnored(t *testing.T) {
 	valid := peers.ShareMessage{Kind: int(throttle.Ask), Endpoint: "i", RequestNumber: 1}
 	change := func(f func(p *peers.ShareMessage)) peers.Lending {
 		p := valid
@@ -40,8 +41,8 @@
 		g := NewWithT(t)
 		n := newLender(t)
 		n.Receive(netip.AddrPort{}, peers.Message{Lending: &m})
-		g.Expect(n.g.figures.lent.Count()).To(Equal(lent))
-		g.Expect(n.g.figures.badParts.Count()).To(Equal(bad))
+		g.Expect(n.g.stats.partsLent.Count()).To(Equal(lent))
+		g.Expect(n.g.stats.partsInvalid.Count()).To(Equal(bad))
 	}
 	t.Run("valid", func(t *testing.T) { assertLeft(t, change(func(*peers.ShareMessage) {}), 1, 0) })
 	for name, m := range map[string]peers.Lending{
@@ -49,43 +50,43 @@
 		"kind 6":                change(func(p *peers.ShareMessage) { p.Kind = 6 }),
 		"kind below 0":          change(func(p *peers.ShareMessage) { p.Kind = -1 }),
 		"no endpoint":           change(func(p *peers.ShareMessage) { p.Endpoint = "" }),
-		"a long endpoint":       change(func(p *peers.ShareMessage) { p.Endpoint = strings.Repeat("i", longestID+1) }),
+		"a long endpoint":       change(func(p *peers.ShareMessage) { p.Endpoint = strings.Repeat("i", maxEndpointIDBytes+1) }),
 		"number 0":              change(func(p *peers.ShareMessage) { p.RequestNumber = 0 }),
 		"tokens below 0":        change(func(p *peers.ShareMessage) { p.Tokens = -1 }),
-		"tokens that are none":  change(func(p *peers.ShareMessage) { p.Tokens = math.NaN() }),
-		"tokens without end":    change(func(p *peers.ShareMessage) { p.Tokens = math.Inf(1) }),
+		"tokens not a number":   change(func(p *peers.ShareMessage) { p.Tokens = math.NaN() }),
+		"infinite tokens":       change(func(p *peers.ShareMessage) { p.Tokens = math.Inf(1) }),
 		"a time below 0":        change(func(p *peers.ShareMessage) { p.LeaseMs = -1 }),
 		"a time that overflows": change(func(p *peers.ShareMessage) { p.LeaseMs = math.MaxInt64 }),
 		"an unknown gateway":    {Address: "10.0.0.9:80", Shares: []peers.ShareMessage{valid}},
 		"no gateway":            {Shares: []peers.ShareMessage{valid}},
-		"more parts than fit":   {Address: borrowerAddress, Shares: make([]peers.ShareMessage, peers.MaxShares+1)},
+		"too many parts":        {Address: borrowerAddress, Shares: make([]peers.ShareMessage, peers.MaxShares+1)},
 	} {
 		t.Run(name, func(t *testing.T) { assertLeft(t, m, 0, 1) })
 	}
 	t.Run("its own address", func(t *testing.T) {
 		n := newLender(t)
 		n.Receive(netip.AddrPort{}, peers.Message{Lending: &peers.Lending{Address: n.self, Shares: []peers.ShareMessage{valid}}})
-		NewWithT(t).Expect(n.g.figures.lent.Count()).To(BeZero())
+		NewWithT(t).Expect(n.g.stats.partsLent.Count()).To(BeZero())
 	})
 }
 
-func TestAMessageOnPartsFitsAPacket(t *testing.T) {
+func TestMessageAboutPartsFitsAPacket(t *testing.T) {
 	g := NewWithT(t)
 	m := peers.Message{Lending: &peers.Lending{Address: "100.100.100.100:10000"}}
 	for i := range peers.MaxShares {
 		m.Lending.Shares = append(m.Lending.Shares, peers.ShareMessage{Kind: int(throttle.Grant), Endpoint: fmt.Sprintf("%s-%d@1786946211702", strings.Repeat("x", 24), i), RequestNumber: time.Now().UnixNano(), Tokens: 0.123, LeaseMs: 1000})
 	}
-	inOnePacket(g, m)
+	expectFitsPacket(g, m)
 }
 
-// Callers are told to come when the parts that are here have room.
-func TestCallersAreToldWhenBorrowedPartsHaveRoom(t *testing.T) {
+// Callers are asked to retry when the borrowed parts have capacity.
+func TestRetryAfterAccountsForBorrowedParts(t *testing.T) {
 	g := NewWithT(t)
-	s := newSite(t, newStreamer(0))
-	q := &request{g: s.Gateway, service: "s", barred: barred{rate: 4}}
-	s.setGateways("10.0.0.2:80", []string{"10.0.0.3:80", "10.0.0.4:80", "10.0.0.5:80"})
-	g.Expect(q.barredRetry()).To(BeNumerically("~", time.Second, 50*time.Millisecond))
+	s := newSite(t, newStreamingEndpoint(0))
+	q := &request{g: s.Gateway, service: "s", excluded: exclusion{rate: 4}}
+	s.setLimitGateways("10.0.0.2:80", []string{"10.0.0.3:80", "10.0.0.4:80", "10.0.0.5:80"})
+	g.Expect(q.exclusionRetry()).To(BeNumerically("~", time.Second, 50*time.Millisecond))
 	s.backlogs = map[string]*throttle.Backlog{}
-	q.barred.held = 4
-	g.Expect(q.barredRetry()).To(BeNumerically("~", 250*time.Millisecond, 50*time.Millisecond))
+	q.excluded.localRate = 4
+	g.Expect(q.exclusionRetry()).To(BeNumerically("~", 250*time.Millisecond, 50*time.Millisecond))
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -110,7 +110,7 @@
 	}{
 		{
 			name:  "a request that may have run is sent again",
-			edits: []edit{{"../gateway/run.go", "if !q.mayGoOn() {\n\t\t\t\tq.giveUp(last, false)\n\t\t\t\treturn\n\t\t\t}", ""}},
+			edits: []edit{{"../gateway/run.go", "if !q.mayResend() {\n\t\t\t\tq.concludeUnserved(last, false)\n\t\t\t\treturn\n\t\t\t}", ""}},
 			finds: "may run once, ran at", seed: 24, callers: manyCallers,
 		},
 		{
@@ -120,7 +120,7 @@
 		},
 		{
 			name:  "a stream that was cut off ends as a whole one",
-			edits: []edit{{"../gateway/stream.go", "return q.brokenStream(e, err)", "return q.endStream(e, x, resp)"}},
+			edits: []edit{{"../gateway/stream.go", "return q.streamFailed(e, err)", "return q.endStream(e, x, resp)"}},
 			finds: "a stream that ended as whole", seed: 13,
 		},
 		{
@@ -128,7 +128,7 @@
 			// what the first one has begun.
 			name: "a failure at the next endpoint ends a stream as a whole one",
 			edits: []edit{
-				{"../gateway/try.go", "if q.reply.begun() {\n\t\tif err := q.fits(", "if false {\n\t\tif err := q.fits("},
+				{"../gateway/try.go", "if q.reply.begun() {\n\t\tif err := q.checkContinuation(", "if false {\n\t\tif err := q.checkContinuation("},
 				{"../gateway/reply.go", "if p.state != replyUnsent {\n\t\treturn errReplyBegun\n\t}", ""},
 			},
 			finds: `a stream that ended as whole after event \d+ of 12.*, over (kept connections|Connection: close)`,
@@ -195,7 +195,7 @@
 		{
 			name: "the first request after a change is closed with no answer",
 			edits: []edit{
-				{"../gateway/request.go", "\tdecided := q.contained(", "\tif c := q.awaitConfig().Config; c != nil && c.Version() > newest.Swap(c.Version()) {\n\t\tpanic(http.ErrAbortHandler)\n\t}\n\tdecided := q.contained("},
+				{"../gateway/request.go", "\tdecided := q.runRecovered(", "\tif c := q.awaitConfig().Config; c != nil && c.Version() > newest.Swap(c.Version()) {\n\t\tpanic(http.ErrAbortHandler)\n\t}\n\tdecided := q.runRecovered("},
 				{"../gateway/request.go", "\t\"slices\"\n", "\t\"slices\"\n\t\"sync/atomic\"\n"},
 				{"../gateway/request.go", "// Handler returns", "var newest atomic.Uint64\n\n// Handler returns"},
 			},
