--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -103,7 +103,7 @@
 	duties := duty.New(ctx, p.log, p.reg, p.failed)
 	duties.Go("signals", func(ctx context.Context) error { return p.signals(ctx, stopAsPlanned, cancel) })
 	follower := follow.NewFollower(view, store.Source(), p.set.InForce, p.log)
-	follower.ListenTo(neighbours.PeerSource())
+	follower.UsePeers(neighbours.PeerSource())
 	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.ViewChanged) })
 	duties.Go("housekeeping", g.Run)
 	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, neighbours.Receive) })
@@ -117,7 +117,7 @@
 	})
 	p.serveMetrics(duties)
 	duties.Go("stop", func(ctx context.Context) error {
-		p.drain(ctx, stop, func() (requests, connections int) { return g.InFlight(), g.CallerConns().Open() }, g.CallerConns())
+		p.drain(ctx, stop, func() (requests, connections int) { return g.InFlight(), g.CallerConns().OpenConns() }, g.CallerConns())
 		cancel()
 		return nil
 	})
@@ -134,7 +134,7 @@
 	srv := p.callersServer(g)
 	l = g.CallerConns().Listener(l)
 	if p.mostCallers > 0 {
-		l = newBounded(l, p.mostCallers, g.CallerConns().Open, p.log)
+		l = newBounded(l, p.mostCallers, g.CallerConns().OpenConns, p.log)
 	}
 	// Apart: after a fault in one of them the other goes on until ctx ends.
 	duties := duty.New(ctx, p.log, p.reg, p.failed)
@@ -157,10 +157,10 @@
 	last, cancel := context.WithTimeout(context.Background(), atMost)
 	defer cancel()
 	poll(last, g.CallerConns().Drained)
-	if requests, connections := g.InFlight(), g.CallerConns().Open(); requests+connections > 0 {
+	if requests, connections := g.InFlight(), g.CallerConns().OpenConns(); requests+connections > 0 {
 		p.log.Warn("connections ended with the process", zap.Int("requests", requests), zap.Int("connections", connections))
 	}
-	g.CallerConns().End()
+	g.CallerConns().MarkProcessEnding()
 	_ = srv.Close() // Its error is that of the listener, which is closed already.
 }
 
@@ -169,7 +169,7 @@
 	srv := p.httpServer(g.Handler())
 	srv.ReadTimeout, srv.IdleTimeout = 0, 0       // Streams last; the gateway bounds the rest.
 	srv.WriteTimeout = gateway.CallerWriteTimeout // Of what the server says itself; the gateway sets its own.
-	srv.ConnContext = callerconn.Context          // Without it a stream cut short looks whole to HTTP/1.0.
+	srv.ConnContext = callerconn.WithConn         // Without it a stream cut short looks whole to HTTP/1.0.
 	g.CallerConns().Attach(srv)
 	return srv
 }
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -29,13 +29,13 @@
 	Version  uint64        `json:"version"`
 	Revision uint64        `json:"revision"`         // Of the configuration.
 	Config   []byte        `json:"config,omitempty"` // Text of the version, if newer than the requested one.
-	follow.Told
+	follow.Update
 }
 
 // borrow fetches the published state from another gateway if the store has not confirmed it for a
 // while.
 func (n *PeerExchange) borrow(ctx context.Context) {
-	age := n.g.view.CheckAge(n.g.cfg.Now())
+	age := n.g.view.ConfirmedAge(n.g.cfg.Now())
 	if age < borrowAge {
 		n.borrowing = false
 		return
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -49,7 +49,7 @@
 // recordCompletion records that an endpoint ran the request and is still running.
 func (q *request) recordCompletion() {
 	q.attemptFinished = true
-	q.g.suspects.Sound(q.key)
+	q.g.suspects.RecordSuccess(q.key)
 }
 
 // checkEndpointEnded checks whether the endpoint of an attempt that was cut with err has ended.
@@ -93,7 +93,7 @@
 		return
 	}
 	for _, u := range list {
-		g.suspects.Ended(u.key, e.ID, u.sending, g.cfg.Now())
+		g.suspects.RecordEnd(u.key, e.ID, u.sending, g.cfg.Now())
 	}
 }
 
@@ -112,7 +112,7 @@
 	switch {
 	case v == quarantine.Free, v == quarantine.Trial && q.onTrial:
 		return false
-	case v == quarantine.Trial && q.g.ownsTrial(q.key()) && q.g.suspects.Begin(q.key(), now, now.Add(q.remaining())):
+	case v == quarantine.Trial && q.g.ownsTrial(q.key()) && q.g.suspects.BeginTrial(q.key(), now, now.Add(q.remaining())):
 		q.onTrial = true
 		return false
 	case v == quarantine.Trial:
@@ -125,7 +125,7 @@
 // recordSending records the quarantine state of the request as it is sent.
 func (q *request) recordSending() {
 	q.sentBoottime = q.g.cfg.Now()
-	q.sending = q.g.suspects.Sending(q.key, q.sentBoottime)
+	q.sending = q.g.suspects.SendingState(q.key, q.sentBoottime)
 	if q.onTrial {
 		q.sending = quarantine.OnTrial
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -187,7 +187,7 @@
 func (g *Gateway) sweep() {
 	s := g.view.State()
 	g.ViewChanged()
-	g.suspects.Forget(g.cfg.Now())
+	g.suspects.Expire(g.cfg.Now())
 	g.unfinished.forget(time.Now())
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -213,7 +213,7 @@
 		g.callerConns.Publish(s.Config.Version(), s.Config.Limits().IdleTimeout, time.Now())
 	}
 	g.updateColdAndEvacuated(s, time.Now())
-	g.pool.Forget(func(id string) bool {
+	g.pool.CloseIdle(func(id string) bool {
 		e, ok := s.Endpoints[id]
 		return ok && !g.isLeaving(e)
 	})
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -100,7 +100,7 @@
 	// The call is held until something changes, and only the change is sent.
 	var held errgroup.Group
 	held.Go(func() error { return follower.FollowPeers(ctx) })
-	reader.view.Apply(follow.Changes{Config: configOf(4), Gone: []follow.Gone{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
+	reader.view.Apply(follow.Changes{Config: configOf(4), Removals: []follow.Removal{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
 	g.Expect(held.Wait()).To(Succeed())
 	g.Expect(follower.view.State().Config.Version()).To(BeEquivalentTo(4))
 	g.Expect(ids()).To(ConsistOf("two", "three"))
@@ -176,7 +176,7 @@
 
 	seed.view.Replace(follow.Snapshot{At: 1}, time.Now(), false)
 	g.Expect(starter.FollowPeers(ctx)).To(Succeed())
-	g.Expect(starter.view.CheckAge(time.Now())).To(BeNumerically("<", 30*time.Second), "nothing is published yet, which is an update, too")
+	g.Expect(starter.view.ConfirmedAge(time.Now())).To(BeNumerically("<", 30*time.Second), "nothing is published yet, which is an update, too")
 	g.Expect(starter.view.Age(time.Now())).To(BeNumerically(">", time.Hour), "there is no configuration")
 	seed.publish(3, 3, endpointAt("one", 2))
 	g.Expect(starter.FollowPeers(ctx)).To(Succeed())
@@ -210,7 +210,7 @@
 	ctx := context.Background()
 	lender, borrower := newTestPeer(t, 7), newTestPeer(t, 9)
 	lender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
-	lender.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
+	lender.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
 	p, err := borrower.fetchAll(ctx, lender.self)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(borrower.mergePublished(p, time.Now())).To(Succeed())
@@ -310,7 +310,7 @@
 		g.Expect(s.pollPeer(ctx, reader.self)).To(Succeed())
 		g.Expect(s.view.State().Endpoints).To(HaveLen(2))
 	}
-	reader.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
+	reader.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
 	g.Expect(middle.pollPeer(ctx, reader.self)).To(Succeed())
 	g.Expect(leaf.pollPeer(ctx, middle.self)).To(Succeed())
 	g.Expect(leaf.view.State().Endpoints).To(HaveLen(1))
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -120,7 +120,7 @@
 }
 
 func (n *PeerExchange) receive(from netip.AddrPort, m peers.Message) {
-	n.g.suspects.Hear(m.Ends, n.g.cfg.Now())
+	n.g.suspects.MergeEnds(m.Ends, n.g.cfg.Now())
 	n.g.receiveLimits(from, m.Limits)
 	if m.Lending != nil {
 		n.receiveParts(from, *m.Lending)
@@ -261,7 +261,7 @@
 	if n.sidecarsGreeted {
 		return nil
 	}
-	return n.g.view.Moved()
+	return n.g.view.Updated()
 }
 
 // helloListedSidecars sends hellos to sidecars as soon as any are listed, so that loads are known
@@ -315,7 +315,7 @@
 	for _, a := range expired {
 		n.log.Info("gateway no longer sends hellos", zap.String("address", a))
 	}
-	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All gateways are sent the same ends.
+	ends := n.g.suspects.NextToSend(n.g.cfg.Now()) // All gateways are sent the same ends.
 	h := n.ownHello(now)
 	for _, greeting := range greetings {
 		h.QueriedDomain = greeting.Asks
--- a/internal/gateway/published.go
+++ b/internal/gateway/published.go
@@ -56,7 +56,7 @@
 		http.Error(w, "nothing known yet", http.StatusServiceUnavailable)
 		return
 	}
-	p := published{Life: n.incarnation, Revision: s.ConfigRevision, Told: n.g.view.Tell(q.after)}
+	p := published{Life: n.incarnation, Revision: s.ConfigRevision, Update: n.g.view.UpdateSince(q.after)}
 	if s.Config != nil {
 		p.Version = s.Config.Version()
 	}
@@ -66,14 +66,14 @@
 	// The age is taken after the state, and the held time before the age: the state may only be
 	// newer than stated.
 	p.Held = time.Since(began)
-	p.Age = n.g.view.CheckAge(n.g.cfg.Now())
+	p.Age = n.g.view.ConfirmedAge(n.g.cfg.Now())
 	httpjson.ReplyPacked(w, r, p)
 }
 
 // awaitChange waits until the view changes or is confirmed, but no longer than longPollTime. It
 // returns at once if the view holds anything that is new to the other gateway.
 func (n *PeerExchange) awaitChange(ctx context.Context, q publishedQuery) {
-	moved := n.g.view.Moved()
+	moved := n.g.view.Updated()
 	s := n.g.view.State()
 	if s.Config != nil && s.Config.Version() > q.version || n.g.view.ChangedSince(q.after) {
 		return
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -108,8 +108,8 @@
 const turnMargin = longPollTimeout + 300*time.Millisecond
 
 // PeerSource returns the source by which the view follows other gateways.
-func (n *PeerExchange) PeerSource() follow.Listener {
-	return follow.Listener{Reads: n.ReadsStore, Listen: n.FollowPeers, Turn: n.turn, Spread: n.readSpread}
+func (n *PeerExchange) PeerSource() follow.PeerSource {
+	return follow.PeerSource{ReadsSource: n.ReadsStore, Fetch: n.FollowPeers, Turn: n.turn, Spread: n.readSpread}
 }
 
 // turn returns the place of this gateway, as a fraction from 0, in the order in which the gateways
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -247,7 +247,7 @@
 			g.Expect(resp.Header.Get("Retry-After")).To(Equal("0.05"))
 			g.Expect(resp.Close).To(BeTrue())
 			c.expectEnd(t)
-			g.Eventually(s.CallerConns().Open, testTimeout).Should(BeZero())
+			g.Eventually(s.CallerConns().OpenConns, testTimeout).Should(BeZero())
 			g.Expect(runs.Load()).To(BeZero())
 		})
 	}
--- a/internal/gateway/slow_stream_test.go
+++ b/internal/gateway/slow_stream_test.go
@@ -89,5 +89,5 @@
 	began := time.Now()
 	g.Eventually(s.InFlight, testTimeout).Should(BeZero())
 	g.Expect(time.Since(began)).To(BeNumerically("<", testTimeout*3/4), "well before its deadline")
-	g.Eventually(s.CallerConns().Open, testTimeout).Should(BeZero())
+	g.Eventually(s.CallerConns().OpenConns, testTimeout).Should(BeZero())
 }
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -38,14 +38,14 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.g.suspects.News():
+		case <-n.g.suspects.Pending():
 		case <-n.g.limitsChanged:
 		}
 		for n.g.hasUnsentLimits() {
 			n.announceLimits()
 		}
-		for n.g.suspects.Untold() {
-			n.socket.SendAll(addresses(n.liveGateways()), peers.Message{Ends: n.g.suspects.Tell(n.g.cfg.Now())})
+		for n.g.suspects.HasUnsent() {
+			n.socket.SendAll(addresses(n.liveGateways()), peers.Message{Ends: n.g.suspects.NextToSend(n.g.cfg.Now())})
 		}
 		wait.For(ctx, announceInterval)
 	}
@@ -65,7 +65,7 @@
 	for part := range slices.Chunk(limits, peers.MaxLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
-	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
+	if list := n.g.suspects.ForNewPeer(n.g.cfg.Now()); len(list) > 0 {
 		n.socket.Send(to, peers.Message{Ends: list})
 	}
 }
@@ -73,7 +73,7 @@
 // sendEndsToSidecars sends ends to some sidecars, which pass them on to gateways that have just
 // started.
 func (n *PeerExchange) sendEndsToSidecars(sidecars []sidecar) {
-	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
+	if list := n.g.suspects.ForNewPeer(n.g.cfg.Now()); len(list) > 0 {
 		n.socket.SendAll(addressesOf(roster.Some(sidecars, endsFanout, random)), peers.Message{Ends: list})
 	}
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -201,7 +201,7 @@
 // receive handles a message. A message that causes a panic is dropped.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
 	duty.Contain("message", s.log, s.reg, func() {
-		s.suspects.Hear(m.Ends, time.Now())
+		s.suspects.MergeEnds(m.Ends, time.Now())
 		switch {
 		case m.Hello != nil:
 			s.receiveHello(from, *m.Hello)
