--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -126,7 +126,7 @@
 	all := make(chan struct{}) // Closed once all are connected.
 	p.drain(ctx, stop, func() (requests, connections int) {
 		if came {
-			return gw.Busy(), gw.Callers().Open()
+			return gw.Busy(), gw.Callers().OpenConns()
 		}
 		if time.Since(began) <= stopLinger+2*idlePoll {
 			return 0, 1 // One that is open until then.
@@ -139,7 +139,7 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			calling.Go(func() error { <-all; return askOver(c) })
 		}
-		g.Eventually(gw.Callers().Open, patience).Should(Equal(callers))
+		g.Eventually(gw.Callers().OpenConns, patience).Should(Equal(callers))
 		close(all)
 		return 0, 0 // As seen before they came.
 	}, gw.Callers())
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -117,7 +117,7 @@
 	})
 	p.serveMetrics(duties)
 	duties.Go("stop", func(ctx context.Context) error {
-		p.drain(ctx, stop, func() (requests, connections int) { return g.Busy(), g.Callers().Open() }, g.Callers())
+		p.drain(ctx, stop, func() (requests, connections int) { return g.Busy(), g.Callers().OpenConns() }, g.Callers())
 		cancel()
 		return nil
 	})
@@ -134,7 +134,7 @@
 	srv := p.callersServer(g)
 	l = g.Callers().Listener(l)
 	if p.mostCallers > 0 {
-		l = newBounded(l, p.mostCallers, g.Callers().Open, p.log)
+		l = newBounded(l, p.mostCallers, g.Callers().OpenConns, p.log)
 	}
 	// Apart: after a fault in one of them the other goes on until ctx ends.
 	duties := duty.New(ctx, p.log, p.reg, p.failed)
@@ -157,10 +157,10 @@
 	last, cancel := context.WithTimeout(context.Background(), atMost)
 	defer cancel()
 	poll(last, g.Callers().Drained)
-	if requests, connections := g.Busy(), g.Callers().Open(); requests+connections > 0 {
+	if requests, connections := g.Busy(), g.Callers().OpenConns(); requests+connections > 0 {
 		p.log.Warn("connections ended with the process", zap.Int("requests", requests), zap.Int("connections", connections))
 	}
-	g.Callers().End()
+	g.Callers().MarkProcessEnding()
 	_ = srv.Close() // Its error is that of the listener, which is closed already.
 }
 
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -206,7 +206,7 @@
 // open returns the number of open connections.
 func (d *Daemon) open() (n int) {
 	for _, one := range d.listeners {
-		n += one.conns.Open()
+		n += one.conns.OpenConns()
 	}
 	return n
 }
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -245,7 +245,7 @@
 			g.Expect(resp.Header.Get("Retry-After")).To(Equal("0.05"))
 			g.Expect(resp.Close).To(BeTrue())
 			c.expectEnd(t)
-			g.Eventually(s.Callers().Open, patienceOf).Should(BeZero())
+			g.Eventually(s.Callers().OpenConns, patienceOf).Should(BeZero())
 			g.Expect(runs.Load()).To(BeZero())
 		})
 	}
--- a/internal/gateway/slow_stream_test.go
+++ b/internal/gateway/slow_stream_test.go
@@ -87,5 +87,5 @@
 	began := time.Now()
 	g.Eventually(s.Busy, patienceOf).Should(BeZero())
 	g.Expect(time.Since(began)).To(BeNumerically("<", patienceOf*3/4), "well before its time is over")
-	g.Eventually(s.Callers().Open, patienceOf).Should(BeZero())
+	g.Eventually(s.Callers().OpenConns, patienceOf).Should(BeZero())
 }
--- a/internal/keepalive/bench_test.go
+++ b/internal/keepalive/bench_test.go
@@ -12,23 +12,23 @@
 	"golang.org/x/sys/unix"
 )
 
-// idleCounts are the numbers of idle connections; both ends of each are in this process.
+// idleCounts are the numbers of idle connections; both sides of each are in this process.
 var idleCounts = []int{0, 1_000, 9_500, 10_000}
 
-// benchIdle is for how long connections are kept while they end; they become idle in less.
+// benchIdle is the idle timeout in the benchmark of closing; all connections become idle in less time.
 const benchIdle = 2 * time.Second
 
-// fits skips a benchmark for which the process may not open enough files.
-func fits(b *testing.B, connections int) {
-	var may unix.Rlimit
-	NewWithT(b).Expect(unix.Getrlimit(unix.RLIMIT_NOFILE, &may)).To(Succeed())
-	if need := uint64(2*connections + 100); may.Cur < need {
-		b.Skipf("%d connections need %d open files, and the process may have %d", connections, need, may.Cur)
+// skipUnlessFilesSuffice skips a benchmark that needs more open files than the process may have.
+func skipUnlessFilesSuffice(b *testing.B, connections int) {
+	var limit unix.Rlimit
+	NewWithT(b).Expect(unix.Getrlimit(unix.RLIMIT_NOFILE, &limit)).To(Succeed())
+	if need := uint64(2*connections + 100); limit.Cur < need {
+		b.Skipf("%d connections need %d open files, and the process may have %d", connections, need, limit.Cur)
 	}
 }
 
-// askAll has each of some callers send a request, a few at once.
-func askAll(b *testing.B, list []*caller) {
+// requestAll sends a request from each caller, at most 8 at once.
+func requestAll(b *testing.B, list []*caller) {
 	var group errgroup.Group
 	group.SetLimit(8)
 	for _, c := range list {
@@ -36,23 +36,23 @@
 			if err := c.SetDeadline(time.Now().Add(time.Minute)); err != nil {
 				return err
 			}
-			_, err := c.ask()
+			_, err := c.roundTrip()
 			return err
 		})
 	}
 	NewWithT(b).Expect(group.Wait()).To(Succeed())
 }
 
-// benchSite is a site with so many callers whose connections rest, and one more.
-func benchSite(b *testing.B, n int) (s *site, list []*caller, one *caller) {
-	fits(b, n)
-	cfg := defaults()
+// newBenchServer returns a server, n callers with idle connections, and one more caller.
+func newBenchServer(b *testing.B, n int) (s *host, list []*caller, one *caller) {
+	skipUnlessFilesSuffice(b, n)
+	cfg := defaultConfig()
 	cfg.IdleTimeout, cfg.PropagationDelay = time.Minute, time.Millisecond
-	s = newSite(b, cfg)
+	s = newTestServer(b, cfg)
 	for i := range n {
 		list = append(list, s.dial(b, fmt.Sprint("c", i)))
 	}
-	askAll(b, list)
+	requestAll(b, list)
 	return s, list, s.dial(b, "one")
 }
 
@@ -60,13 +60,13 @@
 func BenchmarkRequestBesideIdle(b *testing.B) {
 	for _, n := range idleCounts {
 		b.Run(fmt.Sprint("idle=", n), func(b *testing.B) {
-			_, _, one := benchSite(b, n)
+			_, _, one := newBenchServer(b, n)
 			g := NewWithT(b)
 			g.Expect(one.SetDeadline(time.Time{})).To(Succeed())
 			var worst time.Duration
 			for b.Loop() {
 				began := time.Now()
-				_, err := one.ask()
+				_, err := one.roundTrip()
 				g.Expect(err).NotTo(HaveOccurred())
 				worst = max(worst, time.Since(began))
 			}
@@ -75,25 +75,25 @@
 	}
 }
 
-// BenchmarkEndOfIdle times how late the last of many connections ends that become idle
-// together, and the slowest request on another one meanwhile.
+// BenchmarkEndOfIdle measures how late the last of many connections closes that become idle
+// together, and the slowest request on another connection meanwhile.
 func BenchmarkEndOfIdle(b *testing.B) {
 	for _, n := range idleCounts[1:] {
 		b.Run(fmt.Sprint("idle=", n), func(b *testing.B) {
 			var late, worst time.Duration
 			for range b.N {
 				b.StopTimer()
-				s, list, one := benchSite(b, n)
+				s, list, one := newBenchServer(b, n)
 				g := NewWithT(b)
 				s.Publish(1, benchIdle, time.Now())
 				time.Sleep(10 * time.Millisecond)
-				askAll(b, list)
+				requestAll(b, list)
 				due := time.Now().Add(benchIdle + transitMargin)
 				g.Expect(one.SetDeadline(time.Now().Add(time.Minute))).To(Succeed())
 				b.StartTimer()
-				for s.Open() > 1 {
+				for s.OpenConns() > 1 {
 					began := time.Now()
-					_, err := one.ask()
+					_, err := one.roundTrip()
 					g.Expect(err).NotTo(HaveOccurred())
 					worst = max(worst, time.Since(began))
 				}
@@ -102,7 +102,7 @@
 				for _, c := range append(list, one) {
 					g.Expect(c.Close()).To(Succeed())
 				}
-				g.Eventually(s.Open, enough).Should(BeZero())
+				g.Eventually(s.OpenConns, testTimeout).Should(BeZero())
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(late.Microseconds())/1000, "late-ms")
--- a/internal/keepalive/causes_test.go
+++ b/internal/keepalive/causes_test.go
@@ -17,74 +17,74 @@
 	type tc struct {
 		name  string
 		cfg   Config
-		play  func(t *testing.T, s *site, c *caller)
+		run   func(t *testing.T, s *host, c *caller)
 		cause Cause
-		level zapcore.Level // Of its log line; invalid for none.
+		level zapcore.Level // Of its log line; InvalidLevel if none is expected.
 	}
 	none := zapcore.InvalidLevel
-	stopAtAdvertised := roomy()
+	stopAtAdvertised := longIdleConfig()
 	stopAtAdvertised.StopAtAdvertised = true
-	leave := func(t *testing.T, _ *site, c *caller) { NewWithT(t).Expect(c.Close()).To(Succeed()) }
+	leave := func(t *testing.T, _ *host, c *caller) { NewWithT(t).Expect(c.Close()).To(Succeed()) }
 	for _, tc := range []tc{
-		{"idle", defaults(), func(t *testing.T, _ *site, c *caller) { c.expectEnded(t) }, Idle, zapcore.InfoLevel},
-		{"planned stop", stopAtAdvertised, func(t *testing.T, s *site, c *caller) {
+		{"idle", defaultConfig(), func(t *testing.T, _ *host, c *caller) { c.expectClosed(t) }, Idle, zapcore.InfoLevel},
+		{"planned stop", stopAtAdvertised, func(t *testing.T, s *host, c *caller) {
 			s.Stop(time.Now())
-			c.expectEnded(t)
+			c.expectClosed(t)
 		}, Stopped, zapcore.InfoLevel},
-		{"slow header", impatient(), func(t *testing.T, _ *site, c *caller) {
+		{"slow header", shortHeaderConfig(), func(t *testing.T, _ *host, c *caller) {
 			NewWithT(t).Expect(c.send("GET /")).To(Succeed())
 			c.expectCutOff(t)
 		}, SlowHeader, zapcore.InfoLevel},
-		{"caller leaves", roomy(), leave, Left, none},
-		{"caller leaves with a reset", roomy(), func(t *testing.T, s *site, c *caller) {
+		{"caller leaves", longIdleConfig(), leave, CallerClosed, none},
+		{"caller leaves with a reset", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
 			NewWithT(t).Expect(c.Conn.(*net.TCPConn).SetLinger(0)).To(Succeed())
 			leave(t, s, c)
-		}, Left, none},
-		{"caller leaves after some bytes", roomy(), func(t *testing.T, s *site, c *caller) {
+		}, CallerClosed, none},
+		{"caller leaves after some bytes", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
 			NewWithT(t).Expect(c.send("GE")).To(Succeed())
 			leave(t, s, c)
-		}, Left, none},
-		{"caller leaves within a header", roomy(), func(t *testing.T, s *site, c *caller) {
+		}, CallerClosed, none},
+		{"caller leaves within a header", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
 			NewWithT(t).Expect(c.send("GET / HTTP/1.1\r\nHost:")).To(Succeed())
 			leave(t, s, c)
-		}, Left, none},
-		{"caller asks to close", roomy(), func(t *testing.T, _ *site, c *caller) {
+		}, CallerClosed, none},
+		{"caller asks to close", longIdleConfig(), func(t *testing.T, _ *host, c *caller) {
 			NewWithT(t).Expect(c.send("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")).To(Succeed())
 			_, err := c.read("")
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
-			c.expectEnded(t)
+			c.expectClosed(t)
 		}, Answered, none},
-		{"no request", roomy(), func(t *testing.T, _ *site, c *caller) {
+		{"no request", longIdleConfig(), func(t *testing.T, _ *host, c *caller) {
 			NewWithT(t).Expect(c.send("nonsense\r\n\r\n")).To(Succeed())
 			resp, err := c.read("400 Bad Request")
 			NewWithT(t).Expect(err).NotTo(HaveOccurred())
 			NewWithT(t).Expect(resp.StatusCode).To(Equal(http.StatusBadRequest))
 		}, Answered, none},
-		{"process ends", roomy(), func(t *testing.T, s *site, c *caller) {
-			NewWithT(t).Eventually(func() bool { return s.all(stateIdle) }, enough).Should(BeTrue())
+		{"process ends", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
+			NewWithT(t).Eventually(func() bool { return s.allConnsIn(stateIdle) }, testTimeout).Should(BeTrue())
 			NewWithT(t).Expect(s.srv.Close()).To(Succeed())
-			c.expectEnded(t)
+			c.expectClosed(t)
 		}, ProcessEnd, zapcore.WarnLevel},
-		{"process ends under a request", roomy(), func(t *testing.T, s *site, c *caller) {
-			NewWithT(t).Eventually(func() bool { return s.all(stateIdle) }, enough).Should(BeTrue(), "the request before has ended")
+		{"process ends under a request", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
+			NewWithT(t).Eventually(func() bool { return s.allConnsIn(stateIdle) }, testTimeout).Should(BeTrue(), "the request before has ended")
 			NewWithT(t).Expect(c.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n")).To(Succeed())
-			NewWithT(t).Eventually(func() bool { return s.all(stateActive) }, enough).Should(BeTrue())
-			s.End()
+			NewWithT(t).Eventually(func() bool { return s.allConnsIn(stateActive) }, testTimeout).Should(BeTrue())
+			s.MarkProcessEnding()
 			NewWithT(t).Expect(s.srv.Close()).To(Succeed())
-			c.expectEnded(t)
+			c.expectClosed(t)
 		}, ProcessEnd, zapcore.WarnLevel},
-		{"process ends within a header", roomy(), func(t *testing.T, s *site, c *caller) {
+		{"process ends within a header", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
 			NewWithT(t).Expect(c.send("GET / HTTP/1.1\r\n")).To(Succeed())
-			NewWithT(t).Eventually(func() bool { return s.all(stateReadingHeader) }, enough).Should(BeTrue())
+			NewWithT(t).Eventually(func() bool { return s.allConnsIn(stateReadingHeader) }, testTimeout).Should(BeTrue())
 			NewWithT(t).Expect(s.srv.Close()).To(Succeed())
-			c.expectEnded(t)
+			c.expectClosed(t)
 		}, ProcessEnd, zapcore.WarnLevel},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			s := newSite(t, tc.cfg)
-			tc.play(t, s, s.dialMany(t, 1)[0])
+			s := newTestServer(t, tc.cfg)
+			tc.run(t, s, s.dialMany(t, 1)[0])
 			s.expectCauses(t, map[Cause]int{tc.cause: 1})
 			lines := s.logs.FilterMessage("connection closed").All()
 			if tc.level == none {
@@ -98,8 +98,8 @@
 	}
 }
 
-// all reports whether there are connections, and all are in a state.
-func (s *site) all(in state) bool {
+// allConnsIn reports whether there are connections and all of them are in the given state.
+func (s *host) allConnsIn(in state) bool {
 	s.Tracker.mu.Lock()
 	defer s.Tracker.mu.Unlock()
 	for c := range s.conns {
@@ -113,10 +113,10 @@
 func TestTheLogNamesTheSettingThatEndedAConnection(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	s := newSite(t, defaults())
+	s := newTestServer(t, defaultConfig())
 	s.Publish(7, 1500*time.Millisecond, time.Now())
 	c := s.dialMany(t, 1)[0]
-	c.expectEnded(t)
+	c.expectClosed(t)
 	s.expectCauses(t, map[Cause]int{Idle: 1})
 	line := s.logs.FilterMessage("connection closed").All()[0].ContextMap()
 	g.Expect(line).To(HaveKeyWithValue("caller", c.LocalAddr().String()))
--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -17,24 +17,24 @@
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 )
 
-// Cause is what ended a connection.
+// Cause is the reason why a connection ended.
 type Cause string
 
 // The causes.
 const (
-	Idle       Cause = "idle"        // Its idle timeout expired.
-	Stopped    Cause = "stop"        // A planned stop closed it.
-	SlowHeader Cause = "slow-header" // A request header did not end in time.
-	Left       Cause = "caller"      // The caller closed it between two requests or in a header.
-	Answered   Cause = "answered"    // The server closed it after or during an answer, also to a malformed request, or the caller closed it during one.
-	ProcessEnd Cause = "process-end" // The process ended while its caller could still use it, or under a request.
-	Crossed    Cause = "crossed"     // Counted in addition: it was closed with unread bytes of a next request.
-	Unused     Cause = "unused"      // Counted in addition: no request was read on it.
+	Idle         Cause = "idle"        // Its idle timeout expired.
+	Stopped      Cause = "stop"        // Its idle timeout in a planned stop expired.
+	SlowHeader   Cause = "slow-header" // A request header did not end in time.
+	CallerClosed Cause = "caller"      // The caller closed it between two requests or within a header.
+	Answered     Cause = "answered"    // The server closed it after or during an answer, also to a malformed request, or the caller closed it during one.
+	ProcessEnd   Cause = "process-end" // The process ended while the caller could still use it, or during a request.
+	Crossed      Cause = "crossed"     // Counted in addition to another cause: it was closed with unread bytes of a next request.
+	Unused       Cause = "unused"      // Counted in addition to another cause: no request was read on it.
 )
 
-var causes = []Cause{Idle, Stopped, SlowHeader, Left, Answered, ProcessEnd, Crossed, Unused}
+var causes = []Cause{Idle, Stopped, SlowHeader, CallerClosed, Answered, ProcessEnd, Crossed, Unused}
 
-// state is the state of a connection.
+// state is the state of a connection as its server uses it.
 type state int32
 
 const (
@@ -44,22 +44,22 @@
 	stateEnded                      // The server does not read the connection any more.
 )
 
-// Conn is a connection of a server.
+// Conn is a server's connection that a Tracker tracks.
 type Conn struct {
 	*net.TCPConn
-	t *Tracker
+	tracker *Tracker
 
-	current        atomic.Int32 // The state; written under mu.
-	reading        atomic.Bool  // A read is under way.
+	currentState   atomic.Int32 // The state; written under mu.
+	reading        atomic.Bool  // A read is in progress.
 	backgroundByte atomic.Bool  // The last read of net/http was its background read of one byte.
-	afterBody      atomic.Bool  // That was the last read, whether or not the byte came: the body is whole.
+	afterBody      atomic.Bool  // The last read was that background read, whether or not it got a byte: the body is complete.
 	drained        atomic.Bool  // Bytes that followed the last read may have been discarded.
-	close          sync.Once
+	closeOnce      sync.Once
 
-	mu         sync.Mutex  // Guards the fields below, and the read deadline in stateIdle.
-	idlePeriod             // The last one.
-	cause      Cause       // Why the connection ended; "" before.
-	why        idleTimeout // The timeout that expired, for the causes Idle and Stopped.
+	mu             sync.Mutex  // Guards the fields below, and the read deadline in stateIdle.
+	idlePeriod                 // The last one.
+	cause          Cause       // Why the connection ended; "" before.
+	expiredTimeout idleTimeout // The timeout that expired, for the causes Idle and Stopped.
 }
 
 // idlePeriod is the time that a connection spends idle; it decides the idle timeout.
@@ -80,8 +80,8 @@
 	return c
 }
 
-func (c *Conn) state() state     { return state(c.current.Load()) }
-func (c *Conn) setState(s state) { c.current.Store(int32(s)) }
+func (c *Conn) state() state     { return state(c.currentState.Load()) }
+func (c *Conn) setState(s state) { c.currentState.Store(int32(s)) }
 
 // onConnState records a state change that the server reports.
 func (c *Conn) onConnState(s http.ConnState) {
@@ -97,9 +97,9 @@
 	}
 }
 
-// SetReadDeadline sets a deadline of the server. In stateIdle, Read sets the deadlines, and
-// SetReadDeadline ignores all but one: the server sets a deadline for a header that it read
-// together with the previous request.
+// SetReadDeadline sets a read deadline on behalf of the server. In stateIdle, Read sets the
+// deadlines, and SetReadDeadline ignores all but one: the deadline that the server sets for a
+// header that it read together with the previous request.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,8 +113,8 @@
 }
 
 // Read reads from the connection. It ends an idle connection when the idle timeout has expired
-// and no byte has arrived. The server may call Read again after that, because it takes an error
-// within a header line for the end of the line.
+// and no byte has arrived. The server may call Read again after that, because it treats an error
+// within a header line as the end of the line.
 func (c *Conn) Read(p []byte) (n int, err error) {
 	c.reading.Store(true)
 	defer c.reading.Store(false)
@@ -131,7 +131,7 @@
 		return 0, net.ErrClosed
 	}
 	n, err = c.TCPConn.Read(p)
-	c.afterBody.Store(s == stateActive && len(p) == 1) // The server detects by it that the caller closes.
+	c.afterBody.Store(s == stateActive && len(p) == 1) // The server uses it to detect that the caller closes.
 	c.backgroundByte.Store(c.afterBody.Load() && n == 1)
 	switch {
 	case err == nil && c.drained.Load():
@@ -140,7 +140,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.end(SlowHeader, idleTimeout{})
 	default:
-		c.end(Left, idleTimeout{})
+		c.end(CallerClosed, idleTimeout{})
 	}
 	return n, err
 }
@@ -157,10 +157,10 @@
 		case n > 0:
 			return n, c.startHeader()
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			c.end(Left, idleTimeout{})
+			c.end(CallerClosed, idleTimeout{})
 			return n, err
 		case c.hasUnread(): // A byte arrived while the machine was suspended or busy.
-			notBefore = time.Now().Add(c.t.cfg.ReadHeaderTimeout)
+			notBefore = time.Now().Add(c.tracker.cfg.ReadHeaderTimeout)
 		case c.endIfExpired():
 			return 0, err
 		}
@@ -175,7 +175,7 @@
 	if c.state() != stateIdle {
 		return nil
 	}
-	deadline := c.since.Add(c.t.idleTimeout(c.idlePeriod).timeout)
+	deadline := c.since.Add(c.tracker.idleTimeout(c.idlePeriod).timeout)
 	if deadline.Before(notBefore) {
 		deadline = notBefore
 	}
@@ -187,20 +187,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.setState(stateReadingHeader)
-	return c.TCPConn.SetReadDeadline(time.Now().Add(c.t.cfg.ReadHeaderTimeout))
+	return c.TCPConn.SetReadDeadline(time.Now().Add(c.tracker.cfg.ReadHeaderTimeout))
 }
 
 // endIfExpired ends an idle connection whose timeout has expired, and reports whether it did.
 // It computes the timeout again, because limits may have grown since the deadline was set.
 func (c *Conn) endIfExpired() bool {
-	var why idleTimeout
+	var limit idleTimeout
 	var expired bool
 	duty.Locked(&c.mu, func() {
-		why = c.t.idleTimeout(c.idlePeriod)
-		expired = !time.Now().Before(c.since.Add(why.timeout))
+		limit = c.tracker.idleTimeout(c.idlePeriod)
+		expired = !time.Now().Before(c.since.Add(limit.timeout))
 	})
 	if expired {
-		c.end(why.cause, why)
+		c.end(limit.cause, limit)
 	}
 	return expired
 }
@@ -212,8 +212,7 @@
 	}
 }
 
-// hasUnread reports whether unread bytes have arrived. It does not wait for a read that is
-// under way.
+// hasUnread reports whether unread bytes have arrived. It does not wait for a read in progress.
 func (c *Conn) hasUnread() (unread bool) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -230,8 +229,8 @@
 // maxDrain bounds the bytes that drain discards, because a caller may send without end.
 const maxDrain = 256 << 10
 
-// drain discards unread bytes, because closing a connection with unread bytes resets it, and the
-// answer on its way would be lost. It does not wait for more bytes. It returns how many it
+// drain discards unread bytes, because closing a connection with unread bytes resets it, and an
+// answer in transit would be lost. It does not wait for more bytes. It returns how many it
 // discarded.
 func (c *Conn) drain() (discarded int) {
 	raw, err := c.SyscallConn()
@@ -253,11 +252,11 @@
 }
 
 // end records why the connection ends; only the first cause counts.
-func (c *Conn) end(cause Cause, why idleTimeout) {
+func (c *Conn) end(cause Cause, timeout idleTimeout) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cause == "" {
-		c.cause, c.why = cause, why
+		c.cause, c.expiredTimeout = cause, timeout
 	}
 	c.setState(stateEnded)
 }
@@ -265,8 +264,8 @@
 // Close closes the connection and counts the cause. It logs the cause if the server ended the
 // connection.
 func (c *Conn) Close() error {
-	c.close.Do(c.recordClose)
-	defer c.t.remove(c) // Last: the process may end once no connection is left.
+	c.closeOnce.Do(c.recordClose)
+	defer c.tracker.remove(c) // Last: the process may end once no connection is left.
 	return c.TCPConn.Close()
 }
 
@@ -275,27 +274,27 @@
 	defer c.mu.Unlock()
 	if c.cause == "" {
 		switch s := c.state(); {
-		case s == stateActive && c.t.ended():
+		case s == stateActive && c.tracker.isProcessEnding():
 			c.cause = ProcessEnd
 		case s != stateIdle && s != stateReadingHeader:
 			c.cause = Answered
-		case c.reading.Load(): // The server closes it under its reader.
+		case c.reading.Load(): // The server closes it during a read.
 			c.cause = ProcessEnd
-		case s == stateReadingHeader: // Its reader has answered a malformed request.
+		case s == stateReadingHeader: // The reading goroutine has answered a malformed request.
 			c.cause = Answered
-		default: // Its reader closes it: a caller over TLS leaves with an alert.
-			c.cause = Left
+		default: // The reading goroutine closes it: a caller over TLS closes with an alert.
+			c.cause = CallerClosed
 		}
 	}
-	c.t.counts[c.cause].Inc(1)
+	c.tracker.counts[c.cause].Inc(1)
 	if c.isNew && c.cause != Answered {
-		c.t.counts[Unused].Inc(1)
+		c.tracker.counts[Unused].Inc(1)
 	}
 	var crossed bool
 	switch {
-	case c.cause == Left:
+	case c.cause == CallerClosed:
 		return
-	case c.cause == Answered, c.state() == stateActive: // An answer may be on its way.
+	case c.cause == Answered, c.state() == stateActive: // An answer may be in transit.
 		discarded := c.drain()
 		crossed = c.afterBody.Load() && (discarded > 0 || c.backgroundByte.Load())
 		if c.cause == Answered && !crossed {
@@ -308,15 +307,15 @@
 		zap.Stringer("caller", c.RemoteAddr()), zap.String("cause", string(c.cause)),
 		zap.Duration("idle", time.Since(c.since).Truncate(time.Millisecond)), zap.Duration("advertised", c.advertised),
 	}
-	if c.why.setting != "" {
-		fields = append(fields, zap.String("setting", c.why.setting), zap.Duration("kept", c.why.timeout), zap.Uint64("version", c.why.version))
+	if c.expiredTimeout.setting != "" {
+		fields = append(fields, zap.String("setting", c.expiredTimeout.setting), zap.Duration("kept", c.expiredTimeout.timeout), zap.Uint64("version", c.expiredTimeout.version))
 	}
-	log := c.t.log.Info
+	log := c.tracker.log.Info
 	if crossed {
-		c.t.counts[Crossed].Inc(1)
+		c.tracker.counts[Crossed].Inc(1)
 	}
 	if crossed || c.cause == ProcessEnd {
-		log = c.t.log.Warn
+		log = c.tracker.log.Warn
 	}
 	log("connection closed", append(fields, zap.Bool("crossed", crossed))...)
 }
--- a/internal/keepalive/drained_test.go
+++ b/internal/keepalive/drained_test.go
@@ -19,21 +19,21 @@
 	"github.com/canvaspulley/canvaspulley/internal/keepalive"
 )
 
-// Guards against requests that are read when the process has found that it may end.
+// Guards against requests that are read after the process has found that it may exit.
 func TestADrainedServerReadsNoRequest(t *testing.T) {
 	t.Parallel()
 	for range 10 {
 		g := NewWithT(t)
-		s := newStopSite(t, time.Minute)
-		close(s.begin)
-		close(s.end)
+		s := newGatedServer(t, time.Minute)
+		close(s.sendHead)
+		close(s.sendTail)
 		g.Expect(s.tracker.Drained()).To(BeFalse(), "it listens")
 		s.tracker.Stop(time.Now())
 		var answered atomic.Int32
 		var callers errgroup.Group
 		for range stopCallers {
 			callers.Go(func() error {
-				for s.askAnew(&answered) {
+				for s.requestOnNewConn(&answered) {
 				}
 				return nil
 			})
@@ -43,16 +43,16 @@
 		for deadline := time.Now().Add(time.Minute); !s.tracker.Drained(); {
 			g.Expect(time.Now()).To(BeTemporally("<", deadline))
 		}
-		begun, served := s.begun.Load(), s.served.Load()
+		begun, served := s.received.Load(), s.completed.Load()
 		g.Expect(callers.Wait()).To(Succeed())
 		g.Expect(served).To(Equal(begun))
-		g.Expect(s.begun.Load()).To(Equal(begun))
+		g.Expect(s.received.Load()).To(Equal(begun))
 		g.Expect(answered.Load()).To(Equal(served))
 	}
 }
 
-// askAnew sends a request on a new connection, and reports whether it could be made.
-func (s *stopSite) askAnew(answered *atomic.Int32) bool {
+// requestOnNewConn sends a request on a new connection, and reports whether it could connect.
+func (s *gatedServer) requestOnNewConn(answered *atomic.Int32) bool {
 	c, err := net.Dial("tcp4", s.address)
 	if err != nil {
 		return false
@@ -62,14 +62,14 @@
 	_, _ = fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		return true // It was made, and not taken, as the listener closed.
+		return true // The connection was established but not accepted, because the listener closed.
 	}
 	_ = resp.Body.Close()
 	answered.Add(1)
 	return true
 }
 
-// Guards against a planned stop that waits for a listener that a server which failed has closed.
+// Guards against a planned stop that waits for a listener that a failed server has already closed.
 func TestAListenerThatIsClosedIsForgotten(t *testing.T) {
 	g := NewWithT(t)
 	tracker := keepalive.New(keepalive.Config{Name: "test"}, zap.NewNop(), metrics.NewRegistry())
--- a/internal/keepalive/grows_test.go
+++ b/internal/keepalive/grows_test.go
@@ -9,18 +9,19 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against an end by a limit that callers know to have grown before this process does.
-func TestALongerIdleTimeThatIsLearnedLateEndsNoConnection(t *testing.T) {
+// Guards against closing connections by an old limit when callers learn of a longer one before this
+// process does.
+func TestALongerIdleTimeoutThatIsPublishedLateEndsNoConnection(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	cfg := defaults()
-	cfg.PropagationDelay = enough
-	s := newSite(t, cfg)
-	list := s.dialMany(t, many)
+	cfg := defaultConfig()
+	cfg.PropagationDelay = testTimeout
+	s := newTestServer(t, cfg)
+	list := s.dialMany(t, connCount)
 	time.Sleep(shortIdle + transitMargin + transitMargin/2)
-	s.Publish(1, enough, time.Now())
-	each(t, list, func(_ int, c *caller) error {
-		_, err := c.ask()
+	s.Publish(1, testTimeout, time.Now())
+	forEachCaller(t, list, func(_ int, c *caller) error {
+		_, err := c.roundTrip()
 		return err
 	})
 	g.Expect(s.count(Idle)).To(BeZero())
--- a/internal/keepalive/hostile_test.go
+++ b/internal/keepalive/hostile_test.go
@@ -16,53 +16,53 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// half cuts a request within its header.
-func half(id string) (first, second string) {
-	s := text(id)
+// splitRequest splits a request within its header.
+func splitRequest(id string) (first, second string) {
+	s := requestText(id)
 	return s[:len(s)/2], s[len(s)/2:]
 }
 
-// impatient is a setting by which callers must send their headers soon.
-func impatient() Config {
-	cfg := roomy()
+// shortHeaderConfig returns a configuration with a short header timeout.
+func shortHeaderConfig() Config {
+	cfg := longIdleConfig()
 	cfg.ReadHeaderTimeout = 200 * time.Millisecond
 	return cfg
 }
 
-// holding has the handler of the first request of a caller wait until the function is called.
-func holding(s *site) (begun chan struct{}, release func()) {
-	begun, going := make(chan struct{}), make(chan struct{})
-	s.hold = func(id string) {
+// blockFirstRequest makes the handler of a caller's first request wait until release is called.
+func blockFirstRequest(s *host) (begun chan struct{}, release func()) {
+	begun, released := make(chan struct{}), make(chan struct{})
+	s.beforeResponse = func(id string) {
 		if strings.HasSuffix(id, "-1") {
 			close(begun)
-			<-going
+			<-released
 		}
 	}
-	return begun, func() { close(going) }
+	return begun, func() { close(released) }
 }
 
 func TestConnectionsOfSlowCallersEnd(t *testing.T) {
 	t.Parallel()
 	t.Run("one that never sends anything", func(t *testing.T) {
 		t.Parallel()
-		s := newSite(t, defaults(), func(s *site) { s.cfg.ReadHeaderTimeout = shortIdle })
-		s.dial(t, "a").expectEnded(t)
+		s := newTestServer(t, defaultConfig(), func(s *host) { s.cfg.ReadHeaderTimeout = shortIdle })
+		s.dial(t, "a").expectClosed(t)
 		s.expectCauses(t, map[Cause]int{Idle: 1, Unused: 1})
 	})
 	t.Run("a header that never ends", func(t *testing.T) {
 		t.Parallel()
-		s := newSite(t, impatient())
+		s := newTestServer(t, shortHeaderConfig())
 		c := s.dial(t, "a")
-		first, _ := half(c.next())
+		first, _ := splitRequest(c.nextID())
 		NewWithT(t).Expect(c.send(first)).To(Succeed())
 		c.expectCutOff(t)
 		s.expectCauses(t, map[Cause]int{SlowHeader: 1, Unused: 1})
-		NewWithT(t).Expect(s.runs(c.last())).To(BeZero())
+		NewWithT(t).Expect(s.runs(c.lastID())).To(BeZero())
 	})
 	t.Run("a second header that never ends", func(t *testing.T) {
 		t.Parallel()
 		for _, first := range []string{"G", "GET / HTTP/1.1\r\n"} {
-			s := newSite(t, impatient())
+			s := newTestServer(t, shortHeaderConfig())
 			c := s.dialMany(t, 1)[0]
 			NewWithT(t).Expect(c.send(first)).To(Succeed())
 			c.expectCutOff(t)
@@ -71,7 +71,7 @@
 	})
 	t.Run("a header that comes byte by byte without end", func(t *testing.T) {
 		t.Parallel()
-		s := newSite(t, impatient())
+		s := newTestServer(t, shortHeaderConfig())
 		c := s.dialMany(t, 1)[0]
 		var trickle errgroup.Group
 		trickle.Go(func() error {
@@ -87,35 +87,35 @@
 	})
 }
 
-func TestTheFirstByteOfTheNextRequestIsReadWithTheOneBefore(t *testing.T) {
+func TestTheFirstByteOfTheNextRequestIsReadDuringThePreviousOne(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	var begun chan struct{}
 	var release func()
-	s := newSite(t, roomy(), func(s *site) { begun, release = holding(s) })
+	s := newTestServer(t, longIdleConfig(), func(s *host) { begun, release = blockFirstRequest(s) })
 	c := s.dial(t, "a")
-	one, two := c.next(), c.next()
-	g.Expect(c.send(text(one))).To(Succeed())
-	g.Eventually(begun, enough).Should(BeClosed())
-	g.Expect(c.send(text(two)[:1])).To(Succeed())
+	one, two := c.nextID(), c.nextID()
+	g.Expect(c.send(requestText(one))).To(Succeed())
+	g.Eventually(begun, testTimeout).Should(BeClosed())
+	g.Expect(c.send(requestText(two)[:1])).To(Succeed())
 	time.Sleep(2 * shortIdle)
 	release()
 	_, err := c.read(one)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(c.send(text(two)[1:])).To(Succeed())
+	g.Expect(c.send(requestText(two)[1:])).To(Succeed())
 	_, err = c.read(two)
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-func TestPipelinedRequestsAreAnsweredInTurn(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, roomy())
-	each(t, s.dialMany(t, many), func(_ int, c *caller) error {
+	s := newTestServer(t, longIdleConfig())
+	forEachCaller(t, s.dialMany(t, connCount), func(_ int, c *caller) error {
 		var all strings.Builder
 		var ids []string
 		for range 20 {
-			ids = append(ids, c.next())
-			all.WriteString(text(c.last()))
+			ids = append(ids, c.nextID())
+			all.WriteString(requestText(c.lastID()))
 		}
 		if err := c.send(all.String()); err != nil {
 			return err
@@ -127,27 +127,27 @@
 		}
 		return c.Close()
 	})
-	s.expectCauses(t, map[Cause]int{Left: many})
+	s.expectCauses(t, map[Cause]int{CallerClosed: connCount})
 }
 
-// Guards against the reset of a connection whose last answer is still on its way.
+// Guards against the reset of a connection whose last answer is still in transit.
 func TestTheLastAnswerIsNotCutOffByARequestBehindIt(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	const size = 8 << 20 // More than sockets keep.
-	going := make(chan struct{})
-	s := newSite(t, roomy(), func(s *site) {
+	const size = 8 << 20 // More than socket buffers hold.
+	released := make(chan struct{})
+	s := newTestServer(t, longIdleConfig(), func(s *host) {
 		s.srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			<-going
-			_, _ = w.Write(make([]byte, size)) // The caller's view is what is tested.
+			<-released
+			_, _ = w.Write(make([]byte, size)) // The test checks what the caller receives.
 		})
 	})
 	s.Stop(time.Now())
 	c := s.dial(t, "a")
-	g.Expect(c.send(text(c.next()))).To(Succeed())
-	g.Eventually(func() bool { return s.all(stateActive) }, enough).Should(BeTrue())
-	g.Expect(c.send(text(c.next()))).To(Succeed())
-	close(going)
+	g.Expect(c.send(requestText(c.nextID()))).To(Succeed())
+	g.Eventually(func() bool { return s.allConnsIn(stateActive) }, testTimeout).Should(BeTrue())
+	g.Expect(c.send(requestText(c.nextID()))).To(Succeed())
+	close(released)
 	resp, err := http.ReadResponse(c.br, nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.Close).To(BeTrue())
@@ -158,12 +158,12 @@
 	g.Expect(s.logs.FilterMessage("connection closed").All()[0].ContextMap()).To(HaveKeyWithValue("crossed", true))
 }
 
-func TestACallerThatClosesItsHalfIsAnswered(t *testing.T) {
+func TestACallerThatClosesItsWriteSideIsAnswered(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, roomy())
-	each(t, s.dialMany(t, many), func(_ int, c *caller) error {
-		id := c.next()
-		if err := c.send(text(id)); err != nil {
+	s := newTestServer(t, longIdleConfig())
+	forEachCaller(t, s.dialMany(t, connCount), func(_ int, c *caller) error {
+		id := c.nextID()
+		if err := c.send(requestText(id)); err != nil {
 			return err
 		}
 		if err := c.Conn.(*net.TCPConn).CloseWrite(); err != nil {
@@ -172,25 +172,25 @@
 		_, err := c.read(id)
 		return err
 	})
-	s.expectCauses(t, map[Cause]int{Left: many})
+	s.expectCauses(t, map[Cause]int{CallerClosed: connCount})
 }
 
 func TestAnswersAdvertiseAKeepAliveTimeout(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
-	s := newSite(t, defaults())
+	s := newTestServer(t, defaultConfig())
 	c := s.dial(t, "a")
 	for _, tc := range []struct {
 		limit time.Duration
 		want  string
 	}{{900 * time.Millisecond, "timeout=1"}, {2500 * time.Millisecond, "timeout=2"}, {time.Minute, "timeout=3"}} {
 		s.Publish(uint64(tc.limit), tc.limit, time.Now())
-		resp, err := c.ask()
+		resp, err := c.roundTrip()
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(resp.Header.Get("Keep-Alive")).To(Equal(tc.want))
 	}
 	s.Stop(time.Now())
-	resp, err := c.ask()
+	resp, err := c.roundTrip()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.Close).To(BeTrue())
 	s.expectCauses(t, map[Cause]int{Answered: 1})
@@ -201,9 +201,9 @@
 	model := httptest.NewUnstartedServer(nil)
 	model.StartTLS()
 	t.Cleanup(model.Close)
-	cfg := defaults()
+	cfg := defaultConfig()
 	cfg.IdleTimeout = 2 * time.Second
-	s := newSite(t, cfg, func(s *site) { s.srv.TLSConfig = model.TLS.Clone(); s.srv.TLSConfig.NextProtos = []string{"http/1.1"} })
+	s := newTestServer(t, cfg, func(s *host) { s.srv.TLSConfig = model.TLS.Clone(); s.srv.TLSConfig.NextProtos = []string{"http/1.1"} })
 	var list []*caller
 	for range 50 {
 		c := s.dial(t, "a")
@@ -211,9 +211,9 @@
 		c.br.Reset(c.Conn)
 		list = append(list, c)
 	}
-	each(t, list, func(i int, c *caller) error {
+	forEachCaller(t, list, func(i int, c *caller) error {
 		for range 5 {
-			if _, err := c.ask(); err != nil {
+			if _, err := c.roundTrip(); err != nil {
 				return err
 			}
 			time.Sleep(shortIdle)
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -2,9 +2,9 @@
 
 // Package keepalive limits how long connections of an HTTP/1 server are idle between two
 // requests. Only the goroutine that reads a connection ends it as idle, and only after a read
-// that found no byte: so a request that was read is always served, and a request that was not
-// read is never passed on. Each answer advertises a keep-alive timeout to its caller. Package
-// idle chooses the limit. Connections that this process opens are out of scope.
+// that returned no byte: so a request that was read is always served, and a request that was not
+// read is never passed to the handler. Each answer advertises a keep-alive timeout to its caller.
+// Package idle chooses the limit. Connections that this process opens are out of scope.
 package keepalive
 
 import (
@@ -28,19 +28,19 @@
 
 const transitMargin = idle.TransitMargin
 
-// stopNewConnTimeout is the default of Config.StopNewConnTimeout. A caller sends its request as
-// soon as it is connected.
+// stopNewConnTimeout is the default of Config.StopNewConnTimeout. It can be short because a caller
+// usually sends its request as soon as it is connected.
 const stopNewConnTimeout = 2 * time.Second
 
-// minAdvertised is the shortest keep-alive timeout that is advertised. A caller without one goes
-// by the next published limit, which this instance may not know yet.
+// minAdvertised is the shortest keep-alive timeout that is advertised. A caller to whom none is
+// advertised uses the next published limit, which this instance may not know yet.
 const minAdvertised = time.Second
 
-// Config is the setting of a Tracker.
+// Config configures a Tracker.
 type Config struct {
 	Name              string        // Prefix of the metric names.
-	IdleTimeout       time.Duration // In force until a version of the configuration is published.
-	PropagationDelay  time.Duration // Longest time for which a caller and this process may go by different versions.
+	IdleTimeout       time.Duration // In effect until a version of the configuration is published.
+	PropagationDelay  time.Duration // Longest time for which a caller and this process may use different versions.
 	MaxAdvertised     time.Duration // Longest keep-alive timeout that is advertised; 0 for no bound.
 	ReadHeaderTimeout time.Duration // From the first byte of a request to the end of its header.
 
@@ -48,48 +48,48 @@
 	// 0 for no bound.
 	GracePeriod time.Duration
 	// StopAtAdvertised ends a connection in a planned stop when its advertised timeout expires,
-	// because callers go by no published limit.
+	// because callers do not know the published limits.
 	StopAtAdvertised bool
 	// StopNewConnTimeout limits how long a connection without a request is kept in a planned
-	// stop, from the start of the later of both; 0 for stopNewConnTimeout. Clients that connect
-	// in advance need longer.
+	// stop, counted from the later of its opening and the start of the stop; 0 for
+	// stopNewConnTimeout. Clients that connect in advance need longer.
 	StopNewConnTimeout time.Duration
 }
 
-// acceptances tells of the connections that were accepted.
-type acceptances struct {
+// acceptStats counts the accepted connections.
+type acceptStats struct {
 	n    int
-	last time.Time // When the last one was; zero before the first.
+	last time.Time // When the last one was accepted; zero before the first.
 }
 
 // Tracker tracks the connections of a server.
 type Tracker struct {
-	cfg    Config
-	log    *zap.Logger
-	counts map[Cause]metrics.Counter
-	open   metrics.Gauge
-	inUse  metrics.Counter // Listeners that closed while callers were connecting.
-
-	mu        sync.Mutex // Guards the fields below; taken after the mutex of a Conn.
-	limits    *idle.Limits
-	conns     map[*Conn]struct{}
-	listeners map[*listener]struct{} // The open ones.
-	accepted  acceptances            // Since the start.
-	stopping  time.Time              // When the planned stop began; zero before.
-	atEnd     bool                   // The process ends: requests under way are cut.
+	cfg         Config
+	log         *zap.Logger
+	counts      map[Cause]metrics.Counter
+	openConns   metrics.Gauge
+	closedInUse metrics.Counter // Listeners that closed while callers were connecting.
+
+	mu            sync.Mutex // Guards the fields below; taken after the mutex of a Conn.
+	limits        *idle.Limits
+	conns         map[*Conn]struct{}
+	listeners     map[*listener]struct{} // The open ones.
+	accepts       acceptStats            // Since the tracker was created.
+	stopping      time.Time              // When the planned stop began; zero before that.
+	processEnding bool                   // The process is ending: requests in flight are cut off.
 }
 
 // New returns a tracker without connections.
 func New(cfg Config, log *zap.Logger, reg metrics.Registry) *Tracker {
 	t := &Tracker{
-		cfg:       cfg,
-		log:       log,
-		counts:    map[Cause]metrics.Counter{},
-		open:      metrics.GetOrRegisterGauge(cfg.Name+".connections-open", reg),
-		inUse:     metrics.GetOrRegisterCounter(cfg.Name+".listeners-closed-in-use", reg),
-		limits:    idle.New(cfg.IdleTimeout, cfg.PropagationDelay),
-		conns:     map[*Conn]struct{}{},
-		listeners: map[*listener]struct{}{},
+		cfg:         cfg,
+		log:         log,
+		counts:      map[Cause]metrics.Counter{},
+		openConns:   metrics.GetOrRegisterGauge(cfg.Name+".connections-open", reg),
+		closedInUse: metrics.GetOrRegisterCounter(cfg.Name+".listeners-closed-in-use", reg),
+		limits:      idle.New(cfg.IdleTimeout, cfg.PropagationDelay),
+		conns:       map[*Conn]struct{}{},
+		listeners:   map[*listener]struct{}{},
 	}
 	for _, c := range causes {
 		t.counts[c] = metrics.GetOrRegisterCounter(cfg.Name+".connections-closed."+string(c), reg)
@@ -100,7 +100,7 @@
 // Attach makes a server advertise keep-alive timeouts and report the states of its connections
 // to the tracker. The server must serve on a listener that Listener returns.
 func (t *Tracker) Attach(srv *http.Server) {
-	srv.ReadHeaderTimeout = t.cfg.ReadHeaderTimeout // The server sets it where a header has begun.
+	srv.ReadHeaderTimeout = t.cfg.ReadHeaderTimeout // The server uses it for a header that has begun.
 	inner, connContext := srv.Handler, srv.ConnContext
 	srv.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		t.Advertise(w, r)
@@ -123,14 +123,14 @@
 func (t *Tracker) Listener(l net.Listener) net.Listener {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	tracked := &listener{Listener: l, t: t}
+	tracked := &listener{Listener: l, tracker: t}
 	t.listeners[tracked] = struct{}{}
 	return tracked
 }
 
-// Publish puts the idle timeout of a version of the configuration in force for connections that
-// become idle from now on. Others are kept for as long as their callers may go by an earlier
-// version. A limit of 0 stands for Config.IdleTimeout.
+// Publish applies the idle timeout of a version of the configuration to connections that become
+// idle from now on. Others are kept for as long as their callers may use an earlier version. A
+// limit of 0 means Config.IdleTimeout.
 func (t *Tracker) Publish(version uint64, limit time.Duration, now time.Time) {
 	if limit <= 0 {
 		limit = t.cfg.IdleTimeout
@@ -156,22 +156,23 @@
 	}
 }
 
-// End marks that the process ends: connections that close under a request count as ended with it.
-func (t *Tracker) End() {
+// MarkProcessEnding records that the process is ending: connections that close during a request
+// are counted as ProcessEnd from then on.
+func (t *Tracker) MarkProcessEnding() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.atEnd = true
+	t.processEnding = true
 }
 
-func (t *Tracker) ended() bool {
+func (t *Tracker) isProcessEnding() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.atEnd
+	return t.processEnding
 }
 
-// Open returns the number of open connections. In a planned stop it falls to 0 as callers close
-// them, at the latest when no caller may use one any more.
-func (t *Tracker) Open() int {
+// OpenConns returns the number of open connections. In a planned stop it falls to 0 as callers
+// close them, at the latest when no caller may use one any more.
+func (t *Tracker) OpenConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.conns)
@@ -209,9 +210,9 @@
 // idleTimeout is the timeout of an idle connection, and why it was chosen.
 type idleTimeout struct {
 	cause   Cause
-	setting string // The setting that decided.
+	setting string // The rule that determined the timeout, for the log.
 	timeout time.Duration
-	version uint64 // Version of the configuration, if a published limit decided.
+	version uint64 // Version of the configuration, if a published limit determined the timeout.
 }
 
 // idleTimeout chooses the timeout of an idle connection.
@@ -243,7 +244,8 @@
 
 // usableAfterExit reports whether a caller could use its connection after the end of the process,
 // because the answer ended in a planned stop and its head advertised too long a timeout. Such a
-// connection is read until the end of the stop: whoever sends a request is told to leave.
+// connection is read until the end of the stop: the answer to a request asks its caller to close
+// the connection.
 func (t *Tracker) usableAfterExit(i idlePeriod) bool {
 	if t.cfg.GracePeriod <= 0 || t.stopping.IsZero() || !i.since.After(t.stopping) || i.advertised <= 0 {
 		return false
@@ -254,8 +256,8 @@
 // listener tracks the connections that it accepts.
 type listener struct {
 	net.Listener
-	t     *Tracker
-	until time.Time // Until when it accepts connections that wait; zero before it ends. Accept's own.
+	tracker     *Tracker
+	acceptUntil time.Time // End of accepting pending connections; zero before the close deadline. Used by Accept only.
 }
 
 // Accept returns a Conn for each TCP connection. It returns net.ErrClosed after CloseListeners has
@@ -264,10 +266,10 @@
 	nc, err = l.Listener.Accept()
 	for errors.Is(err, os.ErrDeadlineExceeded) {
 		now := time.Now()
-		if l.until.IsZero() {
-			l.until = now.Add(pendingTime)
+		if l.acceptUntil.IsZero() {
+			l.acceptUntil = now.Add(pendingAcceptTime)
 		}
-		if !l.hasPending() || now.After(l.until) {
+		if !l.hasPending() || now.After(l.acceptUntil) {
 			err = errors.CombineErrors(net.ErrClosed, l.Close())
 			break
 		}
@@ -280,17 +282,17 @@
 	if !ok {
 		return nc, nil
 	}
-	return l.t.add(tcp, time.Now()), nil
+	return l.tracker.add(tcp, time.Now()), nil
 }
 
-// Close closes and forgets the listener, also as a server that ends closes it.
+// Close closes the listener and removes it from the tracker, also when a failing server calls it.
 func (l *listener) Close() error {
 	err := l.Listener.Close()
-	l.t.onListenerClose(l, time.Now())
+	l.tracker.onListenerClose(l, time.Now())
 	return err
 }
 
-// hasPending reports whether a connection waits to be accepted. It asks the kernel, because a
+// hasPending reports whether a connection waits to be accepted. It polls the socket, because a
 // listener accepts none after its deadline.
 func (l *listener) hasPending() (pending bool) {
 	tcp, ok := l.Listener.(*net.TCPListener)
@@ -308,10 +310,10 @@
 	return err == nil && pending
 }
 
-// acceptPending accepts a connection that waits.
+// acceptPending accepts a pending connection.
 func (l *listener) acceptPending() (nc net.Conn, err error) {
 	tcp := l.Listener.(*net.TCPListener)
-	if err = tcp.SetDeadline(time.Now().Add(finalAcceptTime)); err != nil {
+	if err = tcp.SetDeadline(time.Now().Add(closeAcceptTime)); err != nil {
 		return nil, err
 	}
 	if nc, err = tcp.Accept(); err != nil {
@@ -320,17 +322,17 @@
 	return nc, tcp.SetDeadline(time.Unix(1, 0)) // The next Accept checks again.
 }
 
-// pendingTime is how long a listener that closes accepts connections that wait, because callers may
-// connect without a pause. It counts from the first look, as a busy process may look late. Requests
-// on those connections still have a part of the process's last 0.3 s.
-const pendingTime = 200 * time.Millisecond
+// pendingAcceptTime bounds for how long a closing listener accepts pending connections, because
+// callers may connect without a pause. It counts from the first check, which may come late in a
+// busy process. It leaves requests on those connections a part of the process's last 0.3 s.
+const pendingAcceptTime = 200 * time.Millisecond
 
-// finalAcceptTime is how long a listener still accepts connections before it closes. Connections
-// that callers have made already would be reset.
-const finalAcceptTime = 50 * time.Millisecond
+// closeAcceptTime is how long a listener still accepts connections after CloseListeners. Closing at
+// once would reset connections that callers have already established.
+const closeAcceptTime = 50 * time.Millisecond
 
-// CloseListeners has the listeners accept the connections that callers have made already, and
-// close then, because closing a listener resets those connections with the requests on them.
+// CloseListeners makes the listeners accept the connections that callers have already established
+// and then close, because closing a listener resets those connections and loses their requests.
 func (t *Tracker) CloseListeners(now time.Time) (err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -341,7 +343,7 @@
 			delete(t.listeners, l)
 			continue
 		}
-		err = errors.CombineErrors(err, tcp.SetDeadline(now.Add(finalAcceptTime)))
+		err = errors.CombineErrors(err, tcp.SetDeadline(now.Add(closeAcceptTime)))
 	}
 	return err
 }
@@ -354,12 +356,12 @@
 	return len(t.listeners) == 0 && len(t.conns) == 0
 }
 
-// inUseTime is how shortly before the close of a listener a caller must have connected for the
-// listener to count as in use: handshakes of further callers may be under way.
+// inUseTime is how recently a caller must have connected for a listener that closes to count as in
+// use: handshakes of further callers may be in progress.
 const inUseTime = time.Second
 
-// onListenerClose forgets a closed listener and logs how lately callers connected. The kernel
-// resets the connections whose handshake is under way; no process sees those.
+// onListenerClose removes a closed listener and logs how recently a caller connected. The kernel
+// resets connections whose handshake is in progress; no process sees those.
 func (t *Tracker) onListenerClose(l *listener, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -367,12 +369,12 @@
 		return
 	}
 	delete(t.listeners, l)
-	log, fields := t.log.Info, []zap.Field{zap.Stringer("address", l.Addr()), zap.Int("accepted", t.accepted.n)}
-	if !t.accepted.last.IsZero() {
-		since := now.Sub(t.accepted.last)
+	log, fields := t.log.Info, []zap.Field{zap.Stringer("address", l.Addr()), zap.Int("accepted", t.accepts.n)}
+	if !t.accepts.last.IsZero() {
+		since := now.Sub(t.accepts.last)
 		fields = append(fields, zap.Duration("since-last", since.Truncate(time.Microsecond)))
 		if since < inUseTime {
-			t.inUse.Inc(1)
+			t.closedInUse.Inc(1)
 			log = t.log.Warn
 		}
 	}
@@ -380,13 +382,13 @@
 }
 
 func (t *Tracker) add(tcp *net.TCPConn, now time.Time) *Conn {
-	c := &Conn{TCPConn: tcp, t: t, idlePeriod: idlePeriod{since: now, isNew: true}}
+	c := &Conn{TCPConn: tcp, tracker: t, idlePeriod: idlePeriod{since: now, isNew: true}}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.conns[c] = struct{}{}
-	t.accepted.n++
-	t.accepted.last = now
-	t.open.Update(int64(len(t.conns)))
+	t.accepts.n++
+	t.accepts.last = now
+	t.openConns.Update(int64(len(t.conns)))
 	return c
 }
 
@@ -394,5 +396,5 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.conns, c)
-	t.open.Update(int64(len(t.conns)))
+	t.openConns.Update(int64(len(t.conns)))
 }
--- a/internal/keepalive/listener_test.go
+++ b/internal/keepalive/listener_test.go
@@ -18,45 +18,45 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Guards against requests that are reset since a busy process accepts too late.
-func TestConnectionsThatWereMadeAreAcceptedHoweverLate(t *testing.T) {
+// Guards against requests that are reset because a busy process accepts them too late.
+func TestPendingConnectionsAreAcceptedAfterTheCloseDeadline(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		callers int
-		level   zapcore.Level // Of the line on the listener.
+		level   zapcore.Level // Of the log line "listener closed".
 	}{
-		"callers connect": {many / 4, zapcore.WarnLevel},
+		"callers connect": {connCount / 4, zapcore.WarnLevel},
 		"nobody connects": {0, zapcore.InfoLevel},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
 			core, logs := observer.New(zap.InfoLevel)
-			tr := New(roomy(), zap.New(core), metrics.NewRegistry())
+			tr := New(longIdleConfig(), zap.New(core), metrics.NewRegistry())
 			srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				_, _ = io.WriteString(w, r.Header.Get(headerID)) // Whoever breaks off gets no answer.
+				_, _ = io.WriteString(w, r.Header.Get(headerID)) // A caller that disconnects gets no answer.
 			})}
 			tr.Attach(srv)
 			l, err := net.Listen("tcp4", "127.0.0.1:0")
 			g.Expect(err).NotTo(HaveOccurred())
 			last := tr.Listener(l)
-			s := &site{Tracker: tr, addr: l.Addr().String()}
+			s := &host{Tracker: tr, addr: l.Addr().String()}
 			var list []*caller
 			for range tc.callers {
 				c := s.dial(t, "late")
-				g.Expect(c.send(text(c.next()))).To(Succeed())
+				g.Expect(c.send(requestText(c.nextID()))).To(Succeed())
 				list = append(list, c)
 			}
-			g.Expect(tr.CloseListeners(time.Now().Add(-enough))).To(Succeed())
+			g.Expect(tr.CloseListeners(time.Now().Add(-testTimeout))).To(Succeed())
 			var serving errgroup.Group
 			serving.Go(func() error { return srv.Serve(last) })
-			each(t, list, func(_ int, c *caller) error {
-				_, err := c.read(c.last())
+			forEachCaller(t, list, func(_ int, c *caller) error {
+				_, err := c.read(c.lastID())
 				return err
 			})
 			g.Expect(serving.Wait()).To(MatchError(net.ErrClosed))
 			g.Expect(srv.Close()).To(Succeed())
-			g.Eventually(tr.Drained, enough).Should(BeTrue(), "no listener is left either")
+			g.Eventually(tr.Drained, testTimeout).Should(BeTrue(), "no listener is left either")
 			expectListenerClosed(t, tr, logs, tc.level, tc.callers)
 		})
 	}
@@ -71,15 +71,15 @@
 	g.Expect(lines).To(HaveLen(1))
 	g.Expect(lines[0].Level).To(Equal(level))
 	g.Expect(lines[0].ContextMap()).To(HaveKeyWithValue("accepted", int64(accepted)))
-	g.Expect(tr.inUse.Count() == 1).To(Equal(level == zapcore.WarnLevel))
+	g.Expect(tr.closedInUse.Count() == 1).To(Equal(level == zapcore.WarnLevel))
 }
 
-// Guards against a stop that never ends since callers connect without a pause.
+// Guards against a stop that never ends because callers connect without a pause.
 func TestAListenerClosesAlthoughCallersConnectWithoutAPause(t *testing.T) {
 	t.Parallel()
 	const most = 3000 // Connections that callers make, unless the listener closes first.
 	g := NewWithT(t)
-	tr := New(roomy(), zap.NewNop(), metrics.NewRegistry())
+	tr := New(longIdleConfig(), zap.NewNop(), metrics.NewRegistry())
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	last := tr.Listener(l)
@@ -105,7 +105,7 @@
 			}
 			accepted.Add(1)
 			_ = c.Close()
-			time.Sleep(time.Millisecond) // A busy process: some callers always wait.
+			time.Sleep(time.Millisecond) // Simulates a busy process: some callers always wait.
 		}
 	})
 	g.Expect(tr.CloseListeners(time.Now())).To(Succeed())
--- a/internal/keepalive/moments_test.go
+++ b/internal/keepalive/moments_test.go
@@ -15,24 +15,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ends collects what became of requests that came at some moment.
-type ends struct {
-	s              *site
+// outcomes counts answered and lost requests that were sent around a critical time.
+type outcomes struct {
+	s              *host
 	answered, lost atomic.Int64
 }
 
-// ask has a caller send a request. One without an answer must not have run, and must have
-// been sent later than its caller may have; that counts from the request before, which
-// ended no earlier.
-func (e *ends) ask(c *caller, may time.Duration) (ok bool, err error) {
-	before, id := c.sent, c.next()
-	if err = c.send(text(id)); err == nil {
+// roundTrip sends a request of a caller. One without an answer must not have run, and must have
+// been sent after allowedIdle, which counts from the sending of the previous request, as that ended
+// no earlier.
+func (e *outcomes) roundTrip(c *caller, allowedIdle time.Duration) (ok bool, err error) {
+	before, id := c.sent, c.nextID()
+	if err = c.send(requestText(id)); err == nil {
 		done := time.Now()
 		if _, err = c.read(id); err == nil {
 			e.answered.Add(1)
 			return true, nil
 		}
-		if done.Sub(before) <= may {
+		if done.Sub(before) <= allowedIdle {
 			return false, fmt.Errorf("%s, sent within its time, got no answer: %w", id, err)
 		}
 	}
@@ -43,7 +43,7 @@
 	return false, nil
 }
 
-func (e *ends) log(t *testing.T) {
+func (e *outcomes) log(t *testing.T) {
 	t.Logf("%d answered, %d came too late", e.answered.Load(), e.lost.Load())
 }
 
@@ -64,17 +64,17 @@
 			}
 			return err
 		},
-		"two at once": func(c *caller, s string) error { return c.send(s + strings.Replace(s, c.last(), c.next(), 1)) },
+		"two at once": func(c *caller, s string) error { return c.send(s + strings.Replace(s, c.lastID(), c.nextID(), 1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t, defaults())
-			e := &ends{s: s}
+			s := newTestServer(t, defaultConfig())
+			e := &outcomes{s: s}
 			const around = 20 * time.Millisecond
-			each(t, s.dialMany(t, many), func(i int, c *caller) error {
-				time.Sleep(time.Until(c.sent.Add(shortIdle + transitMargin - around + 2*around*time.Duration(i)/many)))
+			forEachCaller(t, s.dialMany(t, connCount), func(i int, c *caller) error {
+				time.Sleep(time.Until(c.sent.Add(shortIdle + transitMargin - around + 2*around*time.Duration(i)/connCount)))
 				first := c.n + 1
-				err := send(c, text(c.next()))
+				err := send(c, requestText(c.nextID()))
 				for n := first; n <= c.n; n++ {
 					id := fmt.Sprint(c.name, "-", n)
 					if err == nil {
@@ -92,23 +92,23 @@
 				return nil
 			})
 			e.log(t)
-			NewWithT(t).Eventually(s.Open, enough).Should(BeZero())
+			NewWithT(t).Eventually(s.OpenConns, testTimeout).Should(BeZero())
 		})
 	}
 }
 
-func TestNoRequestIsLostThatIsSentInTimeInAStormOfLimits(t *testing.T) {
+func TestNoRequestSentInTimeIsLostWhileTheLimitChangesOften(t *testing.T) {
 	t.Parallel()
 	limits := []time.Duration{20 * time.Millisecond, 300 * time.Millisecond, 100 * time.Millisecond, 700 * time.Millisecond, 50 * time.Millisecond}
-	cfg := defaults()
+	cfg := defaultConfig()
 	cfg.IdleTimeout = limits[0]
-	s := newSite(t, cfg)
-	e := &ends{s: s}
+	s := newTestServer(t, cfg)
+	e := &outcomes{s: s}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var newest atomic.Int64
-	var storm errgroup.Group
-	storm.Go(func() error {
+	var publisher errgroup.Group
+	publisher.Go(func() error {
 		for v := uint64(1); ctx.Err() == nil; v++ {
 			limit := limits[v%uint64(len(limits))]
 			s.Publish(v, limit, time.Now())
@@ -117,16 +117,16 @@
 		}
 		return nil
 	})
-	each(t, s.dialMany(t, many), func(i int, c *caller) error {
+	forEachCaller(t, s.dialMany(t, connCount), func(i int, c *caller) error {
 		rng := rand.New(rand.NewPCG(uint64(i), 0))
 		for range 6 {
-			may := time.Duration(newest.Load()) // Its caller may know no newer one while it waits.
-			pause := may
+			allowedIdle := time.Duration(newest.Load()) // The caller may not learn of a newer limit while it waits.
+			pause := allowedIdle
 			if rng.IntN(3) == 0 {
-				pause += transitMargin // Later than it may.
+				pause += transitMargin // Later than allowed.
 			}
 			time.Sleep(time.Until(c.sent.Add(pause)))
-			if ok, err := e.ask(c, may); !ok {
+			if ok, err := e.roundTrip(c, allowedIdle); !ok {
 				return err
 			}
 		}
@@ -134,8 +134,8 @@
 	})
 	e.log(t)
 	cancel()
-	NewWithT(t).Expect(storm.Wait()).To(Succeed())
-	NewWithT(t).Eventually(s.Open, enough).Should(BeZero())
+	NewWithT(t).Expect(publisher.Wait()).To(Succeed())
+	NewWithT(t).Eventually(s.OpenConns, testTimeout).Should(BeZero())
 }
 
 func TestRequestsAtTheStartOfAPlannedStopAreAnswered(t *testing.T) {
@@ -143,26 +143,26 @@
 	for name, limit := range map[string]time.Duration{"advertised": 2 * time.Second, "below the shortest advertised": 500 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t, defaults())
+			s := newTestServer(t, defaultConfig())
 			s.Publish(1, limit, time.Now())
-			e := &ends{s: s}
-			list := s.dialMany(t, many)
-			moment := time.Now().Add(50 * time.Millisecond)
+			e := &outcomes{s: s}
+			list := s.dialMany(t, connCount)
+			stopAt := time.Now().Add(50 * time.Millisecond)
 			var stop errgroup.Group
 			stop.Go(func() error {
-				time.Sleep(time.Until(moment))
+				time.Sleep(time.Until(stopAt))
 				s.Stop(time.Now())
 				return nil
 			})
-			each(t, list, func(i int, c *caller) error {
-				time.Sleep(time.Until(moment.Add(time.Duration(i-many/2) * 100 * time.Microsecond)))
-				_, err := e.ask(c, limit)
+			forEachCaller(t, list, func(i int, c *caller) error {
+				time.Sleep(time.Until(stopAt.Add(time.Duration(i-connCount/2) * 100 * time.Microsecond)))
+				_, err := e.roundTrip(c, limit)
 				return err
 			})
 			e.log(t)
 			g := NewWithT(t)
 			g.Expect(stop.Wait()).To(Succeed())
-			g.Eventually(s.Open, enough).Should(BeZero(), "the stop ends")
+			g.Eventually(s.OpenConns, testTimeout).Should(BeZero(), "the stop ends")
 			g.Expect(s.count(ProcessEnd)).To(BeZero())
 		})
 	}
@@ -170,22 +170,22 @@
 
 func TestAllConnectionsEndWithTheServer(t *testing.T) {
 	t.Parallel()
-	s := newSite(t, defaults())
-	s.Publish(1, enough, time.Now())
-	list := s.dialMany(t, many)
-	moment := time.Now().Add(50 * time.Millisecond)
+	s := newTestServer(t, defaultConfig())
+	s.Publish(1, testTimeout, time.Now())
+	list := s.dialMany(t, connCount)
+	closeAt := time.Now().Add(50 * time.Millisecond)
 	var end errgroup.Group
 	end.Go(func() error {
-		time.Sleep(time.Until(moment))
+		time.Sleep(time.Until(closeAt))
 		return s.srv.Close()
 	})
 	var cut, notRun atomic.Int64
-	each(t, list, func(i int, c *caller) error {
-		time.Sleep(time.Until(moment.Add(time.Duration(i-many/2) * 50 * time.Microsecond)))
-		if _, err := c.ask(); err == nil {
+	forEachCaller(t, list, func(i int, c *caller) error {
+		time.Sleep(time.Until(closeAt.Add(time.Duration(i-connCount/2) * 50 * time.Microsecond)))
+		if _, err := c.roundTrip(); err == nil {
 			return nil
 		}
-		if s.runs(c.last()) == 0 {
+		if s.runs(c.lastID()) == 0 {
 			notRun.Add(1)
 			return nil
 		}
@@ -194,7 +194,7 @@
 	})
 	g := NewWithT(t)
 	g.Expect(end.Wait()).To(Succeed())
-	g.Eventually(s.Open, enough).Should(BeZero())
+	g.Eventually(s.OpenConns, testTimeout).Should(BeZero())
 	t.Logf("%d cut, %d not run; %d counted as ended with the process", cut.Load(), notRun.Load(), s.count(ProcessEnd))
 	g.Expect(s.count(Idle) + s.count(Stopped) + s.count(SlowHeader)).To(BeZero())
 }
@@ -202,21 +202,21 @@
 // Guards against a stop that ends connections which clients opened in advance.
 func TestAPlannedStopKeepsConnectionsOpenedInAdvance(t *testing.T) {
 	t.Parallel()
-	cfg := roomy()
+	cfg := longIdleConfig()
 	cfg.StopNewConnTimeout = 5 * time.Second
 	for name, before := range map[string]time.Duration{"made just now": 0, "made long before": cfg.StopNewConnTimeout + 100*time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newSite(t, cfg)
-			list := make([]*caller, many)
+			s := newTestServer(t, cfg)
+			list := make([]*caller, connCount)
 			for i := range list {
 				list[i] = s.dial(t, fmt.Sprint("new", i))
 			}
-			NewWithT(t).Eventually(s.Open, enough).Should(Equal(many))
+			NewWithT(t).Eventually(s.OpenConns, testTimeout).Should(Equal(connCount))
 			time.Sleep(before)
 			s.Stop(time.Now())
-			each(t, list, func(_ int, c *caller) error {
-				_, err := c.ask()
+			forEachCaller(t, list, func(_ int, c *caller) error {
+				_, err := c.roundTrip()
 				return err
 			})
 		})
--- a/internal/keepalive/site_test.go
+++ b/internal/keepalive/site_test.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	enough    = 30 * time.Second // Long enough for a loaded machine.
-	many      = 200              // Connections at once.
-	shortIdle = 50 * time.Millisecond
-	headerID  = "Call"
+	testTimeout = 30 * time.Second // Long enough for a loaded machine.
+	connCount   = 200              // Concurrent connections.
+	shortIdle   = 50 * time.Millisecond
+	headerID    = "Call"
 )
 
-// site is a server whose connections a tracker knows.
-type site struct {
+// host is a server whose connections are tracked.
+type host struct {
 	*Tracker
-	srv  *http.Server
-	addr string
-	reg  metrics.Registry
-	logs *observer.ObservedLogs
-	hold func(id string) // Called by the handler; nil for none.
-
-	mu       sync.Mutex // Guards what follows.
-	ran      map[string]int
+	srv            *http.Server
+	addr           string
+	reg            metrics.Registry
+	logs           *observer.ObservedLogs
+	beforeResponse func(id string) // Called by the handler; nil for none.
+
+	mu       sync.Mutex // Guards the fields below.
+	runsByID map[string]int
 	accepted int
 }
 
-// counting counts what a listener accepts.
-type counting struct {
+// countingListener counts the accepted connections.
+type countingListener struct {
 	net.Listener
-	s *site
+	s *host
 }
 
-func (l counting) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.s.mu.Lock()
@@ -56,23 +56,23 @@
 	return c, err
 }
 
-func defaults() Config {
+func defaultConfig() Config {
 	return Config{Name: "test", IdleTimeout: shortIdle, PropagationDelay: time.Second, MaxAdvertised: 3 * time.Second, ReadHeaderTimeout: 15 * time.Second}
 }
 
-// roomy is a setting by which no connection ends as idle while a test uses it.
-func roomy() Config {
-	cfg := defaults()
-	cfg.IdleTimeout = enough
+// longIdleConfig returns a configuration by which no connection times out as idle during a test.
+func longIdleConfig() Config {
+	cfg := defaultConfig()
+	cfg.IdleTimeout = testTimeout
 	return cfg
 }
 
-// newSite serves until the test ends, and then checks that each connection has ended and was
-// counted once.
-func newSite(t testing.TB, cfg Config, change ...func(s *site)) *site {
+// newTestServer starts a server that runs until the test ends; then it checks that each connection
+// has ended and was counted once.
+func newTestServer(t testing.TB, cfg Config, change ...func(s *host)) *host {
 	g := NewWithT(t)
 	core, logs := observer.New(zap.InfoLevel)
-	s := &site{reg: metrics.NewRegistry(), logs: logs, ran: map[string]int{}}
+	s := &host{reg: metrics.NewRegistry(), logs: logs, runsByID: map[string]int{}}
 	s.Tracker = New(cfg, zap.New(core), s.reg)
 	s.srv = &http.Server{Handler: http.HandlerFunc(s.serve)}
 	for _, f := range change {
@@ -84,7 +84,7 @@
 	s.addr = l.Addr().String()
 	var group errgroup.Group
 	group.Go(func() error {
-		l := counting{s.Listener(l), s}
+		l := countingListener{s.Listener(l), s}
 		if s.srv.TLSConfig != nil {
 			return s.srv.ServeTLS(l, "", "")
 		}
@@ -93,7 +93,7 @@
 	t.Cleanup(func() {
 		g.Expect(s.srv.Close()).To(Succeed())
 		g.Expect(group.Wait()).To(MatchError(http.ErrServerClosed))
-		g.Eventually(s.Open, enough).Should(BeZero())
+		g.Eventually(s.OpenConns, testTimeout).Should(BeZero())
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		g.Eventually(func() (n int64) {
@@ -103,46 +103,46 @@
 				}
 			}
 			return n
-		}, enough).Should(BeEquivalentTo(s.accepted), "each connection has one cause")
+		}, testTimeout).Should(BeEquivalentTo(s.accepted), "each connection has one cause")
 		g.Expect(metrics.GetOrRegisterGauge("test.connections-open", s.reg).Value()).To(BeZero())
 	})
 	return s
 }
 
-func (s *site) serve(w http.ResponseWriter, r *http.Request) {
+func (s *host) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
 	s.mu.Lock()
-	s.ran[id]++
+	s.runsByID[id]++
 	s.mu.Unlock()
-	if s.hold != nil {
-		s.hold(id)
+	if s.beforeResponse != nil {
+		s.beforeResponse(id)
 	}
-	_, _ = io.Copy(io.Discard, r.Body) // Whoever breaks off gets no answer.
+	_, _ = io.Copy(io.Discard, r.Body) // A caller that disconnects gets no answer.
 	_, _ = io.WriteString(w, id)       // As above.
 }
 
 // runs returns how often the handler ran for a request.
-func (s *site) runs(id string) int {
+func (s *host) runs(id string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ran[id]
+	return s.runsByID[id]
 }
 
-func (s *site) count(c Cause) int64 {
+func (s *host) count(c Cause) int64 {
 	return metrics.GetOrRegisterCounter("test.connections-closed."+string(c), s.reg).Count()
 }
 
-// expectCauses checks how many connections ended by each cause; what is left out is 0.
-func (s *site) expectCauses(t testing.TB, want map[Cause]int) {
+// expectCauses checks how many connections ended by each cause; those absent from want must be 0.
+func (s *host) expectCauses(t testing.TB, want map[Cause]int) {
 	t.Helper()
 	g := NewWithT(t)
-	g.Eventually(s.Open, enough).Should(BeZero())
+	g.Eventually(s.OpenConns, testTimeout).Should(BeZero())
 	for _, c := range causes {
-		g.Eventually(func() int64 { return s.count(c) }, enough).Should(BeEquivalentTo(want[c]), string(c))
+		g.Eventually(func() int64 { return s.count(c) }, testTimeout).Should(BeEquivalentTo(want[c]), string(c))
 	}
 }
 
-// caller is one that keeps its connection.
+// caller is a client that keeps its connection.
 type caller struct {
 	net.Conn
 	br   *bufio.Reader
@@ -151,34 +151,34 @@
 	sent time.Time // When its last request was begun.
 }
 
-func (s *site) dial(t testing.TB, name string) *caller {
+func (s *host) dial(t testing.TB, name string) *caller {
 	g := NewWithT(t)
 	c, err := net.Dial("tcp4", s.addr)
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = c.Close() })
-	g.Expect(c.SetDeadline(time.Now().Add(enough))).To(Succeed())
+	g.Expect(c.SetDeadline(time.Now().Add(testTimeout))).To(Succeed())
 	return &caller{Conn: c, br: bufio.NewReader(c), name: name}
 }
 
-// dialMany returns callers that have had an answer each.
-func (s *site) dialMany(t testing.TB, n int) (list []*caller) {
+// dialMany returns n callers, each of which has received an answer.
+func (s *host) dialMany(t testing.TB, n int) (list []*caller) {
 	g := NewWithT(t)
 	for i := range n {
 		c := s.dial(t, fmt.Sprint("c", i))
-		_, err := c.ask()
+		_, err := c.roundTrip()
 		g.Expect(err).NotTo(HaveOccurred())
 		list = append(list, c)
 	}
 	return list
 }
 
-// next names the next request.
-func (c *caller) next() (id string) {
+// nextID returns a new id for the next request.
+func (c *caller) nextID() (id string) {
 	c.n++
 	return fmt.Sprint(c.name, "-", c.n)
 }
 
-func text(id string) string {
+func requestText(id string) string {
 	return fmt.Sprintf("GET / HTTP/1.1\r\nHost: h\r\n%s: %s\r\n\r\n", headerID, id)
 }
 
@@ -201,20 +201,20 @@
 	return resp, err
 }
 
-// ask sends the next request and reads its answer.
-func (c *caller) ask() (resp *http.Response, err error) {
-	id := c.next()
-	if err = c.send(text(id)); err != nil {
+// roundTrip sends the next request and reads its answer.
+func (c *caller) roundTrip() (resp *http.Response, err error) {
+	id := c.nextID()
+	if err = c.send(requestText(id)); err != nil {
 		return nil, err
 	}
 	return c.read(id)
 }
 
-// last is the name of the request that was sent last.
-func (c *caller) last() string { return fmt.Sprint(c.name, "-", c.n) }
+// lastID returns the id of the last request.
+func (c *caller) lastID() string { return fmt.Sprint(c.name, "-", c.n) }
 
-// each runs f for all callers at once.
-func each(t testing.TB, list []*caller, f func(i int, c *caller) error) {
+// forEachCaller runs f for all callers at once.
+func forEachCaller(t testing.TB, list []*caller, f func(i int, c *caller) error) {
 	t.Helper()
 	var group errgroup.Group
 	for i, c := range list {
@@ -223,20 +223,20 @@
 	NewWithT(t).Expect(group.Wait()).To(Succeed())
 }
 
-// expectEnded checks that the server ends the connection without a word.
-func (c *caller) expectEnded(t testing.TB) {
+// expectClosed checks that the server closes the connection without sending anything.
+func (c *caller) expectClosed(t testing.TB) {
 	t.Helper()
 	_, err := c.br.ReadByte()
 	NewWithT(t).Expect(err).To(Or(MatchError(io.EOF), MatchError(ContainSubstring("reset"))))
 }
 
-// expectCutOff checks that the server ends the connection within a header, with a refusal
-// or without one.
+// expectCutOff checks that the server closes the connection within a header, with or without
+// status 400.
 func (c *caller) expectCutOff(t testing.TB) {
 	t.Helper()
 	if resp, err := http.ReadResponse(c.br, nil); err == nil {
 		NewWithT(t).Expect(resp.StatusCode).To(Equal(http.StatusBadRequest))
-		_, _ = io.Copy(io.Discard, resp.Body) // A reset may take the rest of it.
+		_, _ = io.Copy(io.Discard, resp.Body) // A reset may cut off the body.
 	}
-	c.expectEnded(t)
+	c.expectClosed(t)
 }
--- a/internal/keepalive/stop_test.go
+++ b/internal/keepalive/stop_test.go
@@ -23,23 +23,23 @@
 const (
 	// advertisedIdle is the keep-alive timeout that answers advertise.
 	advertisedIdle = 2 * time.Second
-	// stopCallers is how many connections are used in a planned stop.
+	// stopCallers is the number of connections that are used in a planned stop.
 	stopCallers = 50
 )
 
-// stopSite is a server whose answers begin and end when the test says so.
-type stopSite struct {
-	tracker *keepalive.Tracker
-	address string
-	begin   chan struct{} // Closed when heads go out.
-	end     chan struct{} // Closed when bodies end.
-	begun   atomic.Int32  // Requests that were read.
-	served  atomic.Int32  // Those that were answered.
+// gatedServer is a server whose answers begin and end when the test allows it.
+type gatedServer struct {
+	tracker   *keepalive.Tracker
+	address   string
+	sendHead  chan struct{} // Closed to let the heads of answers be sent.
+	sendTail  chan struct{} // Closed to let the bodies end.
+	received  atomic.Int32  // Requests that were read.
+	completed atomic.Int32  // Requests that were answered.
 }
 
-func newStopSite(t *testing.T, gracePeriod time.Duration) *stopSite {
+func newGatedServer(t *testing.T, gracePeriod time.Duration) *gatedServer {
 	g := NewWithT(t)
-	s := &stopSite{begin: make(chan struct{}), end: make(chan struct{})}
+	s := &gatedServer{sendHead: make(chan struct{}), sendTail: make(chan struct{})}
 	s.tracker = keepalive.New(keepalive.Config{
 		Name: "test", IdleTimeout: time.Minute, MaxAdvertised: advertisedIdle, ReadHeaderTimeout: time.Minute, GracePeriod: gracePeriod,
 	}, zap.NewNop(), metrics.NewRegistry())
@@ -58,25 +58,26 @@
 	return s
 }
 
-func (s *stopSite) serve(w http.ResponseWriter, r *http.Request) {
-	s.begun.Add(1)
-	<-s.begin
+func (s *gatedServer) serve(w http.ResponseWriter, r *http.Request) {
+	s.received.Add(1)
+	<-s.sendHead
 	s.tracker.Advertise(w, r)
-	_, _ = io.WriteString(w, "a") // What callers got of it is what is tested.
+	_, _ = io.WriteString(w, "a") // The test checks what callers receive.
 	_ = http.NewResponseController(w).Flush()
-	<-s.end
+	<-s.sendTail
 	_, _ = io.WriteString(w, "z")
-	s.served.Add(1)
+	s.completed.Add(1)
 }
 
-// stopCaller is a caller that keeps its connection.
-type stopCaller struct {
+// keptConn is the client's side of a connection that is kept for further requests.
+type keptConn struct {
 	c  net.Conn
 	br *bufio.Reader
 }
 
-// ask sends a request on a connection for each caller, which are all read when it returns.
-func (s *stopSite) ask(t *testing.T) (callers []stopCaller) {
+// sendRequests opens stopCallers connections and sends a request on each. When it returns, the
+// server has read all of them.
+func (s *gatedServer) sendRequests(t *testing.T) (callers []keptConn) {
 	g := NewWithT(t)
 	for range stopCallers {
 		c, err := net.Dial("tcp4", s.address)
@@ -85,14 +86,14 @@
 		g.Expect(c.SetDeadline(time.Now().Add(time.Minute))).To(Succeed())
 		_, err = fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		g.Expect(err).NotTo(HaveOccurred())
-		callers = append(callers, stopCaller{c, bufio.NewReader(c)})
+		callers = append(callers, keptConn{c, bufio.NewReader(c)})
 	}
-	g.Eventually(s.begun.Load).WithTimeout(time.Minute).Should(BeEquivalentTo(stopCallers))
+	g.Eventually(s.received.Load).WithTimeout(time.Minute).Should(BeEquivalentTo(stopCallers))
 	return callers
 }
 
-// answer reads a whole answer.
-func (k stopCaller) answer(t *testing.T) (*http.Response, error) {
+// readAnswer reads a complete answer.
+func (k keptConn) readAnswer(t *testing.T) (*http.Response, error) {
 	resp, err := http.ReadResponse(k.br, nil)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	body, err := io.ReadAll(resp.Body)
@@ -100,30 +101,30 @@
 	return resp, err
 }
 
-// Guards against callers that keep a connection by a head that went out after the stop began.
+// Guards against callers that keep a connection because of a head that was sent after the stop began.
 func TestAnAnswerThatBeginsInAPlannedStopTellsItsCallerToLeave(t *testing.T) {
 	t.Parallel()
-	s := newStopSite(t, time.Minute)
-	callers := s.ask(t)
+	s := newGatedServer(t, time.Minute)
+	callers := s.sendRequests(t)
 	s.tracker.Stop(time.Now())
-	close(s.begin)
-	close(s.end)
+	close(s.sendHead)
+	close(s.sendTail)
 	for _, k := range callers {
-		resp, err := k.answer(t)
+		resp, err := k.readAnswer(t)
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 		NewWithT(t).Expect(resp.Close).To(BeTrue())
 		NewWithT(t).Expect(resp.Header).NotTo(HaveKey("Keep-Alive"))
 	}
-	NewWithT(t).Eventually(s.tracker.Open).WithTimeout(time.Minute).Should(BeZero())
+	NewWithT(t).Eventually(s.tracker.OpenConns).WithTimeout(time.Minute).Should(BeZero())
 }
 
-// Guards against requests that are lost since their callers may use a connection beyond the end of
-// the process, and were told so before the stop began.
+// Guards against requests that are lost because an answer's head, sent before the stop began, allowed
+// callers to use the connection beyond the end of the process.
 func TestAConnectionThatOutlastsThePlannedStopIsReadUntilItsEnd(t *testing.T) {
 	t.Parallel()
 	for name, stop := range map[string]struct {
 		lasts   time.Duration
-		sending int // Callers that send another request at once.
+		sending int // Callers that immediately send another request.
 	}{
 		"the stop outlasts its time": {time.Hour, stopCallers},
 		"its time outlasts the stop": {advertisedIdle, stopCallers / 2},
@@ -131,18 +132,18 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			s := newStopSite(t, stop.lasts)
-			callers := s.ask(t)
-			close(s.begin)
+			s := newGatedServer(t, stop.lasts)
+			callers := s.sendRequests(t)
+			close(s.sendHead)
 			for _, k := range callers {
 				_, err := k.br.Peek(1) // The head has gone out.
 				g.Expect(err).NotTo(HaveOccurred())
 			}
 			stopped := time.Now()
 			s.tracker.Stop(stopped)
-			close(s.end)
+			close(s.sendTail)
 			for i, k := range callers {
-				resp, err := k.answer(t)
+				resp, err := k.readAnswer(t)
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(resp.Header.Get("Keep-Alive")).To(Equal("timeout=2"))
 				if i >= stop.sending {
@@ -150,7 +151,7 @@
 				}
 				_, err = fmt.Fprint(k.c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 				g.Expect(err).NotTo(HaveOccurred())
-				resp, err = k.answer(t)
+				resp, err = k.readAnswer(t)
 				g.Expect(err).NotTo(HaveOccurred())
 				g.Expect(resp.Close).To(BeTrue())
 			}
@@ -161,8 +162,8 @@
 					g.Expect(time.Now()).To(BeTemporally(">=", stopped.Add(stop.lasts)), "not before the end")
 				}
 			}
-			g.Expect(s.begun.Load()).To(BeEquivalentTo(stopCallers + stop.sending))
-			g.Expect(s.served.Load()).To(Equal(s.begun.Load()))
+			g.Expect(s.received.Load()).To(BeEquivalentTo(stopCallers + stop.sending))
+			g.Expect(s.completed.Load()).To(Equal(s.received.Load()))
 		})
 	}
 }
