--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -103,7 +103,7 @@
 	duties := duty.New(ctx, p.log, p.reg, p.failed)
 	duties.Go("signals", func(ctx context.Context) error { return p.signals(ctx, stopAsPlanned, cancel) })
 	follower := follow.NewFollower(view, store.Source(), p.set.InForce, p.log)
-	follower.ListenTo(neighbours.Follow())
+	follower.UsePeers(neighbours.Follow())
 	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.Changed) })
 	duties.Go("housekeeping", g.Run)
 	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, neighbours.Receive) })
--- a/internal/follow/evacuation.go
+++ b/internal/follow/evacuation.go
@@ -4,70 +4,70 @@
 
 import "maps"
 
-// Evacuation is the newest word of an operator on one failure domain: that nothing
-// new goes to its endpoints, or that this is over. It names a domain, not endpoints,
-// so that it holds as well for those that are listed later.
+// Evacuation is the newest order of an operator for one failure domain: that no new requests go to
+// its endpoints, or that this is over. It names a domain instead of endpoints, so that it also
+// applies to endpoints that are listed later.
 type Evacuation struct {
 	Domain   string `json:"domain"`
 	Revision uint64 `json:"revision"`
 	Over     bool   `json:"over,omitempty"`
 }
 
-// maxEvacuations bounds the domains that are remembered, whatever is written under
-// keys like these: 21 failure domains are the most that a site is designed for.
+// maxEvacuations bounds the remembered domains, whatever is written under such keys: a site is
+// designed for at most 21 failure domains.
 const maxEvacuations = 1024
 
-// evacuations is the newest word on each domain, by name. It is never changed: what
-// changes it returns another one.
+// evacuations holds the newest order for each domain, by name. It is immutable: changes return a
+// copy.
 type evacuations map[string]Evacuation
 
-// with returns what is known with a list of words taken in. Of two words on a domain
-// the one of the later revision holds, in whatever order and from whomever they come.
-func (e evacuations) with(list []Evacuation) evacuations {
+// merged returns the evacuations with a list of orders merged in. Of two orders for a domain, the
+// one with the later revision wins, whatever the sequence and the sender.
+func (e evacuations) merged(list []Evacuation) evacuations {
 	next, changed := e, false
-	for _, one := range list {
-		had, known := next[one.Domain]
-		if known && had.Revision >= one.Revision || !known && len(next) >= maxEvacuations {
+	for _, update := range list {
+		old, known := next[update.Domain]
+		if known && old.Revision >= update.Revision || !known && len(next) >= maxEvacuations {
 			continue
 		}
 		if !changed {
 			next, changed = make(evacuations, len(e)+1), true
 			maps.Copy(next, e)
 		}
-		next[one.Domain] = one
+		next[update.Domain] = update
 	}
 	return next
 }
 
-// endedBy returns the ends of evacuations that a whole snapshot of a revision does not
-// name any more.
-func (e evacuations) endedBy(named []Evacuation, revision uint64) (over []Evacuation) {
-	there := make(map[string]bool, len(named))
-	for _, one := range named {
-		there[one.Domain] = true
+// endedIn returns the ends of those evacuations that are not in a complete snapshot of a later
+// revision.
+func (e evacuations) endedIn(current []Evacuation, revision uint64) (over []Evacuation) {
+	inSnapshot := make(map[string]bool, len(current))
+	for _, one := range current {
+		inSnapshot[one.Domain] = true
 	}
 	for domain, had := range e {
-		if !had.Over && !there[domain] && had.Revision < revision {
+		if !had.Over && !inSnapshot[domain] && had.Revision < revision {
 			over = append(over, Evacuation{Domain: domain, Revision: revision, Over: true})
 		}
 	}
 	return over
 }
 
-// all returns every word.
-func (e evacuations) all() (list []Evacuation) {
+// orders returns all orders.
+func (e evacuations) orders() (list []Evacuation) {
 	for _, one := range e {
 		list = append(list, one)
 	}
 	return list
 }
 
-// Evacuated reports whether nothing new may go to the endpoints of a failure domain.
+// Evacuated reports whether no new requests may go to the endpoints of a failure domain.
 func (s *State) Evacuated(domain string) bool {
 	one, known := s.evacuations[domain]
 	return known && !one.Over
 }
 
-// Evacuations returns the newest word on each failure domain that was ever evacuated,
-// in no order.
-func (s *State) Evacuations() []Evacuation { return s.evacuations.all() }
+// Evacuations returns the newest order for each failure domain that was ever evacuated, in no
+// particular order.
+func (s *State) Evacuations() []Evacuation { return s.evacuations.orders() }
--- a/internal/follow/evacuation_test.go
+++ b/internal/follow/evacuation_test.go
@@ -11,94 +11,94 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-var day = time.Unix(1000, 0)
+var testTime = time.Unix(1000, 0)
 
-// asked and over are words of a revision on the failure domain "a".
-func asked(revision uint64) Evacuation { return Evacuation{Domain: "a", Revision: revision} }
-func over(revision uint64) Evacuation {
+// begun and ended return orders of a revision for the failure domain "a".
+func begun(revision uint64) Evacuation { return Evacuation{Domain: "a", Revision: revision} }
+func ended(revision uint64) Evacuation {
 	return Evacuation{Domain: "a", Revision: revision, Over: true}
 }
 
-func TestTheNewestWordOnADomainHolds(t *testing.T) {
+func TestTheNewestOrderForADomainApplies(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		tells func(v *View)
-		want  bool
+		name   string
+		update func(v *View)
+		want   bool
 	}{
-		{"nothing is told", func(*View) {}, false},
-		{"a snapshot names it", func(v *View) { v.Replace(Snapshot{Evacuations: []Evacuation{asked(5)}, At: 6}, day, false) }, true},
-		{"a change asks for it", func(v *View) { v.Apply(Changes{Evacuations: []Evacuation{asked(5)}, At: 5}, day, false) }, true},
-		{"it is taken back", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{asked(5), over(7)}, At: 7}, day, false)
+		{"no order", func(*View) {}, false},
+		{"a snapshot names it", func(v *View) { v.Replace(Snapshot{Evacuations: []Evacuation{begun(5)}, At: 6}, testTime, false) }, true},
+		{"a change asks for it", func(v *View) { v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false) }, true},
+		{"it is ended", func(v *View) {
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5), ended(7)}, At: 7}, testTime, false)
 		}, false},
-		{"words come in another order", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{over(7)}, At: 7}, day, false)
-			v.Merge(Changes{Evacuations: []Evacuation{asked(5)}})
+		{"orders arrive in another sequence", func(v *View) {
+			v.Apply(Changes{Evacuations: []Evacuation{ended(7)}, At: 7}, testTime, false)
+			v.Merge(Changes{Evacuations: []Evacuation{begun(5)}})
 		}, false},
 		{"it is asked for again", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{asked(5), over(7), asked(9)}, At: 9}, day, false)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5), ended(7), begun(9)}, At: 9}, testTime, false)
 		}, true},
 		{"a later snapshot does not name it", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{asked(5)}, At: 5}, day, false)
-			v.Replace(Snapshot{At: 8}, day, false)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
+			v.Replace(Snapshot{At: 8}, testTime, false)
 		}, false},
-		{"a snapshot from before does not name it", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{asked(5)}, At: 5}, day, false)
-			v.Replace(Snapshot{At: 4}, day, false)
+		{"an earlier snapshot does not name it", func(v *View) {
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
+			v.Replace(Snapshot{At: 4}, testTime, false)
 		}, true},
 		{"after an outage of the store a snapshot does not name it", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{asked(5)}, At: 5}, day, false)
-			v.Replace(Snapshot{At: 8}, day, true)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
+			v.Replace(Snapshot{At: 8}, testTime, true)
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			v := NewView()
-			tc.tells(v)
+			tc.update(v)
 			NewWithT(t).Expect(v.State().Evacuated("a")).To(Equal(tc.want))
 		})
 	}
 }
 
-// hear has one view told all that is new in another one since a number.
-func hear(v, from *View, after uint64) (number uint64) {
-	told := from.Tell(after)
-	v.Hear(told, day)
+// syncViews sends one view all that is new in another one since a number.
+func syncViews(v, from *View, after uint64) (number uint64) {
+	told := from.UpdateSince(after)
+	v.ApplyUpdate(told, testTime)
 	return told.Number
 }
 
-func TestOthersAreToldOfEvacuations(t *testing.T) {
+func TestEvacuationsAreSentToPeers(t *testing.T) {
 	g := NewWithT(t)
-	reads, listens := NewView(), NewView()
-	reads.Replace(Snapshot{Endpoints: []fleet.Endpoint{{ID: "e", Service: "s", Address: "a:1", Domain: "a", Revision: 1}}, At: 1}, day, false)
-	number := hear(listens, reads, 0)
-	g.Expect(listens.State().Evacuated("a")).To(BeFalse())
+	reader, receiver := NewView(), NewView()
+	reader.Replace(Snapshot{Endpoints: []fleet.Endpoint{{ID: "e", Service: "s", Address: "a:1", Domain: "a", Revision: 1}}, At: 1}, testTime, false)
+	number := syncViews(receiver, reader, 0)
+	g.Expect(receiver.State().Evacuated("a")).To(BeFalse())
 
-	reads.Apply(Changes{Evacuations: []Evacuation{asked(5)}, At: 5}, day, false)
-	g.Expect(reads.ChangedSince(number)).To(BeTrue(), "it is news")
-	number = hear(listens, reads, number)
-	g.Expect(listens.State().Evacuated("a")).To(BeTrue())
-	g.Expect(listens.State().ByService["s"]).To(HaveLen(1), "its endpoints stay listed: what they run goes on")
+	reader.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
+	g.Expect(reader.ChangedSince(number)).To(BeTrue(), "the evacuation is a change")
+	number = syncViews(receiver, reader, number)
+	g.Expect(receiver.State().Evacuated("a")).To(BeTrue())
+	g.Expect(receiver.State().ByService["s"]).To(HaveLen(1), "its endpoints stay listed: their requests continue")
 
-	starts := NewView()
-	hear(starts, reads, 0)
-	g.Expect(starts.State().Evacuated("a")).To(BeTrue(), "a process that starts during one")
+	starter := NewView()
+	syncViews(starter, reader, 0)
+	g.Expect(starter.State().Evacuated("a")).To(BeTrue(), "a process that starts during an evacuation")
 
-	reads.Apply(Changes{Evacuations: []Evacuation{over(9)}, At: 9}, day, false)
-	hear(listens, reads, number)
-	g.Expect(listens.State().Evacuated("a")).To(BeFalse())
-	hear(listens, starts, 0)
-	g.Expect(listens.State().Evacuated("a")).To(BeFalse(), "who is behind takes nothing back")
+	reader.Apply(Changes{Evacuations: []Evacuation{ended(9)}, At: 9}, testTime, false)
+	syncViews(receiver, reader, number)
+	g.Expect(receiver.State().Evacuated("a")).To(BeFalse())
+	syncViews(receiver, starter, 0)
+	g.Expect(receiver.State().Evacuated("a")).To(BeFalse(), "an update from an older view reverts nothing")
 }
 
-// Whatever writes keys like these does not fill the memory, and hides no domain that
-// was named before.
-func TestFewDomainsAreRemembered(t *testing.T) {
+// Guards against keys without bound that fill the memory or displace domains that were named
+// before.
+func TestRememberedDomainsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	e := evacuations{}.with([]Evacuation{asked(1)})
+	e := evacuations{}.merged([]Evacuation{begun(1)})
 	for i := range 2 * maxEvacuations {
-		e = e.with([]Evacuation{{Domain: string(rune(0x4e00 + i)), Revision: 2}})
+		e = e.merged([]Evacuation{{Domain: string(rune(0x4e00 + i)), Revision: 2}})
 	}
 	g.Expect(e).To(HaveLen(maxEvacuations))
-	e = e.with([]Evacuation{over(3)})
+	e = e.merged([]Evacuation{ended(3)})
 	g.Expect(e["a"].Over).To(BeTrue())
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -13,183 +13,181 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// Source reads the published state. Both functions return an error for what
-// was refused, lost or late.
+// Source reads the published state. Both functions return an error for a call that was refused,
+// lost or late.
 type Source struct {
 	Snapshot func(ctx context.Context, stale bool) (Snapshot, error)
 	Changes  func(ctx context.Context, after uint64, wait time.Duration) (Changes, error)
 }
 
-// Times of following.
+// Times and limits of following.
 const (
-	// waitTime is how long one call waits for changes. It adds to the age that
-	// the configuration has at most, so it stays well under the shortest bound
-	// on that age; a shorter one costs calls.
-	waitTime = 1 * time.Second
-	// answerTime is how long an answer may take beyond the waiting: the source
-	// answers in milliseconds, and in about 0.3 s when it is slow. Others listen to
-	// who reads, so a lost answer is to be found out soon.
-	answerTime = 450 * time.Millisecond
-	// slowAnswerTime is for calls after a failed one, so that a source that is
-	// slower than usual is still read.
-	slowAnswerTime = 1500 * time.Millisecond
-	// firstPause and longestPause lie between calls to a source that fails.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 400 * time.Millisecond
-	// lapseTime is how long after an outage an entry may take to be back; the
+	// longPollTime is how long one call waits for changes. It adds to the maximum age of the
+	// configuration, so it stays well below the smallest bound on that age; a shorter time costs
+	// more calls.
+	longPollTime = 1 * time.Second
+	// answerTimeout is how long an answer may take beyond the wait: the source answers in
+	// milliseconds, and in about 0.3 s when it is slow. Other processes follow the one that reads,
+	// so a lost answer must be detected soon.
+	answerTimeout = 450 * time.Millisecond
+	// slowAnswerTimeout replaces answerTimeout after a failed call, so that a source that is slower
+	// than usual can still be read.
+	slowAnswerTimeout = 1500 * time.Millisecond
+	// minBackoff and maxBackoff bound the backoff between calls to a failing source.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
+	// expiryGrace is how long after an outage an expired entry may take to be written again; the
 	// platform promises about two seconds.
-	lapseTime = 2 * time.Second
-	// outageTime is how long a source must have been silent for entries to have
-	// lapsed: three heartbeats of 1.2 s are longer than this.
-	outageTime = 2 * time.Second
-	// listenAge is the greatest age of the configuration at which a process goes
-	// on listening to another one: two waits, and some room below the age from
-	// which the configuration is not trusted for refusals.
-	listenAge = 2 * time.Second
-	// ownTime is how long a process that heard nothing new enough reads the
-	// source itself before it listens again: whoever died is not taken for one that
-	// reads any more by then.
-	ownTime = 2500 * time.Millisecond
-	// ownPause is how long a process that the source failed listens to another one
-	// again, though that one's word is old: most likely the source is down for all.
-	ownPause = 2500 * time.Millisecond
-	// blindTime is how long a process for which the source failed does not count
-	// as one that others may listen to.
-	blindTime = 5 * time.Second
-	// gatherTime is waited after a call, so that several changes in a row cost one
-	// call.
-	gatherTime = 40 * time.Millisecond
-	// gatherShare is the part of the time in which a configuration must be in force that
-	// is waited at most where each call brings news, as while hundreds of endpoints start:
-	// whoever reads and whoever listens to it each wait so long.
-	gatherShare = 1.0 / 16
-	// startGatherTime takes its place while there is no configuration: all endpoints
-	// are published one after the other then, and nothing can be served yet.
-	startGatherTime = 200 * time.Millisecond
+	expiryGrace = 2 * time.Second
+	// minOutage is how long a source must have been unreachable for entries to have expired: it is
+	// shorter than three heartbeats of 1.2 s.
+	minOutage = 2 * time.Second
+	// maxPeerAge is the maximum age of the configuration at which a process continues to follow a
+	// peer: two long polls, which leaves some margin below the age from which the configuration is
+	// not trusted for refusals.
+	maxPeerAge = 2 * time.Second
+	// directReadTime is how long a process that received nothing recent enough from peers reads the
+	// source itself before it follows a peer again: by then, a peer that died is no longer taken
+	// for a reader.
+	directReadTime = 2500 * time.Millisecond
+	// staleTolerance is how long a process follows a peer with stale data again after the source
+	// has failed for the process itself: most likely the source is unreachable for all.
+	staleTolerance = 2500 * time.Millisecond
+	// ineligibleTime is how long after a failure of the source a process does not count as one that
+	// others may follow.
+	ineligibleTime = 5 * time.Second
+	// minBatchDelay is the delay after a call, so that several changes in a row cost one call.
+	minBatchDelay = 40 * time.Millisecond
+	// maxBatchShare is the maximum delay while each call returns changes, such as while hundreds of
+	// endpoints start, as a share of the time within which a configuration must be in effect. A
+	// process that reads the source and one that follows it each wait for up to that long.
+	maxBatchShare = 1.0 / 16
+	// startBatchDelay replaces minBatchDelay while there is no configuration: all endpoints are
+	// published one after the other then, and nothing can be served yet.
+	startBatchDelay = 200 * time.Millisecond
 )
 
-// Listener lets a process follow by another one's word, so that few read the
+// PeerSource lets a process follow the view of a peer, so that only a few processes read the
 // source.
-type Listener struct {
-	// Reads reports whether this process is one of the few; able tells whether
-	// the source answers it.
-	Reads func(able bool) bool
-	// Listen waits for news from one of the few and takes it into the view.
-	Listen func(ctx context.Context) error
-	// Turn is this process's place, from 0 up to 1, among those that listen: where
-	// what all hear is too old, they read the source one after the other.
+type PeerSource struct {
+	// ReadsSource reports whether this process is one of the few that read the source; able is
+	// whether the source answers it.
+	ReadsSource func(able bool) bool
+	// Fetch waits for changes from one of the reading peers and applies them to the view.
+	Fetch func(ctx context.Context) error
+	// Turn is the position of this process among those that follow peers, in [0, 1): when the data
+	// of all of them is too old, they read the source one after the other.
 	Turn func() float64
-	// Spread is the time within which all have read then.
+	// Spread is the time over which these reads are distributed.
 	Spread time.Duration
 }
 
-// Follower keeps a view up to date.
+// Follower keeps a view up to date from a source or from peers.
 type Follower struct {
 	view   *View
 	source Source
 	log    *zap.Logger
 	now    func() time.Time
 
-	inForce   time.Duration // In which a new configuration must be in force.
-	known     mark          // What the view held after the last call.
-	gathering time.Duration // That was last waited after news; 0 after a call without any.
+	effectiveWithin time.Duration // Within which a new configuration must be in effect.
+	lastVersion     viewVersion   // Version of the view after the last call.
+	lastDelay       time.Duration // Last batch delay after a call with changes; 0 after a call without any.
 
-	lost   bool      // The last call failed.
-	failed int       // Failed calls in a row.
-	heard  time.Time // Last answer.
-	back   time.Time // End of the last outage.
+	sourceLost  bool      // Whether the last call failed.
+	failures    int       // Consecutive failed calls.
+	lastAnswer  time.Time // Last answer of the source, or the time up to which data of peers was complete.
+	recoveredAt time.Time // End of the last outage.
 
-	reported map[string]uint64 // Revisions of bad entries that were logged, by name.
-	listener *Listener         // Nil where every process reads the source.
-	ownUntil time.Time         // Until then it reads the source itself.
-	oldSince time.Time         // When what it hears was first too old; zero while it is not.
-	ownAfter time.Time         // Until then it goes on listening, though what it hears is old.
-	blind    time.Time         // When the source last failed.
+	loggedInvalid    map[string]uint64 // Revisions of the invalid entries that were logged, by name.
+	peers            *PeerSource       // Nil if every process reads the source.
+	directUntil      time.Time         // Until when it reads the source itself.
+	staleSince       time.Time         // Since when the data of peers has been too old; zero if it is not.
+	acceptStaleUntil time.Time         // Until when it continues to follow a peer whose data is old.
+	lastFailure      time.Time         // When the source last failed; zero if it never did.
 }
 
-// NewFollower returns a follower of source into view, for a process in which a new
-// configuration must be in force within a time.
-func NewFollower(view *View, source Source, inForce time.Duration, log *zap.Logger) *Follower {
-	return &Follower{view: view, source: source, inForce: inForce, log: log, now: clock.Now, reported: map[string]uint64{}}
+// NewFollower returns a follower of source into view, for a process in which a new configuration
+// must be in effect within a given time.
+func NewFollower(view *View, source Source, effectiveWithin time.Duration, log *zap.Logger) *Follower {
+	return &Follower{view: view, source: source, effectiveWithin: effectiveWithin, log: log, now: clock.Now, loggedInvalid: map[string]uint64{}}
 }
 
-// ListenTo makes the follower listen to others where it is not one of the few
-// that read the source. It is called before Run.
-func (f *Follower) ListenTo(l Listener) { f.listener = &l }
+// UsePeers makes the follower follow peers where this process is not one of the few that read the
+// source. It must be called before Run.
+func (f *Follower) UsePeers(p PeerSource) { f.peers = &p }
 
-// listens reports whether another process's word is to be followed now.
-func (f *Follower) listens() bool {
+// usesPeers reports whether a peer is to be followed now.
+func (f *Follower) usesPeers() bool {
 	now := f.now()
-	if f.listener == nil || now.Before(f.ownUntil) {
+	if f.peers == nil || now.Before(f.directUntil) {
 		return false
 	}
-	return !f.listener.Reads(f.blind.IsZero() || now.Sub(f.blind) > blindTime)
+	return !f.peers.ReadsSource(f.lastFailure.IsZero() || now.Sub(f.lastFailure) > ineligibleTime)
 }
 
-// listen follows another process's word once; it reports whether that was new
-// enough to go on so.
-func (f *Follower) listen(ctx context.Context) bool {
-	call, cancel := f.untilTurn(ctx)
-	err := f.listener.Listen(call)
+// readFromPeer fetches once from a peer; it reports whether the data was recent enough to continue
+// with peers.
+func (f *Follower) readFromPeer(ctx context.Context) bool {
+	call, cancel := f.withTurnDeadline(ctx)
+	err := f.peers.Fetch(call)
 	cancel()
 	now := f.now()
-	age := f.view.CheckAge(now)
-	if ctx.Err() != nil || err == nil && age < listenAge {
-		f.heard, f.oldSince = now.Add(-age), time.Time{}
+	age := f.view.ConfirmedAge(now)
+	if ctx.Err() != nil || err == nil && age < maxPeerAge {
+		f.lastAnswer, f.staleSince = now.Add(-age), time.Time{}
 		return true
 	}
-	if err == nil && now.Before(f.ownAfter) {
+	if err == nil && now.Before(f.acceptStaleUntil) {
 		return true
 	}
-	if f.oldSince.IsZero() {
-		f.oldSince = now
+	if f.staleSince.IsZero() {
+		f.staleSince = now
 	}
-	if err == nil && now.Before(f.turn()) {
-		return true // Whoever reads may soon have an answer again.
+	if err == nil && now.Before(f.readAt()) {
+		return true // The reading peers may soon get an answer again.
 	}
-	f.oldSince = time.Time{}
+	f.staleSince = time.Time{}
 	cause := "too old"
 	if err != nil {
 		cause = err.Error()
 	}
-	f.log.Info("reads the store itself", zap.String("cause", cause), zap.Duration("age", age))
-	f.ownUntil = now.Add(ownTime)
+	f.log.Info("reading the store directly", zap.String("cause", cause), zap.Duration("age", age))
+	f.directUntil = now.Add(directReadTime)
 	return false
 }
 
-// turn is when this process reads the source itself, if what it hears stays too old.
-func (f *Follower) turn() time.Time {
-	if f.listener.Turn == nil {
-		return f.oldSince
+// readAt returns when this process reads the source itself if the data of peers stays too old.
+func (f *Follower) readAt() time.Time {
+	if f.peers.Turn == nil {
+		return f.staleSince
 	}
-	return f.oldSince.Add(time.Duration(f.listener.Turn() * float64(f.listener.Spread)))
+	return f.staleSince.Add(time.Duration(f.peers.Turn() * float64(f.peers.Spread)))
 }
 
-// untilTurn bounds a call to another process while what that says is too old: by
-// this one's turn, nothing new is waited for any longer.
-func (f *Follower) untilTurn(ctx context.Context) (context.Context, context.CancelFunc) {
-	if f.oldSince.IsZero() {
+// withTurnDeadline limits a call to a peer while the data of peers is too old: the call waits for
+// changes no longer than until this process's turn to read the source.
+func (f *Follower) withTurnDeadline(ctx context.Context) (context.Context, context.CancelFunc) {
+	if f.staleSince.IsZero() {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, max(f.turn().Sub(f.now()), firstPause))
+	return context.WithTimeout(ctx, max(f.readAt().Sub(f.now()), minBackoff))
 }
 
-// Run follows until ctx ends. The function changed is called after each
-// change of the view.
+// Run follows until ctx ends. It calls changed after each change of the view.
 func (f *Follower) Run(ctx context.Context, changed func()) error {
-	f.heard = f.now()
-	whole := true // The next call must read everything.
+	f.lastAnswer = f.now()
+	needSnapshot := true // The next call must read everything.
 	for ctx.Err() == nil {
-		if f.listens() {
-			whole = true // What was heard does not say from where to read on.
-			if f.listen(ctx) {
+		if f.usesPeers() {
+			needSnapshot = true // Data from a peer does not say from which revision to continue at the source.
+			if f.readFromPeer(ctx) {
 				changed()
-				wait.For(ctx, f.gather())
+				wait.For(ctx, f.batchDelay())
 				continue
 			}
 		}
 		var err error
-		if whole {
+		if needSnapshot {
 			err = f.snapshot(ctx)
 		} else {
 			err = f.changes(ctx)
@@ -198,83 +196,83 @@
 			return nil
 		}
 		if err == nil {
-			f.regain()
-			whole = false
+			f.onSuccess()
+			needSnapshot = false
 			changed()
-			wait.For(ctx, f.gather())
+			wait.For(ctx, f.batchDelay())
 			continue
 		}
-		if errors.Is(err, ErrForgotten) {
-			f.log.Info("history forgotten", zap.Uint64("after", f.view.revision()))
-			whole = true
-			wait.For(ctx, f.gatherAfter(true)) // There are news, only not in this answer.
+		if errors.Is(err, ErrCompacted) {
+			f.log.Info("history compacted", zap.Uint64("after", f.view.revision()))
+			needSnapshot = true
+			wait.For(ctx, f.batchDelayAfter(true)) // There are changes, but not in this answer.
 			continue
 		}
-		f.lose(err)
-		if f.listener != nil && !f.listener.Reads(false) {
-			f.ownUntil, f.ownAfter = time.Time{}, f.now().Add(ownPause)
+		f.onFailure(err)
+		if f.peers != nil && !f.peers.ReadsSource(false) {
+			f.directUntil, f.acceptStaleUntil = time.Time{}, f.now().Add(staleTolerance)
 		}
-		wait.For(ctx, min(firstPause<<min(f.failed, 8), longestPause))
+		wait.For(ctx, min(minBackoff<<min(f.failures, 8), maxBackoff))
 	}
 	return nil
 }
 
-// gather returns how long news are gathered before the next call, after one that was answered.
-func (f *Follower) gather() time.Duration {
-	before := f.known
-	f.known = f.view.mark()
-	return f.gatherAfter(f.known != before)
+// batchDelay returns how long to collect changes before the next call, after a successful one.
+func (f *Follower) batchDelay() time.Duration {
+	before := f.lastVersion
+	f.lastVersion = f.view.currentVersion()
+	return f.batchDelayAfter(f.lastVersion != before)
 }
 
-// gatherAfter returns how long news are gathered before the next call: twice as long with each
-// call in a row that brought some.
-func (f *Follower) gatherAfter(news bool) time.Duration {
-	switch longest := time.Duration(gatherShare * float64(f.inForce)); {
+// batchDelayAfter returns how long to collect changes before the next call: twice as long with each
+// consecutive call that returned some.
+func (f *Follower) batchDelayAfter(changed bool) time.Duration {
+	switch longest := time.Duration(maxBatchShare * float64(f.effectiveWithin)); {
 	case f.view.State().Config == nil:
-		return startGatherTime
-	case news:
-		f.gathering = min(max(2*f.gathering, gatherTime), max(longest, gatherTime))
-		return f.gathering
+		return startBatchDelay
+	case changed:
+		f.lastDelay = min(max(2*f.lastDelay, minBatchDelay), max(longest, minBatchDelay))
+		return f.lastDelay
 	default:
-		f.gathering = 0
-		return gatherTime
+		f.lastDelay = 0
+		return minBatchDelay
 	}
 }
 
 func (f *Follower) snapshot(ctx context.Context) error {
-	asked := f.now()
-	ctx, cancel := context.WithTimeout(ctx, f.patience())
+	requestedAt := f.now()
+	ctx, cancel := context.WithTimeout(ctx, f.callTimeout())
 	defer cancel()
 	snap, err := f.source.Snapshot(ctx, false)
 	if err != nil {
 		return err
 	}
-	f.report(snap.Bad)
-	f.noteOutage()
-	f.view.Replace(snap, asked, f.holding())
+	f.logInvalid(snap.Invalid)
+	f.recordAnswer()
+	f.view.Replace(snap, requestedAt, f.keepsMissing())
 	s := f.view.State()
 	f.log.Info("view replaced", zap.Uint64("version", s.version()), zap.Uint64("revision", snap.At), zap.Int("endpoints", len(s.Endpoints)))
 	return nil
 }
 
 func (f *Follower) changes(ctx context.Context) error {
-	asked := f.now()
-	wait := waitTime
-	if f.failed > 0 {
-		wait = 0 // What is known is old already.
+	requestedAt := f.now()
+	wait := longPollTime
+	if f.failures > 0 {
+		wait = 0 // The view is stale already.
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+f.patience())
+	ctx, cancel := context.WithTimeout(ctx, wait+f.callTimeout())
 	defer cancel()
 	before := f.view.State()
 	ch, err := f.source.Changes(ctx, f.view.revision(), wait)
 	if err != nil {
 		return err
 	}
-	f.report(ch.Bad)
-	f.noteOutage()
-	removed := f.view.Apply(ch, asked, f.holding())
-	if !f.holding() {
-		removed = append(removed, f.view.Drop(f.now().Add(-lapseTime))...)
+	f.logInvalid(ch.Invalid)
+	f.recordAnswer()
+	removed := f.view.Apply(ch, requestedAt, f.keepsMissing())
+	if !f.keepsMissing() {
+		removed = append(removed, f.view.DropMissing(f.now().Add(-expiryGrace))...)
 	}
 	f.logChanges(before, ch, removed)
 	return nil
@@ -283,7 +281,7 @@
 func (f *Follower) logChanges(before *State, ch Changes, removed []string) {
 	after := f.view.State()
 	if before.version() != after.version() {
-		f.log.Info("configuration taken", zap.Uint64("version", after.version()), zap.Uint64("from", before.version()), zap.Uint64("revision", after.ConfigRevision))
+		f.log.Info("configuration applied", zap.Uint64("version", after.version()), zap.Uint64("from", before.version()), zap.Uint64("revision", after.ConfigRevision))
 	}
 	for _, e := range ch.Endpoints {
 		f.log.Info("endpoint listed", zap.String("endpoint", e.ID), zap.String("address", e.Address), zap.Bool("leaving", e.Leaving), zap.Duration("cold-left", e.ColdLeft), zap.Uint64("revision", e.Revision))
@@ -293,58 +291,59 @@
 	}
 }
 
-// maxReported bounds the bad entries that are remembered, so that each revision of one
-// is logged once.
-const maxReported = 1024
+// maxLoggedInvalid bounds the remembered invalid entries; they are remembered to log each revision
+// of one only once.
+const maxLoggedInvalid = 1024
 
-func (f *Follower) report(bad []BadEntry) {
+func (f *Follower) logInvalid(bad []InvalidEntry) {
 	for _, b := range bad {
-		if revision, ok := f.reported[b.Name]; ok && revision == b.Revision {
+		if revision, ok := f.loggedInvalid[b.Name]; ok && revision == b.Revision {
 			continue
 		}
-		if len(f.reported) >= maxReported {
-			clear(f.reported)
+		if len(f.loggedInvalid) >= maxLoggedInvalid {
+			clear(f.loggedInvalid)
 		}
-		f.reported[b.Name] = b.Revision
-		f.log.Warn("published entry left out", zap.String("name", b.Name), zap.Uint64("revision", b.Revision), zap.String("error", b.Err.Error()))
+		f.loggedInvalid[b.Name] = b.Revision
+		f.log.Warn("invalid published entry ignored", zap.String("name", b.Name), zap.Uint64("revision", b.Revision), zap.String("error", b.Err.Error()))
 	}
 }
 
-// patience is how long an answer may take.
-func (f *Follower) patience() time.Duration {
-	if f.failed > 0 {
-		return slowAnswerTime
+// callTimeout returns how long an answer may take beyond the wait.
+func (f *Follower) callTimeout() time.Duration {
+	if f.failures > 0 {
+		return slowAnswerTimeout
 	}
-	return answerTime
+	return answerTimeout
 }
 
-// noteOutage is called with an answer in hand.
-func (f *Follower) noteOutage() {
+// recordAnswer records that the source answered, and whether that ended an outage. It is called
+// before the answer is applied.
+func (f *Follower) recordAnswer() {
 	now := f.now()
-	if now.Sub(f.heard) > waitTime+outageTime {
-		f.back = now
+	if now.Sub(f.lastAnswer) > longPollTime+minOutage {
+		f.recoveredAt = now
 	}
-	f.heard = now
+	f.lastAnswer = now
 }
 
-// holding reports whether an entry that is missing may only have lapsed.
-func (f *Follower) holding() bool {
-	return !f.back.IsZero() && f.now().Sub(f.back) < lapseTime
+// keepsMissing reports whether a missing entry may only have expired during an outage.
+func (f *Follower) keepsMissing() bool {
+	return !f.recoveredAt.IsZero() && f.now().Sub(f.recoveredAt) < expiryGrace
 }
 
-func (f *Follower) lose(err error) {
-	f.blind = f.now()
-	f.failed++
-	if !f.lost {
-		f.lost = true
-		f.log.Warn("store lost", zap.String("error", err.Error()), zap.Duration("age", f.view.Age(f.now())))
+func (f *Follower) onFailure(err error) {
+	f.lastFailure = f.now()
+	f.failures++
+	if !f.sourceLost {
+		f.sourceLost = true
+		f.log.Warn("store unreachable", zap.String("error", err.Error()), zap.Duration("age", f.view.Age(f.now())))
 	}
 }
 
-func (f *Follower) regain() {
-	f.failed = 0
-	if f.lost {
-		f.lost = false
-		f.log.Info("store regained", zap.Duration("age", f.view.Age(f.now())))
+func (f *Follower) onSuccess() {
+	f.failures = 0
+	if f.sourceLost {
+		f.sourceLost = false
+		f.log.Info("store reachable again", zap.Duration("age", f.view.Age(f.now())))
 	}
 }
--- a/internal/follow/told.go
+++ b/internal/follow/told.go
@@ -9,29 +9,29 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// maxRemovals bounds the removals that are kept for others to be told of; whoever
-// missed more is told everything.
+// maxRemovals bounds the removals that are kept for other processes; a process that missed more
+// gets the complete view.
 const maxRemovals = 4096
 
-// changeLog numbers the changes of a view's endpoints, so that another process
-// can be told what is new to it.
+// changeLog numbers the changes of a view's endpoints, so that another process can be sent only
+// what is new to it.
 type changeLog struct {
-	number  uint64            // Of the newest change.
-	evacs   uint64            // Number of the newest change of evacuations.
-	changed map[string]uint64 // Number of the last change, by endpoint in the view.
-	removed []removal         // The newest ones, in order.
-	dropped uint64            // Number of the newest removal that is not kept any more.
+	number            uint64            // Of the newest change.
+	evacuationsChange uint64            // Number of the newest change of evacuations.
+	changed           map[string]uint64 // Number of the last change, by endpoint in the view.
+	removed           []numberedRemoval // The newest ones, in order.
+	discarded         uint64            // Number of the newest removal that is no longer kept.
 }
 
-type removal struct {
-	number uint64
-	gone   Gone
+type numberedRemoval struct {
+	number  uint64
+	removal Removal
 }
 
 func newChangeLog() changeLog { return changeLog{changed: map[string]uint64{}} }
 
-// note takes in a new state of the view.
-func (l *changeLog) note(old, next *State) {
+// record records the changes from one state of the view to the next.
+func (l *changeLog) record(old, next *State) {
 	number := l.number + 1
 	for id, e := range next.Endpoints {
 		had, ok := old.Endpoints[id]
@@ -45,120 +45,120 @@
 	for id, e := range old.Endpoints {
 		if _, ok := next.Endpoints[id]; !ok {
 			delete(l.changed, id)
-			l.removed = append(l.removed, removal{number, Gone{Name: e.Name(), Revision: e.Revision}})
+			l.removed = append(l.removed, numberedRemoval{number, Removal{Name: e.Name(), Revision: e.Revision}})
 			l.number = number
 		}
 	}
 	if !maps.Equal(old.evacuations, next.evacuations) {
-		l.evacs, l.number = number, number
+		l.evacuationsChange, l.number = number, number
 	}
 	if n := len(l.removed) - maxRemovals; n > 0 {
-		l.dropped = l.removed[n-1].number
+		l.discarded = l.removed[n-1].number
 		l.removed = append(l.removed[:0:0], l.removed[n:]...)
 	}
 }
 
-// Told is what one process tells another one of its view.
-type Told struct {
-	Number    uint64           `json:"number"` // To be named in the next question.
-	Whole     bool             `json:"whole"`  // Endpoints is all there are.
-	At        uint64           `json:"at"`     // Revision up to which it holds.
+// Update is what a process sends to another one about its view.
+type Update struct {
+	Number    uint64           `json:"number"` // To be named in the next request.
+	Whole     bool             `json:"whole"`  // Endpoints is the complete list.
+	At        uint64           `json:"at"`     // Revision up to which it is complete.
 	Endpoints []fleet.Endpoint `json:"endpoints,omitempty"`
-	Missing   []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have lapsed.
-	Gone      []Gone           `json:"gone,omitempty"`
-	// Evacuations is the newest word on each domain, nil when no word is new.
+	Missing   []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have expired.
+	Removals  []Removal        `json:"gone,omitempty"`
+	// Evacuations holds the newest order for each domain; nil if none has changed.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 }
 
-// Tell returns what has changed after a number that Tell gave, or everything
-// for 0 or what lies too far back.
-func (v *View) Tell(after uint64) (t Told) {
+// UpdateSince returns what has changed after a number from an earlier Update, or everything for 0
+// or a number that is too old.
+func (v *View) UpdateSince(after uint64) (u Update) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.state.Load()
-	t = Told{Number: v.log.number, At: v.at, Whole: after == 0 || after < v.log.dropped || after > v.log.number}
+	u = Update{Number: v.changes.number, At: v.at, Whole: after == 0 || after < v.changes.discarded || after > v.changes.number}
 	for id, e := range s.Endpoints {
-		if !t.Whole && v.log.changed[id] <= after {
+		if !u.Whole && v.changes.changed[id] <= after {
 			continue
 		}
-		t.Endpoints = append(t.Endpoints, e)
+		u.Endpoints = append(u.Endpoints, e)
 		if _, missing := s.Missing[id]; missing {
-			t.Missing = append(t.Missing, id)
+			u.Missing = append(u.Missing, id)
 		}
 	}
-	if t.Whole || v.log.evacs > after {
-		t.Evacuations = s.Evacuations()
+	if u.Whole || v.changes.evacuationsChange > after {
+		u.Evacuations = s.Evacuations()
 	}
-	if t.Whole {
-		return t
+	if u.Whole {
+		return u
 	}
-	for _, r := range v.log.removed {
+	for _, r := range v.changes.removed {
 		if r.number > after {
-			t.Gone = append(t.Gone, r.gone)
+			u.Removals = append(u.Removals, r.removal)
 		}
 	}
-	return t
+	return u
 }
 
-// mark tells states of a view apart: another one after each change of its configuration, its
-// endpoints or evacuations.
-type mark struct {
+// viewVersion identifies a state of a view: it differs after each change of the configuration, the
+// endpoints or the evacuations.
+type viewVersion struct {
 	number  uint64 // Of the newest change.
 	version uint64 // Of the configuration.
 }
 
-// mark returns what tells the present state from earlier ones.
-func (v *View) mark() mark {
+// currentVersion returns the version of the current state.
+func (v *View) currentVersion() viewVersion {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return mark{number: v.log.number, version: v.state.Load().version()}
+	return viewVersion{number: v.changes.number, version: v.state.Load().version()}
 }
 
-// ChangedSince reports whether Tell has anything to tell after a number.
+// ChangedSince reports whether UpdateSince has any changes to return for a number.
 func (v *View) ChangedSince(number uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.log.number != number
+	return v.changes.number != number
 }
 
-// Hear takes in what another process tells: everything, or what follows on what it told
-// last. Nothing that is known to be newer is changed or removed by it.
-func (v *View) Hear(t Told, now time.Time) {
+// ApplyUpdate applies an update from another process, which is complete or follows its previous
+// one. It neither changes nor removes anything that is known to be newer.
+func (v *View) ApplyUpdate(u Update, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	// Others who hear it from this process go by how far it holds.
-	defer func() { v.at = max(v.at, t.At) }()
-	if !t.Whole && len(t.Endpoints)+len(t.Gone)+len(t.Evacuations) == 0 {
+	// The processes that follow this one use its revision.
+	defer func() { v.at = max(v.at, u.At) }()
+	if !u.Whole && len(u.Endpoints)+len(u.Removals)+len(u.Evacuations) == 0 {
 		return
 	}
 	next := *v.state.Load()
 	old := next
-	next.own()
-	named := map[string]bool{} // Names: of whom only the life is told otherwise, the later one holds.
-	for _, e := range t.Endpoints {
-		named[e.Name()] = true
+	next.cloneTables()
+	updatedNames := map[string]bool{} // If only the incarnation of a name differs, the later one is kept.
+	for _, e := range u.Endpoints {
+		updatedNames[e.Name()] = true
 		if had, ok := old.Endpoints[e.ID]; !ok || had.Revision <= e.Revision {
 			delete(next.Missing, e.ID)
 		}
-		v.put(&next, &old, e)
+		v.mergeEntry(&next, &old, e)
 	}
-	for _, id := range t.Missing {
+	for _, id := range u.Missing {
 		if _, ok := next.Endpoints[id]; ok {
 			next.Missing[id] = now
 		}
 	}
-	for _, g := range t.Gone {
+	for _, g := range u.Removals {
 		next.remove(g, false, now)
-		v.gone[g.Name] = max(v.gone[g.Name], g.Revision)
+		v.removedAt[g.Name] = max(v.removedAt[g.Name], g.Revision)
 	}
-	if t.Whole {
+	if u.Whole {
 		for id, e := range old.Endpoints {
-			if _, there := next.Endpoints[id]; there && !named[e.Name()] && e.Revision <= t.At {
+			if _, there := next.Endpoints[id]; there && !updatedNames[e.Name()] && e.Revision <= u.At {
 				next.delete(e)
 			}
 		}
 	}
-	next.group()
-	next.evacuations = next.evacuations.with(t.Evacuations)
+	next.buildIndexes()
+	next.evacuations = next.evacuations.merged(u.Evacuations)
 	v.set(&next)
 }
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package follow keeps a process's view of the published configuration and the
-// list of endpoints, and knows how old it is. The view only ever goes forward.
-// The package does not know where the state is published: a Source reads it.
+// Package follow keeps a process's view of the published configuration and the list of endpoints,
+// and knows how old it is. The view never goes back to an older state. The package does not know
+// where the state is published: a Source reads it.
 package follow
 
 import (
@@ -16,146 +16,145 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// ErrForgotten means that the source no longer has the changes asked for.
-var ErrForgotten = errors.New("the history asked for is gone")
+// ErrCompacted means that the source no longer has the requested changes.
+var ErrCompacted = errors.New("the requested history has been compacted")
 
 // Snapshot is the whole published state.
 type Snapshot struct {
-	Config         *fleet.Config // Nil when none was published yet.
+	Config         *fleet.Config // Nil if none has been published yet.
 	ConfigRevision uint64
 	Endpoints      []fleet.Endpoint
-	Evacuations    []Evacuation // Those under way.
-	Bad            []BadEntry
-	At             uint64 // Revision from which changes are to be followed.
+	Evacuations    []Evacuation // Those in progress.
+	Invalid        []InvalidEntry
+	At             uint64 // Revision from which to follow changes.
 }
 
-// Gone is an endpoint whose entry was removed.
-type Gone struct {
-	Name     string // Under which it was listed.
+// Removal names an endpoint whose entry was removed.
+type Removal struct {
+	Name     string // Name under which it was listed.
 	Revision uint64
 }
 
-// BadEntry is an entry that does not name an endpoint that may be used: it cannot be
-// read, or something else than an endpoint wrote it. What its key said before does
-// not hold any more; what is written there later does.
-type BadEntry struct {
-	Name     string // Under which an endpoint would be listed; "" where the entry is not of the list.
-	Revision uint64 // 0 when not known.
+// InvalidEntry is an entry that does not describe a usable endpoint: it cannot be read, or it was
+// not written by an endpoint. The previous content of its key is no longer valid; later content of
+// the key is valid again.
+type InvalidEntry struct {
+	Name     string // Name under which an endpoint would be listed; "" if the entry is not one of the endpoint list.
+	Revision uint64 // 0 if unknown.
 	Err      error  // Never nil.
 }
 
-// Changes is what was published after a revision.
+// Changes holds what was published after a revision.
 type Changes struct {
-	Config         *fleet.Config // Nil when it did not change.
+	Config         *fleet.Config // Nil if it did not change.
 	ConfigRevision uint64
 	Endpoints      []fleet.Endpoint // New or changed.
-	Gone           []Gone
-	Evacuations    []Evacuation // Begun or over.
-	Bad            []BadEntry
+	Removals       []Removal
+	Evacuations    []Evacuation // Begun or ended.
+	Invalid        []InvalidEntry
 	At             uint64
 }
 
-// State is one immutable state of the view.
+// State is an immutable state of the view.
 type State struct {
-	Config         *fleet.Config // Nil when none is known.
+	Config         *fleet.Config // Nil if none is known.
 	ConfigRevision uint64
-	Endpoints      map[string]fleet.Endpoint   // By id. Invariant: one life of each name at most.
-	ByService      map[string][]fleet.Endpoint // In no order.
+	Endpoints      map[string]fleet.Endpoint   // By id. Invariant: at most one incarnation of each name.
+	ByService      map[string][]fleet.Endpoint // In no particular order.
 	ByAddress      map[string]fleet.Endpoint
-	Missing        map[string]time.Time // Endpoints whose entry may only have lapsed, by the time it was missed.
-	lives          map[string]string    // Ids in Endpoints, by name.
+	Missing        map[string]time.Time // Endpoints whose entry may only have expired, by the time it was missed.
+	idByName       map[string]string    // Ids in Endpoints, by name.
 	evacuations    evacuations
 }
 
-// View is what a process knows.
+// View is the published state as a process knows it.
 type View struct {
-	mu    sync.Mutex             // Held by writers.
-	state atomic.Pointer[State]  // Never nil.
-	at    uint64                 // Revision up to which changes are known.
-	gone  map[string]uint64      // Revisions of removals by name, against entries that come late.
-	left  map[string]bool        // Ids that were told to leave, also after their entry is gone.
-	check atomic.Pointer[moment] // Never nil.
-	log   changeLog
-	moved chan struct{} // Closed at each change or confirmation; never nil.
+	mu         sync.Mutex                   // Held by writers.
+	state      atomic.Pointer[State]        // Never nil.
+	at         uint64                       // Revision up to which changes are known.
+	removedAt  map[string]uint64            // Revisions of removals by name, to reject entries that arrive late.
+	leavingIDs map[string]bool              // Ids that are leaving, kept after their entry is gone.
+	confirmed  atomic.Pointer[confirmation] // Never nil.
+	changes    changeLog
+	updated    chan struct{} // Closed at each change or confirmation; never nil.
 }
 
-// moment is a time before which all that was published is in the view.
-type moment struct{ at time.Time }
+// confirmation holds a time: everything published before it is in the view.
+type confirmation struct{ at time.Time }
 
-// NewView returns a view that knows nothing.
+// NewView returns an empty view.
 func NewView() *View {
-	v := &View{gone: map[string]uint64{}, left: map[string]bool{}, log: newChangeLog(), moved: make(chan struct{})}
+	v := &View{removedAt: map[string]uint64{}, leavingIDs: map[string]bool{}, changes: newChangeLog(), updated: make(chan struct{})}
 	v.state.Store(&State{})
-	v.check.Store(&moment{})
+	v.confirmed.Store(&confirmation{})
 	return v
 }
 
 // State returns the newest state.
 func (v *View) State() *State { return v.state.Load() }
 
-// never is the age of what was never confirmed.
+// never is the age of a view that was never confirmed.
 const never time.Duration = 1 << 62
 
-// Age returns how long ago the configuration was certainly the newest. It is
-// very large when it never was, or when there is none.
+// Age returns the time since the configuration was last known to be the newest. It is very large if
+// it never was, or if there is none.
 func (v *View) Age(now time.Time) time.Duration {
 	if v.state.Load().Config == nil {
 		return never
 	}
-	return v.CheckAge(now)
+	return v.ConfirmedAge(now)
 }
 
-// CheckAge returns how long ago the view was certainly complete, be it that
-// nothing was published yet. It is very large when it never was.
-func (v *View) CheckAge(now time.Time) time.Duration {
-	at := v.check.Load().at
+// ConfirmedAge returns the time since the view was last known to be complete, even if nothing had
+// been published. It is very large if it never was.
+func (v *View) ConfirmedAge(now time.Time) time.Duration {
+	at := v.confirmed.Load().at
 	if at.IsZero() {
 		return never
 	}
 	return now.Sub(at)
 }
 
-// Confirm notes that the configuration with this version was the newest at a
-// moment, or that there was none for version 0. It does nothing when the view
-// holds another one.
+// Confirm records that the configuration with this version was the newest at the given time, or
+// that there was none, for version 0. It does nothing if the view holds another version.
 func (v *View) Confirm(version uint64, at time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.state.Load().version() != version {
 		return
 	}
-	v.confirm(at)
+	v.confirmAt(at)
 }
 
-// set takes the next state, and notes what it changes. The caller holds mu.
+// set installs the next state and records its changes. The caller holds mu.
 func (v *View) set(next *State) {
-	v.log.note(v.state.Load(), next)
+	v.changes.record(v.state.Load(), next)
 	v.state.Store(next)
-	v.move()
+	v.notifyWaiters()
 }
 
-// move wakes whoever waits for news. The caller holds mu.
-func (v *View) move() {
-	close(v.moved)
-	v.moved = make(chan struct{})
+// notifyWaiters wakes everyone who waits for changes. The caller holds mu.
+func (v *View) notifyWaiters() {
+	close(v.updated)
+	v.updated = make(chan struct{})
 }
 
-// Moved returns a channel that is closed at the next change or confirmation.
-func (v *View) Moved() <-chan struct{} {
+// Updated returns a channel that is closed at the next change or confirmation.
+func (v *View) Updated() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.moved
+	return v.updated
 }
 
-// confirm notes that the view held everything at a moment.
-func (v *View) confirm(at time.Time) {
-	if at.After(v.check.Load().at) {
-		v.check.Store(&moment{at})
-		v.move()
+// confirmAt records that the view was complete at the given time.
+func (v *View) confirmAt(at time.Time) {
+	if at.After(v.confirmed.Load().at) {
+		v.confirmed.Store(&confirmation{at})
+		v.notifyWaiters()
 	}
 }
 
-// Offer takes in a configuration; it reports whether it was newer.
+// Offer adopts a configuration if it is newer, and reports whether it was.
 func (v *View) Offer(c *fleet.Config, revision uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -167,7 +166,7 @@
 	return true
 }
 
-// version returns that of the configuration, 0 when there is none.
+// version returns the version of the configuration, 0 if there is none.
 func (s *State) version() uint64 {
 	if s.Config == nil {
 		return 0
@@ -175,21 +174,22 @@
 	return s.Config.Version()
 }
 
-// takeConfig changes s, which must be a copy. Versions never go back.
+// takeConfig adopts a newer configuration into s, which must be a copy. Versions never go back.
 func (s *State) takeConfig(c *fleet.Config, revision uint64) bool {
 	if c == nil || s.Config != nil && c.Version() <= s.Config.Version() {
 		return false
 	}
 	s.Config, s.ConfigRevision = c, revision
-	s.group() // It names the services whose endpoints may be used.
+	s.buildIndexes() // The configuration names the services whose endpoints may be used.
 	return true
 }
 
-// own gives s, which must be a copy, tables of endpoints of its own to change.
-func (s *State) own() {
-	s.Endpoints, s.Missing, s.lives = maps.Clone(s.Endpoints), maps.Clone(s.Missing), maps.Clone(s.lives)
-	if s.lives == nil {
-		s.lives = map[string]string{}
+// cloneTables replaces the endpoint tables of s, which must be a copy, by copies that may be
+// changed.
+func (s *State) cloneTables() {
+	s.Endpoints, s.Missing, s.idByName = maps.Clone(s.Endpoints), maps.Clone(s.Missing), maps.Clone(s.idByName)
+	if s.idByName == nil {
+		s.idByName = map[string]string{}
 	}
 	if s.Endpoints == nil {
 		s.Endpoints = map[string]fleet.Endpoint{}
@@ -199,173 +199,173 @@
 	}
 }
 
-// Replace takes in a whole snapshot that was asked for at a moment. Endpoints
-// that are missing from it are removed, or held as missing when hold is set.
-func (v *View) Replace(snap Snapshot, asked time.Time, hold bool) {
+// Replace applies a complete snapshot that was requested at the given time. Endpoints that are not
+// in it are removed, or kept as missing if keepMissing is set.
+func (v *View) Replace(snap Snapshot, requestedAt time.Time, keepMissing bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := *v.state.Load()
 	next.takeConfig(snap.Config, snap.ConfigRevision)
 	old := next
 	next.Endpoints = make(map[string]fleet.Endpoint, len(snap.Endpoints))
-	next.lives = make(map[string]string, len(snap.Endpoints))
+	next.idByName = make(map[string]string, len(snap.Endpoints))
 	next.Missing = map[string]time.Time{}
 	for _, e := range snap.Endpoints {
-		v.put(&next, &old, e)
+		v.mergeEntry(&next, &old, e)
 	}
-	for _, b := range snap.Bad {
-		v.dropBad(&next, b)
+	for _, b := range snap.Invalid {
+		v.dropInvalid(&next, b)
 	}
 	for id, e := range old.Endpoints {
-		if _, ok := next.lives[e.Name()]; !ok && hold {
-			next.Endpoints[id], next.lives[e.Name()] = e, id
-			next.Missing[id] = asked
+		if _, ok := next.idByName[e.Name()]; !ok && keepMissing {
+			next.Endpoints[id], next.idByName[e.Name()] = e, id
+			next.Missing[id] = requestedAt
 		}
 	}
-	next.group()
-	next.evacuations = next.evacuations.with(snap.Evacuations)
-	next.evacuations = next.evacuations.with(next.evacuations.endedBy(snap.Evacuations, snap.At))
+	next.buildIndexes()
+	next.evacuations = next.evacuations.merged(snap.Evacuations)
+	next.evacuations = next.evacuations.merged(next.evacuations.endedIn(snap.Evacuations, snap.At))
 	v.at = max(v.at, snap.At)
 	v.set(&next)
 	if snap.Config == nil || snap.Config.Version() == next.version() {
-		v.confirm(asked)
+		v.confirmAt(requestedAt)
 	}
 }
 
-// put takes an entry into next unless something newer is known of it: what an
-// earlier life wrote comes late, as where the store is slow. Leaving is never taken
-// back within a life, and a later life begins anew.
-func (v *View) put(next, old *State, e fleet.Endpoint) {
+// mergeEntry adds an entry to next unless something newer is known of the endpoint: an entry that
+// an earlier incarnation wrote may arrive late, for example when the store is slow. Within an
+// incarnation, leaving is never taken back; a later incarnation starts without it.
+func (v *View) mergeEntry(next, old *State, e fleet.Endpoint) {
 	name := e.Name()
-	if v.gone[name] >= e.Revision {
+	if v.removedAt[name] >= e.Revision {
 		return
 	}
-	had, ok := next.named(name)
+	known, ok := next.byName(name)
 	if !ok {
-		had, ok = old.named(name)
+		known, ok = old.byName(name)
 	}
 	if ok {
-		newer := had.Born < e.Born || had.Born == e.Born && had.Revision <= e.Revision
+		newer := known.Born < e.Born || known.Born == e.Born && known.Revision <= e.Revision
 		if !newer {
-			e = had
+			e = known
 		}
-		if had.ID != e.ID {
-			delete(next.Endpoints, had.ID)
-			delete(next.Missing, had.ID)
+		if known.ID != e.ID {
+			delete(next.Endpoints, known.ID)
+			delete(next.Missing, known.ID)
 		}
 	}
-	v.keepLeaving(&e)
-	next.Endpoints[e.ID], next.lives[name] = e, e.ID
+	v.preserveLeaving(&e)
+	next.Endpoints[e.ID], next.idByName[name] = e, e.ID
 }
 
-// named returns the endpoint that is listed under a name.
-func (s *State) named(name string) (e fleet.Endpoint, ok bool) {
-	e, ok = s.Endpoints[s.lives[name]]
+// byName returns the endpoint that is listed under a name.
+func (s *State) byName(name string) (e fleet.Endpoint, ok bool) {
+	e, ok = s.Endpoints[s.idByName[name]]
 	return e, ok
 }
 
-// maxLeft bounds the ids that are remembered as leaving, beyond those in the view:
-// endpoints of some hundred days of planned stops.
-const maxLeft = 4096
+// maxLeavingIDs bounds the ids that are remembered as leaving, beyond those in the view. It covers
+// the endpoints of some hundred days of planned stops.
+const maxLeavingIDs = 4096
 
-// keepLeaving notes that an endpoint leaves, or tells it so if it was to leave before.
-func (v *View) keepLeaving(e *fleet.Endpoint) {
-	if e.Leaving && !v.left[e.ID] {
-		if len(v.left) >= maxLeft {
+// preserveLeaving records that an endpoint is leaving, or marks it as leaving if it was recorded
+// before.
+func (v *View) preserveLeaving(e *fleet.Endpoint) {
+	if e.Leaving && !v.leavingIDs[e.ID] {
+		if len(v.leavingIDs) >= maxLeavingIDs {
 			listed := v.state.Load().Endpoints
-			maps.DeleteFunc(v.left, func(id string, _ bool) bool { _, ok := listed[id]; return !ok })
+			maps.DeleteFunc(v.leavingIDs, func(id string, _ bool) bool { _, ok := listed[id]; return !ok })
 		}
-		v.left[e.ID] = true
+		v.leavingIDs[e.ID] = true
 	}
-	e.Leaving = v.left[e.ID]
+	e.Leaving = v.leavingIDs[e.ID]
 }
 
-// dropBad removes what an entry said before it was overwritten by one that names no
-// endpoint to use.
-func (v *View) dropBad(next *State, b BadEntry) (removed bool) {
+// dropInvalid removes the endpoint of an entry that was overwritten by an invalid one.
+func (v *View) dropInvalid(next *State, b InvalidEntry) (removed bool) {
 	if b.Name == "" {
 		return false
 	}
-	v.gone[b.Name] = max(v.gone[b.Name], b.Revision)
-	return next.remove(Gone{b.Name, b.Revision}, false, time.Time{})
+	v.removedAt[b.Name] = max(v.removedAt[b.Name], b.Revision)
+	return next.remove(Removal{b.Name, b.Revision}, false, time.Time{})
 }
 
-// Apply takes in changes that were asked for at a moment. It returns the
-// endpoints that were removed, for the log.
-func (v *View) Apply(ch Changes, asked time.Time, hold bool) (removed []string) {
+// Apply applies changes that were requested at the given time. It returns the removed endpoints,
+// for the log.
+func (v *View) Apply(ch Changes, requestedAt time.Time, keepMissing bool) (removed []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := *v.state.Load()
 	next.takeConfig(ch.Config, ch.ConfigRevision)
-	if len(ch.Endpoints)+len(ch.Gone)+len(ch.Bad) > 0 {
+	if len(ch.Endpoints)+len(ch.Removals)+len(ch.Invalid) > 0 {
 		old := next
-		next.own()
+		next.cloneTables()
 		for _, e := range ch.Endpoints {
-			v.put(&next, &old, e)
+			v.mergeEntry(&next, &old, e)
 			delete(next.Missing, e.ID)
 		}
-		for _, b := range ch.Bad {
-			if v.dropBad(&next, b) {
+		for _, b := range ch.Invalid {
+			if v.dropInvalid(&next, b) {
 				removed = append(removed, b.Name)
 			}
 		}
-		for _, g := range ch.Gone {
-			if next.remove(g, hold, asked) {
+		for _, g := range ch.Removals {
+			if next.remove(g, keepMissing, requestedAt) {
 				removed = append(removed, g.Name)
 			}
-			if !hold {
-				v.gone[g.Name] = max(v.gone[g.Name], g.Revision)
+			if !keepMissing {
+				v.removedAt[g.Name] = max(v.removedAt[g.Name], g.Revision)
 			}
 		}
-		next.group()
+		next.buildIndexes()
 	}
-	next.evacuations = next.evacuations.with(ch.Evacuations)
+	next.evacuations = next.evacuations.merged(ch.Evacuations)
 	v.at = max(v.at, ch.At)
 	v.set(&next)
-	v.confirm(asked)
+	v.confirmAt(requestedAt)
 	return removed
 }
 
-// Merge takes in entries and evacuations that a neighbour tells. Nothing is removed by them, and
-// they do not say how new the view is.
+// Merge adds entries and evacuations from a peer. They remove nothing, and they do not affect the
+// age of the view.
 func (v *View) Merge(ch Changes) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := *v.state.Load()
 	old := next
-	next.own()
+	next.cloneTables()
 	for _, e := range ch.Endpoints {
-		v.put(&next, &old, e)
+		v.mergeEntry(&next, &old, e)
 	}
-	next.group()
-	next.evacuations = next.evacuations.with(ch.Evacuations)
+	next.buildIndexes()
+	next.evacuations = next.evacuations.merged(ch.Evacuations)
 	v.set(&next)
 }
 
-// remove drops an endpoint, or notes it as missing.
-func (s *State) remove(g Gone, hold bool, asked time.Time) bool {
-	e, ok := s.named(g.Name)
+// remove deletes an endpoint, or records it as missing.
+func (s *State) remove(g Removal, keepMissing bool, missedAt time.Time) bool {
+	e, ok := s.byName(g.Name)
 	if !ok || e.Revision > g.Revision {
 		return false
 	}
-	if hold {
-		s.Missing[e.ID] = asked
+	if keepMissing {
+		s.Missing[e.ID] = missedAt
 		return false
 	}
 	s.delete(e)
 	return true
 }
 
-// delete takes an endpoint out of s, which must have tables of its own.
+// delete deletes an endpoint from s, which must have its own tables.
 func (s *State) delete(e fleet.Endpoint) {
 	delete(s.Endpoints, e.ID)
 	delete(s.Missing, e.ID)
-	delete(s.lives, e.Name())
+	delete(s.idByName, e.Name())
 }
 
-// Drop removes the endpoints that have been missing since before a moment and
-// returns them.
-func (v *View) Drop(before time.Time) (removed []string) {
+// DropMissing removes the endpoints that have been missing since before the given time, and returns
+// them.
+func (v *View) DropMissing(before time.Time) (removed []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := *v.state.Load()
@@ -377,25 +377,25 @@
 	if len(removed) == 0 {
 		return nil
 	}
-	next.own()
+	next.cloneTables()
 	for _, id := range removed {
 		next.delete(next.Endpoints[id])
 	}
-	next.group()
+	next.buildIndexes()
 	v.set(&next)
 	return removed
 }
 
-// group makes the indexes by service and address. Of two entries with one address
-// the newer life is taken: the older one's entry has only not lapsed yet. One whose
-// service the configuration does not name is nobody's, and hides no other.
-func (s *State) group() {
+// buildIndexes builds the indexes by service and address. Of two entries with one address, it uses
+// the newer incarnation: the entry of the older one has just not expired yet. It skips endpoints
+// whose service is not in the configuration, so that they do not hide others.
+func (s *State) buildIndexes() {
 	newest := map[string]fleet.Endpoint{}
 	for _, e := range s.Endpoints {
-		if !s.names(e.Service) {
+		if !s.hasService(e.Service) {
 			continue
 		}
-		if had, ok := newest[e.Address]; !ok || youngerThan(e, had) {
+		if had, ok := newest[e.Address]; !ok || startedAfter(e, had) {
 			newest[e.Address] = e
 		}
 	}
@@ -405,14 +405,14 @@
 	}
 }
 
-// names reports whether the configuration names a service; all are taken as named
-// while none is known.
-func (s *State) names(service string) bool {
+// hasService reports whether the configuration contains a service; it reports true for all while
+// none is known.
+func (s *State) hasService(service string) bool {
 	return s.Config == nil || len(s.Config.Services()) == 0 || s.Config.Service(service) != nil
 }
 
-// youngerThan reports whether the life of e began after that of other.
-func youngerThan(e, other fleet.Endpoint) bool {
+// startedAfter reports whether the incarnation of e started after that of other.
+func startedAfter(e, other fleet.Endpoint) bool {
 	if c := fleet.CompareLives(other.Born, e.Born); c != 0 {
 		return c > 0
 	}
--- a/internal/follow/view_test.go
+++ b/internal/follow/view_test.go
@@ -28,23 +28,23 @@
 	return fleet.Endpoint{ID: id, Service: "s", Address: id, Revision: revision, Made: revision}
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
+func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
 	v.Replace(Snapshot{Config: version(5), At: 10}, at(0), false)
 	v.Replace(Snapshot{Config: version(4), At: 9}, at(time.Second), false)
 	g.Expect(v.State().Config.Version()).To(Equal(uint64(5)))
-	g.Expect(v.Age(at(time.Second))).To(Equal(time.Second), "an old answer says nothing of how new the view is")
+	g.Expect(v.Age(at(time.Second))).To(Equal(time.Second), "an old answer does not confirm the view")
 	g.Expect(v.Offer(version(5), 10)).To(BeFalse())
 	g.Expect(v.Offer(version(7), 12)).To(BeTrue())
 	v.Apply(Changes{Config: version(6), At: 11}, at(2*time.Second), false)
 	g.Expect(v.State().Config.Version()).To(Equal(uint64(7)))
 }
 
-func TestAgeIsThatOfTheCallsBeginning(t *testing.T) {
+func TestAgeCountsFromTheStartOfTheCall(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
-	g.Expect(v.Age(at(0))).To(BeNumerically(">", time.Hour), "nothing is known")
+	g.Expect(v.Age(at(0))).To(BeNumerically(">", time.Hour), "the view is empty")
 	v.Replace(Snapshot{Config: version(1), At: 1}, at(0), false)
 	v.Apply(Changes{At: 1}, at(time.Second), false)
 	g.Expect(v.Age(at(3 * time.Second))).To(Equal(2 * time.Second))
@@ -66,18 +66,18 @@
 	g.Expect(v.State().Endpoints["a"].Leaving).To(BeTrue())
 }
 
-func TestRemovedEndpointsDoNotComeBackLate(t *testing.T) {
+func TestLateEntriesDoNotRestoreRemovedEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
 	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("a", 1)}, At: 1}, at(0), false)
-	g.Expect(v.Apply(Changes{Gone: []Gone{{Name: "a", Revision: 5}}, At: 5}, at(1), false)).To(Equal([]string{"a"}))
+	g.Expect(v.Apply(Changes{Removals: []Removal{{Name: "a", Revision: 5}}, At: 5}, at(1), false)).To(Equal([]string{"a"}))
 	v.Merge(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 4)}})
 	g.Expect(v.State().Endpoints).To(BeEmpty())
 }
 
-// After an outage an entry that is missing may only have lapsed; it is held back
-// for a while and dropped when it does not come back.
-func TestLapsedEntriesAreHeldAndThenDropped(t *testing.T) {
+// After an outage a missing entry may only have expired; it is kept for a while and dropped when it
+// is not written again.
+func TestExpiredEntriesAreKeptAndThenDropped(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
 	both := []fleet.Endpoint{endpoint("a", 1), endpoint("b", 1)}
@@ -87,29 +87,29 @@
 	g.Expect(v.State().Missing).To(HaveLen(2))
 	v.Apply(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 10)}, At: 10}, at(2*time.Second), true)
 	g.Expect(v.State().Missing).To(HaveLen(1))
-	g.Expect(v.Drop(at(1500 * time.Millisecond))).To(Equal([]string{"b"}))
+	g.Expect(v.DropMissing(at(1500 * time.Millisecond))).To(Equal([]string{"b"}))
 	g.Expect(v.State().Endpoints).To(HaveKey("a"))
 }
 
-func TestTheNewerLifeAtAnAddressIsTaken(t *testing.T) {
+func TestTheNewerIncarnationAtAnAddressIsUsed(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
 	old, young := endpoint("old", 9), endpoint("young", 8)
-	old.Made, young.Made = 3, 8 // The old life's entry was renewed last.
+	old.Made, young.Made = 3, 8 // The older incarnation's entry was renewed last.
 	young.Address = old.Address
 	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{old, young}, At: 9}, at(0), false)
 	g.Expect(v.State().ByService["s"]).To(ConsistOf(young))
 }
 
-// script is a source that answers by script.
-type script struct {
+// scriptedSource is a source that returns a list of errors in order.
+type scriptedSource struct {
 	snapshots []error
 	changes   []error
-	asked     []string
+	calls     []string
 }
 
-func (s *script) source() Source {
-	take := func(list *[]error) error {
+func (s *scriptedSource) asSource() Source {
+	next := func(list *[]error) error {
 		if len(*list) == 0 {
 			return nil
 		}
@@ -119,20 +119,20 @@
 	}
 	return Source{
 		Snapshot: func(context.Context, bool) (Snapshot, error) {
-			s.asked = append(s.asked, "snapshot")
-			return Snapshot{Config: version(1), At: 7}, take(&s.snapshots)
+			s.calls = append(s.calls, "snapshot")
+			return Snapshot{Config: version(1), At: 7}, next(&s.snapshots)
 		},
 		Changes: func(_ context.Context, after uint64, _ time.Duration) (Changes, error) {
-			s.asked = append(s.asked, "changes")
-			return Changes{At: after + 1}, take(&s.changes)
+			s.calls = append(s.calls, "changes")
+			return Changes{At: after + 1}, next(&s.changes)
 		},
 	}
 }
 
-func TestFollowerReadsAllAgainWhenHistoryIsForgotten(t *testing.T) {
+func TestFollowerReadsASnapshotAgainWhenHistoryIsCompacted(t *testing.T) {
 	g := NewWithT(t)
-	s := &script{changes: []error{nil, ErrForgotten, errors.New("lost"), nil}}
-	f := NewFollower(NewView(), s.source(), time.Second, zap.NewNop())
+	s := &scriptedSource{changes: []error{nil, ErrCompacted, errors.New("lost"), nil}}
+	f := NewFollower(NewView(), s.asSource(), time.Second, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
 	g.Expect(f.Run(ctx, func() {
@@ -140,10 +140,10 @@
 			cancel()
 		}
 	})).To(Succeed())
-	g.Expect(s.asked).To(Equal([]string{"snapshot", "changes", "changes", "snapshot", "changes", "changes"}))
+	g.Expect(s.calls).To(Equal([]string{"snapshot", "changes", "changes", "snapshot", "changes", "changes"}))
 }
 
-func TestWhoListensReadsTheSourceWhenNothingNewIsHeard(t *testing.T) {
+func TestAFollowerOfPeersReadsTheSourceWhenTheyHaveNothingNew(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
 	calls := 0
@@ -158,57 +158,57 @@
 			return Snapshot{Config: fleet.NewConfig(uint64(calls), nil, nil, nil, fleet.Limits{}), At: 1}, nil
 		},
 		Changes: func(context.Context, uint64, time.Duration) (Changes, error) {
-			t.Error("the source was followed by one that listens")
+			t.Error("a process that follows peers asked the source for changes")
 			return Changes{}, nil
 		},
 	}
 	f := NewFollower(v, source, time.Second, zap.NewNop())
 	now := time.Now()
 	f.now = func() time.Time { return now }
-	heard := 0
-	f.ListenTo(Listener{
-		Reads: func(bool) bool { return false },
-		Listen: func(context.Context) error {
-			if heard++; heard%2 == 1 {
+	fetches := 0
+	f.UsePeers(PeerSource{
+		ReadsSource: func(bool) bool { return false },
+		Fetch: func(context.Context) error {
+			if fetches++; fetches%2 == 1 {
 				v.Confirm(uint64(calls), now)
 				return nil
 			}
-			now = now.Add(ownTime) // Nobody answered for a long time.
+			now = now.Add(directReadTime) // No peer answered for a long time.
 			return errors.New("no answer")
 		},
 	})
-	// After each failure the source is read once, the time it is read alone being
-	// over at once here.
-	g.Expect(f.Run(ctx, func() { now = now.Add(2 * ownTime) })).To(Succeed())
+	// After each failure the source is read once, because here the time of direct reads is over at
+	// once.
+	g.Expect(f.Run(ctx, func() { now = now.Add(2 * directReadTime) })).To(Succeed())
 	g.Expect(calls).To(Equal(3))
-	g.Expect(heard).To(BeNumerically(">=", 3))
+	g.Expect(fetches).To(BeNumerically(">=", 3))
 }
 
-// Where all that listen hear of nothing new, they read the source one after the
-// other, and not at all if news come before their turn.
-func TestListenersTakeTurns(t *testing.T) {
+// When the data of all peers is too old, the processes that follow them read the source one after
+// the other, and not at all if newer data arrives before their turn.
+func TestFollowersOfPeersReadTheSourceInTurn(t *testing.T) {
 	const spread = time.Second
 	for _, tc := range []struct {
-		name   string
-		turn   float64
-		backIn time.Duration // Until what is heard is new again.
-		reads  bool
+		name       string
+		turn       float64
+		freshAfter time.Duration // Until the data of peers is recent again.
+		reads      bool
 	}{
-		{"the first reads at once", 0, spread, true},
+		{"the first reads immediately", 0, spread, true},
 		{"one in the middle, at its turn", 0.5, spread, true},
-		{"news come before its turn", 0.5, 300 * time.Millisecond, false},
+		{"newer data arrives before its turn", 0.5, 300 * time.Millisecond, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			v := NewView()
 			v.Replace(Snapshot{Config: version(1), At: 1}, at(0), false)
 			f := NewFollower(v, Source{}, time.Second, zap.NewNop())
-			now := at(listenAge)
+			now := at(maxPeerAge)
 			f.now = func() time.Time { return now }
-			f.ListenTo(Listener{
-				Reads: func(bool) bool { return false },
-				Listen: func(context.Context) error {
-					if now.Sub(at(listenAge)) >= tc.backIn {
+			f.UsePeers(PeerSource{
+				ReadsSource: func(bool) bool { return false },
+				Fetch: func(context.Context) error {
+					if now.Sub(at(maxPeerAge)) >= tc.freshAfter {
 						v.Confirm(1, now)
 					}
 					return nil
@@ -217,46 +217,46 @@
 			})
 			read := false
 			for range 20 {
-				if read = !f.listen(context.Background()); read {
+				if read = !f.readFromPeer(context.Background()); read {
 					break
 				}
 				now = now.Add(100 * time.Millisecond)
 			}
 			g.Expect(read).To(Equal(tc.reads))
 			if read {
-				g.Expect(now.Sub(at(listenAge))).To(BeNumerically("~", tc.turn*float64(spread), 100*float64(time.Millisecond)))
+				g.Expect(now.Sub(at(maxPeerAge))).To(BeNumerically("~", tc.turn*float64(spread), 100*float64(time.Millisecond)))
 			}
 		})
 	}
 }
 
-// While hundreds of endpoints start, each call to the store brought a few of them, and each
-// process that listens asked as often.
-func TestNewsInARowAreGatheredLonger(t *testing.T) {
+// While hundreds of endpoints start, each call to the store without batching returned a few of
+// them, and each process that follows a peer called it as often.
+func TestConsecutiveChangesAreBatchedLonger(t *testing.T) {
 	g := NewWithT(t)
 	const inForce = 3200 * time.Millisecond
 	v := NewView()
 	f := NewFollower(v, Source{}, inForce, zap.NewNop())
-	g.Expect(f.gather()).To(Equal(startGatherTime), "there is no configuration yet")
+	g.Expect(f.batchDelay()).To(Equal(startBatchDelay), "there is no configuration yet")
 	revision := uint64(1)
 	list := func() {
 		revision++
 		v.Apply(Changes{Endpoints: []fleet.Endpoint{{ID: fmt.Sprint("e", revision), Service: "s", Address: fmt.Sprint("a:", revision), Revision: revision}}, At: revision}, time.Now(), false)
 	}
 	v.Offer(fleet.NewConfig(1, nil, nil, nil, fleet.Limits{}), 1)
-	g.Expect(f.gather()).To(Equal(gatherTime))
-	for _, want := range []time.Duration{2 * gatherTime, 4 * gatherTime, inForce / 16, inForce / 16} {
+	g.Expect(f.batchDelay()).To(Equal(minBatchDelay))
+	for _, want := range []time.Duration{2 * minBatchDelay, 4 * minBatchDelay, inForce / 16, inForce / 16} {
 		list()
-		g.Expect(f.gather()).To(Equal(want))
+		g.Expect(f.batchDelay()).To(Equal(want))
 	}
-	g.Expect(f.gather()).To(Equal(gatherTime), "a call that brought nothing")
+	g.Expect(f.batchDelay()).To(Equal(minBatchDelay), "a call without changes")
 	list()
-	g.Expect(f.gather()).To(Equal(gatherTime), "a change by itself is told soon")
+	g.Expect(f.batchDelay()).To(Equal(minBatchDelay), "a single change is reported soon")
 }
 
-// The history is shorter than what changes in between, so that each call is answered by that
-// it is forgotten.
-func TestAHistoryThatIsForgottenAgainAndAgainCostsFewCalls(t *testing.T) {
+// The history of the source is shorter than what changes in between, so that each call for changes
+// fails with ErrCompacted.
+func TestRepeatedCompactionCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		const inForce, watched = 3200 * time.Millisecond, 4 * time.Second
@@ -272,7 +272,7 @@
 			},
 			Changes: func(context.Context, uint64, time.Duration) (ch Changes, err error) {
 				calls++
-				return ch, ErrForgotten
+				return ch, ErrCompacted
 			},
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), watched)
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -29,13 +29,13 @@
 	Version  uint64        `json:"version"`
 	Revision uint64        `json:"revision"`         // Of the configuration.
 	Config   []byte        `json:"config,omitempty"` // Text of the version, when it is newer than the one asked for.
-	follow.Told
+	follow.Update
 }
 
 // borrow asks a neighbour for what is published, if the store has not told for
 // a while.
 func (n *Neighbours) borrow(ctx context.Context) {
-	age := n.g.view.CheckAge(n.g.cfg.Now())
+	age := n.g.view.ConfirmedAge(n.g.cfg.Now())
 	if age < borrowAge {
 		n.borrows = false
 		return
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -112,7 +112,7 @@
 	if err := n.takeConfig(p); err != nil {
 		return err
 	}
-	n.g.view.Hear(p.Told, n.g.cfg.Now())
+	n.g.view.ApplyUpdate(p.Update, n.g.cfg.Now())
 	n.g.view.Confirm(p.Version, asked.Add(p.Held-p.Age))
 	duty.Locked(&n.mu, func() { n.heardOf = listenedTo{from: {life: p.Life, number: p.Number}} })
 	n.logTold(from, p)
@@ -120,9 +120,9 @@
 }
 
 func (n *Neighbours) logTold(from string, p published) {
-	if len(p.Config)+len(p.Endpoints)+len(p.Gone) == 0 {
+	if len(p.Config)+len(p.Endpoints)+len(p.Removals) == 0 {
 		return
 	}
 	n.log.Info("heard of changes", zap.String("from", from), zap.Uint64("version", p.Version), zap.Uint64("revision", p.At),
-		zap.Duration("age", p.Age), zap.Bool("whole", p.Whole), zap.Int("endpoints", len(p.Endpoints)), zap.Int("gone", len(p.Gone)))
+		zap.Duration("age", p.Age), zap.Bool("whole", p.Whole), zap.Int("endpoints", len(p.Endpoints)), zap.Int("gone", len(p.Removals)))
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -100,7 +100,7 @@
 	// The call is held until something changes, and only that is told.
 	var held errgroup.Group
 	held.Go(func() error { return listener.Listen(ctx) })
-	reader.view.Apply(follow.Changes{Config: configOf(4), Gone: []follow.Gone{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
+	reader.view.Apply(follow.Changes{Config: configOf(4), Removals: []follow.Removal{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
 	g.Expect(held.Wait()).To(Succeed())
 	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(4))
 	g.Expect(ids()).To(ConsistOf("two", "three"))
@@ -177,7 +177,7 @@
 
 	seed.view.Replace(follow.Snapshot{At: 1}, time.Now(), false)
 	g.Expect(starter.Listen(ctx)).To(Succeed())
-	g.Expect(starter.view.CheckAge(time.Now())).To(BeNumerically("<", 30*time.Second), "there is nothing yet, which is news")
+	g.Expect(starter.view.ConfirmedAge(time.Now())).To(BeNumerically("<", 30*time.Second), "there is nothing yet, which is news")
 	g.Expect(starter.view.Age(time.Now())).To(BeNumerically(">", time.Hour), "of no configuration")
 	seed.publish(3, 3, endpointAt("one", 2))
 	g.Expect(starter.Listen(ctx)).To(Succeed())
@@ -211,7 +211,7 @@
 	ctx := context.Background()
 	lender, borrower := newStation(t, 7), newStation(t, 9)
 	lender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
-	lender.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
+	lender.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
 	p, err := borrower.ask(ctx, lender.self)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(borrower.take(p, time.Now())).To(Succeed())
@@ -310,7 +310,7 @@
 		g.Expect(s.listenTo(ctx, reader.self)).To(Succeed())
 		g.Expect(s.view.State().Endpoints).To(HaveLen(2))
 	}
-	reader.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
+	reader.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
 	g.Expect(middle.listenTo(ctx, reader.self)).To(Succeed())
 	g.Expect(leaf.listenTo(ctx, middle.self)).To(Succeed())
 	g.Expect(leaf.view.State().Endpoints).To(HaveLen(1))
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -261,7 +261,7 @@
 	if n.subscribed {
 		return nil
 	}
-	return n.g.view.Moved()
+	return n.g.view.Updated()
 }
 
 // greetListed says hello to sidecars as soon as any are listed, so that loads are known
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -111,8 +111,8 @@
 const turnMargin = listenTimeout + 300*time.Millisecond
 
 // Follow returns what makes a follower listen to these neighbours.
-func (n *Neighbours) Follow() follow.Listener {
-	return follow.Listener{Reads: n.Reads, Listen: n.Listen, Turn: n.turn, Spread: n.spread}
+func (n *Neighbours) Follow() follow.PeerSource {
+	return follow.PeerSource{ReadsSource: n.Reads, Fetch: n.Listen, Turn: n.turn, Spread: n.spread}
 }
 
 // turn returns this gateway's place among those of its domain, in the order in which
