--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -187,7 +187,7 @@
 func (g *Gateway) sweep() {
 	s := g.view.State()
 	g.Changed()
-	g.suspects.Forget(g.cfg.Now())
+	g.suspects.Expire(g.cfg.Now())
 	g.unfinished.forget(time.Now())
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -189,9 +189,9 @@
 func endsOf(now time.Time, s *Gateway) []peers.End {
 	for i := range 2 * peers.MostEnds {
 		k := quarantine.KeyOf("POST", "h", "/p", "c", fmt.Append(nil, i))
-		s.suspects.Ended(k, fmt.Sprintf("%s-%d@1786946211702", strings.Repeat("x", 24), i), quarantine.OnTrial, now.Add(-10*time.Minute))
+		s.suspects.RecordEnd(k, fmt.Sprintf("%s-%d@1786946211702", strings.Repeat("x", 24), i), quarantine.OnTrial, now.Add(-10*time.Minute))
 	}
-	return s.suspects.Tell(now)
+	return s.suspects.NextToSend(now)
 }
 
 func TestAHelloWithEndsFitsAPacket(t *testing.T) {
@@ -205,7 +205,7 @@
 	other := newStation(t, 2)
 	heard.Hello = nil // A station has no socket to answer it.
 	other.Receive(netip.AddrPort{}, heard)
-	g.Expect(other.g.suspects.Tell(time.Now())).To(HaveLen(peers.MostEnds))
+	g.Expect(other.g.suspects.NextToSend(time.Now())).To(HaveLen(peers.MostEnds))
 }
 
 // A gateway that starts anew under its address is new to the others.
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -120,7 +120,7 @@
 }
 
 func (n *Neighbours) receive(from netip.AddrPort, m peers.Message) {
-	n.g.suspects.Hear(m.Ends, n.g.cfg.Now())
+	n.g.suspects.Merge(m.Ends, n.g.cfg.Now())
 	n.g.hearLimits(from, m.Limits)
 	if m.Lend != nil {
 		n.hearParts(from, *m.Lend)
@@ -315,7 +315,7 @@
 	for _, a := range lapsed {
 		n.log.Info("gateway not heard any more", zap.String("address", a))
 	}
-	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All are told the same.
+	ends := n.g.suspects.NextToSend(n.g.cfg.Now()) // All are told the same.
 	h := n.hello(now)
 	for _, greeting := range greetings {
 		h.Asks = greeting.Asks
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -37,14 +37,14 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.g.suspects.News():
+		case <-n.g.suspects.Pending():
 		case <-n.g.limitNews:
 		}
 		for n.g.untoldLimits() {
 			n.tellLimits()
 		}
-		for n.g.suspects.Untold() {
-			n.socket.SendAll(addresses(n.others()), peers.Message{Ends: n.g.suspects.Tell(n.g.cfg.Now())})
+		for n.g.suspects.HasUnsent() {
+			n.socket.SendAll(addresses(n.others()), peers.Message{Ends: n.g.suspects.NextToSend(n.g.cfg.Now())})
 		}
 		wait.For(ctx, gatherTime)
 	}
@@ -64,14 +64,14 @@
 	for part := range slices.Chunk(limits, peers.MostLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
-	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
+	if list := n.g.suspects.ForNewPeer(n.g.cfg.Now()); len(list) > 0 {
 		n.socket.Send(to, peers.Message{Ends: list})
 	}
 }
 
 // entrust tells some sidecars of ends: they tell gateways that have just started.
 func (n *Neighbours) entrust(sidecars []sidecar) {
-	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
+	if list := n.g.suspects.ForNewPeer(n.g.cfg.Now()); len(list) > 0 {
 		n.socket.SendAll(addressesOf(roster.Some(sidecars, entrusted, random)), peers.Message{Ends: list})
 	}
 }
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -32,7 +32,7 @@
 	if !fresh {
 		return
 	}
-	m := peers.Message{Load: load, Ends: s.suspects.TellOne(now)}
+	m := peers.Message{Load: load, Ends: s.suspects.ForNewPeer(now)}
 	if m.Load != nil || len(m.Ends) > 0 {
 		s.socket.Send(from, m)
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package suspects keeps what one process knows of requests under which endpoints ended, and
-// what of it is to be told to others. Gateways act by it; sidecars only keep it, so that it
-// outlives gateways that end together. It is not for deciding (package quarantine) or for
-// Sending (package peers).
+// Package suspects keeps what one process knows of requests during which endpoints ended, and
+// selects what to send of it to other processes. Gateways act on it; sidecars only store it, so
+// that it survives gateways that end at the same time. Verdicts are up to package quarantine, and
+// sending to package peers.
 package suspects
 
 import (
@@ -17,41 +17,41 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// Set is what a process knows of requests under which endpoints ended.
+// Set holds what a process knows of requests during which endpoints ended.
 type Set struct {
-	log  *zap.Logger
-	held metrics.Gauge
-	news chan struct{} // Holds a value while an end waits to be told.
+	log       *zap.Logger
+	heldGauge metrics.Gauge
+	pending   chan struct{} // Holds a value while an end waits to be sent.
 
-	mu   sync.Mutex // Guards what follows.
+	mu   sync.Mutex // Guards the fields below.
 	book *quarantine.Book
 }
 
 // New returns an empty set.
 func New(log *zap.Logger, reg metrics.Registry) *Set {
-	return &Set{log: log, held: metrics.GetOrRegisterGauge("quarantine.held", reg), news: make(chan struct{}, 1), book: quarantine.New()}
+	return &Set{log: log, heldGauge: metrics.GetOrRegisterGauge("quarantine.held", reg), pending: make(chan struct{}, 1), book: quarantine.New()}
 }
 
-// News returns a channel that holds a value while something waits to be told.
-func (s *Set) News() <-chan struct{} { return s.news }
+// Pending returns a channel that holds a value while something waits to be sent.
+func (s *Set) Pending() <-chan struct{} { return s.pending }
 
-// tellSoon notes that something waits to be told.
-func (s *Set) tellSoon() {
+// notifyPending puts a value into the channel of Pending.
+func (s *Set) notifyPending() {
 	select {
-	case s.news <- struct{}{}:
-	default: // It is noted already.
+	case s.pending <- struct{}{}:
+	default: // The channel already holds a value.
 	}
 }
 
-// Tell returns what to tell all other processes next.
-func (s *Set) Tell(now time.Time) []peers.End {
+// NextToSend returns the ends to send to all other processes next.
+func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return encode(s.book.Tell(peers.MostEnds, now), now)
 }
 
-// TellOne returns what to tell one process that may know nothing.
-func (s *Set) TellOne(now time.Time) []peers.End {
+// ForNewPeer returns the ends to send to a process that may know none yet.
+func (s *Set) ForNewPeer(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return encode(s.book.Gravest(peers.MostEnds), now)
@@ -64,95 +64,96 @@
 	return list
 }
 
-// Untold reports whether something waits that was never told.
-func (s *Set) Untold() bool {
+// HasUnsent reports whether any end has never been sent.
+func (s *Set) HasUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Untold()
 }
 
-// Hear takes in what another process told.
-func (s *Set) Hear(list []peers.End, now time.Time) {
+// Merge adds the ends that another process sent.
+func (s *Set) Merge(list []peers.End, now time.Time) {
 	if len(list) == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, told := range list {
-		if !valid(told) {
-			s.log.Warn("end of an endpoint left out", zap.Binary("key", told.Key), zap.Int64("age-ms", told.AgeMs), zap.Int("sending", told.Sending))
+	for _, received := range list {
+		if !valid(received) {
+			s.log.Warn("invalid endpoint end ignored", zap.Binary("key", received.Key), zap.Int64("age-ms", received.AgeMs), zap.Int("sending", received.Sending))
 			continue
 		}
 		s.add(quarantine.End{
-			Key: quarantine.Key(told.Key), Endpoint: told.Endpoint, Sending: quarantine.Sending(told.Sending), Void: told.Void,
-			At: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
+			Key: quarantine.Key(received.Key), Endpoint: received.Endpoint, Sending: quarantine.Sending(received.Sending), Void: received.Void,
+			At: now.Add(-time.Duration(received.AgeMs) * time.Millisecond),
 		}, now, now)
 	}
 	s.book.Forget(now)
 }
 
-// Bounds of what another process may tell.
+// Bounds on ends from other processes.
 const (
-	longestName = 255                 // Bytes of an endpoint's id.
-	oldest      = 30 * 24 * time.Hour // Far above the time for which anything is held.
+	maxEndpointIDLen = 255                 // Bytes of an endpoint's id.
+	maxAge           = 30 * 24 * time.Hour // Far above the time for which a request is held.
 )
 
-// valid reports whether an end that another process tells can be one.
+// valid reports whether an end from another process is well-formed.
 func valid(e peers.End) bool {
-	return len(e.Key) == len(quarantine.Key{}) && e.Endpoint != "" && len(e.Endpoint) <= longestName &&
-		e.AgeMs >= 0 && e.AgeMs <= oldest.Milliseconds() && quarantine.Sending(e.Sending).Valid()
+	return len(e.Key) == len(quarantine.Key{}) && e.Endpoint != "" && len(e.Endpoint) <= maxEndpointIDLen &&
+		e.AgeMs >= 0 && e.AgeMs <= maxAge.Milliseconds() && quarantine.Sending(e.Sending).Valid()
 }
 
-// Ended takes in that an endpoint ended under a request of this process.
-func (s *Set) Ended(k quarantine.Key, endpoint string, sending quarantine.Sending, now time.Time) {
+// RecordEnd records that an endpoint ended during a request of this process.
+func (s *Set) RecordEnd(k quarantine.Key, endpoint string, sending quarantine.Sending, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(quarantine.End{Key: k, Endpoint: endpoint, Sending: sending, At: now}, time.Time{}, now)
-	s.tellSoon()
+	s.notifyPending()
 }
 
-// add takes in an end and logs what follows from it. The caller holds mu.
-func (s *Set) add(e quarantine.End, told, now time.Time) {
+// add adds an end and logs the resulting verdict. The time receivedAt is zero for an end that this
+// process observed itself. The caller holds mu.
+func (s *Set) add(e quarantine.End, receivedAt, now time.Time) {
 	before, _ := s.book.Judge(e.Key, now)
-	if !s.book.Add(e, told) {
+	if !s.book.Add(e, receivedAt) {
 		return
 	}
 	after, left := s.book.Judge(e.Key, now)
-	s.held.Update(int64(s.book.Held(now)))
-	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", told.IsZero()), zap.Stringer("sending", e.Sending),
+	s.heldGauge.Update(int64(s.book.Held(now)))
+	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", receivedAt.IsZero()), zap.Stringer("sending", e.Sending),
 		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", left)}
 	if after != before {
-		s.log.Warn("endpoint ended under a request", fields...)
+		s.log.Warn("endpoint ended during a request", fields...)
 		return
 	}
-	s.log.Info("endpoint ended under a request", fields...)
+	s.log.Info("endpoint ended during a request", fields...)
 }
 
-// Sound takes in that a request ran to its end.
-func (s *Set) Sound(key func() quarantine.Key) {
+// RecordSuccess records that a request ran to completion.
+func (s *Set) RecordSuccess(key func() quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() || !s.book.Sound(key()) {
 		return
 	}
-	s.log.Info("request is sound although endpoints ended under it", zap.Stringer("key", key()))
-	s.tellSoon()
+	s.log.Info("request completed although endpoints had ended during it", zap.Stringer("key", key()))
+	s.notifyPending()
 }
 
-// Alive takes in that an endpoint answered what was sent to it at a moment.
-func (s *Set) Alive(endpoint string, sentAt time.Time) {
+// RecordAlive records that an endpoint answered a request that was sent to it at the given time.
+func (s *Set) RecordAlive(endpoint string, sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() || !s.book.Alive(endpoint, sentAt) {
 		return
 	}
-	s.log.Info("endpoint lives on although it was taken to have ended", zap.String("endpoint", endpoint))
-	s.tellSoon()
+	s.log.Info("endpoint is alive although it was recorded as ended", zap.String("endpoint", endpoint))
+	s.notifyPending()
 }
 
-// Sending returns what is known of a request that is sent now. The key is worked out only
-// where any is known, as it costs a hash of the body.
-func (s *Set) Sending(key func() quarantine.Key, now time.Time) quarantine.Sending {
+// SendingState returns what is known of a request that is sent now. It computes the key only if any
+// ends are known, because that hashes the body.
+func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Sending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
@@ -171,24 +172,24 @@
 	return s.book.Judge(key(), now)
 }
 
-// Begin begins a trial; it reports false while another one is under way.
-func (s *Set) Begin(k quarantine.Key, now, until time.Time) bool {
+// BeginTrial begins a trial; it reports false while another one is in progress.
+func (s *Set) BeginTrial(k quarantine.Key, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.Begin(k, now, until)
 }
 
-// EndTrial ends a trial that showed nothing.
+// EndTrial ends a trial without a result.
 func (s *Set) EndTrial(k quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.EndTrial(k)
 }
 
-// Forget drops what has lapsed.
-func (s *Set) Forget(now time.Time) {
+// Expire drops expired entries.
+func (s *Set) Expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Forget(now)
-	s.held.Update(int64(s.book.Held(now)))
+	s.heldGauge.Update(int64(s.book.Held(now)))
 }
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -22,105 +22,107 @@
 
 func newSet() *Set { return New(zap.NewNop(), metrics.NewRegistry()) }
 
-func theKey() quarantine.Key { return key }
+func keyFunc() quarantine.Key { return key }
 
-// twoEnds returns a set that has seen a request end an endpoint, and one more after that.
-func twoEnds() *Set {
+// setWithTwoEnds returns a set with two endpoints that ended during the same request, one after the
+// other.
+func setWithTwoEnds() *Set {
 	s := newSet()
-	s.Ended(key, "e-0", s.Sending(theKey, now.Add(-time.Minute)), now.Add(-time.Minute))
-	s.Ended(key, "e-1", s.Sending(theKey, now), now)
+	s.RecordEnd(key, "e-0", s.SendingState(keyFunc, now.Add(-time.Minute)), now.Add(-time.Minute))
+	s.RecordEnd(key, "e-1", s.SendingState(keyFunc, now), now)
 	return s
 }
 
-func assertVerdict(g *WithT, s *Set, want quarantine.Verdict) {
-	v, _ := s.Judge(theKey, now)
+func expectVerdict(g *WithT, s *Set, want quarantine.Verdict) {
+	v, _ := s.Judge(keyFunc, now)
 	g.Expect(v).To(Equal(want))
 }
 
-func TestWhatOneSetTellsAnotherHolds(t *testing.T) {
+func TestASetAdoptsEndsAndSuccessesFromAnother(t *testing.T) {
 	g := NewWithT(t)
-	first, second := twoEnds(), newSet()
-	assertVerdict(g, first, quarantine.Held)
-	second.Hear(first.Tell(now), now)
-	assertVerdict(g, second, quarantine.Held)
-
-	first.Sound(theKey)
-	g.Expect(first.News()).To(Receive())
-	second.Hear(first.Tell(now), now)
-	assertVerdict(g, second, quarantine.Free)
+	first, second := setWithTwoEnds(), newSet()
+	expectVerdict(g, first, quarantine.Held)
+	second.Merge(first.NextToSend(now), now)
+	expectVerdict(g, second, quarantine.Held)
+
+	first.RecordSuccess(keyFunc)
+	g.Expect(first.Pending()).To(Receive())
+	second.Merge(first.NextToSend(now), now)
+	expectVerdict(g, second, quarantine.Free)
 }
 
-func TestNewsIsToldOnceToAll(t *testing.T) {
+func TestAnEndIsSentOnceAndNotForwarded(t *testing.T) {
 	g := NewWithT(t)
-	s := twoEnds()
-	g.Expect(s.News()).To(Receive())
-	g.Expect(s.News()).NotTo(Receive(), "one word for all that waits")
-	g.Expect(s.Untold()).To(BeTrue())
-	told := s.Tell(now)
-	g.Expect(told).To(HaveLen(2))
-	g.Expect(s.Untold()).To(BeFalse())
+	s := setWithTwoEnds()
+	g.Expect(s.Pending()).To(Receive())
+	g.Expect(s.Pending()).NotTo(Receive(), "one value for all pending ends")
+	g.Expect(s.HasUnsent()).To(BeTrue())
+	sent := s.NextToSend(now)
+	g.Expect(sent).To(HaveLen(2))
+	g.Expect(s.HasUnsent()).To(BeFalse())
 	other := newSet()
-	other.Hear(told, now)
-	g.Expect(other.Untold()).To(BeFalse(), "whoever saw it tells all")
-	g.Expect(other.News()).NotTo(Receive())
+	other.Merge(sent, now)
+	g.Expect(other.HasUnsent()).To(BeFalse(), "only the process that observed an end sends it to all")
+	g.Expect(other.Pending()).NotTo(Receive())
 }
 
-// An end keeps its age on its way from one process to the next, or it would never lapse.
+// Guards against an end that loses its age when it is passed from process to process, so that it
+// never expires.
 func TestAnEndKeepsItsAge(t *testing.T) {
 	g := NewWithT(t)
 	const age = 5 * time.Minute
-	s := twoEnds()
-	told := s.Tell(now.Add(age))
-	for _, e := range told {
+	s := setWithTwoEnds()
+	sent := s.NextToSend(now.Add(age))
+	for _, e := range sent {
 		g.Expect(e.AgeMs).To(BeElementOf(age.Milliseconds(), (age + time.Minute).Milliseconds()))
 	}
 	other := newSet()
-	other.Hear(told, now)
-	g.Expect(other.Tell(now)).To(ConsistOf(told))
+	other.Merge(sent, now)
+	g.Expect(other.NextToSend(now)).To(ConsistOf(sent))
 }
 
-func TestWhatCannotBeAnEndIsLeftOut(t *testing.T) {
+func TestInvalidEndsAreIgnored(t *testing.T) {
 	for name, bad := range map[string]peers.End{
-		"short key":       {Key: key[:4], Endpoint: "e"},
-		"from the future": {Key: key[:], Endpoint: "e", AgeMs: -1},
-		"unknown sending": {Key: key[:], Endpoint: "e", Sending: 9},
-		"no endpoint":     {Key: key[:]},
-		"long name":       {Key: key[:], Endpoint: strings.Repeat("e", 256)},
-		"below all":       {Key: key[:], Endpoint: "e", Sending: -1},
-		"older than time": {Key: key[:], Endpoint: "e", AgeMs: 1 << 62},
+		"short key":                {Key: key[:4], Endpoint: "e"},
+		"from the future":          {Key: key[:], Endpoint: "e", AgeMs: -1},
+		"unknown sending":          {Key: key[:], Endpoint: "e", Sending: 9},
+		"no endpoint":              {Key: key[:]},
+		"long name":                {Key: key[:], Endpoint: strings.Repeat("e", 256)},
+		"below the smallest value": {Key: key[:], Endpoint: "e", Sending: -1},
+		"older than the bound":     {Key: key[:], Endpoint: "e", AgeMs: 1 << 62},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newSet()
-			s.Hear([]peers.End{bad}, now)
-			g.Expect(s.Tell(now)).To(BeEmpty())
+			s.Merge([]peers.End{bad}, now)
+			g.Expect(s.NextToSend(now)).To(BeEmpty())
 		})
 	}
 }
 
-func TestOneTrialIsUnderWay(t *testing.T) {
+func TestOnlyOneTrialRunsAtATime(t *testing.T) {
 	g := NewWithT(t)
 	s := newSet()
-	for _, e := range []string{"e-0", "e-1", "e-2"} { // All at once.
-		s.Ended(key, e, quarantine.Unknowing, now.Add(-time.Minute))
+	for _, e := range []string{"e-0", "e-1", "e-2"} { // All at the same time.
+		s.RecordEnd(key, e, quarantine.Unknowing, now.Add(-time.Minute))
 	}
-	assertVerdict(g, s, quarantine.Trial)
+	expectVerdict(g, s, quarantine.Trial)
 	until := now.Add(time.Second)
-	g.Expect(s.Begin(key, now, until)).To(BeTrue())
-	g.Expect(s.Begin(key, now, until)).To(BeFalse())
+	g.Expect(s.BeginTrial(key, now, until)).To(BeTrue())
+	g.Expect(s.BeginTrial(key, now, until)).To(BeFalse())
 	s.EndTrial(key)
-	g.Expect(s.Begin(key, now, until)).To(BeTrue())
-	s.Ended(key, "e-3", quarantine.OnTrial, now)
-	assertVerdict(g, s, quarantine.Held)
+	g.Expect(s.BeginTrial(key, now, until)).To(BeTrue())
+	s.RecordEnd(key, "e-3", quarantine.OnTrial, now)
+	expectVerdict(g, s, quarantine.Held)
 }
 
-func TestWhatLivesOnIsToldToAll(t *testing.T) {
+func TestAnAnswerOfAnEndpointVoidsItsEndEverywhere(t *testing.T) {
 	g := NewWithT(t)
-	first, second := twoEnds(), newSet()
-	second.Hear(first.Tell(now), now)
-	second.Alive("e-1", now.Add(time.Millisecond))
-	assertVerdict(g, second, quarantine.Free)
-	g.Expect(second.News()).To(Receive())
-	first.Hear(second.Tell(now), now)
-	assertVerdict(g, first, quarantine.Free)
+	first, second := setWithTwoEnds(), newSet()
+	second.Merge(first.NextToSend(now), now)
+	second.RecordAlive("e-1", now.Add(time.Millisecond))
+	expectVerdict(g, second, quarantine.Free)
+	g.Expect(second.Pending()).To(Receive())
+	first.Merge(second.NextToSend(now), now)
+	expectVerdict(g, first, quarantine.Free)
 }
