--- a/internal/callerconn/callerconn_test.go
+++ b/internal/callerconn/callerconn_test.go
@@ -14,11 +14,11 @@
 	. "github.com/onsi/gomega"
 )
 
-const piece = "id: 0\ndata: x\n\n"
+const event = "id: 0\ndata: x\n\n"
 
-// read10 sends a request in HTTP/1.0 and reads until the connection ends; it
-// calls seen once the piece has come. Without an error the answer looks whole.
-func read10(t *testing.T, address string, seen func()) (err error) {
+// readHTTP10 sends an HTTP/1.0 request and reads until the connection ends; it calls onEvent once
+// the event has arrived. It returns nil if the answer looks complete.
+func readHTTP10(t *testing.T, address string, onEvent func()) (err error) {
 	t.Helper()
 	g := NewWithT(t)
 	c, err := net.Dial("tcp", address)
@@ -30,58 +30,57 @@
 	for buf := make([]byte, 1024); ; {
 		n, err := c.Read(buf)
 		got += string(buf[:n])
-		if seen != nil && len(got) > len(piece) && got[len(got)-len(piece):] == piece {
-			seen()
-			seen = nil
+		if onEvent != nil && len(got) > len(event) && got[len(got)-len(event):] == event {
+			onEvent()
+			onEvent = nil
 		}
 		switch {
 		case err == io.EOF:
-			g.Expect(got).To(ContainSubstring(piece))
+			g.Expect(got).To(ContainSubstring(event))
 			return nil
 		case err != nil:
-			g.Expect(got).To(ContainSubstring(piece))
+			g.Expect(got).To(ContainSubstring(event))
 			return err
 		}
 	}
 }
 
-// serve answers with the piece and then ends as the function end does, once
-// the caller has read the piece.
-func serve(t *testing.T, hook func(context.Context, net.Conn) context.Context, end func(srv *httptest.Server, disarm func())) (err error) {
+// serve answers with the event, and calls end once the caller has read the event.
+func serve(t *testing.T, connContext func(context.Context, net.Conn) context.Context, end func(srv *httptest.Server, disarm func())) (err error) {
 	t.Helper()
-	seen := make(chan struct{})
+	eventRead := make(chan struct{})
 	var srv *httptest.Server
 	srv = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		disarm := Arm(r.Context())
-		_, _ = io.WriteString(w, piece)
+		_, _ = io.WriteString(w, event)
 		_ = http.NewResponseController(w).Flush()
-		<-seen
+		<-eventRead
 		end(srv, disarm)
 	}))
-	srv.Config.ConnContext = hook
+	srv.Config.ConnContext = connContext
 	srv.Start()
 	t.Cleanup(srv.Close)
-	return read10(t, srv.Listener.Addr().String(), func() { close(seen) })
+	return readHTTP10(t, srv.Listener.Addr().String(), func() { close(eventRead) })
 }
 
 func TestEndsOfAnAnswerWithoutALength(t *testing.T) {
 	abort := func(*httptest.Server, func()) { panic(http.ErrAbortHandler) }
 	t.Run("whole", func(t *testing.T) {
-		err := serve(t, Context, func(_ *httptest.Server, disarm func()) { disarm() })
+		err := serve(t, WithConn, func(_ *httptest.Server, disarm func()) { disarm() })
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	})
-	t.Run("broken off", func(t *testing.T) {
-		NewWithT(t).Expect(serve(t, Context, abort)).To(MatchError(syscall.ECONNRESET))
+	t.Run("aborted answer", func(t *testing.T) {
+		NewWithT(t).Expect(serve(t, WithConn, abort)).To(MatchError(syscall.ECONNRESET))
 	})
 	t.Run("handler returns without disarming", func(t *testing.T) {
-		err := serve(t, Context, func(*httptest.Server, func()) {})
+		err := serve(t, WithConn, func(*httptest.Server, func()) {})
 		NewWithT(t).Expect(err).To(MatchError(syscall.ECONNRESET))
 	})
 	t.Run("server is closed", func(t *testing.T) {
-		err := serve(t, Context, func(srv *httptest.Server, _ func()) { _ = srv.Config.Close() })
+		err := serve(t, WithConn, func(srv *httptest.Server, _ func()) { _ = srv.Config.Close() })
 		NewWithT(t).Expect(err).To(MatchError(syscall.ECONNRESET))
 	})
-	t.Run("broken off without the hook looks whole", func(t *testing.T) {
-		NewWithT(t).Expect(serve(t, nil, abort)).To(Succeed(), "what the package is for")
+	t.Run("aborted answer without WithConn looks complete", func(t *testing.T) {
+		NewWithT(t).Expect(serve(t, nil, abort)).To(Succeed(), "this is the problem that the package solves")
 	})
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -169,7 +169,7 @@
 	srv := p.httpServer(g.Handler())
 	srv.ReadTimeout, srv.IdleTimeout = 0, 0 // Streams last; the gateway bounds the rest.
 	srv.WriteTimeout = gateway.UnreadTime   // Of what the server says itself; the gateway sets its own.
-	srv.ConnContext = callerconn.Context    // Without it a stream cut short looks whole to HTTP/1.0.
+	srv.ConnContext = callerconn.WithConn   // Without it a stream cut short looks whole to HTTP/1.0.
 	g.Callers().Attach(srv)
 	return srv
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -213,7 +213,7 @@
 		g.conns.Publish(s.Config.Version(), s.Config.Limits().IdleTimeout, time.Now())
 	}
 	g.noteCold(s, time.Now())
-	g.pool.Forget(func(id string) bool {
+	g.pool.CloseIdle(func(id string) bool {
 		e, ok := s.Endpoints[id]
 		return ok && !g.leaves(e)
 	})
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -120,7 +120,7 @@
 }
 
 func (n *Neighbours) receive(from netip.AddrPort, m peers.Message) {
-	n.g.suspects.Merge(m.Ends, n.g.cfg.Now())
+	n.g.suspects.MergeEnds(m.Ends, n.g.cfg.Now())
 	n.g.hearLimits(from, m.Limits)
 	if m.Lend != nil {
 		n.hearParts(from, *m.Lend)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -219,7 +219,7 @@
 
 // receive merges a peer's message.
 func (n *Node) receive(m message) {
-	n.suspects.Merge(m.Ends, clock.Now())
+	n.suspects.MergeEnds(m.Ends, clock.Now())
 	if len(m.Rows) == 0 {
 		return
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -201,7 +201,7 @@
 // receive takes in a message. One that causes a panic is left out.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
 	duty.Contain("message", s.log, s.reg, func() {
-		s.suspects.Merge(m.Ends, time.Now())
+		s.suspects.MergeEnds(m.Ends, time.Now())
 		switch {
 		case m.Hello != nil:
 			s.hearHello(from, *m.Hello)
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -71,8 +71,8 @@
 	return s.book.Untold()
 }
 
-// Merge adds the ends that another process sent.
-func (s *Set) Merge(list []peers.End, now time.Time) {
+// MergeEnds adds the ends that another process sent.
+func (s *Set) MergeEnds(list []peers.End, now time.Time) {
 	if len(list) == 0 {
 		return
 	}
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -42,12 +42,12 @@
 	g := NewWithT(t)
 	first, second := setWithTwoEnds(), newSet()
 	expectVerdict(g, first, quarantine.Held)
-	second.Merge(first.NextToSend(now), now)
+	second.MergeEnds(first.NextToSend(now), now)
 	expectVerdict(g, second, quarantine.Held)
 
 	first.RecordSuccess(keyFunc)
 	g.Expect(first.Pending()).To(Receive())
-	second.Merge(first.NextToSend(now), now)
+	second.MergeEnds(first.NextToSend(now), now)
 	expectVerdict(g, second, quarantine.Free)
 }
 
@@ -61,7 +61,7 @@
 	g.Expect(sent).To(HaveLen(2))
 	g.Expect(s.HasUnsent()).To(BeFalse())
 	other := newSet()
-	other.Merge(sent, now)
+	other.MergeEnds(sent, now)
 	g.Expect(other.HasUnsent()).To(BeFalse(), "only the process that observed an end sends it to all")
 	g.Expect(other.Pending()).NotTo(Receive())
 }
@@ -77,7 +77,7 @@
 		g.Expect(e.AgeMs).To(BeElementOf(age.Milliseconds(), (age + time.Minute).Milliseconds()))
 	}
 	other := newSet()
-	other.Merge(sent, now)
+	other.MergeEnds(sent, now)
 	g.Expect(other.NextToSend(now)).To(ConsistOf(sent))
 }
 
@@ -94,7 +94,7 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newSet()
-			s.Merge([]peers.End{bad}, now)
+			s.MergeEnds([]peers.End{bad}, now)
 			g.Expect(s.NextToSend(now)).To(BeEmpty())
 		})
 	}
@@ -119,10 +119,10 @@
 func TestAnAnswerOfAnEndpointVoidsItsEndEverywhere(t *testing.T) {
 	g := NewWithT(t)
 	first, second := setWithTwoEnds(), newSet()
-	second.Merge(first.NextToSend(now), now)
+	second.MergeEnds(first.NextToSend(now), now)
 	second.RecordAlive("e-1", now.Add(time.Millisecond))
 	expectVerdict(g, second, quarantine.Free)
 	g.Expect(second.Pending()).To(Receive())
-	first.Merge(second.NextToSend(now), now)
+	first.MergeEnds(second.NextToSend(now), now)
 	expectVerdict(g, first, quarantine.Free)
 }
--- a/internal/upstream/churn_test.go
+++ b/internal/upstream/churn_test.go
@@ -21,22 +21,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// fickle is an endpoint that closes connections whenever it likes: with or without a word,
-// at once, while they rest, or as a request reaches it.
-type fickle struct {
-	l      net.Listener
-	closed atomic.Int64 // Connections that it closed itself.
-	shared atomic.Int64 // Requests that came while another one was served on their connection.
+// flakyEndpoint is an endpoint that closes connections at random: with or without announcing it,
+// immediately, while they are idle, or when a request arrives.
+type flakyEndpoint struct {
+	l           net.Listener
+	closed      atomic.Int64 // Connections that it closed itself.
+	overlapping atomic.Int64 // Requests that arrived while another one was in progress on their connection.
 
-	mu  sync.Mutex
-	ran map[string]int // Requests that were run, by id.
+	mu       sync.Mutex
+	runsByID map[string]int // Requests that were run, by id.
 }
 
-func newFickle(t *testing.T) *fickle {
+func newFlakyEndpoint(t *testing.T) *flakyEndpoint {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	f := &fickle{l: l, ran: map[string]int{}}
+	f := &flakyEndpoint{l: l, runsByID: map[string]int{}}
 	var group errgroup.Group
 	group.Go(func() error {
 		for {
@@ -51,21 +51,21 @@
 	return f
 }
 
-func (f *fickle) serve(c net.Conn) {
+func (f *flakyEndpoint) serve(c net.Conn) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
-		rest := time.Minute
+		idle := time.Minute
 		if rand.IntN(3) == 0 {
-			rest = time.Duration(rand.IntN(200)) * time.Microsecond
+			idle = time.Duration(rand.IntN(200)) * time.Microsecond
 		}
-		_ = c.SetReadDeadline(time.Now().Add(rest)) // It is open: only this end closes it.
+		_ = c.SetReadDeadline(time.Now().Add(idle)) // Cannot fail: the connection is open, as only this side closes it.
 		_, err := br.Peek(1)
 		if err != nil || rand.IntN(20) == 0 {
 			if !errors.Is(err, io.EOF) {
 				f.closed.Add(1)
 			}
-			return // As idle, or with a request unread, which resets it.
+			return // Either idle, or with an unread request, which resets the connection.
 		}
 		_ = c.SetReadDeadline(time.Now().Add(time.Minute))
 		r, err := http.ReadRequest(br)
@@ -73,48 +73,48 @@
 			return
 		}
 		if br.Buffered() > 0 {
-			f.shared.Add(1)
+			f.overlapping.Add(1)
 		}
-		id := r.Header.Get(idName)
+		id := r.Header.Get(idHeader)
 		f.mu.Lock()
-		f.ran[id]++
+		f.runsByID[id]++
 		f.mu.Unlock()
-		end := ""
+		closeHeader := ""
 		if rand.IntN(10) == 0 {
-			end = "Connection: close\r\n"
+			closeHeader = "Connection: close\r\n"
 		}
-		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", idName, id, end, len(id), id); err != nil {
+		if _, err := fmt.Fprintf(c, "HTTP/1.1 200 X\r\n%s: %s\r\n%sContent-Length: %d\r\n\r\n%s", idHeader, id, closeHeader, len(id), id); err != nil {
 			return
 		}
-		if end != "" || rand.IntN(10) == 0 {
+		if closeHeader != "" || rand.IntN(10) == 0 {
 			f.closed.Add(1)
-			return // With or without a word.
+			return // With or without "Connection: close".
 		}
 	}
 }
 
-// tally is what became of requests, by how far they got.
-type tally struct {
+// outcomes collects the ids of requests by how far they got.
+type outcomes struct {
 	mu      sync.Mutex
 	results map[Progress][]string
 }
 
-func (n *tally) add(p Progress, id string) {
+func (n *outcomes) add(p Progress, id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.results[p] = append(n.results[p], id)
 }
 
-// send sends a request once, on a connection that rested or on a new one.
-func (n *tally) send(p *Pool, f *fickle, id string, maxIdle time.Duration) error {
+// send sends a request once, on an idle or a new connection.
+func (n *outcomes) send(p *Pool, f *flakyEndpoint, id string, maxIdle time.Duration) error {
 	c, err := p.Get(context.Background(), "e", f.l.Addr().String(), maxIdle)
 	if err != nil {
 		return err
 	}
-	r := &Request{Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{idName: {id}}}
+	r := &Request{Method: http.MethodPost, Target: "/", Host: "h", Header: http.Header{idHeader: {id}}}
 	x, err := c.Send(r, time.Now().Add(time.Minute))
 	if err == nil {
-		_, err = x.Head(r, func(_ int, h http.Header) bool { return h.Get(idName) == id })
+		_, err = x.Head(r, func(_ int, h http.Header) bool { return h.Get(idHeader) == id })
 	}
 	if err == nil {
 		var body []byte
@@ -138,27 +138,27 @@
 	return nil
 }
 
-// Guards against connections that two requests share, that are closed under one, and
-// against requests that are said not to have been sent and ran.
-func TestConnectionsThatEndAsRequestsComeLoseAndMixNothing(t *testing.T) {
+// Guards against connections that two requests share or that are closed during a request, and
+// against requests that ran although they were reported as unsent.
+func TestRequestsOnClosingConnectionsAreNeitherLostNorMixed(t *testing.T) {
 	const callers, each = 300, 40
 	g := NewWithT(t)
-	f := newFickle(t)
+	f := newFlakyEndpoint(t)
 	var opened atomic.Int64
 	p, cleanup := NewPool("", func() { opened.Add(1) })
-	p.dialer.Timeout = time.Minute // However busy the machine is.
-	n := &tally{results: map[Progress][]string{}}
-	over := make(chan struct{})
-	var keeping, sending errgroup.Group
-	keeping.Go(func() error {
+	p.dialer.Timeout = time.Minute // So that dialing succeeds on a busy machine.
+	n := &outcomes{results: map[Progress][]string{}}
+	done := make(chan struct{})
+	var closing, sending errgroup.Group
+	closing.Go(func() error {
 		ticker := time.NewTicker(time.Millisecond)
 		defer ticker.Stop()
 		for i := 0; ; i++ {
 			select {
-			case <-over:
+			case <-done:
 				return nil
 			case <-ticker.C:
-				p.Forget(func(string) bool { return i%2 == 0 })
+				p.CloseIdle(func(string) bool { return i%2 == 0 })
 			}
 		}
 	})
@@ -177,29 +177,29 @@
 		})
 	}
 	err := sending.Wait()
-	close(over)
-	g.Expect(keeping.Wait()).To(Succeed())
+	close(done)
+	g.Expect(closing.Wait()).To(Succeed())
 	cleanup()
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Logf("%d connections, %d closed by the endpoint; requests: %d answered, %d sent, %d unsent", opened.Load(), f.closed.Load(),
 		len(n.results[Answered]), len(n.results[Sent]), len(n.results[Unsent]))
 	g.Expect(len(n.results[Answered]) + len(n.results[Sent]) + len(n.results[Unsent])).To(Equal(callers * each))
 	g.Expect(len(n.results[Answered])).To(BeNumerically(">", callers*each/2))
-	g.Expect(f.shared.Load()).To(BeZero(), "requests on a connection that was in use")
+	g.Expect(f.overlapping.Load()).To(BeZero(), "requests on a connection that was in use")
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, times := range f.ran {
+	for id, times := range f.runsByID {
 		if times != 1 {
 			t.Errorf("%s ran %d times", id, times)
 		}
 	}
 	for _, id := range n.results[Unsent] {
-		if f.ran[id] > 0 {
-			t.Errorf("%s ran and was said not to have been sent", id)
+		if f.runsByID[id] > 0 {
+			t.Errorf("%s ran although it was reported as unsent", id)
 		}
 	}
 	for _, id := range n.results[Answered] {
-		if f.ran[id] == 0 {
+		if f.runsByID[id] == 0 {
 			t.Errorf("%s was answered and did not run", id)
 		}
 	}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Request is what goes to an endpoint.
+// Request is a request to an endpoint.
 type Request struct {
 	Method string
 	Target string // Path and query as the caller sent them.
@@ -25,7 +25,7 @@
 	Body   []byte
 }
 
-// encode returns the request as it goes on the wire. The body is not copied.
+// encode returns the request in wire format. The body is not copied.
 func (r *Request) encode() (raw net.Buffers, err error) {
 	var b bytes.Buffer
 	b.Grow(512)
@@ -43,36 +43,36 @@
 // Progress is how far a request got.
 type Progress int
 
-// The stages.
+// Stages of a request.
 const (
-	Unsent   Progress = iota // No byte of it left.
+	Unsent   Progress = iota // No byte of it was written.
 	Sent                     // It may have reached the endpoint.
 	Answered                 // The head of an answer has arrived.
 )
 
-// largeRequest is the size above which a request is written beside the reading
-// of its answer, since an endpoint may answer before it has read all.
-const largeRequest = 16 << 10
+// largeRequestSize is the size in bytes above which a request is written while its answer is read,
+// because an endpoint may answer before it has read the whole request.
+const largeRequestSize = 16 << 10
 
-// writeEnd bounds how long the rest of a request is still written once its
-// answer is there; after that the connection is given up.
-const writeEnd = 300 * time.Millisecond
+// writeEndTimeout is how long the rest of a request may still be written once its answer has been
+// read; after that the connection is closed.
+const writeEndTimeout = 300 * time.Millisecond
 
-// writer starts the goroutines that write large requests and look after them; each ends
-// with its connection.
-var writer errgroup.Group
+// background runs the goroutines that write large requests and monitor their acknowledgements; each
+// ends with its connection.
+var background errgroup.Group
 
 // Exchange is one request and its answer on a connection.
 type Exchange struct {
-	conn     *Conn
-	resp     *http.Response
-	deadline time.Time
-	wrote    chan error // Result of a large request's writing; nil for others.
-	progress Progress
+	conn        *Conn
+	resp        *http.Response
+	deadline    time.Time
+	writeResult chan error // Result of writing a large request; nil for others.
+	progress    Progress
 }
 
-// Send writes r and returns the exchange, whose Progress tells what happened
-// when there is an error. Nothing is written after deadline.
+// Send writes r and returns the exchange. If it returns an error, Progress tells how far the
+// request got. Nothing is written after deadline.
 func (c *Conn) Send(r *Request, deadline time.Time) (x *Exchange, err error) {
 	defer func() { err = errors.Wrap(err, "sending") }()
 	x = &Exchange{conn: c, deadline: deadline}
@@ -83,15 +83,15 @@
 	if err = c.nc.SetDeadline(deadline); err != nil {
 		return x, err
 	}
-	if len(raw[0])+len(r.Body) > largeRequest {
+	if len(raw[0])+len(r.Body) > largeRequestSize {
 		x.progress = Sent
-		x.wrote = make(chan error, 1)
-		c.long.begin(deadline)
-		writer.Go(func() error {
-			defer c.long.end()
+		x.writeResult = make(chan error, 1)
+		c.longWrites.begin(deadline)
+		background.Go(func() error {
+			defer c.longWrites.end()
 			_, err := raw.WriteTo(c.nc)
-			x.wrote <- err
-			return nil // The error is told to Done.
+			x.writeResult <- err
+			return nil // Done receives the error.
 		})
 		return x, nil
 	}
@@ -108,94 +108,93 @@
 // Conn returns the connection.
 func (x *Exchange) Conn() *Conn { return x.conn }
 
-// maxSurplus is how many answers to earlier requests are passed over.
-const maxSurplus = 2
+// maxForeignAnswers is how many answers to earlier requests are skipped.
+const maxForeignAnswers = 2
 
-// maxSurplusBody bounds what is read of each of them.
-const maxSurplusBody = 1 << 20
+// maxForeignBody limits the bytes that are read of the body of each skipped answer.
+const maxForeignBody = 1 << 20
 
-// Watch has reads of the answer end with ErrSilent when it is silent for too long.
-func (x *Exchange) Watch(w Watch) { x.conn.in.watch, x.conn.in.deadline = &w, x.deadline }
+// Watch makes reads of the answer fail with ErrSilent when the answer is silent for too long.
+func (x *Exchange) Watch(w SilenceWatch) { x.conn.raw.watch, x.conn.raw.deadline = &w, x.deadline }
 
-// Head reads the head of the answer. Answers that are not ours, as told by the
-// function, are read and dropped.
-func (x *Exchange) Head(r *Request, ours func(status int, h http.Header) bool) (resp *http.Response, err error) {
+// Head reads the head of the answer. Answers for which isOurs returns false are read and discarded.
+func (x *Exchange) Head(r *Request, isOurs func(status int, h http.Header) bool) (resp *http.Response, err error) {
 	defer func() { err = errors.Wrap(err, "answer's head") }()
-	for range maxSurplus + 1 {
+	for range maxForeignAnswers + 1 {
 		resp, err = http.ReadResponse(x.conn.br, &http.Request{Method: r.Method})
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode < 100 {
-			return nil, errors.Newf("status %d", resp.StatusCode) // The caller's server cannot write it.
+			return nil, errors.Newf("status %d", resp.StatusCode) // The caller's server cannot write such a status.
 		}
 		if resp.StatusCode < 200 {
 			continue
 		}
-		if ours(resp.StatusCode, resp.Header) {
+		if isOurs(resp.StatusCode, resp.Header) {
 			x.resp, x.progress = resp, Answered
 			return resp, nil
 		}
-		if !framed(resp) {
+		if !isFramed(resp) {
 			break
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxSurplusBody+1))
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBody+1))
 		if err != nil {
 			return nil, err
 		}
-		if n > maxSurplusBody {
-			break // The next answer would be read from within its body.
+		if n > maxForeignBody {
+			break // The next answer would be read from within this body.
 		}
 	}
 	return nil, errors.New("it belongs to another request")
 }
 
-// framed reports whether the answer tells its own end.
-func framed(resp *http.Response) bool {
+// isFramed reports whether the answer itself indicates its end.
+func isFramed(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// Framed reports whether the answer, whose head has come, tells its own end. The
-// end of one that does not is that of its connection, which says as well that the
-// endpoint's process ended.
-func (x *Exchange) Framed() bool { return framed(x.resp) || bodyless(x.resp) }
+// Framed reports whether the answer, whose head has arrived, indicates its end itself. An answer
+// that does not ends with its connection, which may also mean that the endpoint's process ended.
+func (x *Exchange) Framed() bool { return isFramed(x.resp) || hasNoBody(x.resp) }
 
-// bodyless reports whether an answer has no body by its kind, whatever its head says.
-func bodyless(resp *http.Response) bool {
+// hasNoBody reports whether an answer cannot have a body because of its status or the request's
+// method, whatever its head says.
+func hasNoBody(resp *http.Response) bool {
 	return resp.Request.Method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
 }
 
-// Done gives the connection back after a body that was read to its end, or
-// closes it when the endpoint will, or when the request was not read whole.
+// Done returns the connection to the pool after the body was read to its end. It closes the
+// connection if the endpoint is going to, or if the request was not written completely.
 func (x *Exchange) Done(p *Pool) {
-	if !x.wroteAll() || x.resp.Close || !framed(x.resp) || x.resp.ProtoMinor == 0 {
+	if !x.writeSucceeded() || x.resp.Close || !isFramed(x.resp) || x.resp.ProtoMinor == 0 {
 		x.conn.Close()
 		return
 	}
-	x.conn.served++
-	x.conn.idleAt, x.conn.idleFor = time.Now(), idleTime(x.resp.Header)
+	x.conn.answers++
+	x.conn.idleSince, x.conn.idleTimeout = time.Now(), advertisedIdleTimeout(x.resp.Header)
 	p.Put(x.conn)
 }
 
-func (x *Exchange) wroteAll() bool {
-	if x.wrote == nil {
+func (x *Exchange) writeSucceeded() bool {
+	if x.writeResult == nil {
 		return true
 	}
-	t := time.NewTimer(writeEnd)
+	t := time.NewTimer(writeEndTimeout)
 	defer t.Stop()
 	select {
-	case err := <-x.wrote:
+	case err := <-x.writeResult:
 		return err == nil
 	case <-t.C:
 		return false
 	}
 }
 
-// Abort closes the connection: the endpoint sees that the caller has gone.
+// Abort closes the connection, by which the endpoint learns that the caller has gone.
 func (x *Exchange) Abort() { x.conn.Close() }
 
-// idleTime reads after which time the endpoint closes an idle connection.
-func idleTime(h http.Header) time.Duration {
+// advertisedIdleTimeout returns the time after which the endpoint closes an idle connection.
+func advertisedIdleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			if s, err := strconv.Atoi(v); err == nil && s >= 0 {
@@ -203,7 +202,7 @@
 			}
 		}
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
 
 // ReadWhole reads a body of at most limit bytes to its end.
@@ -224,4 +223,4 @@
 }
 
 // Reader returns a buffered reader over the body.
-func (x *Exchange) Reader() *bufio.Reader { return bufio.NewReaderSize(x.resp.Body, readBuffer) }
+func (x *Exchange) Reader() *bufio.Reader { return bufio.NewReaderSize(x.resp.Body, readBufferSize) }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -18,11 +18,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-const idName = "Call"
+const idHeader = "Call"
 
-// answered sends a request named "mine" to an endpoint that answers with raw bytes,
-// and returns the body of the answer that is taken for its own.
-func answered(t *testing.T, raw string) (body string, err error) {
+// bodyFromRawAnswers sends a request named "mine" to an endpoint that answers with raw bytes, and
+// returns the body of the answer that is accepted for it.
+func bodyFromRawAnswers(t *testing.T, raw string) (body string, err error) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -36,7 +36,7 @@
 		if _, err = http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return err
 		}
-		_, _ = io.WriteString(c, raw) // Its reader may have seen enough.
+		_, _ = io.WriteString(c, raw) // The reader may have closed the connection.
 		return nil
 	})
 	t.Cleanup(func() { _ = l.Close(); g.Expect(group.Wait()).To(Succeed()) })
@@ -48,43 +48,42 @@
 	r := &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
 	x, err := c.Send(r, time.Now().Add(20*time.Second))
 	g.Expect(err).NotTo(HaveOccurred())
-	if _, err = x.Head(r, func(_ int, h http.Header) bool { return h.Get(idName) == "mine" }); err != nil {
+	if _, err = x.Head(r, func(_ int, h http.Header) bool { return h.Get(idHeader) == "mine" }); err != nil {
 		return "", err
 	}
-	raw2, err := x.ReadWhole(1 << 10)
-	return string(raw2), err
+	b, err := x.ReadWhole(1 << 10)
+	return string(b), err
 }
 
 func answerOf(id, body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", idName, id, len(body), body)
+	return fmt.Sprintf("HTTP/1.1 200 X\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", idHeader, id, len(body), body)
 }
 
-// What stands in the body of an answer to another request is no answer, however
-// long that body is.
-func TestNoAnswerIsReadFromTheBodyOfAnother(t *testing.T) {
+// Guards against an answer that is read from within the body of an answer to another request,
+// however long that body is.
+func TestNoAnswerIsReadFromTheBodyOfAnotherAnswer(t *testing.T) {
 	forged := answerOf("mine", "forged")
-	for _, size := range []int{0, maxSurplusBody} {
+	for _, size := range []int{0, maxForeignBody} {
 		t.Run(fmt.Sprintf("after %d bytes", size), func(t *testing.T) {
 			g := NewWithT(t)
-			body, err := answered(t, answerOf("other", strings.Repeat("x", size)+forged)+answerOf("mine", "true"))
+			body, err := bodyFromRawAnswers(t, answerOf("other", strings.Repeat("x", size)+forged)+answerOf("mine", "true"))
 			if err != nil {
-				return // It was given up, which is sound.
+				return // The exchange failed, which is allowed.
 			}
 			g.Expect(body).To(Equal("true"))
 		})
 	}
 }
 
-// A connection that is handed back serves the next request, whatever time the last
-// one had.
-func TestAKeptConnectionOutlivesItsLastRequestsTime(t *testing.T) {
+// Guards against a deadline of the last request that stays set on a connection in the pool.
+func TestAKeptConnectionOutlivesTheDeadlineOfItsLastRequest(t *testing.T) {
 	g := NewWithT(t)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "x") }))
 	t.Cleanup(srv.Close)
 	opened := 0
 	p, cleanup := NewPool("", func() { opened++ })
 	t.Cleanup(cleanup)
-	const lifetime = 2 * time.Second // Of each request; long enough to be answered in.
+	const lifetime = 2 * time.Second // Of each request; long enough to be answered.
 	for range 2 {
 		c, err := p.Get(context.Background(), "e", srv.Listener.Addr().String(), time.Minute)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/upstream/late_test.go
+++ b/internal/upstream/late_test.go
@@ -15,10 +15,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Guards against a connection that is given up while its endpoint acknowledges, but does not read yet.
+// Guards against closing a connection whose endpoint acknowledges, but does not read yet.
 func TestAnEndpointMayReadALongBodyLate(t *testing.T) {
 	t.Parallel()
-	const size = 1 << 20 // More than an endpoint's socket takes unread.
+	const size = 1 << 20 // More than an endpoint's socket buffers.
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package upstream keeps connections to endpoints and exchanges one request
-// and one answer at a time on each. It never sends anything a second time by
-// itself, and tells exactly how far a request got: that is why it stands in
-// place of net/http's client. It is not for choosing endpoints or judging them.
+// Package upstream keeps connections to endpoints and exchanges one request and one answer at a
+// time on each. It never sends a request twice on its own, and reports exactly how far a request
+// got: this is why it is used instead of net/http's client. Choosing and rating endpoints is out of
+// scope.
 package upstream
 
 import (
@@ -17,38 +17,37 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times and sizes of connections.
+// Timeouts and sizes of connections.
 const (
-	// dialTimeout bounds a new connection: far above a round trip between
-	// failure domains, and short enough to try another endpoint in time.
+	// dialTimeout limits connecting: far above a round trip between failure domains, and short
+	// enough to try another endpoint in time.
 	dialTimeout = 250 * time.Millisecond
-	// unackedLimit ends a connection whose peer acknowledges nothing, so that a
-	// cut shows; it is longer than a lost packet's first repeats.
+	// unackedLimit closes a connection whose peer acknowledges nothing, so that a network failure
+	// is detected; it is longer than the first retransmissions of a lost packet take.
 	unackedLimit = 2500 * time.Millisecond
-	// idleMargin is kept from the time after which the endpoint closes an idle
-	// connection.
+	// idleMargin is how long before the endpoint closes an idle connection it is no longer used.
 	idleMargin = 700 * time.Millisecond
-	// defaultIdle holds where the endpoint does not tell that time.
-	defaultIdle = 4 * time.Second
-	// keptIdle bounds idle connections to one endpoint.
-	keptIdle   = 16
-	readBuffer = 4 << 10
+	// defaultIdleTimeout is assumed if the endpoint does not advertise its idle timeout.
+	defaultIdleTimeout = 4 * time.Second
+	// maxIdlePerEndpoint limits the idle connections to one endpoint.
+	maxIdlePerEndpoint = 16
+	readBufferSize     = 4 << 10
 )
 
-// Conn is one connection to one endpoint. One caller at a time uses it.
+// Conn is a connection to an endpoint. It is used by one caller at a time.
 type Conn struct {
-	endpoint string
-	nc       net.Conn
-	in       *input
-	long     *longWrites
-	br       *bufio.Reader // Of in.
-	served   int           // Answers that it has brought.
-	idleFor  time.Duration // After which the endpoint closes it.
-	idleAt   time.Time     // Since when it carries nothing, as its endpoint counts.
+	endpoint    string
+	nc          net.Conn
+	raw         *input
+	longWrites  *longWriteGuard
+	br          *bufio.Reader // Reads from raw.
+	answers     int           // Answers that were read completely.
+	idleTimeout time.Duration // After which the endpoint closes it when idle.
+	idleSince   time.Time     // Start of the current idle time, as the endpoint counts it.
 }
 
-// Reused reports whether the connection has served before.
-func (c *Conn) Reused() bool { return c.served > 0 }
+// Reused reports whether the connection has carried an answer before.
+func (c *Conn) Reused() bool { return c.answers > 0 }
 
 // Close ends the connection.
 func (c *Conn) Close() { _ = c.nc.Close() }
@@ -57,19 +56,18 @@
 type Pool struct {
 	dialer *net.Dialer
 	mu     sync.Mutex
-	idle   map[string][]*Conn // By endpoint id, the one used last at the end.
-	opened func()             // Counts new connections.
+	idle   map[string][]*Conn // By endpoint id, the most recently used last.
+	onOpen func()             // Called for each new connection.
 }
 
-// NewPool returns an empty pool whose connections come from the address
-// source, if it is not "". Opened is called for each new connection. The
-// function closes the idle ones.
-func NewPool(source string, opened func()) (p *Pool, cleanup func()) {
+// NewPool returns an empty pool whose connections come from the address source, if it is not "". It
+// calls onOpen for each new connection. The returned function closes the idle connections.
+func NewPool(source string, onOpen func()) (p *Pool, cleanup func()) {
 	d := &net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	if source != "" {
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(source)}
 	}
-	p = &Pool{dialer: d, idle: map[string][]*Conn{}, opened: opened}
+	p = &Pool{dialer: d, idle: map[string][]*Conn{}, onOpen: onOpen}
 	return p, p.closeAll
 }
 
@@ -84,11 +82,11 @@
 	p.idle = map[string][]*Conn{}
 }
 
-// Get returns an idle connection that is sound and was used within maxIdle, or
-// a new one. With maxIdle 0 it is always new.
+// Get returns an idle connection that is healthy and was used within maxIdle, or a new one. With
+// maxIdle 0 it always returns a new one.
 func (p *Pool) Get(ctx context.Context, endpoint, address string, maxIdle time.Duration) (c *Conn, err error) {
 	if maxIdle > 0 {
-		if c = p.take(endpoint, maxIdle); c != nil {
+		if c = p.takeIdle(endpoint, maxIdle); c != nil {
 			return c, nil
 		}
 	}
@@ -96,24 +94,25 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "connection to endpoint %s", endpoint)
 	}
-	p.opened()
+	p.onOpen()
 	tc := nc.(*net.TCPConn)
 	if err := setUnackedLimit(tc, unackedLimit); err != nil {
 		_ = nc.Close()
-		return nil, errors.Wrap(err, "socket option")
+		return nil, errors.Wrap(err, "setting TCP_USER_TIMEOUT")
 	}
 	in := &input{nc: nc}
 	return &Conn{
-		endpoint: endpoint, nc: nc, in: in, long: &longWrites{nc: tc, lost: in.loseUnacked}, br: bufio.NewReaderSize(in, readBuffer),
-		idleFor: defaultIdle, idleAt: time.Now(),
+		endpoint: endpoint, nc: nc, raw: in, longWrites: &longWriteGuard{nc: tc, onLost: in.closeUnacked}, br: bufio.NewReaderSize(in, readBufferSize),
+		idleTimeout: defaultIdleTimeout, idleSince: time.Now(),
 	}, nil
 }
 
-// take returns the youngest sound idle connection.
-func (p *Pool) take(endpoint string, maxIdle time.Duration) *Conn {
+// takeIdle removes and returns the most recently used healthy idle connection, nil if there is
+// none.
+func (p *Pool) takeIdle(endpoint string, maxIdle time.Duration) *Conn {
 	now := time.Now()
-	for c := p.youngest(endpoint); c != nil; c = p.youngest(endpoint) {
-		if now.Sub(c.idleAt) < min(maxIdle, c.idleFor-idleMargin) && c.quiet() {
+	for c := p.popNewest(endpoint); c != nil; c = p.popNewest(endpoint) {
+		if now.Sub(c.idleSince) < min(maxIdle, c.idleTimeout-idleMargin) && c.isQuiet() {
 			return c
 		}
 		c.Close()
@@ -121,8 +120,8 @@
 	return nil
 }
 
-// youngest takes the youngest idle connection out, nil if there is none.
-func (p *Pool) youngest(endpoint string) *Conn {
+// popNewest removes and returns the most recently used idle connection, nil if there is none.
+func (p *Pool) popNewest(endpoint string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[endpoint]
@@ -134,38 +133,38 @@
 	return c
 }
 
-// Put keeps a connection that carried nothing since it was taken, or whose answer was read
-// to its end.
+// Put returns a connection to the pool. It must have carried nothing since Get, or its answer must
+// have been read to its end.
 func (p *Pool) Put(c *Conn) {
 	if c.br.Buffered() > 0 {
-		c.Close() // Bytes that belong to no request.
+		c.Close() // The buffered bytes belong to no request.
 		return
 	}
-	if err := c.nc.SetDeadline(time.Time{}); err != nil { // That of the last request says nothing of the next.
+	if err := c.nc.SetDeadline(time.Time{}); err != nil { // Clears the deadline of the last request.
 		c.Close()
 		return
 	}
-	c.in.watch = nil
+	c.raw.watch = nil
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.endpoint]
-	if len(list) >= keptIdle {
+	if len(list) >= maxIdlePerEndpoint {
 		list[0].Close()
 		list = append(list[:0], list[1:]...)
 	}
 	p.idle[c.endpoint] = append(list, c)
 }
 
-// Forget closes the idle connections of endpoints that are not to be kept, and
-// those that have been idle for too long.
-func (p *Pool) Forget(keep func(endpoint string) bool) {
+// CloseIdle closes the idle connections of endpoints for which keep returns false, and those that
+// have been idle for too long.
+func (p *Pool) CloseIdle(keep func(endpoint string) bool) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if keep(id) && now.Sub(c.idleAt) < c.idleFor-idleMargin {
+			if keep(id) && now.Sub(c.idleSince) < c.idleTimeout-idleMargin {
 				kept = append(kept, c)
 				continue
 			}
@@ -179,19 +178,19 @@
 	}
 }
 
-// quiet reports whether nothing has arrived on an idle connection, neither
-// bytes of a late answer nor its end.
-func (c *Conn) quiet() bool {
+// isQuiet reports whether nothing has arrived on an idle connection, neither bytes of a late answer
+// nor the end of the connection.
+func (c *Conn) isQuiet() bool {
 	raw, err := c.nc.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	nothing := false
+	quiet := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		nothing = errors.Is(err, unix.EAGAIN)
+		quiet = errors.Is(err, unix.EAGAIN)
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && quiet
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,13 +13,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// getPool returns a pool before an endpoint whose connections may rest for an hour, and a
-// function that takes one from it.
-func getPool(t *testing.T) (p *Pool, get func(maxIdle time.Duration) *Conn) {
+// newTestPool returns a pool and a function that gets a connection from it. The endpoint allows
+// connections to be idle for an hour.
+func newTestPool(t *testing.T) (p *Pool, get func(maxIdle time.Duration) *Conn) {
 	g := NewWithT(t)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Keep-Alive", "timeout=3600")
-		_, _ = io.WriteString(w, "x") // A reader that has gone is the test's own doing.
+		_, _ = io.WriteString(w, "x") // Fails only if the test closes the connection.
 	}))
 	t.Cleanup(srv.Close)
 	p, cleanup := NewPool("", func() {})
@@ -31,8 +31,8 @@
 	}
 }
 
-// ask has one request answered on a connection, and gives that back.
-func ask(t *testing.T, p *Pool, c *Conn) {
+// roundTrip performs a request on a connection, and returns that to the pool.
+func roundTrip(t *testing.T, p *Pool, c *Conn) {
 	g := NewWithT(t)
 	r := &Request{Method: http.MethodGet, Target: "/", Host: "h", Header: http.Header{}}
 	x, err := c.Send(r, time.Now().Add(time.Minute))
@@ -44,14 +44,14 @@
 	x.Done(p)
 }
 
-// Guards against the use of connections that their endpoint is about to close.
-func TestAConnectionThatIsLookedAtDoesNotBecomeYounger(t *testing.T) {
+// Guards against using connections that their endpoint is about to close.
+func TestTakingAConnectionUnusedKeepsItsIdleTime(t *testing.T) {
 	g := NewWithT(t)
-	p, get := getPool(t)
+	p, get := newTestPool(t)
 	c := get(0)
-	ask(t, p, c)
+	roundTrip(t, p, c)
 	for range 2 {
-		c.idleAt = c.idleAt.Add(-40 * time.Minute)
+		c.idleSince = c.idleSince.Add(-40 * time.Minute)
 		if again := get(2 * time.Hour); again != c {
 			again.Close()
 			return
--- a/internal/upstream/silence.go
+++ b/internal/upstream/silence.go
@@ -11,35 +11,35 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSilent means that a watch gave an answer up. The connection is of no more use.
+// ErrSilent means that a SilenceWatch abandoned an answer. Its connection cannot be used any more.
 var ErrSilent = errors.New("the answer was silent for too long")
 
-// Watch looks after the silence of an answer. Its functions are called by whoever reads
-// the answer, within a read.
-type Watch struct {
-	Limit  func() time.Duration            // For how long nothing may come from now on.
-	GiveUp func(silent time.Duration) bool // Whether the answer is given up after so long; else it is waited for.
+// SilenceWatch limits how long an answer may be silent. Its functions are called during a read, by
+// the goroutine that reads the answer.
+type SilenceWatch struct {
+	Timeout func() time.Duration            // Returns how long nothing may arrive from now on.
+	Abandon func(silent time.Duration) bool // Reports whether to abandon the answer; otherwise it is awaited.
 }
 
-// input reads from a connection. A watch is kept here, below all that reads ahead, since
-// only here it is known that nothing has come.
+// input reads from a connection. The watch is applied here, below all buffered readers, because
+// only here it is known that nothing has arrived.
 type input struct {
-	nc       net.Conn
-	watch    *Watch // Nil when nobody looks after silence.
-	deadline time.Time
-	unacked  atomic.Bool // It was ended since nothing is acknowledged.
+	nc            net.Conn
+	watch         *SilenceWatch // Nil if silence is not limited.
+	deadline      time.Time
+	closedUnacked atomic.Bool // It was closed because nothing was acknowledged.
 }
 
-// loseUnacked ends the connection since its peer acknowledges nothing.
-func (in *input) loseUnacked() {
-	in.unacked.Store(true)
-	_ = in.nc.Close() // Reads end either way.
+// closeUnacked closes the connection because its peer acknowledges nothing.
+func (in *input) closeUnacked() {
+	in.closedUnacked.Store(true)
+	_ = in.nc.Close() // Reads end even if it fails.
 }
 
 // Read implements io.Reader.
 func (in *input) Read(p []byte) (n int, err error) {
 	defer func() {
-		if err != nil && in.unacked.Load() {
+		if err != nil && in.closedUnacked.Load() {
 			err = errUnacked
 		}
 	}()
@@ -47,7 +47,7 @@
 		return in.nc.Read(p)
 	}
 	began := time.Now()
-	until := began.Add(in.watch.Limit())
+	until := began.Add(in.watch.Timeout())
 	if !until.Before(in.deadline) {
 		return in.nc.Read(p)
 	}
@@ -55,7 +55,7 @@
 		return 0, err
 	}
 	n, err = in.nc.Read(p)
-	if silent := n == 0 && errors.Is(err, os.ErrDeadlineExceeded); silent && in.watch.GiveUp(time.Since(began)) {
+	if silent := n == 0 && errors.Is(err, os.ErrDeadlineExceeded); silent && in.watch.Abandon(time.Since(began)) {
 		return 0, ErrSilent
 	} else if silent {
 		in.watch, n, err = nil, 0, nil
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -17,20 +17,20 @@
 
 const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// exchangeWith sends a request to an endpoint that answers so, over one connection. The
-// endpoint's side stays referenced to the end of the test: the collector closes one that
-// is not, which resets it while the request lies unread.
+// exchangeWith sends a request over a new connection to an endpoint that runs the function answer.
+// The endpoint's side stays referenced to the end of the test: the garbage collector closes an
+// unreferenced connection, which resets it while the request is unread.
 func exchangeWith(t *testing.T, answer func(c net.Conn)) (x *Exchange, r *Request) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	var srv errgroup.Group
-	var far net.Conn // Written before srv.Wait returns.
+	var serverConn net.Conn // Written before srv.Wait returns.
 	srv.Go(func() (err error) {
-		if far, err = l.Accept(); err != nil {
+		if serverConn, err = l.Accept(); err != nil {
 			return err
 		}
-		answer(far)
+		answer(serverConn)
 		return nil
 	})
 	p, cleanup := NewPool("", func() {})
@@ -41,7 +41,7 @@
 		cleanup()
 		g.Expect(l.Close()).To(Succeed())
 		g.Expect(srv.Wait()).To(Succeed())
-		_ = far.Close() // Some answers close it themselves.
+		_ = serverConn.Close() // Some answer functions have closed it already.
 	})
 	r = &Request{Method: http.MethodPost, Target: "/", Host: "h"}
 	x, err = conn.Send(r, time.Now().Add(time.Minute))
@@ -51,10 +51,10 @@
 
 func anyAnswer(int, http.Header) bool { return true }
 
-// write writes to a caller; one that has gone is the test's own doing.
+// write writes to a caller; it fails only if the test has closed the caller's side.
 func write(c net.Conn, s string) { _, _ = io.WriteString(c, s) }
 
-func TestASilentAnswerIsGivenUp(t *testing.T) {
+func TestASilentAnswerIsAbandoned(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		answer func(c net.Conn)
@@ -67,7 +67,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			x, r := exchangeWith(t, tc.answer)
-			x.Watch(Watch{Limit: func() time.Duration { return 50 * time.Millisecond }, GiveUp: func(time.Duration) bool { return true }})
+			x.Watch(SilenceWatch{Timeout: func() time.Duration { return 50 * time.Millisecond }, Abandon: func(time.Duration) bool { return true }})
 			_, err := x.Head(r, anyAnswer)
 			if err == nil {
 				_, err = x.ReadWhole(1 << 10)
@@ -77,9 +77,9 @@
 	}
 }
 
-// An answer that is waited for in spite of its silence comes whole, and the end that came
-// with its last bytes is not waited for.
-func TestASilentAnswerThatIsWaitedForComesWhole(t *testing.T) {
+// Guards against an answer that is cut off after a silence in which it was not abandoned, and
+// against waiting for its end when that arrived with its last bytes.
+func TestASilentAnswerThatIsNotAbandonedIsReadCompletely(t *testing.T) {
 	g := NewWithT(t)
 	asked := make(chan struct{}, 1)
 	x, r := exchangeWith(t, func(c net.Conn) {
@@ -88,7 +88,7 @@
 		write(c, "1\r\nb\r\n0\r\n\r\n")
 	})
 	times := 0
-	x.Watch(Watch{Limit: func() time.Duration { return 20 * time.Millisecond }, GiveUp: func(time.Duration) bool {
+	x.Watch(SilenceWatch{Timeout: func() time.Duration { return 20 * time.Millisecond }, Abandon: func(time.Duration) bool {
 		times++
 		asked <- struct{}{}
 		return false
@@ -98,12 +98,12 @@
 	body, err := x.ReadWhole(1 << 10)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(body)).To(Equal("ab"))
-	g.Expect(times).To(Equal(1), "it is asked once")
+	g.Expect(times).To(Equal(1), "Abandon is called once")
 }
 
-// A reset that comes in a watched silence is still a reset: an answer without a length is
-// not whole then.
-func TestAResetInAWatchedSilenceIsTold(t *testing.T) {
+// Guards against a reset during a watched silence that is taken for an orderly end: an answer
+// without a length would look complete.
+func TestAResetDuringAWatchedSilenceIsReported(t *testing.T) {
 	g := NewWithT(t)
 	x, r := exchangeWith(t, func(c net.Conn) {
 		write(c, "HTTP/1.1 200 OK\r\n\r\na")
@@ -111,7 +111,7 @@
 		g.Expect(c.(*net.TCPConn).SetLinger(0)).To(Succeed())
 		g.Expect(c.Close()).To(Succeed())
 	})
-	x.Watch(Watch{Limit: func() time.Duration { return 20 * time.Millisecond }, GiveUp: func(time.Duration) bool { return false }})
+	x.Watch(SilenceWatch{Timeout: func() time.Duration { return 20 * time.Millisecond }, Abandon: func(time.Duration) bool { return false }})
 	_, err := x.Head(r, anyAnswer)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = x.ReadWhole(1 << 10)
--- a/internal/upstream/unacked.go
+++ b/internal/upstream/unacked.go
@@ -14,20 +14,21 @@
 // errUnacked means that the endpoint's machine acknowledged nothing for unackedLimit.
 var errUnacked = errors.New("nothing is acknowledged")
 
-// ackLook is the time between two looks at what is not acknowledged. It adds to unackedLimit.
-const ackLook = 100 * time.Millisecond
+// ackPollInterval is the time between two reads of the send state. It adds to unackedLimit.
+const ackPollInterval = 100 * time.Millisecond
 
-// sendState is what the kernel knows of what a connection sends.
+// sendState is the kernel's state of what a connection sends.
 type sendState struct {
-	waiting bool   // Data, or a probe of a closed window, is not acknowledged.
-	left    bool   // Data is not sent or not acknowledged.
+	waiting bool   // Data, or a probe of a closed window, is unacknowledged.
+	data    bool   // Data is unsent or unacknowledged.
 	acked   uint64 // Bytes acknowledged so far.
-	// heard is the time since the last acknowledgement, which may be of no byte; 0 where it is not told.
-	heard time.Duration
+	// ackAge is the time since the last acknowledgement, which may acknowledge no new bytes;
+	// 0 if unknown.
+	ackAge time.Duration
 }
 
-// sending reads the state of an open connection.
-func sending(nc *net.TCPConn) (s sendState, err error) {
+// readSendState reads the send state of an open connection.
+func readSendState(nc *net.TCPConn) (s sendState, err error) {
 	err = control(nc, func(fd int) error {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
@@ -35,23 +36,23 @@
 		}
 		s = sendState{
 			waiting: info.Unacked > 0 || info.Probes > 0,
-			left:    info.Unacked > 0 || info.Notsent_bytes > 0,
+			data:    info.Unacked > 0 || info.Notsent_bytes > 0,
 			acked:   info.Bytes_acked,
-			heard:   time.Duration(info.Last_ack_recv) * time.Millisecond,
+			ackAge:  time.Duration(info.Last_ack_recv) * time.Millisecond,
 		}
 		return nil
 	})
 	return s, err
 }
 
-// setUnackedLimit sets for how long data may be unacknowledged.
+// setUnackedLimit sets how long data may be unacknowledged.
 func setUnackedLimit(nc *net.TCPConn, limit time.Duration) error {
 	return control(nc, func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 	})
 }
 
-// control calls a function with a connection's descriptor.
+// control calls a function with a connection's file descriptor.
 func control(nc *net.TCPConn, f func(fd int) error) (err error) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -64,92 +65,94 @@
 	return inner
 }
 
-// ackWatch judges whether the peer of a connection acknowledges what it is sent.
-type ackWatch struct {
-	since time.Time // When an acknowledgement was first missed; zero while none is.
-	acked uint64
+// ackMonitor detects that the peer of a connection no longer acknowledges what is sent.
+type ackMonitor struct {
+	unackedSince time.Time // Start of the time without acknowledgements; zero if nothing is unacknowledged.
+	acked        uint64
 }
 
-// lost takes in a look and reports whether nothing was acknowledged for unackedLimit.
-func (w *ackWatch) lost(s sendState, now time.Time) bool {
+// peerLost evaluates a send state, and reports whether nothing was acknowledged for unackedLimit.
+func (m *ackMonitor) peerLost(s sendState, now time.Time) bool {
 	switch {
 	case !s.waiting:
-		w.since = time.Time{}
-	case w.since.IsZero() || s.acked != w.acked:
-		w.since = now
-	case s.heard > 0 && now.Add(-s.heard).After(w.since):
-		w.since = now.Add(-s.heard)
+		m.unackedSince = time.Time{}
+	case m.unackedSince.IsZero() || s.acked != m.acked:
+		m.unackedSince = now
+	case s.ackAge > 0 && now.Add(-s.ackAge).After(m.unackedSince):
+		m.unackedSince = now.Add(-s.ackAge)
 	}
-	w.acked = s.acked
-	return s.waiting && now.Sub(w.since) >= unackedLimit
+	m.acked = s.acked
+	return s.waiting && now.Sub(m.unackedSince) >= unackedLimit
 }
 
-// longWrites looks after the acknowledgements of a connection while long requests are written.
-// TCP_USER_TIMEOUT, which does so otherwise, counts the time of a closed window too, although
-// the peer acknowledges each probe of it.
-type longWrites struct {
-	nc   *net.TCPConn
-	lost func() // Ends the connection.
+// longWriteGuard monitors the acknowledgements of a connection while long requests are written.
+// TCP_USER_TIMEOUT, which detects a lost peer otherwise, also counts the time of a closed window,
+// although the peer acknowledges each window probe.
+type longWriteGuard struct {
+	nc     *net.TCPConn
+	onLost func() // Closes the connection.
 
-	mu       sync.Mutex
-	writing  int
-	watching bool // Invariant: true while the limit is raised.
+	mu         sync.Mutex
+	writers    int
+	monitoring bool // Invariant: true while the socket's limit is raised.
 }
 
-// begin raises the socket's limit to that of a request with a deadline, which is written from
-// now on. Where the state of what is sent cannot be read, the limit stays.
-func (l *longWrites) begin(deadline time.Time) {
+// begin raises the socket's limit to the deadline of a request that is written from now on. If the
+// send state cannot be read, the limit stays.
+func (l *longWriteGuard) begin(deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.writing++
-	if _, err := sending(l.nc); err != nil {
+	l.writers++
+	if _, err := readSendState(l.nc); err != nil {
 		return
 	}
 	if setUnackedLimit(l.nc, max(time.Until(deadline), unackedLimit)) != nil {
 		return // The connection has ended.
 	}
-	if !l.watching {
-		l.watching = true
-		writer.Go(func() error { l.watch(); return nil })
+	if !l.monitoring {
+		l.monitoring = true
+		background.Go(func() error { l.monitor(); return nil })
 	}
 }
 
-// end ends what begin began.
-func (l *longWrites) end() {
+// end ends a write that begin announced.
+func (l *longWriteGuard) end() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.writing--
+	l.writers--
 }
 
-// watch looks until all that was written is acknowledged, or the connection has ended.
-func (l *longWrites) watch() {
-	var w ackWatch
+// monitor polls the send state until all that was written is acknowledged, or the connection has
+// ended.
+func (l *longWriteGuard) monitor() {
+	var m ackMonitor
 	for {
-		time.Sleep(ackLook)
-		s, err := sending(l.nc)
+		time.Sleep(ackPollInterval)
+		s, err := readSendState(l.nc)
 		if err != nil {
 			return // The connection has ended.
 		}
-		if w.lost(s, time.Now()) {
-			l.lost()
+		if m.peerLost(s, time.Now()) {
+			l.onLost()
 			return
 		}
-		if !s.left && l.restore() {
+		if !s.data && l.restoreLimit() {
 			return
 		}
 	}
 }
 
-// restore sets the usual limit unless something is being written.
-func (l *longWrites) restore() bool {
+// restoreLimit sets the default limit again unless something is being written; it reports whether
+// it did.
+func (l *longWriteGuard) restoreLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.writing > 0 {
+	if l.writers > 0 {
 		return false
 	}
-	l.watching = false
+	l.monitoring = false
 	if setUnackedLimit(l.nc, unackedLimit) != nil {
-		l.lost()
+		l.onLost()
 	}
 	return true
 }
--- a/internal/upstream/unacked_test.go
+++ b/internal/upstream/unacked_test.go
@@ -12,37 +12,37 @@
 	. "github.com/onsi/gomega"
 )
 
-// Guards against a peer that is taken as cut off while it acknowledges, and against one that is
-// not although it acknowledges nothing.
+// Guards against a peer that is taken for lost while it acknowledges, and against one that is not
+// although it acknowledges nothing.
 func TestAConnectionIsLostAfterATimeWithoutAcknowledgement(t *testing.T) {
-	const look = unackedLimit / 10
+	const step = unackedLimit / 10
 	for name, tc := range map[string]struct {
-		state func(i int) sendState // By the number of the look.
-		lost  int                   // The look at which it is lost; 0 for none.
+		state  func(i int) sendState // By the index of the poll.
+		lostAt int                   // Index of the poll at which it is lost; 0 for never.
 	}{
-		"nothing is acknowledged":           {func(int) sendState { return sendState{waiting: true, left: true} }, 10},
-		"acknowledgements end":              {func(i int) sendState { return sendState{waiting: true, left: true, acked: uint64(min(i, 5))} }, 15},
-		"acknowledgements come slowly":      {func(i int) sendState { return sendState{waiting: true, left: true, acked: uint64(i / 9)} }, 0},
-		"acknowledgements of no byte come":  {func(i int) sendState { return sendState{waiting: true, left: true, heard: time.Duration(i%9) * look} }, 0},
-		"nothing tells of acknowledgements": {func(i int) sendState { return sendState{waiting: true, left: true, heard: time.Duration(i) * look} }, 10},
-		"the window is closed":              {func(int) sendState { return sendState{left: true} }, 0},
-		"probes of it are answered":         {func(i int) sendState { return sendState{waiting: i%9 > 0, left: true} }, 0},
-		"a probe of it is never answered":   {func(i int) sendState { return sendState{waiting: i >= 20, left: true} }, 30},
+		"nothing is acknowledged":              {func(int) sendState { return sendState{waiting: true, data: true} }, 10},
+		"acknowledgements end":                 {func(i int) sendState { return sendState{waiting: true, data: true, acked: uint64(min(i, 5))} }, 15},
+		"acknowledgements come slowly":         {func(i int) sendState { return sendState{waiting: true, data: true, acked: uint64(i / 9)} }, 0},
+		"acknowledgements of no new byte come": {func(i int) sendState { return sendState{waiting: true, data: true, ackAge: time.Duration(i%9) * step} }, 0},
+		"the last acknowledgement is long ago": {func(i int) sendState { return sendState{waiting: true, data: true, ackAge: time.Duration(i) * step} }, 10},
+		"the window is closed":                 {func(int) sendState { return sendState{data: true} }, 0},
+		"window probes are answered":           {func(i int) sendState { return sendState{waiting: i%9 > 0, data: true} }, 0},
+		"a window probe is never answered":     {func(i int) sendState { return sendState{waiting: i >= 20, data: true} }, 30},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var w ackWatch
+			var w ackMonitor
 			lost := 0
-			for i, now := 0, time.Now(); i < 100 && lost == 0; i, now = i+1, now.Add(look) {
-				if w.lost(tc.state(i), now) {
+			for i, now := 0, time.Now(); i < 100 && lost == 0; i, now = i+1, now.Add(step) {
+				if w.peerLost(tc.state(i), now) {
 					lost = i
 				}
 			}
-			NewWithT(t).Expect(lost).To(Equal(tc.lost))
+			NewWithT(t).Expect(lost).To(Equal(tc.lostAt))
 		})
 	}
 }
 
-func TestAnExchangeTellsThatNothingWasAcknowledged(t *testing.T) {
+func TestAnExchangeReportsThatNothingWasAcknowledged(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -54,7 +54,7 @@
 	r := &Request{Method: http.MethodGet, Target: "/", Host: "h"}
 	x, err := c.Send(r, time.Now().Add(time.Minute))
 	g.Expect(err).NotTo(HaveOccurred())
-	c.long.lost()
+	c.longWrites.onLost()
 	_, err = x.Head(r, nil)
 	g.Expect(err).To(MatchError(errUnacked))
 }
