--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// boundBody ends the body of a request that takes too long, also of one that is not read by
-// its handler: the server reads some of it before it answers. The server lifts the bound at
-// the end of the body.
-func boundBody(h http.Handler, most time.Duration) http.Handler {
+// limitBodyTime ends the body of a request that takes too long, also if the handler does not read
+// it: the server reads some of it before it answers. The server clears the deadline at the end of
+// the body.
+func limitBodyTime(h http.Handler, limit time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body != http.NoBody {
-			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(most)) // One that is closed already needs no bound.
+			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(limit)) // Fails only if it is closed.
 		}
 		h.ServeHTTP(w, r)
 	})
--- a/internal/daemon/closed_under_request_test.go
+++ b/internal/daemon/closed_under_request_test.go
@@ -35,22 +35,22 @@
 )
 
 const (
-	// restingCallers is how many connections rest when a planned stop begins.
-	restingCallers = 400
-	// untold is for how long after the beginning of a planned stop connections are used
-	// of which nothing was said.
-	untold = 2 * time.Second
-	// freshFor is within which time callers that connect send their first request.
-	freshFor = time.Second
+	// keptConns is the number of idle connections when a planned stop begins.
+	keptConns = 400
+	// unadvertisedUse is how long after the start of a planned stop connections are used for which
+	// no keep-alive timeout was advertised.
+	unadvertisedUse = 2 * time.Second
+	// unusedConnUse is how long after connecting callers send their first request.
+	unusedConnUse = time.Second
 )
 
-// ownSite is what one daemon needs around it.
-type ownSite struct {
-	layout  *example.Site
-	dir     string // Of the certificates.
-	ca      *trust.Authority
-	set     *settings.Settings
-	service *countingService
+// testProcess holds the settings of one daemon and the servers that it needs.
+type testProcess struct {
+	layout    *example.Site
+	dir       string // For certificates.
+	authority *trust.Authority
+	set       *settings.Settings
+	service   *countingService
 }
 
 // countingService counts the calls of each path.
@@ -66,13 +66,13 @@
 	w.Header().Set("Content-Length", "0")
 }
 
-// newOwnSite prepares a process: an entry, or an agent beside a plain service.
-func newOwnSite(t *testing.T, role adapter.Role, secure bool) *ownSite {
+// newTestProcess prepares a process: an entry, or an agent of a plain service.
+func newTestProcess(t *testing.T, role adapter.Role, secure bool) *testProcess {
 	t.Helper()
 	g := NewWithT(t)
 	layout, err := example.New(example.RefundDesk, example.Small, 0)
 	g.Expect(err).NotTo(HaveOccurred())
-	s := &ownSite{layout: layout, service: &countingService{runs: map[string]int{}}}
+	s := &testProcess{layout: layout, service: &countingService{runs: map[string]int{}}}
 	p := layout.Entries[0]
 	for _, one := range layout.Agents {
 		if role == adapter.RoleEndpoint && !layout.IsRank(one) {
@@ -83,7 +83,7 @@
 		s.dir = t.TempDir()
 		layout.Keys = s.dir
 		var ca []byte
-		s.ca, ca, _, err = trust.NewAuthority(time.Now(), time.Hour)
+		s.authority, ca, _, err = trust.NewAuthority(time.Now(), time.Hour)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(os.WriteFile(filepath.Join(s.dir, "ca.crt"), ca, 0o600)).To(Succeed())
 		s.issue(t, trust.Holder{Role: string(p.Role), Domain: p.Domain, Name: p.Name})
@@ -107,17 +107,17 @@
 }
 
 // issue writes a holder's certificate and key.
-func (s *ownSite) issue(t *testing.T, h trust.Holder) {
+func (s *testProcess) issue(t *testing.T, h trust.Holder) {
 	g := NewWithT(t)
-	cert, key, err := s.ca.Issue(h, time.Now(), time.Hour)
+	cert, key, err := s.authority.Issue(h, time.Now(), time.Hour)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(os.WriteFile(filepath.Join(s.dir, h.Name+".crt"), cert, 0o600)).To(Succeed())
 	g.Expect(os.WriteFile(filepath.Join(s.dir, h.Name+".key"), key, 0o600)).To(Succeed())
 }
 
-// client returns the TLS settings of a holder, nil without TLS.
-func (s *ownSite) client(t *testing.T, h trust.Holder) *tls.Config {
-	if s.ca == nil {
+// client returns the client's TLS configuration for a holder, nil without TLS.
+func (s *testProcess) client(t *testing.T, h trust.Holder) *tls.Config {
+	if s.authority == nil {
 		return nil
 	}
 	s.issue(t, h)
@@ -126,9 +126,9 @@
 	return c.Client()
 }
 
-// run starts the daemon and waits until it takes in requests; change may edit it. What is
-// returned waits for the end of its planned stop.
-func (s *ownSite) run(t *testing.T, change func(*Daemon)) (d *Daemon, ended func() error) {
+// run starts the daemon and waits until it accepts requests; change may edit it before. The
+// returned function waits for the end of the planned stop.
+func (s *testProcess) run(t *testing.T, change func(*Daemon)) (d *Daemon, ended func() error) {
 	t.Helper()
 	g := NewWithT(t)
 	d, _, err := New(s.set, zap.NewNop())
@@ -143,33 +143,33 @@
 		cancel()
 		g.Expect(group.Wait()).To(Succeed())
 	})
-	g.Eventually(d.Node().Refusal, patience).Should(BeNil())
+	g.Eventually(d.Node().Refusal, testTimeout).Should(BeNil())
 	return d, group.Wait
 }
 
-// face is one listener of a process as those who use it know it.
-type face struct {
+// target is a listener of a process as its clients use it.
+type target struct {
 	address string
 	tls     *tls.Config
 	request func(id string) string
-	// kept is for how long they keep a connection that rests; 0 for as long as they are
-	// told, or for good.
-	kept time.Duration
+	// idleLimit is how long clients keep an idle connection; 0 for as long as advertised, or
+	// without a limit.
+	idleLimit time.Duration
 }
 
-// restingCaller is a caller that keeps its connection.
-type restingCaller struct {
-	face  *face
-	id    string
-	c     net.Conn
-	br    *bufio.Reader
-	since time.Time     // When it got its last answer.
-	told  time.Duration // For how long it may keep its connection; 0 if it was not told.
-	left  bool          // It was told to leave its connection.
-	fresh bool          // It connects in advance, and has asked nothing yet.
+// keptConn is a connection that its client keeps for further requests.
+type keptConn struct {
+	target      *target
+	id          string
+	c           net.Conn
+	br          *bufio.Reader
+	lastAnswer  time.Time     // When the last answer arrived; when it connected, if unused.
+	keepAlive   time.Duration // Advertised keep-alive timeout; 0 if none was advertised.
+	toldToClose bool          // The last answer asked to close the connection.
+	unused      bool          // It was opened in advance, and has carried no request yet.
 }
 
-func (f *face) dial(t *testing.T, id string) *restingCaller {
+func (f *target) dial(t *testing.T, id string) *keptConn {
 	t.Helper()
 	g := NewWithT(t)
 	c, err := net.Dial("tcp4", f.address)
@@ -178,15 +178,16 @@
 	if f.tls != nil {
 		c = tls.Client(c, f.tls)
 	}
-	return &restingCaller{face: f, id: id, c: c, br: bufio.NewReader(c)}
+	return &keptConn{target: f, id: id, c: c, br: bufio.NewReader(c)}
 }
 
-// ask sends a request; err is that of a connection that ended without a whole answer.
-func (k *restingCaller) ask(id string) (status int, err error) {
-	if err = k.c.SetDeadline(time.Now().Add(patience)); err != nil {
+// roundTrip sends a request and reads its answer; err is set if the connection ended without a
+// complete answer.
+func (k *keptConn) roundTrip(id string) (status int, err error) {
+	if err = k.c.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		return 0, err
 	}
-	if _, err = io.WriteString(k.c, k.face.request(id)); err != nil {
+	if _, err = io.WriteString(k.c, k.target.request(id)); err != nil {
 		return 0, err
 	}
 	resp, err := http.ReadResponse(k.br, nil)
@@ -196,44 +197,44 @@
 	if _, err = io.Copy(io.Discard, resp.Body); err != nil {
 		return 0, err
 	}
-	k.since, k.left = time.Now(), resp.Close
+	k.lastAnswer, k.toldToClose = time.Now(), resp.Close
 	if text, ok := strings.CutPrefix(resp.Header.Get("Keep-Alive"), "timeout="); ok {
 		seconds, err := strconv.Atoi(text)
 		if err != nil {
 			return 0, err
 		}
-		k.told = time.Duration(seconds) * time.Second
+		k.keepAlive = time.Duration(seconds) * time.Second
 	}
 	return resp.StatusCode, nil
 }
 
-// until returns when the caller uses its connection for the last time, if a planned stop
-// began at a moment.
-func (k *restingCaller) until(stop time.Time) time.Time {
+// lastUse returns when the client uses the connection for the last time, if a planned stop began at
+// the given time.
+func (k *keptConn) lastUse(stop time.Time) time.Time {
 	const longest = 15 * time.Second
 	switch {
-	case k.face.kept > 0:
-		return k.since.Add(min(k.face.kept, longest))
-	case k.fresh:
-		return k.since.Add(freshFor)
-	case k.told > 0:
-		return k.since.Add(min(k.told, longest))
+	case k.target.idleLimit > 0:
+		return k.lastAnswer.Add(min(k.target.idleLimit, longest))
+	case k.unused:
+		return k.lastAnswer.Add(unusedConnUse)
+	case k.keepAlive > 0:
+		return k.lastAnswer.Add(min(k.keepAlive, longest))
 	}
-	return stop.Add(untold)
+	return stop.Add(unadvertisedUse)
 }
 
-// rest has callers get one answer each and keep their connections.
-func (f *face) rest(t *testing.T) (list []*restingCaller) {
+// openKept opens connections that are kept after one answer each.
+func (f *target) openKept(t *testing.T) (list []*keptConn) {
 	t.Helper()
 	const atOnce = 16
 	var group errgroup.Group
 	group.SetLimit(atOnce)
-	for i := range restingCallers {
+	for i := range keptConns {
 		k := f.dial(t, fmt.Sprint("k", i))
 		list = append(list, k)
 		group.Go(func() error {
-			status, err := k.ask("first-" + k.id)
-			refused := status == http.StatusServiceUnavailable && !k.left // As where the machine is busy.
+			status, err := k.roundTrip("first-" + k.id)
+			refused := status == http.StatusServiceUnavailable && !k.toldToClose // Possible on a busy machine.
 			if err != nil || status != http.StatusOK && !refused {
 				return errors.Newf("first answer: status %d, %v", status, err)
 			}
@@ -244,54 +245,54 @@
 	return list
 }
 
-// connect has callers connect in advance.
-func (f *face) connect(t *testing.T, n int) (list []*restingCaller) {
+// openUnused opens connections in advance, without sending a request.
+func (f *target) openUnused(t *testing.T, n int) (list []*keptConn) {
 	t.Helper()
 	for i := range n {
 		k := f.dial(t, fmt.Sprint("f", i))
 		if c, ok := k.c.(*tls.Conn); ok {
 			NewWithT(t).Expect(c.Handshake()).To(Succeed())
 		}
-		k.since, k.fresh = time.Now(), true
+		k.lastAnswer, k.unused = time.Now(), true
 		list = append(list, k)
 	}
 	return list
 }
 
-// askAgain has all callers send one more request: half of them at any time at which they may,
-// the others as that ends. It returns the errors of those that got no answer, and how many
-// answers did not tell to leave the connection though one before did.
-func askAgain(t *testing.T, list []*restingCaller, stop time.Time) (lost map[string]error, staying int) {
+// requestAgain sends one more request on each connection: on half of them at any time at which it
+// is allowed, on the others close to the end of that time. It returns the errors of those without
+// an answer, and how many answers did not ask to close the connection though an earlier one did.
+func requestAgain(t *testing.T, list []*keptConn, stop time.Time) (lost map[string]error, staying int) {
 	t.Helper()
 	const end = 200 * time.Millisecond
 	lost = map[string]error{}
 	late := 0
-	var told time.Time // When the first answer told to leave a connection.
+	var firstTold time.Time // When the first answer asked to close a connection.
 	var mu sync.Mutex
 	var group errgroup.Group
 	for i, k := range list {
-		until := k.until(stop)
-		over := until.Sub(stop)
+		lastUse := k.lastUse(stop)
+		before := lastUse.Sub(stop)
 		if i%2 == 1 {
-			over = end
+			before = end
 		}
-		at := until.Add(-over * time.Duration(i+1) / time.Duration(len(list)+1))
+		at := lastUse.Add(-before * time.Duration(i+1) / time.Duration(len(list)+1))
 		group.Go(func() error {
 			time.Sleep(time.Until(at))
 			sent := time.Now()
-			_, err := k.ask(k.id)
+			_, err := k.roundTrip(k.id)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case sent.After(until): // This machine is busy.
+			case sent.After(lastUse): // Sent too late, because this machine is busy.
 				late++
 			case err != nil:
 				lost[k.id] = err
-			case k.left:
-				if told.IsZero() {
-					told = time.Now()
+			case k.toldToClose:
+				if firstTold.IsZero() {
+					firstTold = time.Now()
 				}
-			case !told.IsZero() && sent.After(told):
+			case !firstTold.IsZero() && sent.After(firstTold):
 				staying++
 			}
 			return nil
@@ -299,13 +300,13 @@
 	}
 	g := NewWithT(t)
 	g.Expect(group.Wait()).To(Succeed())
-	t.Logf("%d of %d callers got no answer; %d sent too late; %d answers left a connection open", len(lost), len(list), late, staying)
-	g.Expect(told.IsZero()).To(BeFalse(), "somebody asks in time and is told to leave")
+	t.Logf("%d of %d callers got no answer; %d sent too late; %d answers kept a connection open", len(lost), len(list), late, staying)
+	g.Expect(firstTold.IsZero()).To(BeFalse(), "some caller sends in time and is asked to close its connection")
 	return lost, staying
 }
 
-// passedOn counts the requests without an answer that reached the service all the same.
-func (s *ownSite) passedOn(lost map[string]error) (n int) {
+// handledCount counts the requests without an answer that reached the service nevertheless.
+func (s *testProcess) handledCount(lost map[string]error) (n int) {
 	s.service.mu.Lock()
 	defer s.service.mu.Unlock()
 	for id := range lost {
@@ -314,21 +315,21 @@
 	return n
 }
 
-func (s *ownSite) path(id string) string { return s.layout.Path + "read?id=" + id }
+func (s *testProcess) path(id string) string { return s.layout.Path + "read?id=" + id }
 
-// callers returns the face of an entry towards callers.
-func (s *ownSite) callers(d *Daemon) *face {
-	return &face{address: d.Addresses()[2], request: func(string) string {
+// callers returns the callers' listener of an entry.
+func (s *testProcess) callers(d *Daemon) *target {
+	return &target{address: d.Addresses()[2], request: func(string) string {
 		return fmt.Sprintf("GET /v1/models HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\n\r\n", s.layout.Customers[0].Key)
 	}}
 }
 
-// peers returns the face of an agent towards entries.
-func (s *ownSite) peers(t *testing.T, d *Daemon) *face {
-	return &face{
-		address: d.Addresses()[0],
-		kept:    adapter.NewTransport("").IdleConnTimeout,
-		tls:     s.client(t, trust.Holder{Role: string(adapter.RoleEntry), Domain: s.set.Domain, Name: "some-entry"}),
+// peers returns the peers' listener of an agent, as entries use it.
+func (s *testProcess) peers(t *testing.T, d *Daemon) *target {
+	return &target{
+		address:   d.Addresses()[0],
+		idleLimit: adapter.NewTransport("").IdleConnTimeout,
+		tls:       s.client(t, trust.Holder{Role: string(adapter.RoleEntry), Domain: s.set.Domain, Name: "some-entry"}),
 		request: func(id string) string {
 			env, _ := json.Marshal(wire.Envelope{
 				ID: ident.New() + "~1", Kind: wire.KindCall, Endpoint: s.set.Endpoint,
@@ -339,43 +340,43 @@
 	}
 }
 
-// operators returns the face of a process towards operators.
-func (s *ownSite) operators(t *testing.T, d *Daemon) *face {
-	return &face{
+// operators returns the operators' listener of a process.
+func (s *testProcess) operators(t *testing.T, d *Daemon) *target {
+	return &target{
 		address: d.Addresses()[1],
 		tls:     s.client(t, trust.Holder{Role: trust.RoleOperator, Domain: "any", Name: "somebody"}),
 		request: func(string) string { return "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n" },
 	}
 }
 
-// Guards against connections that the end of a planned stop closes under requests.
-func TestAPlannedStopEndsNoConnectionThatCallersMayStillUse(t *testing.T) {
+// Guards against connections that the end of a planned stop closes during requests.
+func TestAPlannedStopClosesNoConnectionThatCallersMayStillUse(t *testing.T) {
 	t.Parallel()
 	for name, tc := range map[string]struct {
 		role   adapter.Role
 		secure bool
-		face   func(s *ownSite, t *testing.T, d *Daemon) *face
+		face   func(s *testProcess, t *testing.T, d *Daemon) *target
 	}{
-		"callers of an entry":     {adapter.RoleEntry, false, func(s *ownSite, _ *testing.T, d *Daemon) *face { return s.callers(d) }},
-		"peers of an agent":       {adapter.RoleEndpoint, false, (*ownSite).peers},
-		"peers of an agent, TLS":  {adapter.RoleEndpoint, true, (*ownSite).peers},
-		"operators of an entry":   {adapter.RoleEntry, false, (*ownSite).operators},
-		"operators of agent, TLS": {adapter.RoleEndpoint, true, (*ownSite).operators},
+		"callers of an entry":     {adapter.RoleEntry, false, func(s *testProcess, _ *testing.T, d *Daemon) *target { return s.callers(d) }},
+		"peers of an agent":       {adapter.RoleEndpoint, false, (*testProcess).peers},
+		"peers of an agent, TLS":  {adapter.RoleEndpoint, true, (*testProcess).peers},
+		"operators of an entry":   {adapter.RoleEntry, false, (*testProcess).operators},
+		"operators of agent, TLS": {adapter.RoleEndpoint, true, (*testProcess).operators},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			s := newOwnSite(t, tc.role, tc.secure)
+			s := newTestProcess(t, tc.role, tc.secure)
 			d, ended := s.run(t, nil)
 			f := tc.face(s, t, d)
-			callers := f.rest(t)
-			callers = append(callers, f.connect(t, restingCallers/4)...)
+			callers := f.openKept(t)
+			callers = append(callers, f.openUnused(t, keptConns/4)...)
 			stop := time.Now()
 			d.Node().Leave("test")
-			lost, staying := askAgain(t, callers, stop)
+			lost, staying := requestAgain(t, callers, stop)
 			g.Expect(len(lost)).To(BeZero())
 			g.Expect(staying).To(BeZero())
-			g.Expect(s.passedOn(lost)).To(BeZero())
+			g.Expect(s.handledCount(lost)).To(BeZero())
 			g.Expect(ended()).To(Succeed())
 			t.Logf("the planned stop took %v", time.Since(stop))
 		})
--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -26,7 +26,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 )
 
-// Guards against connections that another rank's engine holds open for nobody.
+// Guards against idle connections that stay open at another rank's engine.
 func TestConnectionsToOtherEnginesAreNotKept(t *testing.T) {
 	const orders = 40
 	g := NewWithT(t)
@@ -52,7 +52,7 @@
 	g.Eventually(open.Load, "2s").Should(BeZero())
 }
 
-// Guards against peers that hold connections or calls open for good.
+// Guards against peers that hold connections or calls open forever.
 func TestCallsOfPeersAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	srv := (&fleetProcess{}).httpServer(http.NotFoundHandler())
@@ -61,8 +61,8 @@
 	g.Expect(srv.WriteTimeout).NotTo(BeZero(), "an answer that is not read")
 }
 
-// Guards against the end of a process under calls that it has read.
-func TestCallsUnderWayAreAnsweredAsTheProcessEnds(t *testing.T) {
+// Guards against a process that ends during calls that it has read.
+func TestCallsInFlightAreAnsweredWhenTheProcessEnds(t *testing.T) {
 	const callers = 200
 	g := NewWithT(t)
 	var begun atomic.Int64
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var serving, calling errgroup.Group
-	serving.Go(func() error { return serveUntil(ctx, srv, l, patience) })
+	serving.Go(func() error { return serveWithGrace(ctx, srv, l, testTimeout) })
 	var answered atomic.Int64
 	for range callers {
 		calling.Go(func() error {
@@ -89,7 +89,7 @@
 			return resp.Body.Close()
 		})
 	}
-	g.Eventually(begun.Load, patience).Should(BeEquivalentTo(callers))
+	g.Eventually(begun.Load, testTimeout).Should(BeEquivalentTo(callers))
 	cancel()
 	close(end)
 	g.Expect(calling.Wait()).To(Succeed())
@@ -97,7 +97,7 @@
 	g.Expect(serving.Wait()).To(Succeed())
 }
 
-// newGatewayProcess returns a gateway's process, and the gateway, which knows nothing yet.
+// newGatewayProcess returns a gateway's process, and the gateway, which has no configuration yet.
 func newGatewayProcess(t *testing.T) (*fleetProcess, *gateway.Gateway) {
 	p := &fleetProcess{set: &settings.Fleet{Grace: time.Minute}, log: zap.NewNop(), reg: metrics.NewRegistry()}
 	gw, cleanup := gateway.New(gateway.Config{}, platformCodec(), follow.NewView(), p.log, p.reg)
@@ -105,9 +105,9 @@
 	return p, gw
 }
 
-// Guards against the end of a gateway under connections that it accepts right after it was
-// seen to have none.
-func TestCallersWhoConnectAsAPlannedStopEndsAreAnswered(t *testing.T) {
+// Guards against a gateway that ends with connections that it accepted right after a check found
+// none.
+func TestCallersThatConnectAtTheEndOfAPlannedStopAreAnswered(t *testing.T) {
 	t.Parallel()
 	const callers = 200
 	g := NewWithT(t)
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var serving, calling errgroup.Group
-	serving.Go(func() error { return serveOn(ctx, p.callersServer(gw), gw.Callers().Listener(l)) })
+	serving.Go(func() error { return serveUntilDone(ctx, p.callersServer(gw), gw.Callers().Listener(l)) })
 
 	gw.Stop()
 	stop := make(chan struct{})
@@ -128,33 +128,33 @@
 		if came {
 			return gw.Busy(), gw.Callers().OpenConns()
 		}
-		if time.Since(began) <= stopLinger+2*idlePoll {
-			return 0, 1 // One that is open until then.
+		if time.Since(began) <= stopAcceptTime+2*stopPollInterval {
+			return 0, 1 // Simulates a connection that is open until then.
 		}
 		came = true
 		for range callers {
 			c, err := net.Dial("tcp4", l.Addr().String())
 			g.Expect(err).NotTo(HaveOccurred())
-			_, err = io.WriteString(c, requestBegins) // It is kept for as long as a header may take.
+			_, err = io.WriteString(c, requestLine) // The connection is kept for as long as a header may take.
 			g.Expect(err).NotTo(HaveOccurred())
-			calling.Go(func() error { <-all; return askOver(c) })
+			calling.Go(func() error { <-all; return finishRequest(c) })
 		}
-		g.Eventually(gw.Callers().OpenConns, patience).Should(Equal(callers))
+		g.Eventually(gw.Callers().OpenConns, testTimeout).Should(Equal(callers))
 		close(all)
-		return 0, 0 // As seen before they came.
+		return 0, 0 // The state before they connected.
 	}, gw.Callers())
 	cancel()
 	g.Expect(calling.Wait()).To(Succeed())
 	g.Expect(serving.Wait()).To(Succeed())
 }
 
-const requestBegins = "GET / HTTP/1.1\r\n"
+const requestLine = "GET / HTTP/1.1\r\n"
 
-// askOver sends the rest of a request over a new connection, which it closes, and returns an
-// error without an answer.
-func askOver(c net.Conn) error {
+// finishRequest sends the rest of a request on a new connection, reads the answer and closes the
+// connection.
+func finishRequest(c net.Conn) error {
 	defer func() { _ = c.Close() }()
-	time.Sleep(100 * time.Millisecond) // The stop is over meanwhile, unless it waits.
+	time.Sleep(100 * time.Millisecond) // Long enough for the stop to end, unless it waits.
 	if _, err := io.WriteString(c, "Host: h\r\n\r\n"); err != nil {
 		return err
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package daemon puts a process together: a node, its role and its listeners,
-// from the start to the planned stop. The demonstration runs the same code.
+// Package daemon assembles a process from a node, its role and its listeners, and runs it from the
+// start to the planned stop. The demonstration runs the same code.
 package daemon
 
 import (
@@ -33,8 +33,8 @@
 	listeners []*listener
 }
 
-// New opens the listeners, so that faults of the settings show at once. The
-// function closes what was opened, if Run is never called.
+// New opens the listeners, so that errors in the settings show immediately. The returned function
+// closes what was opened, if Run is never called.
 func New(set *settings.Settings, log *zap.Logger) (d *Daemon, cleanup func(), err error) {
 	defer func() { err = errors.Wrap(err, "daemon") }()
 	d = &Daemon{set: set, log: log}
@@ -50,7 +50,7 @@
 		_ = peers.Close()
 		return nil, nil, err
 	}
-	d.add(peers, d.role(), peersName, string(adapter.RoleEntry), string(adapter.RoleEndpoint))
+	d.add(peers, d.roleHandler(), peersName, string(adapter.RoleEntry), string(adapter.RoleEndpoint))
 	for _, one := range []struct {
 		address string
 		handler func() http.Handler
@@ -72,8 +72,8 @@
 	return d, cleanup, nil
 }
 
-// role makes the entry or the agent and returns the peer listener's handlers.
-func (d *Daemon) role() http.Handler {
+// roleHandler creates the entry or the agent and returns the handler of the peer listener.
+func (d *Daemon) roleHandler() http.Handler {
 	if d.set.Role == adapter.RoleEntry {
 		d.entry = entry.New(d.node)
 		return d.entry.PeerHandler()
@@ -95,37 +95,36 @@
 			d.node.Trail().Add(audit.PeerRefused, name, err.Error())
 		}, roles...)
 	}
-	d.listeners = append(d.listeners, newListener(l, h, t, d.connections(name), newServerLog(d.log)))
+	d.listeners = append(d.listeners, newListener(l, h, t, d.newTracker(name), newServerLog(d.log)))
 }
 
 func (d *Daemon) close() {
-	for _, one := range d.listeners {
-		_ = one.l.Close() // It may be closed already.
+	for _, ln := range d.listeners {
+		_ = ln.netListener.Close() // It may already be closed.
 	}
 }
 
 // Node returns the shared part of the process.
 func (d *Daemon) Node() *node.Node { return d.node }
 
-// Addresses returns the addresses listened on: peers, operators and, at an
-// entry, callers.
+// Addresses returns the listen addresses: of peers, operators and, for an entry, callers.
 func (d *Daemon) Addresses() (list []string) {
-	for _, one := range d.listeners {
-		list = append(list, one.l.Addr().String())
+	for _, ln := range d.listeners {
+		list = append(list, ln.netListener.Addr().String())
 	}
 	return list
 }
 
-// busy returns the number of requests that have not ended.
-func (d *Daemon) busy() int {
+// inFlight returns the number of requests in flight.
+func (d *Daemon) inFlight() int {
 	if d.entry != nil {
 		return d.entry.Busy()
 	}
 	return d.agent.Busy()
 }
 
-// Run serves until a planned stop is complete or ctx ends, which cuts off what
-// runs. The planned stop begins with the node's Leave.
+// Run serves until a planned stop is complete or ctx ends, which cuts off requests in flight. The
+// planned stop begins with the node's Leave.
 func (d *Daemon) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "daemon") }()
 	ctx, cancel := context.WithCancel(ctx)
@@ -137,8 +136,8 @@
 	} else {
 		duties.Go("entry", d.entry.Run)
 	}
-	for _, one := range d.listeners {
-		duties.Once("listener", one.serve)
+	for _, ln := range d.listeners {
+		duties.Once("listener", ln.serve)
 	}
 	duties.Go("stop", func(ctx context.Context) error {
 		d.drain(ctx)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -29,46 +29,47 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// memoryShare is the part of an instance's memory that the heap may reach
-// before it is collected harder.
-const memoryShare = 0.6
+// heapShare is the share of an instance's memory that the heap may use before the garbage collector
+// works harder.
+const heapShare = 0.6
 
-// fleetProcess is a gateway or a sidecar.
+// fleetProcess is the process of a gateway or a sidecar.
 type fleetProcess struct {
-	set  *settings.Fleet
-	file string
-	log  *zap.Logger
-	reg  metrics.Registry
-	born time.Time // Start of this life.
-	// lastTime is kept before stopMargin without new connections; 0 for stopLast.
-	lastTime time.Duration
-	// mostCallers bounds the connections of callers; 0 for no bound.
-	mostCallers int
-	failed      func(duty string) // Begins the planned stop as a duty cannot go on; set by a gateway.
-
-	serverLog *log.Logger      // Of what HTTP servers say themselves.
-	caught    <-chan os.Signal // Signals since the start.
+	set          *settings.Fleet
+	settingsFile string
+	log          *zap.Logger
+	reg          metrics.Registry
+	startedAt    time.Time // Identifies this process's incarnation.
+	// closedTime is how long before stopMargin the process stops accepting connections; 0 for
+	// stopClosedTime.
+	closedTime time.Duration
+	// maxCallers limits the connections of callers; 0 for no limit.
+	maxCallers int
+	onFailure  func(duty string) // Begins the planned stop because a duty failed; set by a gateway.
+
+	serverLog *log.Logger      // For the messages of the HTTP servers themselves.
+	signalCh  <-chan os.Signal // Signals since the start of the process.
 }
 
-// runFleet serves until a planned stop is complete.
-func runFleet(file string, set *settings.Fleet, caught <-chan os.Signal, out io.Writer) (err error) {
+// runFleet runs a gateway or a sidecar until a planned stop is complete.
+func runFleet(file string, set *settings.Fleet, signalCh <-chan os.Signal, out io.Writer) (err error) {
 	logger, lines, err := oplog.New(out, set.LogLevel, set.LogPerSec)
 	if err != nil {
 		return errors.Wrap(err, "log level")
 	}
 	if set.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * set.MemoryLimit * (1 << 20)))
+		debug.SetMemoryLimit(int64(heapShare * set.MemoryLimit * (1 << 20)))
 	}
 	serverLog, err := zap.NewStdLogAt(logger.Named("http"), zap.WarnLevel)
 	if err != nil {
-		return errors.Wrap(err, "log of the servers")
+		return errors.Wrap(err, "log for HTTP servers")
 	}
-	p := &fleetProcess{set: set, file: file, log: logger, serverLog: serverLog, caught: caught, reg: metrics.NewRegistry(), born: time.Now(), mostCallers: mostCallers()}
+	p := &fleetProcess{set: set, settingsFile: file, log: logger, serverLog: serverLog, signalCh: signalCh, reg: metrics.NewRegistry(), startedAt: time.Now(), maxCallers: maxCallerConns()}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	defer writeLines(lines)()
+	defer startLogWriter(lines)()
 	logger.Info("start", append(build.Read().Fields(), zap.String("name", set.Name), zap.String("role", string(set.Role)),
-		zap.String("domain", set.Domain), zap.Int("pid", os.Getpid()), zap.Int64("life", p.born.UnixMilli()))...)
+		zap.String("domain", set.Domain), zap.Int("pid", os.Getpid()), zap.Int64("life", p.startedAt.UnixMilli()))...)
 	if set.Role == settings.Gateway {
 		err = p.gateway(ctx)
 	} else {
@@ -83,12 +84,12 @@
 	return err
 }
 
-// listenTCP opens a listener at an IP number.
+// listenTCP opens a listener on an IPv4 address.
 func listenTCP(address string) (l net.Listener, err error) {
 	return net.Listen("tcp4", address)
 }
 
-// listenPeers opens what other processes speak to: datagrams and calls. The
+// listenPeers opens the sockets for other processes: for datagrams and for calls. The returned
 // function closes both.
 func (p *fleetProcess) listenPeers() (socket *peers.Socket, calls net.Listener, cleanup func(), err error) {
 	socket, closeSocket, err := peers.Listen(p.set.Peers, p.log)
@@ -103,185 +104,186 @@
 	return socket, calls, func() { closeSocket(); _ = calls.Close() }, nil
 }
 
-// Bounds on the calls of other processes, against peers that hold connections for good.
+// Limits on calls of other processes, against peers that hold connections forever.
 const (
-	// callTime bounds the reading of a call, and its answer with the reading: far above
-	// the largest map over a narrow link.
-	callTime = 2 * time.Minute
+	// callTimeout limits reading a call, and reading and answering it: far above the time for the
+	// largest map over a slow link.
+	callTimeout = 2 * time.Minute
 )
 
-// httpServer returns a server for other processes. What the server itself has to say, such
-// as a second head that a handler wrote, goes to the process's log: it is the only
-// sign of a fault in a handler. Callers that break off are not among it.
+// httpServer returns a server for other processes. The server's own messages, such as one about a
+// second head that a handler wrote, go to the process's log: they are the only sign of a fault in a
+// handler. Disconnecting callers cause no such messages.
 func (p *fleetProcess) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: gateway.HeaderTime,
-		ReadTimeout:       callTime,
-		WriteTimeout:      callTime,
+		ReadTimeout:       callTimeout,
+		WriteTimeout:      callTimeout,
 		IdleTimeout:       peers.ServerIdle,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          p.serverLog,
-		// An empty success of the server's own is none of an endpoint's.
+		// An empty success of the server itself must not look like an endpoint's answer.
 		DisableGeneralOptionsHandler: true,
 	}
 }
 
-// lastCalls is for how long what was read is still answered as a process ends.
-const lastCalls = 300 * time.Millisecond
+// endAnswerTime is how long requests that were read are still answered when the process ends.
+const endAnswerTime = 300 * time.Millisecond
 
-// serveOn serves until ctx ends, and then what was read by then.
-func serveOn(ctx context.Context, srv *http.Server, l net.Listener) error {
-	return serveUntil(ctx, srv, l, lastCalls)
+// serveUntilDone serves until ctx ends, and then answers the requests that were read by then.
+func serveUntilDone(ctx context.Context, srv *http.Server, l net.Listener) error {
+	return serveWithGrace(ctx, srv, l, endAnswerTime)
 }
 
-// serveUntil is serveOn with a bound on what is served after ctx.
-func serveUntil(ctx context.Context, srv *http.Server, l net.Listener, atMost time.Duration) error {
-	return serveThen(ctx, srv, l, func() {
-		last, cancel := context.WithTimeout(context.Background(), atMost)
+// serveWithGrace is serveUntilDone with a given limit on the time after ctx has ended.
+func serveWithGrace(ctx context.Context, srv *http.Server, l net.Listener, grace time.Duration) error {
+	return serveAndEnd(ctx, srv, l, func() {
+		last, cancel := context.WithTimeout(context.Background(), grace)
 		defer cancel()
 		if srv.Shutdown(last) != nil {
-			_ = srv.Close() // Its error is that of the listener, which is closed already.
+			_ = srv.Close() // The error is that of the listener, which is already closed.
 		}
 	})
 }
 
-// serveThen serves until ctx ends, and returns once end has ended the connections.
-func serveThen(ctx context.Context, srv *http.Server, l net.Listener, end func()) error {
+// serveAndEnd serves until ctx ends, then calls end to end the connections, and returns after that.
+func serveAndEnd(ctx context.Context, srv *http.Server, l net.Listener, end func()) error {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(ended)
 		end()
 	})
 	err := srv.Serve(retrying{l})
-	if errors.Is(err, net.ErrClosed) || !stop() { // A listener closed first leaves its connections to be served.
+	if errors.Is(err, net.ErrClosed) || !stop() { // Connections are served until ctx ends, even without a listener.
 		<-ended
 	}
-	return unlessClosed(err)
+	return ignoreClosed(err)
 }
 
 // serve serves until the listener or the server is closed.
-func serve(srv *http.Server, l net.Listener) error { return unlessClosed(srv.Serve(retrying{l})) }
+func serve(srv *http.Server, l net.Listener) error { return ignoreClosed(srv.Serve(retrying{l})) }
 
-// unlessClosed returns the error with which a server ended, nil if it was closed.
-func unlessClosed(err error) error {
+// ignoreClosed returns the error with which a server ended, nil if it was closed.
+func ignoreClosed(err error) error {
 	if errors.IsAny(err, http.ErrServerClosed, net.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// retrying is a listener whose server goes on after any failure to accept, with a pause: a lack
-// of descriptors or memory passes, and the connections that are there must be served.
+// retrying is a listener whose server continues after any accept error, after a pause: a lack of
+// file descriptors or memory is temporary, and the open connections must be served.
 type retrying struct{ net.Listener }
 
-// Accept fails for good only once the listener is closed.
+// Accept returns a permanent error only once the listener is closed.
 func (l retrying) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil && !errors.Is(err, net.ErrClosed) {
-		err = temporary{err}
+		err = temporaryError{err}
 	}
 	return c, err
 }
 
-// bounded is a listener that accepts no connection while as many are open as may be; those
-// that are made wait in the kernel's queue.
-type bounded struct {
+// limitedListener is a listener that accepts no connection while the maximum number is open;
+// further connections wait in the kernel's queue.
+type limitedListener struct {
 	net.Listener
-	most   int
-	open   func() int
-	log    *zap.Logger
-	toldAt time.Time // When the log was told; of the goroutine that accepts.
-	closed context.Context
-	close  context.CancelFunc // Ends closed.
+	maxOpen  int
+	open     func() int
+	log      *zap.Logger
+	loggedAt time.Time // When the full state was last logged; used by the accepting goroutine only.
+	closed   context.Context
+	close    context.CancelFunc // Cancels closed.
 }
 
-func newBounded(l net.Listener, most int, open func() int, log *zap.Logger) *bounded {
-	b := &bounded{Listener: l, most: most, open: open, log: log}
+func newLimitedListener(l net.Listener, maxOpen int, open func() int, log *zap.Logger) *limitedListener {
+	b := &limitedListener{Listener: l, maxOpen: maxOpen, open: open, log: log}
 	b.closed, b.close = context.WithCancel(context.Background())
 	return b
 }
 
-// Close ends an Accept that waits for room, too.
-func (l *bounded) Close() error {
+// Close closes the listener, and also ends an Accept that waits for capacity.
+func (l *limitedListener) Close() error {
 	l.close()
 	return l.Listener.Close()
 }
 
-// Accept waits for room first.
-func (l *bounded) Accept() (net.Conn, error) {
-	if now := time.Now(); l.open() >= l.most && now.Sub(l.toldAt) > fullEvery {
-		l.toldAt = now
-		l.log.Warn("no more connections are accepted", zap.Int("open", l.open()))
+// Accept accepts the next connection as soon as there is capacity.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	if now := time.Now(); l.open() >= l.maxOpen && now.Sub(l.loggedAt) > limitLogInterval {
+		l.loggedAt = now
+		l.log.Warn("connection limit reached", zap.Int("open", l.open()))
 	}
-	for l.open() >= l.most && l.closed.Err() == nil {
-		wait.For(l.closed, roomPoll)
+	for l.open() >= l.maxOpen && l.closed.Err() == nil {
+		wait.For(l.closed, limitPollInterval)
 	}
 	return l.Listener.Accept()
 }
 
 const (
-	// roomPoll is how often a bounded listener looks for room.
-	roomPoll = 5 * time.Millisecond
-	// fullEvery is the time between two lines of a listener that has none.
-	fullEvery = 5 * time.Second
+	// limitPollInterval is how often a full listener checks for capacity.
+	limitPollInterval = 5 * time.Millisecond
+	// limitLogInterval is the minimum time between two log lines of a full listener.
+	limitLogInterval = 5 * time.Second
 )
 
-// callersShare is the part of a process's descriptors that callers may have; the others are for
-// endpoints, the store and peers.
-const callersShare = 0.75
+// callersFDShare is the share of a process's file descriptors that callers may use; the others are
+// for endpoints, the store and peers.
+const callersFDShare = 0.75
 
-// mostCallers returns the bound on callers' connections, 0 where the descriptors are not known.
-func mostCallers() int {
+// maxCallerConns returns the limit on callers' connections, 0 if the limit on file descriptors is
+// unknown.
+func maxCallerConns() int {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
 		return 0
 	}
-	return int(callersShare * float64(min(limit.Cur, math.MaxInt32)))
+	return int(callersFDShare * float64(min(limit.Cur, math.MaxInt32)))
 }
 
-// temporary is an error after which net/http accepts again.
-type temporary struct{ error }
+// temporaryError is an accept error after which net/http tries again.
+type temporaryError struct{ error }
 
-// Timeout is part of net.Error.
-func (temporary) Timeout() bool { return false }
+// Timeout implements net.Error.
+func (temporaryError) Timeout() bool { return false }
 
-// Temporary is part of net.Error.
-func (temporary) Temporary() bool { return true }
+// Temporary implements net.Error.
+func (temporaryError) Temporary() bool { return true }
 
-// signalQueue is how many signals wait until they are acted on; whoever sends more at
-// once repeats itself.
-const signalQueue = 4
+// signalQueueLen is how many signals are queued until they are handled; more signals at once can
+// only be repetitions.
+const signalQueueLen = 4
 
-// catchSignals keeps the signals that come from now on. It is the first that a process
-// does, since a SIGHUP that nobody has asked for ends it, also in the midst of its start. A
-// SIGPIPE is ignored: without that a line of the log ends the process once its reader has gone.
-func catchSignals() (caught <-chan os.Signal, cleanup func()) {
+// catchSignals receives signals from now on. It must be called first in a process, because an
+// uncaught SIGHUP ends the process, even during its start. It ignores SIGPIPE: otherwise a log line
+// would end the process once the reader of the log has gone.
+func catchSignals() (signalCh <-chan os.Signal, cleanup func()) {
 	signal.Ignore(syscall.SIGPIPE)
-	c := make(chan os.Signal, signalQueue)
+	c := make(chan os.Signal, signalQueueLen)
 	signal.Notify(c, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	return c, func() { signal.Stop(c) }
 }
 
-// signals calls stop at the first signal to stop and reload at each SIGHUP. A
-// further SIGTERM changes nothing, since whoever stops instances in turn may send
-// it twice and nothing may be cut; a further SIGINT, from a person, ends the
-// process at once.
-func (p *fleetProcess) signals(ctx context.Context, stop, end func()) error {
+// handleSignals calls stop at the first signal to stop, and reload at each SIGHUP. A further
+// SIGTERM has no effect, because a tool that stops instances one by one may send it twice and no
+// request may be cut off; a further SIGINT, which comes from a person, ends the process
+// immediately.
+func (p *fleetProcess) handleSignals(ctx context.Context, stop, endNow func()) error {
 	stopped := false
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case s := <-p.caught:
+		case s := <-p.signalCh:
 			switch {
 			case s == syscall.SIGHUP:
 				p.reload()
 			case stopped && s == syscall.SIGINT:
-				p.log.Warn("stopping at once", zap.String("signal", s.String()))
-				end()
+				p.log.Warn("stopping immediately", zap.String("signal", s.String()))
+				endNow()
 			case stopped:
-				p.log.Info("stopping already", zap.String("signal", s.String()))
+				p.log.Info("already stopping", zap.String("signal", s.String()))
 			default:
 				stopped = true
 				p.log.Info("stopping", zap.String("signal", s.String()))
@@ -291,26 +293,26 @@
 	}
 }
 
-// reload reads the settings again. Addresses cannot change within a life; the
-// rest is taken at the next start, and what differs is logged.
+// reload reads the settings again. Addresses cannot change while the process runs; other settings
+// take effect at the next start. It logs whether the store's address differs.
 func (p *fleetProcess) reload() {
-	next, err := settings.LoadFleet(p.file)
+	next, err := settings.LoadFleet(p.settingsFile)
 	if err != nil {
-		p.log.Warn("settings not taken", zap.String("error", err.Error()))
+		p.log.Warn("settings could not be reloaded", zap.String("error", err.Error()))
 		return
 	}
 	p.log.Info("settings read again", zap.Bool("store-moved", next.Store != p.set.Store))
 }
 
-// serveMetrics serves the process's figures as text. Without them the process
-// still serves, so a fault is logged only.
+// serveMetrics serves the process's metrics as text. The process works without them, so a failure
+// is only logged.
 func (p *fleetProcess) serveMetrics(duties *duty.Group) {
 	if p.set.Metrics == "" {
 		return
 	}
 	l, err := listenTCP(p.set.Metrics)
 	if err != nil {
-		p.log.Error("no metrics", zap.String("error", err.Error()))
+		p.log.Error("metrics unavailable", zap.String("error", err.Error()))
 		return
 	}
 	mux := http.NewServeMux()
@@ -319,12 +321,12 @@
 		p.writeBuild(w)
 		metrics.WriteOnce(p.reg, w)
 	})
-	duties.Once("metrics", func(ctx context.Context) error { return serveOn(ctx, p.httpServer(mux), l) })
+	duties.Once("metrics", func(ctx context.Context) error { return serveUntilDone(ctx, p.httpServer(mux), l) })
 }
 
-// writeBuild writes which build the process is, and which life of it.
+// writeBuild writes the build and the incarnation of the process.
 func (p *fleetProcess) writeBuild(w io.Writer) {
 	b := build.Read()
 	fmt.Fprintf(w, "build %s\n  version:  %s\n  revision: %s\n  modified: %t\n  go:       %s\n  pid:      %d\n  life:     %d\n",
-		b.ID, b.Version, b.Revision, b.Modified, b.Go, os.Getpid(), p.born.UnixMilli())
+		b.ID, b.Version, b.Revision, b.Modified, b.Go, os.Getpid(), p.startedAt.UnixMilli())
 }
--- a/internal/daemon/fleet_test.go
+++ b/internal/daemon/fleet_test.go
@@ -16,31 +16,31 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// patience bounds waits; nothing is asserted about how long things take.
-const patience = 20 * time.Second
+// testTimeout limits waits; no test depends on how long things take.
+const testTimeout = 20 * time.Second
 
-// signalled runs the duty that hears signals, sends some to this process, one
-// after the other is heard, and counts what they led to.
-func signalled(t *testing.T, list ...syscall.Signal) (stops, ends int32) {
+// sendSignals runs handleSignals and sends signals to this process, each after the previous one was
+// handled. It counts the resulting stops and immediate ends.
+func sendSignals(t *testing.T, list ...syscall.Signal) (stops, ends int32) {
 	g := NewWithT(t)
 	core, lines := observer.New(zap.InfoLevel)
 	caught, cleanup := catchSignals()
 	defer cleanup()
-	p := &fleetProcess{log: zap.New(core), caught: caught}
+	p := &fleetProcess{log: zap.New(core), signalCh: caught}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var stop, end atomic.Int32
 	var group errgroup.Group
 	group.Go(func() error {
-		return p.signals(ctx, func() { stop.Add(1) }, func() { end.Add(1) })
+		return p.handleSignals(ctx, func() { stop.Add(1) }, func() { end.Add(1) })
 	})
 	for i, s := range list {
 		g.Eventually(func() int {
-			if lines.Len() <= i { // It may have been sent before the duty heard signals.
+			if lines.Len() <= i { // The signal may have been sent before the process handled signals.
 				g.Expect(syscall.Kill(os.Getpid(), s)).To(Succeed())
 			}
 			return lines.Len()
-		}, patience, 50*time.Millisecond).Should(BeNumerically(">", i))
+		}, testTimeout, 50*time.Millisecond).Should(BeNumerically(">", i))
 	}
 	cancel()
 	g.Expect(group.Wait()).To(Succeed())
@@ -55,11 +55,11 @@
 	}{
 		{"SIGTERM twice", []syscall.Signal{syscall.SIGTERM, syscall.SIGTERM}, 0},
 		{"SIGINT, then SIGTERM", []syscall.Signal{syscall.SIGINT, syscall.SIGTERM}, 0},
-		{"a person insists", []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}, 1},
+		{"SIGTERM, then SIGINT", []syscall.Signal{syscall.SIGTERM, syscall.SIGINT}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			stops, ends := signalled(t, tc.signals...)
+			stops, ends := sendSignals(t, tc.signals...)
 			g.Expect(stops).To(BeEquivalentTo(1))
 			g.Expect(ends >= 1).To(Equal(tc.ends == 1))
 		})
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -22,25 +22,27 @@
 
 // Times of a planned stop.
 const (
-	// stopLinger is how long new connections may still come after the signal:
-	// the platform asks for readiness each second and stops after two misses.
-	stopLinger = 3500 * time.Millisecond
-	// stopMargin is kept from the end of the grace period.
+	// stopAcceptTime is how long new connections may still arrive after the signal: the platform
+	// checks readiness each second, and stops sending callers after two failures.
+	stopAcceptTime = 3500 * time.Millisecond
+	// stopMargin is how long before the end of the grace period the stop ends.
 	stopMargin = 700 * time.Millisecond
-	// stopLast is kept before that without new connections, so that what was taken can end.
-	stopLast = 500 * time.Millisecond
-	// stopSettle is kept before stopMargin without idle connections, so that the stop ends as drained.
-	stopSettle = 150 * time.Millisecond
+	// stopClosedTime is how long before stopMargin no new connections are accepted, so that
+	// accepted requests can end.
+	stopClosedTime = 500 * time.Millisecond
+	// stopDrainMargin is how long before stopMargin idle connections are closed, so that the stop
+	// ends as drained.
+	stopDrainMargin = 150 * time.Millisecond
 )
 
-// keyMargin is kept from the time after which a key that was taken away must
-// not count: it covers the way of a request to its endpoint.
-const keyMargin = 900 * time.Millisecond
+// keyAgeMargin is how long before a revoked key must be invalid it is no longer accepted: this
+// covers the time that a request takes to its endpoint.
+const keyAgeMargin = 900 * time.Millisecond
 
-// endSettle is how long an endpoint must be seen to live on after a stream without
-// framing. A process that exits closes all it has within milliseconds, tens on a busy
-// instance; the caller has every event by then and waits only for the end.
-const endSettle = 60 * time.Millisecond
+// aliveCheckTime is how long an endpoint must stay alive after a stream without framing for its end
+// to count as orderly. A process that exits closes all its connections within milliseconds, tens of
+// them on a busy instance; the caller has every event by then and waits only for the end.
+const aliveCheckTime = 60 * time.Millisecond
 
 // gateway runs a gateway.
 func (p *fleetProcess) gateway(ctx context.Context) (err error) {
@@ -53,14 +55,14 @@
 		Domain:      p.set.Domain,
 		Source:      p.set.Source,
 		Memory:      int64(p.set.MemoryLimit * (1 << 20)),
-		KeyAge:      p.set.Revocation - keyMargin,
+		KeyAge:      p.set.Revocation - keyAgeMargin,
 		RetryShare:  p.set.RetryShare,
 		RetryWindow: p.set.RetryWindow,
 		RetrySpare:  p.set.RetrySpare,
-		EndSettle:   endSettle,
-		GracePeriod: p.set.Grace - stopMargin - stopSettle,
+		EndSettle:   aliveCheckTime,
+		GracePeriod: p.set.Grace - stopMargin - stopDrainMargin,
 
-		PropagationDelay: 2 * p.set.InForce, // A version is in force from before its acknowledgement.
+		PropagationDelay: 2 * p.set.InForce, // A version is in effect from before its acknowledgement.
 	}, platformCodec(), view, p.log, p.reg)
 	defer closeGateway()
 
@@ -77,7 +79,7 @@
 		return err
 	}
 	defer closePeers()
-	neighbours, closeNeighbours := gateway.NewNeighbours(gateway.NeighboursConfig{
+	peerExchange, closePeerExchange := gateway.NewNeighbours(gateway.NeighboursConfig{
 		Name:         p.set.Name,
 		Domain:       p.set.Domain,
 		Address:      p.set.Peers,
@@ -87,33 +89,33 @@
 		SidecarsPort: p.set.PeersPort,
 		Decode:       platform.DecodeConfig,
 	}, g, socket, p.log)
-	defer closeNeighbours()
+	defer closePeerExchange()
 	stop := make(chan struct{})
 	var once sync.Once
-	stopAsPlanned := func() {
+	startStop := func() {
 		once.Do(func() {
 			g.Stop()
 			close(stop)
 		})
 	}
-	p.failed = func(name string) {
-		p.log.Error("stopping, a duty cannot go on", zap.String("duty", name))
-		stopAsPlanned()
+	p.onFailure = func(name string) {
+		p.log.Error("stopping because a duty failed", zap.String("duty", name))
+		startStop()
 	}
-	duties := duty.New(ctx, p.log, p.reg, p.failed)
-	duties.Go("signals", func(ctx context.Context) error { return p.signals(ctx, stopAsPlanned, cancel) })
+	duties := duty.New(ctx, p.log, p.reg, p.onFailure)
+	duties.Go("signals", func(ctx context.Context) error { return p.handleSignals(ctx, startStop, cancel) })
 	follower := follow.NewFollower(view, store.Source(), p.set.InForce, p.log)
-	follower.UsePeers(neighbours.Follow())
+	follower.UsePeers(peerExchange.Follow())
 	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.Changed) })
 	duties.Go("housekeeping", g.Run)
-	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, neighbours.Receive) })
-	duties.Go("neighbours", neighbours.Run)
+	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, peerExchange.Receive) })
+	duties.Go("neighbours", peerExchange.Run)
 	duties.Once("calls", func(ctx context.Context) error {
-		return serveOn(ctx, p.httpServer(neighbours.Handler()), calls)
+		return serveUntilDone(ctx, p.httpServer(peerExchange.Handler()), calls)
 	})
 	duties.Once("callers", func(ctx context.Context) error { return p.serveCallers(ctx, g, callers) })
 	duties.Once("readiness", func(ctx context.Context) error {
-		return serveOn(ctx, p.httpServer(g.ReadinessHandler()), readiness)
+		return serveUntilDone(ctx, p.httpServer(g.ReadinessHandler()), readiness)
 	})
 	p.serveMetrics(duties)
 	duties.Go("stop", func(ctx context.Context) error {
@@ -126,65 +128,66 @@
 
 // serveCallers serves callers until ctx ends.
 func (p *fleetProcess) serveCallers(ctx context.Context, g *gateway.Gateway, l net.Listener) error {
-	return p.serveCallersUntil(ctx, g, l, lastCalls)
+	return p.serveCallersWithGrace(ctx, g, l, endAnswerTime)
 }
 
-// serveCallersUntil is serveCallers with a bound on what is answered after ctx.
-func (p *fleetProcess) serveCallersUntil(ctx context.Context, g *gateway.Gateway, l net.Listener, atMost time.Duration) error {
+// serveCallersWithGrace is serveCallers with a given limit on the time for answers after ctx has
+// ended.
+func (p *fleetProcess) serveCallersWithGrace(ctx context.Context, g *gateway.Gateway, l net.Listener, grace time.Duration) error {
 	srv := p.callersServer(g)
 	l = g.Callers().Listener(l)
-	if p.mostCallers > 0 {
-		l = newBounded(l, p.mostCallers, g.Callers().OpenConns, p.log)
+	if p.maxCallers > 0 {
+		l = newLimitedListener(l, p.maxCallers, g.Callers().OpenConns, p.log)
 	}
-	// Apart: after a fault in one of them the other goes on until ctx ends.
-	duties := duty.New(ctx, p.log, p.reg, p.failed)
+	// Separate duties: after a failure of one, the other continues until ctx ends.
+	duties := duty.New(ctx, p.log, p.reg, p.onFailure)
 	duties.Once("callers-accept", func(context.Context) error { return serve(srv, l) })
 	duties.Once("callers-end", func(ctx context.Context) error {
 		<-ctx.Done()
-		p.endCallers(g, srv, atMost)
+		p.closeCallers(g, srv, grace)
 		return nil
 	})
 	return duties.Wait()
 }
 
-// endCallers ends the connections of callers. Requests are refused before anything is closed:
+// closeCallers closes the connections of callers. It refuses requests before it closes anything:
 // Server.Shutdown would close connections as idle on which a request is just being read.
-func (p *fleetProcess) endCallers(g *gateway.Gateway, srv *http.Server, atMost time.Duration) {
+func (p *fleetProcess) closeCallers(g *gateway.Gateway, srv *http.Server, grace time.Duration) {
 	g.End()
 	if err := g.Callers().CloseListeners(time.Now()); err != nil {
 		p.log.Warn("listener not closed", zap.String("error", err.Error()))
 	}
-	last, cancel := context.WithTimeout(context.Background(), atMost)
+	last, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	poll(last, g.Callers().Drained)
+	pollUntil(last, g.Callers().Drained)
 	if requests, connections := g.Busy(), g.Callers().OpenConns(); requests+connections > 0 {
-		p.log.Warn("connections ended with the process", zap.Int("requests", requests), zap.Int("connections", connections))
+		p.log.Warn("process ending with open connections", zap.Int("requests", requests), zap.Int("connections", connections))
 	}
 	g.Callers().MarkProcessEnding()
-	_ = srv.Close() // Its error is that of the listener, which is closed already.
+	_ = srv.Close() // The error is that of the listener, which is already closed.
 }
 
-// callersServer returns the server that takes callers.
+// callersServer returns the server for callers.
 func (p *fleetProcess) callersServer(g *gateway.Gateway) *http.Server {
 	srv := p.httpServer(g.Handler())
-	srv.ReadTimeout, srv.IdleTimeout = 0, 0 // Streams last; the gateway bounds the rest.
-	srv.WriteTimeout = gateway.UnreadTime   // Of what the server says itself; the gateway sets its own.
-	srv.ConnContext = callerconn.WithConn   // Without it a stream cut short looks whole to HTTP/1.0.
+	srv.ReadTimeout, srv.IdleTimeout = 0, 0 // Streams may be long; the gateway limits everything else.
+	srv.WriteTimeout = gateway.UnreadTime   // For errors of the server itself; the gateway sets its own.
+	srv.ConnContext = callerconn.WithConn   // Otherwise a cut-off stream looks complete to HTTP/1.0.
 	g.Callers().Attach(srv)
 	return srv
 }
 
-// drain waits for the signal to stop, then for what runs and until callers have left their
-// connections, and ends the taking of new ones. It looks once more after that: callers may
-// have come in since it looked.
-func (p *fleetProcess) drain(ctx context.Context, stop <-chan struct{}, left func() (requests, connections int), callers *keepalive.Tracker) {
+// drain waits for the signal to stop, then for requests in flight and until callers have closed
+// their connections, and then closes the listeners. It checks the connections again after that,
+// because callers may have connected since the last check.
+func (p *fleetProcess) drain(ctx context.Context, stop <-chan struct{}, remaining func() (requests, connections int), callers *keepalive.Tracker) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-stop:
 	}
 	began := time.Now()
-	ticker := time.NewTicker(idlePoll)
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for closing := false; ; {
 		select {
@@ -192,15 +195,15 @@
 			return
 		case now := <-ticker.C:
 			after := now.Sub(began)
-			requests, connections := left()
+			requests, connections := remaining()
 			switch {
-			case after > stopLinger && callers.Drained():
+			case after > stopAcceptTime && callers.Drained():
 				return
 			case after > p.set.Grace-stopMargin:
 				p.log.Warn("stopped with connections open", zap.Int("requests", requests), zap.Int("connections", connections))
 				return
-			case after <= stopLinger:
-			case !closing && (requests+connections == 0 || after > p.set.Grace-stopMargin-cmp.Or(p.lastTime, stopLast)):
+			case after <= stopAcceptTime:
+			case !closing && (requests+connections == 0 || after > p.set.Grace-stopMargin-cmp.Or(p.closedTime, stopClosedTime)):
 				closing = true
 				if err := callers.CloseListeners(now); err != nil {
 					p.log.Warn("listener not closed", zap.String("error", err.Error()))
--- a/internal/daemon/grace_test.go
+++ b/internal/daemon/grace_test.go
@@ -24,8 +24,9 @@
 	"github.com/canvaspulley/canvaspulley/internal/gateway"
 )
 
-// gatewayBefore returns a gateway with one endpoint of so many slots, and a listener for its callers.
-func gatewayBefore(t *testing.T, endpoint string, slots int) (p *fleetProcess, gw *gateway.Gateway, l net.Listener) {
+// newGatewayWithEndpoint returns a gateway with one endpoint that has the given number of slots,
+// and a listener for its callers.
+func newGatewayWithEndpoint(t *testing.T, endpoint string, slots int) (p *fleetProcess, gw *gateway.Gateway, l net.Listener) {
 	t.Helper()
 	p = &fleetProcess{log: zap.NewNop(), reg: metrics.NewRegistry(), serverLog: log.New(io.Discard, "", 0)}
 	view := follow.NewView()
@@ -46,8 +47,9 @@
 	return p, gw, l
 }
 
-// Guards against requests that were passed on and end without an answer as the grace period does.
-func TestRequestsUnderWayAreAnsweredAtTheEndOfTheGracePeriod(t *testing.T) {
+// Guards against requests that were forwarded to an endpoint and end without an answer at the end
+// of the grace period.
+func TestRequestsInFlightAreAnsweredAtTheEndOfTheGracePeriod(t *testing.T) {
 	const callers = 50
 	g := NewWithT(t)
 	var begun atomic.Int64
@@ -56,7 +58,7 @@
 		<-r.Context().Done()
 	}))
 	t.Cleanup(endpoint.Close)
-	p, gw, l := gatewayBefore(t, endpoint.Listener.Addr().String(), callers)
+	p, gw, l := newGatewayWithEndpoint(t, endpoint.Listener.Addr().String(), callers)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var serving, calling errgroup.Group
@@ -78,7 +80,7 @@
 			return resp.Body.Close()
 		})
 	}
-	g.Eventually(begun.Load, patience).Should(BeEquivalentTo(callers))
+	g.Eventually(begun.Load, testTimeout).Should(BeEquivalentTo(callers))
 	gw.Stop()
 	cancel()
 	g.Expect(calling.Wait()).To(Succeed())
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -22,14 +22,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/keepalive"
 )
 
-// Bounds on what is read from anyone, against slow and endless senders.
+// Limits on what is read from any client, against slow and endless senders.
 const (
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
 )
 
-// idlePoll is how often a planned stop looks at what is left.
-const idlePoll = 50 * time.Millisecond
+// stopPollInterval is how often a planned stop checks for remaining requests and connections.
+const stopPollInterval = 50 * time.Millisecond
 
 // Names of listeners.
 const (
@@ -38,81 +38,84 @@
 	callersName   = "callers"
 )
 
-// Times for which connections are kept that rest.
+// Idle timeouts of connections.
 const (
-	// callersIdle is for callers and operators, who may ignore the advertised timeout.
-	callersIdle = time.Minute
-	// callersAdvertised is the timeout that is advertised to these: a planned stop waits for
-	// as long.
-	callersAdvertised = 5 * time.Second
-	// peersIdle is for peers, which go by adapter.IdleTime. What is over covers the time for
-	// which an answer is on its way, or waits at a busy peer.
-	peersIdle = adapter.IdleTime + 2*time.Second
-	// peersNewConn is for peers' connections without a request, in a planned stop: their
+	// callersIdleTimeout is for callers and operators, who may ignore the advertised timeout.
+	callersIdleTimeout = time.Minute
+	// callersMaxAdvertised is the timeout that is advertised to callers and operators: a planned
+	// stop waits for as long.
+	callersMaxAdvertised = 5 * time.Second
+	// peersIdleTimeout is for peers, which close idle connections after adapter.IdleTime. The extra
+	// time covers an answer in transit or waiting at a busy peer.
+	peersIdleTimeout = adapter.IdleTime + 2*time.Second
+	// peersNewConnTimeout is for peers' connections without a request, in a planned stop: their
 	// transports open some in advance.
-	peersNewConn = adapter.IdleTime + time.Second
+	peersNewConnTimeout = adapter.IdleTime + time.Second
 )
 
-// Times of a planned stop.
+// Times and limits of a planned stop.
 const (
-	// lingerPolls is how often in a row nothing must run before the process ends.
-	lingerPolls = 20
-	// stopRest is for how long after its beginning somebody may come again on a connection
-	// that was kept. Until then those who open one get a refusal rather than no link.
-	stopRest = max(callersAdvertised, peersIdle) + time.Second
-	// stopMost is how long after that connections without a request may stay open; it covers
-	// a slow header.
-	stopMost = 2 * headerTimeout
+	// minIdlePolls is the number of consecutive polls without a request in flight before the
+	// listeners are closed.
+	minIdlePolls = 20
+	// stopReuseTime is how long after the start of a planned stop a client may send again on a
+	// connection that it kept. Until then, clients with new connections get a refusal rather than a
+	// connection error.
+	stopReuseTime = max(callersMaxAdvertised, peersIdleTimeout) + time.Second
+	// stopCloseTimeout is how long after the close of the listeners connections without a request
+	// may stay open; it covers a slow header.
+	stopCloseTimeout = 2 * headerTimeout
 )
 
-// Bounds of the log of connections, which is no audit trail: lines a second that are
-// alike, and of what is over one in so many.
+// Limits of the log of connections, which is not an audit trail: similar lines per second, and the
+// sampling rate above that.
 const (
-	connLines = 20
-	connEvery = 1000
+	connLogPerSecond = 20
+	connLogSampling  = 1000
 )
 
-// listener is one listener of a process and its server.
+// listener is a listener of a process with its server.
 type listener struct {
-	l      net.Listener
-	h      http.Handler
-	t      *tls.Config // Nil in the clear.
-	conns  *keepalive.Tracker
-	log    *log.Logger   // Of what the server says itself.
-	body   time.Duration // Bound of the time that a request's body takes.
-	served chan struct{} // Closed when no more connections are accepted.
+	netListener net.Listener
+	handler     http.Handler
+	tlsConfig   *tls.Config // Nil for plain TCP.
+	tracker     *keepalive.Tracker
+	errorLog    *log.Logger   // For the messages of the server itself.
+	bodyTimeout time.Duration // Limit on the time for a request's body.
+	acceptDone  chan struct{} // Closed when no more connections are accepted.
 }
 
-func newListener(l net.Listener, h http.Handler, t *tls.Config, conns *keepalive.Tracker, said *log.Logger) *listener {
-	return &listener{l: l, h: h, t: t, conns: conns, log: said, body: entry.BodyTimeout, served: make(chan struct{})}
+func newListener(l net.Listener, h http.Handler, t *tls.Config, tracker *keepalive.Tracker, srvLog *log.Logger) *listener {
+	return &listener{netListener: l, handler: h, tlsConfig: t, tracker: tracker, errorLog: srvLog, bodyTimeout: entry.BodyTimeout, acceptDone: make(chan struct{})}
 }
 
-// connections returns what knows the connections of a listener.
-func (d *Daemon) connections(name string) *keepalive.Tracker {
-	cfg := keepalive.Config{Name: name, IdleTimeout: callersIdle, MaxAdvertised: callersAdvertised, StopAtAdvertised: true, ReadHeaderTimeout: headerTimeout}
+// newTracker returns the tracker of a listener's connections.
+func (d *Daemon) newTracker(name string) *keepalive.Tracker {
+	cfg := keepalive.Config{Name: name, IdleTimeout: callersIdleTimeout, MaxAdvertised: callersMaxAdvertised, StopAtAdvertised: true, ReadHeaderTimeout: headerTimeout}
 	if name == peersName {
-		cfg.IdleTimeout, cfg.MaxAdvertised, cfg.StopNewConnTimeout = peersIdle, peersIdle, peersNewConn
+		cfg.IdleTimeout, cfg.MaxAdvertised, cfg.StopNewConnTimeout = peersIdleTimeout, peersIdleTimeout, peersNewConnTimeout
 	}
 	return keepalive.New(cfg, sampled(d.log.Named(name)), d.node.Metrics())
 }
 
-// sampled returns a logger with the bounds of the log of connections.
+// sampled returns a logger with the limits of the log of connections.
 func sampled(l *zap.Logger) *zap.Logger {
 	return l.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(c, time.Second, connLines, connEvery)
+		return zapcore.NewSamplerWithOptions(c, time.Second, connLogPerSecond, connLogSampling)
 	}))
 }
 
-// serverLog passes on what HTTP servers say themselves, such as a panic of a handler. Handshakes
-// that fail are not among it: refusals are audited, the rest is noise of peers that went.
+// serverLog forwards the messages of HTTP servers themselves, for example about a panic of a
+// handler. It drops messages about failed handshakes: refusals are audited, and the others are
+// noise from peers that disconnected.
 type serverLog struct{ log *zap.Logger }
 
-// newServerLog returns a log for servers.
+// newServerLog returns an error log for HTTP servers.
 func newServerLog(l *zap.Logger) *log.Logger {
 	return log.New(serverLog{sampled(l.Named("http"))}, "", 0)
 }
 
-// Write implements io.Writer. All lines are alike, so they are bounded together.
+// Write implements io.Writer. All lines have the same message, so they are sampled together.
 func (s serverLog) Write(line []byte) (int, error) {
 	if !bytes.HasPrefix(line, []byte("http: TLS handshake error")) {
 		s.log.Warn("server", zap.String("said", string(bytes.TrimSpace(line))))
@@ -121,44 +124,44 @@
 }
 
 // serve serves until ctx ends.
-func (one *listener) serve(ctx context.Context) (err error) {
-	served := sync.OnceFunc(func() { close(one.served) })
-	defer served()
-	srv := one.server(ctx)
+func (ln *listener) serve(ctx context.Context) (err error) {
+	closeAcceptDone := sync.OnceFunc(func() { close(ln.acceptDone) })
+	defer closeAcceptDone()
+	srv := ln.server(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = srv.Close() })
 	defer stop()
-	l := one.conns.Listener(one.l)
-	if one.t != nil {
+	l := ln.tracker.Listener(ln.netListener)
+	if ln.tlsConfig != nil {
 		err = srv.ServeTLS(retrying{l}, "", "")
 	} else {
 		err = srv.Serve(retrying{l})
 	}
-	served()
+	closeAcceptDone()
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		return err
 	}
-	<-ctx.Done() // What was accepted is served on.
+	<-ctx.Done() // Accepted connections are still served.
 	return nil
 }
 
-func (one *listener) server(ctx context.Context) *http.Server {
+func (ln *listener) server(ctx context.Context) *http.Server {
 	srv := &http.Server{
-		Handler:           boundBody(one.h, one.body),
-		TLSConfig:         one.t,
+		Handler:           limitBodyTime(ln.handler, ln.bodyTimeout),
+		TLSConfig:         ln.tlsConfig,
 		ReadHeaderTimeout: headerTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          one.log,
+		ErrorLog:          ln.errorLog,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ConnContext:       callerconn.WithConn,
 		Protocols:         &http.Protocols{},
 	}
-	srv.Protocols.SetHTTP1(true) // When a connection rests is known of HTTP/1 only.
-	one.conns.Attach(srv)
+	srv.Protocols.SetHTTP1(true) // With HTTP/2, idle connections could not be tracked.
+	ln.tracker.Attach(srv)
 	return srv
 }
 
-// drain waits for the planned stop, then for what runs, and until nobody may send on any
-// connection: first new connections are still accepted, and then none.
+// drain waits for the planned stop, then for requests in flight, and until no client may send on
+// any connection. New connections are accepted at first; later the listeners are closed.
 func (d *Daemon) drain(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -166,54 +169,54 @@
 	case <-d.node.Left():
 	}
 	began := time.Now()
-	for _, one := range d.listeners {
-		one.conns.Stop(began)
+	for _, ln := range d.listeners {
+		ln.tracker.Stop(began)
 	}
-	quiet := 0
-	if !poll(ctx, func() bool {
-		quiet++
-		if d.busy() > 0 {
-			quiet = 0
+	idlePolls := 0
+	if !pollUntil(ctx, func() bool {
+		idlePolls++
+		if d.inFlight() > 0 {
+			idlePolls = 0
 		}
-		return quiet >= lingerPolls && (d.open() == 0 || time.Since(began) > stopRest)
+		return idlePolls >= minIdlePolls && (d.openConns() == 0 || time.Since(began) > stopReuseTime)
 	}) {
 		return
 	}
-	for _, one := range d.listeners { // Whoever connects after that knows that nothing was sent.
-		if err := one.conns.CloseListeners(time.Now()); err != nil {
+	for _, ln := range d.listeners { // A client that connects after that knows that nothing was sent.
+		if err := ln.tracker.CloseListeners(time.Now()); err != nil {
 			d.log.Warn("listener not closed", zap.Error(err))
 		}
 	}
-	for _, one := range d.listeners {
+	for _, ln := range d.listeners {
 		select {
 		case <-ctx.Done():
 			return
-		case <-one.served: // Connections count once they are accepted.
+		case <-ln.acceptDone: // Connections are counted once they are accepted.
 		}
 	}
 	closed := time.Now()
-	if !poll(ctx, func() bool {
-		return d.busy() == 0 && (d.open() == 0 || time.Since(closed) > stopMost)
+	if !pollUntil(ctx, func() bool {
+		return d.inFlight() == 0 && (d.openConns() == 0 || time.Since(closed) > stopCloseTimeout)
 	}) {
 		return
 	}
-	if n := d.open(); n > 0 {
+	if n := d.openConns(); n > 0 {
 		d.log.Warn("stopped with connections open", zap.Int("connections", n))
 	}
 	d.node.Idle()
 }
 
-// open returns the number of open connections.
-func (d *Daemon) open() (n int) {
-	for _, one := range d.listeners {
-		n += one.conns.OpenConns()
+// openConns returns the number of open connections.
+func (d *Daemon) openConns() (n int) {
+	for _, ln := range d.listeners {
+		n += ln.tracker.OpenConns()
 	}
 	return n
 }
 
-// poll waits until done reports true; it reports false when ctx ends before.
-func poll(ctx context.Context, done func() bool) bool {
-	ticker := time.NewTicker(idlePoll)
+// pollUntil waits until done returns true; it returns false if ctx ends before that.
+func pollUntil(ctx context.Context, done func() bool) bool {
+	ticker := time.NewTicker(stopPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/daemon/listener_test.go
+++ b/internal/daemon/listener_test.go
@@ -21,13 +21,13 @@
 	"github.com/canvaspulley/canvaspulley/internal/keepalive"
 )
 
-// closed returns how many connections of peers ended by a cause.
-func closed(d *Daemon, cause keepalive.Cause) int64 {
+// closedByCause returns how many connections of peers ended by a cause.
+func closedByCause(d *Daemon, cause keepalive.Cause) int64 {
 	return metrics.GetOrRegisterCounter(peersName+".connections-closed."+string(cause), d.Node().Metrics()).Count()
 }
 
-// Guards against requests that are read and passed on while their connection is closed as idle.
-func TestARequestThatCrossesTheEndOfAnIdleConnectionIsNotPassedOn(t *testing.T) {
+// Guards against requests that are read and handled while their connection is closed as idle.
+func TestARequestThatCrossesAnIdleTimeoutIsNotHandled(t *testing.T) {
 	t.Parallel()
 	const (
 		idle   = 200 * time.Millisecond
@@ -38,23 +38,23 @@
 		t.Run(fmt.Sprint("TLS ", secure), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			s := newOwnSite(t, adapter.RoleEndpoint, secure)
+			s := newTestProcess(t, adapter.RoleEndpoint, secure)
 			d, _ := s.run(t, func(d *Daemon) {
-				d.listeners[0].conns = keepalive.New(keepalive.Config{Name: peersName, IdleTimeout: idle, ReadHeaderTimeout: headerTimeout}, zap.NewNop(), d.Node().Metrics())
+				d.listeners[0].tracker = keepalive.New(keepalive.Config{Name: peersName, IdleTimeout: idle, ReadHeaderTimeout: headerTimeout}, zap.NewNop(), d.Node().Metrics())
 			})
-			callers := s.peers(t, d).rest(t)
+			callers := s.peers(t, d).openKept(t)
 			ran := map[string]error{}
 			for _, k := range callers {
 				ran["first-"+k.id] = nil
 			}
-			g.Expect(s.passedOn(ran)).To(Equal(restingCallers))
+			g.Expect(s.handledCount(ran)).To(Equal(keptConns))
 			lost := map[string]error{}
 			var mu sync.Mutex
 			var group errgroup.Group
 			for i, k := range callers {
 				group.Go(func() error {
-					time.Sleep(time.Until(k.since.Add(kept - around/2 + around*time.Duration(i*7919%restingCallers)/restingCallers)))
-					if _, err := k.ask(k.id); err != nil {
+					time.Sleep(time.Until(k.lastAnswer.Add(kept - around/2 + around*time.Duration(i*7919%keptConns)/keptConns)))
+					if _, err := k.roundTrip(k.id); err != nil {
 						mu.Lock()
 						defer mu.Unlock()
 						lost[k.id] = err
@@ -64,13 +64,13 @@
 			}
 			g.Expect(group.Wait()).To(Succeed())
 			t.Logf("%d of %d callers got no answer", len(lost), len(callers))
-			g.Expect(s.passedOn(lost)).To(BeZero())
+			g.Expect(s.handledCount(lost)).To(BeZero())
 		})
 	}
 }
 
-// Guards against a planned stop that callers can hold up.
-func TestAPlannedStopEndsThoughCallersStayAndCome(t *testing.T) {
+// Guards against a planned stop that callers can delay without end.
+func TestAPlannedStopEndsAlthoughCallersStayAndReconnect(t *testing.T) {
 	t.Parallel()
 	const (
 		some  = 20
@@ -80,11 +80,11 @@
 		t.Run(fmt.Sprint("TLS ", secure), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			s := newOwnSite(t, adapter.RoleEndpoint, secure)
+			s := newTestProcess(t, adapter.RoleEndpoint, secure)
 			d, ended := s.run(t, nil)
 			f := s.operators(t, d)
 			for i := range some {
-				g.Expect(f.dial(t, fmt.Sprint("rests", i)).ask("first")).To(Equal(http.StatusOK))
+				g.Expect(f.dial(t, fmt.Sprint("rests", i)).roundTrip("first")).To(Equal(http.StatusOK))
 				f.dial(t, fmt.Sprint("silent", i))
 				_, err := io.WriteString(f.dial(t, fmt.Sprint("slow", i)).c, "GET / HT")
 				g.Expect(err).NotTo(HaveOccurred())
@@ -97,7 +97,7 @@
 					for {
 						c, err := net.Dial("tcp4", f.address)
 						if err != nil {
-							return nil // None is accepted any more.
+							return nil // The listener is closed.
 						}
 						if f.tls != nil {
 							c = tls.Client(c, f.tls)
@@ -117,19 +117,19 @@
 }
 
 // Guards against peers that use a connection for longer than its server keeps it.
-func TestPeersLeaveConnectionsBeforeTheirServersDo(t *testing.T) {
+func TestPeersCloseIdleConnectionsBeforeTheirServersDo(t *testing.T) {
 	g := NewWithT(t)
 	idle := adapter.NewTransport("").IdleConnTimeout
 	g.Expect(idle).To(BeNumerically(">", 0))
-	for _, kept := range []time.Duration{peersIdle, peersNewConn, headerTimeout} {
+	for _, kept := range []time.Duration{peersIdleTimeout, peersNewConnTimeout, headerTimeout} {
 		g.Expect(idle).To(BeNumerically("<", kept))
 	}
 }
 
-// Guards against HTTP/2, in which connections are not known to rest.
+// Guards against HTTP/2, in which idle connections cannot be tracked.
 func TestListenersWithTLSSpeakHTTP1Only(t *testing.T) {
 	g := NewWithT(t)
-	s := newOwnSite(t, adapter.RoleEndpoint, true)
+	s := newTestProcess(t, adapter.RoleEndpoint, true)
 	d, _ := s.run(t, nil)
 	cfg := s.peers(t, d).tls
 	cfg.NextProtos = []string{"h2", "http/1.1"}
@@ -139,23 +139,23 @@
 	g.Expect(c.ConnectionState().NegotiatedProtocol).To(Equal("http/1.1"))
 }
 
-// Guards against connections that peers leave and that count as cut by the process.
-func TestConnectionsThatPeersLeaveCountAsTheirs(t *testing.T) {
+// Guards against connections closed by peers that are counted as closed by the end of the process.
+func TestConnectionsClosedByPeersAreCountedAsSuch(t *testing.T) {
 	for _, secure := range []bool{false, true} {
 		t.Run(fmt.Sprint("TLS ", secure), func(t *testing.T) {
 			g := NewWithT(t)
-			s := newOwnSite(t, adapter.RoleEndpoint, secure)
+			s := newTestProcess(t, adapter.RoleEndpoint, secure)
 			d, _ := s.run(t, nil)
 			f := s.peers(t, d)
 			for range 10 {
 				k := f.dial(t, "k")
-				g.Expect(k.ask("a")).To(Equal(http.StatusOK))
+				g.Expect(k.roundTrip("a")).To(Equal(http.StatusOK))
 				g.Expect(k.c.Close()).To(Succeed())
 			}
-			g.Eventually(func() int64 { // One that is left at once still counts as answered.
-				return closed(d, keepalive.CallerClosed) + closed(d, keepalive.Answered)
-			}, patience).Should(BeEquivalentTo(10))
-			g.Expect(closed(d, keepalive.ProcessEnd)).To(BeZero())
+			g.Eventually(func() int64 { // One that is closed right after its answer may be counted as answered.
+				return closedByCause(d, keepalive.CallerClosed) + closedByCause(d, keepalive.Answered)
+			}, testTimeout).Should(BeEquivalentTo(10))
+			g.Expect(closedByCause(d, keepalive.ProcessEnd)).To(BeZero())
 		})
 	}
 }
--- a/internal/daemon/log_test.go
+++ b/internal/daemon/log_test.go
@@ -19,23 +19,24 @@
 	"github.com/canvaspulley/canvaspulley/internal/keepalive"
 )
 
-// Guards against a process of entries and agents that stands still, or does not exit, as nobody reads its log.
-func TestWhoeverLogsDoesNotWaitForTheReader(t *testing.T) {
+// Guards against a process of an entry or an agent that stalls, or does not exit, because nobody
+// reads its log.
+func TestLoggingDoesNotWaitForTheReader(t *testing.T) {
 	g := NewWithT(t)
-	out := make(stalled)
+	out := make(blockedWriter)
 	defer close(out)
 	log, lines, err := newLog(out, "info")
 	g.Expect(err).NotTo(HaveOccurred())
-	cleanup := writeLines(lines)
-	for range 500 { // Whoever writes them does not wait.
+	cleanup := startLogWriter(lines)
+	for range 500 { // Log calls must not block.
 		log.Info("audit", zap.String("cause", strings.Repeat("x", 500)))
 	}
 	cleanup()
 }
 
-// Guards against handlers that panic, and connections that are not accepted, without a line; what
-// callers cause alone is bounded.
-func TestTheServersOfADaemonTellTheirFaults(t *testing.T) {
+// Guards against panics of handlers and accept errors that are not logged, and against callers that
+// can fill the log.
+func TestServersOfADaemonLogTheirFaults(t *testing.T) {
 	g := NewWithT(t)
 	core, logs := observer.New(zap.InfoLevel)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -43,7 +44,7 @@
 	conns := keepalive.New(keepalive.Config{Name: callersName}, zap.NewNop(), metrics.NewRegistry())
 	fault := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("a fault") })
 	said := newServerLog(zap.New(core))
-	one := newListener(&shortOf{Listener: l, err: syscall.EMFILE}, fault, nil, conns, said)
+	one := newListener(&failingOnce{Listener: l, err: syscall.EMFILE}, fault, nil, conns, said)
 	ctx, cancel := context.WithCancel(context.Background())
 	var serving errgroup.Group
 	serving.Go(func() error { return one.serve(ctx) })
@@ -52,13 +53,13 @@
 	cancel()
 	g.Expect(serving.Wait()).To(Succeed())
 	for _, text := range []string{"http: Accept error", "a fault"} {
-		g.Eventually(logs.All, patience).Should(ContainElement(HaveField("ContextMap()", HaveKeyWithValue("said", ContainSubstring(text)))))
+		g.Eventually(logs.All, testTimeout).Should(ContainElement(HaveField("ContextMap()", HaveKeyWithValue("said", ContainSubstring(text)))))
 	}
 	before := logs.Len()
 	said.Print("http: TLS handshake error from 127.0.0.1:1: EOF")
-	g.Expect(logs.Len()).To(Equal(before), "a caller that breaks off")
-	for i := range connEvery {
+	g.Expect(logs.Len()).To(Equal(before), "a disconnecting caller is not logged")
+	for i := range connLogSampling {
 		said.Printf("http: panic serving 127.0.0.1:%d", i)
 	}
-	g.Expect(logs.Len()).To(BeNumerically("<", before+2*(connLines+1)))
+	g.Expect(logs.Len()).To(BeNumerically("<", before+2*(connLogPerSecond+1)))
 }
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -42,7 +42,7 @@
 		fmt.Fprintln(stderr, err)
 		return exitSettings
 	}
-	caught, cleanup := catchSignals()
+	signalCh, cleanup := catchSignals()
 	defer cleanup()
 	role, err := settings.RoleOf(o.Config)
 	if err != nil {
@@ -50,7 +50,7 @@
 		return exitSettings
 	}
 	if role == string(settings.Gateway) || role == string(settings.Sidecar) {
-		return mainFleet(o, caught, stderr)
+		return mainFleet(o, signalCh, stderr)
 	}
 	set, err := settings.Load(o.Config)
 	if err != nil {
@@ -65,9 +65,9 @@
 		fmt.Fprintln(stderr, inifile.Problem{File: o.Config, Section: "log", Key: "level", Text: err.Error()})
 		return exitSettings
 	}
-	defer writeLines(lines)()
+	defer startLogWriter(lines)()
 	log.Info("start", append(build.Read().Fields(), zap.String("role", role), zap.Int("pid", os.Getpid()))...)
-	if err := run(set, caught, log); err != nil {
+	if err := run(set, signalCh, log); err != nil {
 		log.Error("stopped", zap.Error(err), zap.Int64("lines-left-out", lines.Dropped()))
 		return exitFailed
 	}
@@ -76,7 +76,7 @@
 }
 
 // mainFleet runs a gateway or a sidecar and returns the exit code.
-func mainFleet(o options, caught <-chan os.Signal, stderr io.Writer) int {
+func mainFleet(o options, signalCh <-chan os.Signal, stderr io.Writer) int {
 	set, err := settings.LoadFleet(o.Config)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
@@ -85,23 +85,24 @@
 	if o.Check {
 		return exitOK
 	}
-	if err := runFleet(o.Config, set, caught, os.Stdout); err != nil {
+	if err := runFleet(o.Config, set, signalCh, os.Stdout); err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitFailed
 	}
 	return exitOK
 }
 
-// requestLines bounds lines a second on requests that went well.
-const requestLines = 400
+// requestLogPerSecond limits the log lines per second about successful requests.
+const requestLogPerSecond = 400
 
-// lastLines bounds how long a process that has ended waits for the reader of its log: less than
-// is left of stopMargin after lastCalls.
-const lastLines = 300 * time.Millisecond
+// logFlushTimeout limits how long a process that has ended waits for the reader of its log. It is
+// less than what is left of stopMargin after endAnswerTime.
+const logFlushTimeout = 300 * time.Millisecond
 
-// writeLines has lines of the log written until the function is called, and then those that
-// still wait, as far as they are read in time.
-func writeLines(lines *oplog.Log) (cleanup func()) {
+// startLogWriter writes log lines in the background until the returned function is called. That
+// function writes the lines that are still queued, unless the reader takes longer than
+// logFlushTimeout.
+func startLogWriter(lines *oplog.Log) (cleanup func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	written := make(chan struct{})
 	var writing errgroup.Group
@@ -113,25 +114,25 @@
 		cancel()
 		select {
 		case <-written:
-		case <-time.After(lastLines): // Nobody reads; the process ends all the same.
+		case <-time.After(logFlushTimeout): // Nobody reads the log; the process ends anyway.
 		}
 	}
 }
 
-// newLog returns the log of an entry or an agent, and what writes its lines to out.
+// newLog returns the log of an entry or an agent, and the writer of its lines to out.
 func newLog(out io.Writer, level string) (*zap.Logger, *oplog.Log, error) {
 	enc := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
-	log, lines, err := oplog.NewEncoded(out, level, requestLines, enc)
+	log, lines, err := oplog.NewEncoded(out, level, requestLogPerSecond, enc)
 	if err != nil {
 		return nil, nil, err
 	}
 	return log.WithOptions(zap.AddCaller(), zap.AddStacktrace(zap.ErrorLevel)), lines, nil
 }
 
-// run serves until a planned stop. The first SIGTERM or SIGINT begins it. A further SIGTERM
-// changes nothing, a further SIGINT ends the process at once. A SIGHUP changes nothing: settings
-// are read at the start, and certificates whenever they change.
-func run(set *settings.Settings, caught <-chan os.Signal, log *zap.Logger) (err error) {
+// run serves until a planned stop. The first SIGTERM or SIGINT begins it. A further SIGTERM has no
+// effect, a further SIGINT ends the process immediately. A SIGHUP has no effect: settings are read
+// at the start, and certificates whenever they change.
+func run(set *settings.Settings, signalCh <-chan os.Signal, log *zap.Logger) (err error) {
 	d, cleanup, err := New(set, log)
 	if err != nil {
 		return err
@@ -140,7 +141,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return obey(ctx, caught, log, d.Node().Leave) })
+	g.Go(func() error { return handleSignals(ctx, signalCh, log, d.Node().Leave) })
 	g.Go(func() error {
 		defer cancel()
 		return d.Run(ctx)
@@ -148,22 +149,23 @@
 	return g.Wait()
 }
 
-// obey calls leave at the first signal to stop and fails at a further SIGINT, which is from a
-// person: whoever stops instances in turn may send SIGTERM twice, and nothing may be cut.
-func obey(ctx context.Context, caught <-chan os.Signal, log *zap.Logger, leave func(cause string)) error {
+// handleSignals calls leave at the first signal to stop, and returns an error at a further SIGINT,
+// which comes from a person. It ignores a further SIGTERM: a tool that stops instances one by one
+// may send it twice, and no request may be cut off.
+func handleSignals(ctx context.Context, signalCh <-chan os.Signal, log *zap.Logger, leave func(cause string)) error {
 	stopping := false
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case s := <-caught:
+		case s := <-signalCh:
 			switch {
 			case s == syscall.SIGHUP:
 				log.Info("settings are read at the next start", zap.String("signal", s.String()))
 			case stopping && s == syscall.SIGINT:
-				return errors.Newf("%s in a planned stop: what ran was cut off", s)
+				return errors.Newf("%s during a planned stop: requests in flight were cut off", s)
 			case stopping:
-				log.Info("stopping already", zap.String("signal", s.String()))
+				log.Info("already stopping", zap.String("signal", s.String()))
 			default:
 				stopping = true
 				leave(s.String())
--- a/internal/daemon/server_test.go
+++ b/internal/daemon/server_test.go
@@ -21,13 +21,13 @@
 	"github.com/canvaspulley/canvaspulley/internal/callerconn"
 )
 
-// The server answers nothing by itself with success: a caller would take that for
-// an endpoint's answer.
-func TestTheServerGivesNoSuccessOfItsOwn(t *testing.T) {
+// Guards against a success response of the server itself: a caller would take it for an endpoint's
+// answer.
+func TestTheServerSendsNoSuccessOfItsOwn(t *testing.T) {
 	g := NewWithT(t)
 	srv := httptest.NewUnstartedServer(nil)
 	srv.Config = (&fleetProcess{}).httpServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.WriteHeader(http.StatusTeapot) // The handler was asked.
+		w.WriteHeader(http.StatusTeapot) // Shows that the handler was called.
 	}))
 	srv.Start()
 	t.Cleanup(srv.Close)
@@ -42,9 +42,9 @@
 	g.Expect(resp.StatusCode).To(Equal(http.StatusTeapot))
 }
 
-// Callers' connections can be armed, so that an answer without framing that is cut
-// short ends in a reset.
-func TestTheCallersServerLetsAnswersEndInAReset(t *testing.T) {
+// Guards against callers' connections on which callerconn cannot arm a reset, so that a cut-off
+// answer without framing looks complete.
+func TestTheCallersServerAllowsArmingAReset(t *testing.T) {
 	g := NewWithT(t)
 	p, gw := newGatewayProcess(t)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -61,21 +61,22 @@
 	g.Expect(err).To(MatchError(syscall.ECONNRESET))
 }
 
-// pipes is a listener of one connection in memory, on which nothing is written that is not read.
-type pipes struct{ one chan net.Conn }
+// pipeListener is a listener of one in-memory connection, on which a write blocks until it is read.
+type pipeListener struct{ conns chan net.Conn }
 
-func (p pipes) Accept() (net.Conn, error) {
-	if c, ok := <-p.one; ok {
+func (p pipeListener) Accept() (net.Conn, error) {
+	if c, ok := <-p.conns; ok {
 		return c, nil
 	}
 	return nil, net.ErrClosed
 }
 
-func (p pipes) Close() error   { return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Guards against callers who hold their connection open by not reading what the server says itself.
-func TestACallerWhoDoesNotReadARefusalOfTheServerIsLetGo(t *testing.T) {
+// Guards against callers that hold their connection open by not reading an error of the server
+// itself.
+func TestACallerThatDoesNotReadAnErrorOfTheServerIsDisconnected(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	p, gw := newGatewayProcess(t)
@@ -86,32 +87,32 @@
 			close(closed)
 		}
 	}
-	near, far := net.Pipe()
-	defer func() { _ = far.Close() }()
-	l := pipes{make(chan net.Conn, 1)}
-	l.one <- near
+	serverConn, clientConn := net.Pipe()
+	defer func() { _ = clientConn.Close() }()
+	l := pipeListener{make(chan net.Conn, 1)}
+	l.conns <- serverConn
 	var serving errgroup.Group
 	serving.Go(func() error { return srv.Serve(l) })
-	_, err := io.WriteString(far, "nonsense\r\n\r\n")
+	_, err := io.WriteString(clientConn, "nonsense\r\n\r\n")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(closed, 30*time.Second).Should(BeClosed())
-	close(l.one)
+	close(l.conns)
 	g.Expect(serving.Wait()).To(MatchError(net.ErrClosed))
 }
 
-// A signal that comes before the process serves is acted on once it does.
-func TestSignalsOfTheStartAreKept(t *testing.T) {
+// Guards against losing a signal that arrives before the process handles signals.
+func TestSignalsDuringTheStartAreKept(t *testing.T) {
 	g := NewWithT(t)
 	caught, cleanup := catchSignals()
 	t.Cleanup(cleanup)
 	g.Expect(syscall.Kill(syscall.Getpid(), syscall.SIGTERM)).To(Succeed())
-	p := &fleetProcess{log: zap.NewNop(), caught: caught}
+	p := &fleetProcess{log: zap.NewNop(), signalCh: caught}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	g.Expect(p.signals(ctx, cancel, func() { t.Error("it ended at once") })).To(Succeed())
+	g.Expect(p.handleSignals(ctx, cancel, func() { t.Error("it ended immediately") })).To(Succeed())
 }
 
-// Guards against a SIGHUP that ends a process, or counts as a signal to stop.
+// Guards against a SIGHUP that ends a process or begins a planned stop.
 func TestOnlySignalsToStopBeginAPlannedStop(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -121,8 +122,8 @@
 	}{
 		{"SIGHUP", []os.Signal{syscall.SIGHUP, syscall.SIGHUP}, 0, false},
 		{"SIGTERM", []os.Signal{syscall.SIGTERM}, 1, false},
-		{"SIGTERM between two of SIGHUP", []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}, 1, false},
-		{"SIGTERM again and again", []os.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}, 1, false},
+		{"SIGTERM between two SIGHUPs", []os.Signal{syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP}, 1, false},
+		{"SIGTERM three times", []os.Signal{syscall.SIGTERM, syscall.SIGTERM, syscall.SIGTERM}, 1, false},
 		{"SIGINT, then SIGTERM", []os.Signal{syscall.SIGINT, syscall.SIGTERM}, 1, false},
 		{"SIGINT twice", []os.Signal{syscall.SIGINT, syscall.SIGINT}, 1, true},
 		{"SIGTERM, then SIGINT", []os.Signal{syscall.SIGTERM, syscall.SIGINT}, 1, true},
@@ -134,7 +135,7 @@
 			caught := make(chan os.Signal)
 			leaves := 0
 			var group errgroup.Group
-			group.Go(func() error { return obey(ctx, caught, zap.NewNop(), func(string) { leaves++ }) })
+			group.Go(func() error { return handleSignals(ctx, caught, zap.NewNop(), func(string) { leaves++ }) })
 			for _, s := range tc.signals {
 				caught <- s
 			}
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -37,18 +37,18 @@
 	}, engine, p.otherEngine, store.Source(), socket, p.log, p.reg)
 	defer closeSidecar()
 	duties := duty.New(ctx, p.log, p.reg, func(name string) {
-		p.log.Error("stopping, a duty cannot go on", zap.String("duty", name))
+		p.log.Error("stopping because a duty failed", zap.String("duty", name))
 		cancel()
 	})
-	duties.Go("signals", func(ctx context.Context) error { return p.signals(ctx, cancel, cancel) })
+	duties.Go("signals", func(ctx context.Context) error { return p.handleSignals(ctx, cancel, cancel) })
 	duties.Go("sidecar", s.Run)
-	duties.Once("calls", func(ctx context.Context) error { return serveOn(ctx, p.httpServer(s.Handler()), calls) })
+	duties.Once("calls", func(ctx context.Context) error { return serveUntilDone(ctx, p.httpServer(s.Handler()), calls) })
 	p.serveMetrics(duties)
 	return duties.Wait()
 }
 
-// otherEngine makes a client of another rank's engine. It is used now and then
-// only, so its connections are not kept.
+// otherEngine returns a client of another rank's engine. It is used rarely, so its connections are
+// not kept.
 func (p *fleetProcess) otherEngine(address string) rank.Engine {
 	return platform.NewDistantEngine(address, p.set.Source)
 }
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -26,14 +26,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 )
 
-// acceptLog remembers which callers a listener has accepted.
-type acceptLog struct {
+// recordingListener records which callers a listener has accepted.
+type recordingListener struct {
 	net.Listener
-	accepted sync.Map // Callers' addresses.
+	accepted sync.Map // By the callers' addresses.
 }
 
 // Accept implements net.Listener.
-func (l *acceptLog) Accept() (net.Conn, error) {
+func (l *recordingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
 		l.accepted.Store(c.RemoteAddr().String(), true)
@@ -41,45 +41,45 @@
 	return c, err
 }
 
-// connectAnew sends requests on connections of their own, up to a time after each was made, until
-// none can be made. It returns an error if one was accepted and got no answer.
-func (l *acceptLog) connectAnew(atMost time.Duration) error {
+// requestOnNewConns sends requests on new connections, each up to maxPause after connecting, until
+// it cannot connect. It returns an error if a connection was accepted and got no answer.
+func (l *recordingListener) requestOnNewConns(maxPause time.Duration) error {
 	for {
 		c, err := net.Dial("tcp4", l.Addr().String())
 		if err != nil {
 			return nil
 		}
-		time.Sleep(rand.N(atMost))
+		time.Sleep(rand.N(maxPause))
 		_, _ = fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err == nil {
 			_ = resp.Body.Close()
 		} else if _, accepted := l.accepted.Load(c.LocalAddr().String()); accepted {
-			return fmt.Errorf("accepted, and not answered: %w", err)
+			return fmt.Errorf("accepted but not answered: %w", err)
 		}
 		_ = c.Close()
 	}
 }
 
-// Guards against a stop that ends with requests at work since new ones come without a pause, or
-// with connections on which a request comes late.
-func TestAPlannedStopEndsAlthoughCallersConnectAnew(t *testing.T) {
+// Guards against a stop that ends with requests in flight because new ones arrive without a pause,
+// or with connections on which a request arrives late.
+func TestAPlannedStopEndsAlthoughCallersKeepConnecting(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	core, logs := observer.New(zap.WarnLevel)
-	p := &fleetProcess{log: zap.New(core), reg: metrics.NewRegistry(), lastTime: patience, set: &settings.Fleet{Grace: stopLinger + stopMargin + stopLast + patience}}
+	p := &fleetProcess{log: zap.New(core), reg: metrics.NewRegistry(), closedTime: testTimeout, set: &settings.Fleet{Grace: stopAcceptTime + stopMargin + stopClosedTime + testTimeout}}
 	gw, cleanup := gateway.New(gateway.Config{}, platformCodec(), follow.NewView(), zap.NewNop(), p.reg)
 	t.Cleanup(cleanup)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	srv := p.callersServer(gw)
-	tracked := &acceptLog{Listener: gw.Callers().Listener(l)}
+	tracked := &recordingListener{Listener: gw.Callers().Listener(l)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var group errgroup.Group
-	group.Go(func() error { return serveOn(ctx, srv, tracked) })
+	group.Go(func() error { return serveUntilDone(ctx, srv, tracked) })
 	for i := range 50 {
-		group.Go(func() error { return tracked.connectAnew(1 + time.Duration(i%2)*150*time.Millisecond) })
+		group.Go(func() error { return tracked.requestOnNewConns(1 + time.Duration(i%2)*150*time.Millisecond) })
 	}
 	stop := make(chan struct{})
 	gw.Stop()
@@ -91,15 +91,15 @@
 	g.Expect(group.Wait()).To(Succeed())
 }
 
-// Guards against a stop that outlasts its grace period, or counts as cut off, since a caller may use
-// its connection for longer.
-func TestAPlannedStopEndsInTimeWithAConnectionThatOutlastsIt(t *testing.T) {
+// Guards against a stop that outlasts its grace period, or is logged as incomplete, because a
+// caller may use its connection for longer.
+func TestAPlannedStopEndsInTimeWithALongerKeepAliveTimeout(t *testing.T) {
 	t.Parallel()
 	g := NewWithT(t)
 	core, logs := observer.New(zap.WarnLevel)
-	p := &fleetProcess{log: zap.New(core), set: &settings.Fleet{Grace: stopLinger + stopMargin + 2*stopLast}}
+	p := &fleetProcess{log: zap.New(core), set: &settings.Fleet{Grace: stopAcceptTime + stopMargin + 2*stopClosedTime}}
 	callers := keepalive.New(keepalive.Config{
-		Name: "test", IdleTimeout: patience, ReadHeaderTimeout: patience, GracePeriod: p.set.Grace - stopMargin - stopSettle,
+		Name: "test", IdleTimeout: testTimeout, ReadHeaderTimeout: testTimeout, GracePeriod: p.set.Grace - stopMargin - stopDrainMargin,
 	}, p.log, metrics.NewRegistry())
 	end := make(chan struct{})
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -112,7 +112,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var serving errgroup.Group
-	serving.Go(func() error { return serveOn(ctx, srv, callers.Listener(l)) })
+	serving.Go(func() error { return serveUntilDone(ctx, srv, callers.Listener(l)) })
 	resp, err := http.Get("http://" + l.Addr().String()) // Its connection stays open and idle.
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(resp.Header.Get("Keep-Alive")).NotTo(BeEmpty())
