--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -39,7 +39,7 @@
 	settingsFile string
 	log          *zap.Logger
 	reg          metrics.Registry
-	startedAt    time.Time // Identifies this process's incarnation.
+	startedAt    time.Time // Start of the process, which identifies its incarnation.
 	// closedTime is how long before stopMargin the process stops accepting connections; 0 for
 	// stopClosedTime.
 	closedTime time.Duration
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -35,13 +35,14 @@
 	stopDrainMargin = 150 * time.Millisecond
 )
 
-// keyAgeMargin is how long before a revoked key must be invalid it is no longer accepted: this
-// covers the time that a request takes to its endpoint.
+// keyAgeMargin is subtracted from the time after which a revoked key must no longer count: it covers
+// the time that a request takes to its endpoint.
 const keyAgeMargin = 900 * time.Millisecond
 
-// aliveCheckTime is how long an endpoint must stay alive after a stream without framing for its end
-// to count as orderly. A process that exits closes all its connections within milliseconds, tens of
-// them on a busy instance; the caller has every event by then and waits only for the end.
+// aliveCheckTime is how long an endpoint must stay alive after a stream without framing, so that the
+// end of the connection counts as the end of the stream. A process that exits closes all its
+// connections within milliseconds, tens of them on a busy instance; the caller has every event by
+// then and waits only for the end.
 const aliveCheckTime = 60 * time.Millisecond
 
 // gateway runs a gateway.
--- a/internal/keepalive/causes_test.go
+++ b/internal/keepalive/causes_test.go
@@ -65,8 +65,8 @@
 			NewWithT(t).Expect(s.srv.Close()).To(Succeed())
 			c.expectClosed(t)
 		}, ProcessEnd, zapcore.WarnLevel},
-		{"process ends under a request", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
-			NewWithT(t).Eventually(func() bool { return s.allConnsIn(stateIdle) }, testTimeout).Should(BeTrue(), "the request before has ended")
+		{"process ends during a request", longIdleConfig(), func(t *testing.T, s *host, c *caller) {
+			NewWithT(t).Eventually(func() bool { return s.allConnsIn(stateIdle) }, testTimeout).Should(BeTrue(), "the previous request has ended")
 			NewWithT(t).Expect(c.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n")).To(Succeed())
 			NewWithT(t).Eventually(func() bool { return s.allConnsIn(stateActive) }, testTimeout).Should(BeTrue())
 			s.MarkProcessEnding()
--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -23,7 +23,7 @@
 // The causes.
 const (
 	Idle         Cause = "idle"        // Its idle timeout expired.
-	Stopped      Cause = "stop"        // Its idle timeout in a planned stop expired.
+	Stopped      Cause = "stop"        // An idle timeout that applies in a planned stop expired.
 	SlowHeader   Cause = "slow-header" // A request header did not end in time.
 	CallerClosed Cause = "caller"      // The caller closed it between two requests or within a header.
 	Answered     Cause = "answered"    // The server closed it after or during an answer, also to a malformed request, or the caller closed it during one.
--- a/internal/keepalive/drained_test.go
+++ b/internal/keepalive/drained_test.go
@@ -70,7 +70,7 @@
 }
 
 // Guards against a planned stop that waits for a listener that a failed server has already closed.
-func TestAListenerThatIsClosedIsForgotten(t *testing.T) {
+func TestAClosedListenerIsRemoved(t *testing.T) {
 	g := NewWithT(t)
 	tracker := keepalive.New(keepalive.Config{Name: "test"}, zap.NewNop(), metrics.NewRegistry())
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/keepalive/header_test.go
+++ b/internal/keepalive/header_test.go
@@ -17,9 +17,9 @@
 func TestAHeaderPipelinedBehindARequestHasItsOwnTimeout(t *testing.T) {
 	t.Parallel()
 	for name, limit := range map[string]func(s *host){
-		"as the idle time ends":      func(*host) {},
-		"as a planned stop ends it":  func(s *host) { s.Stop(time.Now()) },
-		"as the idle time is longer": func(s *host) { s.Publish(1, testTimeout, time.Now()) },
+		"the idle timeout expires": func(*host) {},
+		"a planned stop begins":    func(s *host) { s.Stop(time.Now()) },
+		"the idle timeout grows":   func(s *host) { s.Publish(1, testTimeout, time.Now()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -60,7 +60,7 @@
 		g.Expect(err).NotTo(HaveOccurred())
 		return s, c, requestText(two)[1:]
 	}
-	t.Run("longer than the idle time", func(t *testing.T) {
+	t.Run("longer than the idle timeout", func(t *testing.T) {
 		t.Parallel()
 		g := NewWithT(t)
 		_, c, rest := begin(t, defaultConfig())
@@ -69,7 +69,7 @@
 		_, err := c.read(c.lastID())
 		g.Expect(err).NotTo(HaveOccurred())
 	})
-	t.Run("shorter than the idle time", func(t *testing.T) {
+	t.Run("shorter than the idle timeout", func(t *testing.T) {
 		t.Parallel()
 		s, c, _ := begin(t, shortHeaderConfig())
 		c.expectCutOff(t)
--- a/internal/keepalive/stop_test.go
+++ b/internal/keepalive/stop_test.go
@@ -102,7 +102,7 @@
 }
 
 // Guards against callers that keep a connection because of a head that was sent after the stop began.
-func TestAnAnswerThatBeginsInAPlannedStopTellsItsCallerToLeave(t *testing.T) {
+func TestAnAnswerThatBeginsInAPlannedStopAsksItsCallerToClose(t *testing.T) {
 	t.Parallel()
 	s := newGatedServer(t, time.Minute)
 	callers := s.sendRequests(t)
@@ -126,8 +126,8 @@
 		lasts   time.Duration
 		sending int // Callers that immediately send another request.
 	}{
-		"the stop outlasts its time": {time.Hour, stopCallers},
-		"its time outlasts the stop": {advertisedIdle, stopCallers / 2},
+		"the stop outlasts the advertised timeout": {time.Hour, stopCallers},
+		"the advertised timeout outlasts the stop": {advertisedIdle, stopCallers / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -50,7 +50,7 @@
 	return encode(s.book.Tell(peers.MostEnds, now), now)
 }
 
-// ForNewPeer returns the ends to send to a process that may know none yet.
+// ForNewPeer returns the most severe ends, to send to a process that may know none yet.
 func (s *Set) ForNewPeer(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
