--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -26,10 +26,10 @@
 	Stopped      Cause = "stop"        // An idle timeout that applies in a planned stop expired.
 	SlowHeader   Cause = "slow-header" // A request header did not end in time.
 	CallerClosed Cause = "caller"      // The caller closed it between two requests or within a header.
-	Answered     Cause = "answered"    // The server closed it after or during an answer, also to a malformed request, or the caller closed it during one.
+	Answered     Cause = "answered"    // The server closed it after or during an answer, even to a malformed request; or the caller, during one.
 	ProcessEnd   Cause = "process-end" // The process ended while the caller could still use it, or during a request.
-	Crossed      Cause = "crossed"     // Counted in addition to another cause: it was closed with unread bytes of a next request.
-	Unused       Cause = "unused"      // Counted in addition to another cause: no request was read on it.
+	Crossed      Cause = "crossed"     // Counted as well: it was closed with unread bytes of a next request.
+	Unused       Cause = "unused"      // Counted as well: no request was read on it.
 )
 
 var causes = []Cause{Idle, Stopped, SlowHeader, CallerClosed, Answered, ProcessEnd, Crossed, Unused}
@@ -52,7 +52,7 @@
 	currentState   atomic.Int32 // The state; written under mu.
 	reading        atomic.Bool  // A read is in progress.
 	backgroundByte atomic.Bool  // The last read of net/http was its background read of one byte.
-	afterBody      atomic.Bool  // The last read was that background read, whether or not it got a byte: the body is complete.
+	afterBody      atomic.Bool  // The last read was that one, with or without a byte: the body is complete.
 	drained        atomic.Bool  // Bytes that followed the last read may have been discarded.
 	closeOnce      sync.Once
 
