--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -117,10 +117,10 @@
 func (p *fleetProcess) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: gateway.HeaderTime,
+		ReadHeaderTimeout: gateway.CallerHeaderTimeout,
 		ReadTimeout:       callTimeout,
 		WriteTimeout:      callTimeout,
-		IdleTimeout:       peers.ServerIdle,
+		IdleTimeout:       peers.ServerIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          p.serverLog,
 		// An empty success of the server itself must not look like an endpoint's answer.
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -53,15 +53,15 @@
 	defer closeStore()
 	view := follow.NewView()
 	g, closeGateway := gateway.New(gateway.Config{
-		Domain:      p.set.Domain,
-		Source:      p.set.Source,
-		Memory:      int64(p.set.MemoryLimit * (1 << 20)),
-		KeyAge:      p.set.Revocation - keyAgeMargin,
-		RetryShare:  p.set.RetryShare,
-		RetryWindow: p.set.RetryWindow,
-		RetrySpare:  p.set.RetrySpare,
-		EndSettle:   aliveCheckTime,
-		GracePeriod: p.set.Grace - stopMargin - stopDrainMargin,
+		Domain:        p.set.Domain,
+		SourceAddress: p.set.Source,
+		MemoryBytes:   int64(p.set.MemoryLimit * (1 << 20)),
+		MaxKeyAge:     p.set.Revocation - keyAgeMargin,
+		RetryShare:    p.set.RetryShare,
+		RetryWindow:   p.set.RetryWindow,
+		RetryFloor:    p.set.RetrySpare,
+		EndCheckDelay: aliveCheckTime,
+		GracePeriod:   p.set.Grace - stopMargin - stopDrainMargin,
 
 		PropagationDelay: 2 * p.set.InForce, // A version is in effect from before its acknowledgement.
 	}, platformCodec(), view, p.log, p.reg)
@@ -80,13 +80,13 @@
 		return err
 	}
 	defer closePeers()
-	peerExchange, closePeerExchange := gateway.NewNeighbours(gateway.NeighboursConfig{
+	peerExchange, closePeerExchange := gateway.NewPeerExchange(gateway.PeerExchangeConfig{
 		Name:         p.set.Name,
 		Domain:       p.set.Domain,
 		Address:      p.set.Peers,
 		Seeds:        p.set.Seeds,
-		InForce:      p.set.InForce,
-		First:        p.set.First,
+		EffectTime:   p.set.InForce,
+		FirstStart:   p.set.First,
 		SidecarsPort: p.set.PeersPort,
 		Decode:       platform.DecodeConfig,
 	}, g, socket, p.log)
@@ -106,8 +106,8 @@
 	duties := duty.New(ctx, p.log, p.reg, p.onFailure)
 	duties.Go("signals", func(ctx context.Context) error { return p.handleSignals(ctx, startStop, cancel) })
 	follower := follow.NewFollower(view, store.Source(), p.set.InForce, p.log)
-	follower.UsePeers(peerExchange.Follow())
-	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.Changed) })
+	follower.UsePeers(peerExchange.PeerSource())
+	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.ViewChanged) })
 	duties.Go("housekeeping", g.Run)
 	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, peerExchange.Receive) })
 	duties.Go("neighbours", peerExchange.Run)
@@ -120,7 +120,7 @@
 	})
 	p.serveMetrics(duties)
 	duties.Go("stop", func(ctx context.Context) error {
-		p.drain(ctx, stop, func() (requests, connections int) { return g.Busy(), g.Callers().OpenConns() }, g.Callers())
+		p.drain(ctx, stop, func() (requests, connections int) { return g.InFlight(), g.CallerConns().OpenConns() }, g.CallerConns())
 		cancel()
 		return nil
 	})
@@ -136,9 +136,9 @@
 // ended.
 func (p *fleetProcess) serveCallersWithGrace(ctx context.Context, g *gateway.Gateway, l net.Listener, grace time.Duration) error {
 	srv := p.callersServer(g)
-	l = g.Callers().Listener(l)
+	l = g.CallerConns().Listener(l)
 	if p.maxCallers > 0 {
-		l = newLimitedListener(l, p.maxCallers, g.Callers().OpenConns, p.log)
+		l = newLimitedListener(l, p.maxCallers, g.CallerConns().OpenConns, p.log)
 	}
 	// Separate duties: after a failure of one, the other continues until ctx ends.
 	duties := duty.New(ctx, p.log, p.reg, p.onFailure)
@@ -154,27 +154,27 @@
 // closeCallers closes the connections of callers. It refuses requests before it closes anything:
 // Server.Shutdown would close connections as idle on which a request is just being read.
 func (p *fleetProcess) closeCallers(g *gateway.Gateway, srv *http.Server, grace time.Duration) {
-	g.End()
-	if err := g.Callers().CloseListeners(time.Now()); err != nil {
+	g.Terminate()
+	if err := g.CallerConns().CloseListeners(time.Now()); err != nil {
 		p.log.Warn("listener not closed", zap.String("error", err.Error()))
 	}
 	last, cancel := context.WithTimeout(context.Background(), grace)
 	defer cancel()
-	pollUntil(last, g.Callers().Drained)
-	if requests, connections := g.Busy(), g.Callers().OpenConns(); requests+connections > 0 {
+	pollUntil(last, g.CallerConns().Drained)
+	if requests, connections := g.InFlight(), g.CallerConns().OpenConns(); requests+connections > 0 {
 		p.log.Warn("process ending with open connections", zap.Int("requests", requests), zap.Int("connections", connections))
 	}
-	g.Callers().MarkProcessEnding()
+	g.CallerConns().MarkProcessEnding()
 	_ = srv.Close() // The error is that of the listener, which is already closed.
 }
 
 // callersServer returns the server for callers.
 func (p *fleetProcess) callersServer(g *gateway.Gateway) *http.Server {
 	srv := p.httpServer(g.Handler())
-	srv.ReadTimeout, srv.IdleTimeout = 0, 0 // Streams may be long; the gateway limits everything else.
-	srv.WriteTimeout = gateway.UnreadTime   // For errors of the server itself; the gateway sets its own.
-	srv.ConnContext = callerconn.WithConn   // Otherwise a cut-off stream looks complete to HTTP/1.0.
-	g.Callers().Attach(srv)
+	srv.ReadTimeout, srv.IdleTimeout = 0, 0       // Streams may be long; the gateway limits everything else.
+	srv.WriteTimeout = gateway.CallerWriteTimeout // For errors of the server itself; the gateway sets its own.
+	srv.ConnContext = callerconn.WithConn         // Otherwise a cut-off stream looks complete to HTTP/1.0.
+	g.CallerConns().Attach(srv)
 	return srv
 }
 
--- a/internal/daemon/process_end_test.go
+++ b/internal/daemon/process_end_test.go
@@ -145,7 +145,7 @@
 	g.Expect(status).To(Equal(http.StatusOK))
 	cancel()
 	g.Expect(duties.Wait()).To(MatchError(ContainSubstring("1 panics")))
-	g.Expect(gw.Callers().OpenConns()).To(BeZero(), "the process waits for its connections to close")
+	g.Expect(gw.CallerConns().OpenConns()).To(BeZero(), "the process waits for its connections to close")
 }
 
 // Guards against a failure of one listener that ends the process during requests of the others.
@@ -222,7 +222,7 @@
 	defer cancel()
 	var serving errgroup.Group
 	serving.Go(func() error { return p.serveCallers(ctx, gw, l) })
-	g.Eventually(gw.Callers().OpenConns, testTimeout).Should(BeNumerically(">=", maxConns))
+	g.Eventually(gw.CallerConns().OpenConns, testTimeout).Should(BeNumerically(">=", maxConns))
 	for _, c := range conns[:maxConns] {
 		status, _, err := postEmpty(c, bufio.NewReader(c), "/")
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -154,7 +154,7 @@
 	case Clearing:
 		o.Op, o.Version = rank.Disarm, m.clear.Version
 	case Releasing:
-		o.Op, o.Step = rank.Go, m.held[r]
+		o.Op, o.Step = rank.Release, m.held[r]
 	case Preparing:
 		o.Op, o.Version, o.Map = rank.Prepare, m.Version, m.layout
 	case Holding:
@@ -164,7 +164,7 @@
 	case Undoing:
 		o.Op, o.Version = rank.Disarm, m.Version
 	case Going, Freeing:
-		o.Op, o.Step = rank.Go, m.Step
+		o.Op, o.Step = rank.Release, m.Step
 	}
 	return o
 }
@@ -302,8 +302,8 @@
 			asked--
 			continue
 		}
-		m.held[r] = rep.Held
-		if rep.Held != 0 {
+		m.held[r] = rep.HeldPass
+		if rep.HeldPass != 0 {
 			held++
 		}
 		if rep.Armed.Version != 0 {
--- a/internal/decide/cutover/search_test.go
+++ b/internal/decide/cutover/search_test.go
@@ -93,7 +93,7 @@
 		return false
 	}
 	for _, e := range w.ranks {
-		if e.Held == w.step+1 {
+		if e.HeldPass == w.step+1 {
 			return false
 		}
 	}
@@ -116,7 +116,7 @@
 func (w *world) reports() []rank.Report {
 	list := make([]rank.Report, len(w.ranks))
 	for r, e := range w.ranks {
-		list[r] = rank.Report{Open: true, Epoch: w.epoch, Step: w.step, Map: e.Map, Prepared: e.Prepared, Armed: e.Armed, Held: e.Held}
+		list[r] = rank.Report{Open: true, Epoch: w.epoch, Step: w.step, Map: e.Map, Prepared: e.Prepared, Armed: e.Armed, HeldPass: e.HeldPass}
 	}
 	return list
 }
@@ -383,7 +383,7 @@
 		})},
 		{"let go before all are armed", each(func(m *Machine, o *rank.Order) {
 			if m.Phase == Arming && m.done[1] {
-				o.Op = rank.Go
+				o.Op = rank.Release
 			}
 		})},
 		{"a higher fence is not taken to give up", each(func(m *Machine, o *rank.Order) {
@@ -422,7 +422,7 @@
 	g := NewWithT(t)
 	m := New(searchRanks, 1, Nobody, 1, 20)
 	w := &world{ranks: make([]ranktest.State, searchRanks), epoch: 1, leaders: []*Machine{m}}
-	w.ranks[0].Held = 3 // Of a leader that is gone, after two of three were armed.
+	w.ranks[0].HeldPass = 3 // Of a leader that is gone, after two of three were armed.
 	w.ranks[0].Prepared, w.ranks[1].Prepared, w.ranks[2].Prepared = 7, 7, 7
 	w.ranks[0].Armed = rank.Arming{Version: 7, Step: 3}
 	w.ranks[1].Armed = rank.Arming{Version: 7, Step: 3}
@@ -465,7 +465,7 @@
 			g := NewWithT(t)
 			m := New(searchRanks, second, tc.own, 1, 20)
 			w := &world{ranks: make([]ranktest.State, searchRanks), epoch: 1, leaders: []*Machine{m}, step: 2, asleep: true}
-			w.ranks[Holder(0)].Held = 3
+			w.ranks[Holder(0)].HeldPass = 3
 			for _, r := range tc.armed {
 				w.ranks[r].Prepared, w.ranks[r].Armed = 7, rank.Arming{Version: 7, Step: 3}
 			}
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -67,7 +67,7 @@
 		return
 	}
 	e.count("endpoints.ended-under-attempt")
-	e.node.Suspects().RecordEnd(req.key(), refusal.Ended.Life, req.sending, e.now())
+	e.node.Suspects().RecordEnd(req.key(), refusal.Ended.Incarnation, req.sending, e.now())
 	refusal.Ended = nil // It is no matter of the caller's.
 }
 
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -73,7 +73,7 @@
 		return
 	}
 	g.lookers.Go(func() error {
-		wait.For(context.Background(), g.cfg.EndSettle)
+		wait.For(context.Background(), g.cfg.EndCheckDelay)
 		g.unfinished.endLook(e.ID)
 		duty.Contain("look", g.log, g.figures.reg, func() {
 			if g.refusesConnections(context.Background(), e, repeatIdle) {
--- a/internal/gateway/published.go
+++ b/internal/gateway/published.go
@@ -38,7 +38,7 @@
 }
 
 // servePublished tells another gateway what this one knows.
-func (n *Neighbours) servePublished(w http.ResponseWriter, r *http.Request) {
+func (n *PeerExchange) servePublished(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	q, err := readQuestion(r)
 	if err != nil {
@@ -72,7 +72,7 @@
 
 // awaitNews waits until the view changes or is confirmed, at most holdTime, if
 // it holds nothing that is new to the other gateway.
-func (n *Neighbours) awaitNews(ctx context.Context, q question) {
+func (n *PeerExchange) awaitNews(ctx context.Context, q question) {
 	moved := n.g.view.Updated()
 	s := n.g.view.State()
 	if s.Config != nil && s.Config.Version() > q.version || n.g.view.ChangedSince(q.after) {
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -329,7 +329,7 @@
 // ReadJSON decodes a bounded message from a peer; on a fault it answers and
 // reports false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxMessage))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxMessageBytes))
 	if err == nil {
 		err = json.Unmarshal(raw, v)
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -47,14 +47,14 @@
 func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Tell(peers.MostEnds, now), now)
+	return encode(s.book.Tell(peers.MaxEnds, now), now)
 }
 
 // ForNewPeer returns the most severe ends, to send to a process that may know none yet.
 func (s *Set) ForNewPeer(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Gravest(peers.MostEnds), now)
+	return encode(s.book.Gravest(peers.MaxEnds), now)
 }
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
