--- a/internal/oplog/oplog_test.go
+++ b/internal/oplog/oplog_test.go
@@ -49,7 +49,7 @@
 		func(log *zap.Logger) { log.Warn("request") },
 		func(log *zap.Logger) { log.Info("audit") },
 		func(log *zap.Logger) { log.Info("stop") },
-		func(log *zap.Logger) { log.Warn("connections ended with the process") },
+		func(log *zap.Logger) { log.Warn("process ending with open connections") },
 		func(log *zap.Logger) { log.Error("panic") },
 	}
 	for i := range writers {
