--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -21,7 +21,7 @@
 type excluder func(s site, id string)
 
 var excluders = map[string]excluder{
-	"rests": func(s site, id string) { s.backoffs.Rest(backoff.Life{Name: id}, time.Minute, s.cfg.Now()) },
+	"rests": func(s site, id string) { s.backoffs.Backoff(backoff.Process{Name: id}, time.Minute, s.cfg.Now()) },
 	"is at its limit": func(s site, id string) {
 		s.limits.Answered(id, throttle.Word{Limited: true, At: s.cfg.Now()})
 		s.limits.Take(id, s.cfg.Now())
@@ -97,7 +97,7 @@
 func TestEndpointWithVeryLongBackoffIsTriedAgain(t *testing.T) {
 	only := newStreamingEndpoint(0)
 	s := newSite(t, only)
-	s.backoffs.Rest(backoff.Life{Name: "0"}, 365*24*time.Hour, s.cfg.Now().Add(-time.Hour))
+	s.backoffs.Backoff(backoff.Process{Name: "0"}, 365*24*time.Hour, s.cfg.Now().Add(-time.Hour))
 	assertServedBy(t, s, only, 2, func() { s.reportLoad(0, 0, 1) })
 }
 
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -39,7 +39,7 @@
 	list := make([]balance.Candidate, len(candidates))
 	shape, ranked := q.g.shape(q.config, q.service)
 	for i, e := range candidates {
-		list[i] = balance.Candidate{ID: e.ID, Near: e.Domain == q.g.cfg.Domain, Slow: e.ColdLeft > 0, Slots: e.Slots, Base: int(shape.Base)}
+		list[i] = balance.Candidate{ID: e.ID, SameDomain: e.Domain == q.g.cfg.Domain, Cold: e.ColdLeft > 0, Slots: e.Slots, FixedCost: int(shape.Base)}
 	}
 	terms := coldTerms(q.config, q.service)
 	if ranked && terms.Rate > 0 {
@@ -51,12 +51,12 @@
 	}
 	q.markCold(list, terms, now)
 	if ranked {
-		if q.g.table.Down(list, now) {
+		if q.g.table.AllClosed(list, now) {
 			if q.waited == 0 { // Otherwise it was noted before.
 				q.note("all ranks that report their load are closed")
 			}
 			q.allGroupsDown = true // The request would be rejected, or wait in vain.
-			q.groupOpensAt = q.g.table.Opens(list, now)
+			q.groupOpensAt = q.g.table.ExpectedOpen(list, now)
 			return e, false
 		}
 		q.full = false
@@ -77,7 +77,7 @@
 		}
 		return e, false
 	}
-	q.chosenCold = list[i].Paced
+	q.chosenCold = list[i].ColdLimited
 	q.takePermit(list[i].ID)
 	index := slices.IndexFunc(candidates, func(e fleet.Endpoint) bool { return e.ID == list[i].ID })
 	return candidates[index], true
@@ -131,7 +131,7 @@
 	q.turnover = passes.Turnover{}
 	for _, name := range names {
 		ranks := members[name]
-		if q.g.table.Down(ranks, now) {
+		if q.g.table.AllClosed(ranks, now) {
 			continue
 		}
 		o, known := q.groupOffer(name, ranks, now)
@@ -139,7 +139,7 @@
 			return list, true // No known limit applies.
 		}
 		limited = limited || known
-		o.Heard = q.g.table.Heard(ranks)
+		o.Heard = q.g.table.LastReport(ranks)
 		offers, open = append(offers, o), append(open, name)
 	}
 	passes.LeaveSilent(offers, now)
@@ -232,7 +232,7 @@
 func (q *request) groupOffer(name string, ranks []balance.Candidate, now time.Time) (o passes.Offer, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
-		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].Base))
+		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].FixedCost))
 	}
 	if v, ok := q.g.passes.Turnover(name, o.Limit, now); ok {
 		q.turnover.Rate += v.Rate * float64(o.Ranks)
@@ -242,8 +242,8 @@
 		o.Limit *= refusedBeforeShare
 	}
 	for _, c := range ranks {
-		o.Busy += q.g.table.Busy(c.ID, now)
-		if c.Near {
+		o.Busy += q.g.table.Outstanding(c.ID, now)
+		if c.SameDomain {
 			o.Near++
 		}
 	}
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -80,9 +80,9 @@
 	g := NewWithT(t)
 	s, _, list := coldSite(t, 3, 1e6)
 	s.expectRefused(g, "early", longCallerTimeout)
-	s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+	s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 	for i := range 60 {
-		s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		s.expectServed(g, fmt.Sprint(i), longCallerTimeout)
 	}
 	for _, c := range list {
@@ -97,7 +97,7 @@
 	s, _, list := coldSite(t, 2, 0.001)
 	tell := func() {
 		for _, a := range s.addresses {
-			s.ReportLoad(a, balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+			s.ReportLoad(a, balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		}
 	}
 	for i := range 4 {
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -22,7 +22,7 @@
 	if q.call.HasPatience {
 		callerTimeout = q.call.Patience
 	}
-	timer := time.NewTimer(time.Until(hold.ForStart(q.arrived, callerTimeout)))
+	timer := time.NewTimer(time.Until(hold.UntilConfig(q.arrived, callerTimeout)))
 	defer timer.Stop()
 	for {
 		moved := q.g.view.Updated()
@@ -72,7 +72,7 @@
 // holdUntil returns until when a caller that would not retry can be kept waiting, if a first event
 // takes the given time.
 func (q *request) holdUntil(first time.Duration) time.Time {
-	until := hold.ForGroup(q.lastOutputAt(), q.callerLeavesAfter(), first)
+	until := hold.UntilGroupOpen(q.lastOutputAt(), q.callerLeavesAfter(), first)
 	if until.After(q.deadline) {
 		return q.deadline
 	}
