--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package balance chooses the endpoint of a request among those of its service,
-// from what the endpoints report and from what callers got of them. It is a
-// pure state machine: time and chance come in as arguments, and the caller
-// serialises access.
+// Package balance picks the endpoint of a request among the endpoints of its service, from the load
+// that they report and from the outcomes of earlier requests. It is a pure state machine: time and
+// randomness are passed in as arguments, and the caller serialises access.
 package balance
 
 import (
@@ -13,147 +12,150 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// Load is what an endpoint's report says.
+// Load is the load report of an endpoint.
 type Load struct {
-	Born    int64         // When the life that tells it began, Unix milliseconds; 0 when not told.
-	Running int           // Requests at work.
-	Waiting int           // Requests in its queue.
-	Group   string        // Of ranks that stand and fall together; "" for none.
-	Epoch   uint64        // Of the group; another one when it has formed anew.
-	Closed  bool          // It serves nothing now, as when its group is broken.
-	Pass    time.Duration // Time between two events of its streams; 0 when not told.
-	Pace    float64       // Above 1 when it is slow; 0 when not told.
-	At      time.Time     // When the report was made, by this process's clock.
+	StartedAt int64         // Start of the reporting process, Unix milliseconds; 0 when unknown.
+	Running   int           // Requests being executed.
+	Waiting   int           // Requests in the endpoint's queue.
+	Group     string        // Group of ranks that fail together; "" for none.
+	Epoch     uint64        // Epoch of the group; it changes when the group forms anew.
+	Closed    bool          // The endpoint serves nothing now, for example because its group is broken.
+	PassTime  time.Duration // Time between two events of its streams, one forward pass; 0 when unknown.
+	Slowdown  float64       // Slowdown factor: above 1 when the endpoint is slow; 0 when unknown.
+	At        time.Time     // Time of the report, by this process's clock.
 }
 
-// Times and limits of judgement.
+// Limits on the age of reports and outcomes, and on the ejection of failing endpoints.
 const (
-	// reportAge is how long a report counts: reports come several times a
-	// second, and older ones mislead more than they tell.
-	reportAge = 1500 * time.Millisecond
-	// failLimit is how many failures in a row, with none between them that went
-	// well, take an endpoint out.
-	failLimit = 3
-	// badShare and badLeast take an endpoint out when so large a share of at
-	// least so many weighted outcomes failed.
-	badShare = 0.3
-	badLeast = 4.0
-	// outcomeAge halves the weight of outcomes.
-	outcomeAge = 3 * time.Second
-	// firstOut and longestOut bound the time that an endpoint is out; each time
-	// in a row doubles it.
-	firstOut   = 1 * time.Second
-	longestOut = 6 * time.Second
-	// misplacedOut is how long an endpoint is out whose address another one
-	// has: its entry lapses after three heartbeats of 1.2 s.
-	misplacedOut = 4 * time.Second
-	// outShare is the part of a service's endpoints that may be out at once.
-	outShare = 0.4
+	// maxReportAge is the age up to which a report is used. Reports arrive several times a second, and
+	// older ones mislead more than they inform.
+	maxReportAge = 1500 * time.Millisecond
+	// maxConsecutiveFailures is the number of failures without a success in between that ejects an
+	// endpoint.
+	maxConsecutiveFailures = 3
+	// maxFailureShare and minOutcomeWeight eject an endpoint when at least this share of its outcomes
+	// failed and their total weight is at least minOutcomeWeight.
+	maxFailureShare  = 0.3
+	minOutcomeWeight = 4.0
+	// outcomeHalfLife is the time in which the weight of an outcome halves.
+	outcomeHalfLife = 3 * time.Second
+	// minEjection and maxEjection bound the time for which an endpoint is ejected; it doubles with
+	// each consecutive ejection.
+	minEjection = 1 * time.Second
+	maxEjection = 6 * time.Second
+	// misplacedEjection is the time for which an endpoint is ejected when another endpoint answers at
+	// its address: its entry expires after three heartbeats of 1.2 s.
+	misplacedEjection = 4 * time.Second
+	// maxEjectedShare is the share of a service's endpoints that may be ejected at once; above it,
+	// ejections are ignored.
+	maxEjectedShare = 0.4
 )
 
-// endpoint is what is known of one endpoint.
+// endpoint is the state kept for one endpoint.
 type endpoint struct {
-	own      int   // Requests of this process at work there.
-	born     int64 // Of the newest life that told its load; 0 when not told.
-	load     Load
-	ownThen  int     // own when load was told.
-	good     float64 // Weighted outcomes.
-	bad      float64
-	weighed  time.Time
-	inRow    int // Failures since the last success.
-	outs     int // Times out in a row.
-	outUntil time.Time
-	trial    bool // It is back on trial: one request at a time.
-	gone     bool // Another endpoint was found at its address.
+	inFlight             int   // Requests of this process in flight at the endpoint.
+	startedAt            int64 // Start of the newest process that has reported load, Unix milliseconds; 0 when unknown.
+	load                 Load
+	inFlightAtReport     int       // inFlight at the time of the report in load.
+	successes            float64   // Decayed weight of the successes.
+	failures             float64   // Decayed weight of the failures.
+	decayedAt            time.Time // When the weights were last decayed.
+	consecutiveFailures  int       // Failures since the last success or ejection.
+	consecutiveEjections int       // Ejections in a row; a success later than maxEjection after the last one resets it.
+	ejectedUntil         time.Time
+	probation            bool // Admitted after an ejection: one request at a time until one succeeds.
+	misplaced            bool // Another endpoint answered at its address.
 }
 
-// Table holds what is known of all endpoints.
+// Table holds the state of all endpoints.
 type Table struct {
-	by      map[string]*endpoint
-	usual   int                  // Mean requests at ranks whose load is known.
-	closed  map[string]time.Time // Groups by the newest report that they serve nothing.
-	outages outages
+	endpoints    map[string]*endpoint
+	meanLoad     int                  // Mean of the outstanding requests at the candidates with a fresh report.
+	closedGroups map[string]time.Time // By group, the time of its newest report, if that report says it is closed.
+	outages      outages
 }
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{by: map[string]*endpoint{}, closed: map[string]time.Time{}, outages: newOutages()}
+	return &Table{endpoints: map[string]*endpoint{}, closedGroups: map[string]time.Time{}, outages: newOutages()}
 }
 
-func (t *Table) of(id string) *endpoint {
-	e, ok := t.by[id]
+func (t *Table) getOrCreate(id string) *endpoint {
+	e, ok := t.endpoints[id]
 	if !ok {
 		e = &endpoint{}
-		t.by[id] = e
+		t.endpoints[id] = e
 	}
 	return e
 }
 
-// Report takes in an endpoint's report. One of a later life, whose entry was not seen
-// yet, ends what is known of the endpoint but for the requests of this process; it
-// reports false for one of an earlier life, which is left out.
-func (t *Table) Report(id string, l Load) (counts bool) {
-	e := t.of(id)
-	switch fleet.CompareLives(e.born, l.Born) {
+// Report records the load report of an endpoint. A report of a later process than known, whose entry
+// has not been read yet, resets the endpoint's state except for the requests that this process has in
+// flight. Report returns false for a report of an earlier process, which is ignored.
+func (t *Table) Report(id string, l Load) (accepted bool) {
+	e := t.getOrCreate(id)
+	switch fleet.CompareLives(e.startedAt, l.StartedAt) {
 	case -1:
 		return false
 	case 1:
-		*e = endpoint{own: e.own}
+		*e = endpoint{inFlight: e.inFlight}
 	}
-	e.born = max(e.born, l.Born)
+	e.startedAt = max(e.startedAt, l.StartedAt)
 	if l.At.Before(e.load.At) {
 		return true
 	}
-	e.load, e.ownThen = l, e.own
+	e.load, e.inFlightAtReport = l, e.inFlight
 	if l.Group == "" {
 		return true
 	}
-	t.outages.note(l.Group, l.Closed, l.At)
+	t.outages.record(l.Group, l.Closed, l.At)
 	if l.Closed {
-		t.closed[l.Group] = l.At
+		t.closedGroups[l.Group] = l.At
 	} else {
-		delete(t.closed, l.Group) // All ranks open together.
+		delete(t.closedGroups, l.Group) // All ranks of a group open together.
 	}
 	return true
 }
 
-// Start notes that a request of this process goes to an endpoint.
-func (t *Table) Start(id string) { t.of(id).own++ }
+// Start records that a request of this process is sent to an endpoint.
+func (t *Table) Start(id string) { t.getOrCreate(id).inFlight++ }
 
-// End notes that it has ended there.
+// End records that a request of this process has ended at an endpoint.
 func (t *Table) End(id string) {
-	e := t.of(id)
-	e.own--
-	if e.own < e.ownThen {
-		// What ended was in the report.
-		e.ownThen--
+	e := t.getOrCreate(id)
+	e.inFlight--
+	if e.inFlight < e.inFlightAtReport {
+		// The request that ended was included in the report.
+		e.inFlightAtReport--
 		e.load.Running--
 	}
 }
 
-// busy estimates the requests at an endpoint.
-func (e *endpoint) busy(now time.Time) int {
-	if now.Sub(e.load.At) > reportAge {
-		return e.own
+// outstanding estimates the number of requests at an endpoint: those of its last report, corrected by
+// what this process has sent and seen end since, or only its own when the report is too old.
+func (e *endpoint) outstanding(now time.Time) int {
+	if now.Sub(e.load.At) > maxReportAge {
+		return e.inFlight
 	}
-	return max(e.load.Running+e.load.Waiting+e.own-e.ownThen, e.own)
+	return max(e.load.Running+e.load.Waiting+e.inFlight-e.inFlightAtReport, e.inFlight)
 }
 
-// Age returns how long ago an endpoint's load was told; ok is false when it never was.
-func (t *Table) Age(id string, now time.Time) (age time.Duration, ok bool) {
-	at := t.of(id).load.At
+// LoadAge returns the age of an endpoint's last load report; ok is false when there is none.
+func (t *Table) LoadAge(id string, now time.Time) (age time.Duration, ok bool) {
+	at := t.getOrCreate(id).load.At
 	return now.Sub(at), !at.IsZero()
 }
 
-// Busy estimates the requests at an endpoint.
-func (t *Table) Busy(id string, now time.Time) int { return t.of(id).busy(now) }
+// Outstanding estimates the number of requests at an endpoint.
+func (t *Table) Outstanding(id string, now time.Time) int { return t.getOrCreate(id).outstanding(now) }
 
-// Down reports whether every candidate whose load is known serves nothing now.
-func (t *Table) Down(list []Candidate, now time.Time) bool {
+// AllClosed reports whether every candidate with a fresh load report is closed; it is false when there
+// is no such candidate.
+func (t *Table) AllClosed(list []Candidate, now time.Time) bool {
 	known := false
 	for _, c := range list {
-		e := t.of(c.ID)
-		if now.Sub(e.load.At) > reportAge {
+		e := t.getOrCreate(c.ID)
+		if now.Sub(e.load.At) > maxReportAge {
 			continue
 		}
 		if !e.load.Closed {
@@ -164,46 +166,46 @@
 	return known
 }
 
-// Heard returns when one of the candidates was last heard, zero when none ever was.
-func (t *Table) Heard(list []Candidate) (at time.Time) {
+// LastReport returns the time of the newest report of any of the candidates, zero when there is none.
+func (t *Table) LastReport(list []Candidate) (at time.Time) {
 	for _, c := range list {
-		if e := t.by[c.ID]; e != nil && e.load.At.After(at) {
+		if e := t.endpoints[c.ID]; e != nil && e.load.At.After(at) {
 			at = e.load.At
 		}
 	}
 	return at
 }
 
-// Serving returns the candidates that serve as far as is known: those that say so, and
-// those that are silent while a group that may be theirs says so, since all ranks of a
-// group open together. What is heard of the first few after an outage so counts for all
-// of them. Known is false when nothing is heard of any group.
+// Serving returns the candidates that are presumed to serve: those whose group is reported open, and
+// those that never named a group while any group is reported open, since all ranks of a group open
+// together. After an outage, the reports of the first few ranks thus count for all of them. known is
+// false when there is no fresh report of any group.
 func (t *Table) Serving(list []Candidate, now time.Time) (serving []Candidate, known bool) {
-	open := map[string]bool{} // Groups that are heard, by whether their newest word is that they serve.
-	for _, e := range t.by {
-		if e.load.Group == "" || now.Sub(e.load.At) > reportAge {
+	open := map[string]bool{} // Groups with fresh reports; true when the newest report says that the group serves.
+	for _, e := range t.endpoints {
+		if e.load.Group == "" || now.Sub(e.load.At) > maxReportAge {
 			continue
 		}
-		at, closed := t.closed[e.load.Group]
-		open[e.load.Group] = !closed || now.Sub(at) > reportAge
+		at, closed := t.closedGroups[e.load.Group]
+		open[e.load.Group] = !closed || now.Sub(at) > maxReportAge
 	}
 	anyOpen := false
 	for _, serves := range open {
 		anyOpen = anyOpen || serves
 	}
 	for _, c := range list {
-		load := t.of(c.ID).load
-		serves, heard := open[load.Group]
-		if heard && serves || !heard && load.Group == "" && anyOpen {
+		load := t.getOrCreate(c.ID).load
+		serves, reported := open[load.Group]
+		if reported && serves || !reported && load.Group == "" && anyOpen {
 			serving = append(serving, c)
 		}
 	}
 	return serving, len(open) > 0
 }
 
-// LastWord returns when any endpoint was last heard, zero when none ever was.
-func (t *Table) LastWord() (at time.Time) {
-	for _, e := range t.by {
+// LastReportOfAny returns the time of the newest report of any endpoint, zero when there is none.
+func (t *Table) LastReportOfAny() (at time.Time) {
+	for _, e := range t.endpoints {
 		if e.load.At.After(at) {
 			at = e.load.At
 		}
@@ -211,123 +213,126 @@
 	return at
 }
 
-// Open reports whether an endpoint says that it serves now.
+// Open reports whether an endpoint's fresh report says that it serves.
 func (t *Table) Open(id string, now time.Time) bool {
-	e := t.of(id)
-	return now.Sub(e.load.At) <= reportAge && !e.load.Closed
+	e := t.getOrCreate(id)
+	return now.Sub(e.load.At) <= maxReportAge && !e.load.Closed
 }
 
-// OpenSince reports whether an endpoint of a group has said after a moment that it
-// serves.
+// OpenSince reports whether an endpoint of a group has reported after the time since, and recently,
+// that it serves.
 func (t *Table) OpenSince(group string, since, now time.Time) bool {
-	for _, e := range t.by {
-		if e.load.Group == group && e.load.At.After(since) && !e.load.Closed && now.Sub(e.load.At) <= reportAge {
+	for _, e := range t.endpoints {
+		if e.load.Group == group && e.load.At.After(since) && !e.load.Closed && now.Sub(e.load.At) <= maxReportAge {
 			return true
 		}
 	}
 	return false
 }
 
-func (e *endpoint) age(now time.Time) {
-	if d := now.Sub(e.weighed); d > 0 && !e.weighed.IsZero() {
-		keep := 1 / (1 + d.Seconds()/outcomeAge.Seconds())
-		e.good *= keep
-		e.bad *= keep
+func (e *endpoint) decay(now time.Time) {
+	if d := now.Sub(e.decayedAt); d > 0 && !e.decayedAt.IsZero() {
+		keep := 1 / (1 + d.Seconds()/outcomeHalfLife.Seconds())
+		e.successes *= keep
+		e.failures *= keep
 	}
-	e.weighed = now
+	e.decayedAt = now
 }
 
-// Good notes an outcome that an endpoint is not to blame for.
-func (t *Table) Good(id string, now time.Time) {
-	e := t.of(id)
-	e.age(now)
-	e.good++
-	e.inRow = 0
-	e.trial = false
-	if now.After(e.outUntil.Add(longestOut)) {
-		e.outs = 0
+// RecordSuccess records an outcome that does not count against the endpoint.
+func (t *Table) RecordSuccess(id string, now time.Time) {
+	e := t.getOrCreate(id)
+	e.decay(now)
+	e.successes++
+	e.consecutiveFailures = 0
+	e.probation = false
+	if now.After(e.ejectedUntil.Add(maxEjection)) {
+		e.consecutiveEjections = 0
 	}
 }
 
-// Bad notes a failure that an endpoint is to blame for. Weight is 1 for a plain
-// failure. It reports whether the endpoint is taken out, and for how long.
-func (t *Table) Bad(id string, weight float64, now time.Time) (out time.Duration, ok bool) {
-	e := t.of(id)
-	e.age(now)
-	e.bad += weight
-	e.inRow++
-	if now.Before(e.outUntil) {
+// RecordFailure records a failure that counts against the endpoint; a plain failure has a weight of 1.
+// It reports whether the endpoint is ejected by it, and for how long.
+func (t *Table) RecordFailure(id string, weight float64, now time.Time) (ejection time.Duration, ok bool) {
+	e := t.getOrCreate(id)
+	e.decay(now)
+	e.failures += weight
+	e.consecutiveFailures++
+	if now.Before(e.ejectedUntil) {
 		return 0, false
 	}
-	judged := e.trial || e.inRow >= failLimit || e.good+e.bad >= badLeast && e.bad/(e.good+e.bad) >= badShare
-	if !judged {
+	eject := e.probation || e.consecutiveFailures >= maxConsecutiveFailures || e.successes+e.failures >= minOutcomeWeight && e.failures/(e.successes+e.failures) >= maxFailureShare
+	if !eject {
 		return 0, false
 	}
-	out = min(firstOut<<min(e.outs, 4), longestOut)
-	e.outs++
-	e.outUntil = now.Add(out)
-	e.trial = true
-	e.good, e.bad, e.inRow = 0, 0, 0
-	return out, true
+	ejection = min(minEjection<<min(e.consecutiveEjections, 4), maxEjection)
+	e.consecutiveEjections++
+	e.ejectedUntil = now.Add(ejection)
+	e.probation = true
+	e.successes, e.failures, e.consecutiveFailures = 0, 0, 0
+	return ejection, true
 }
 
-// Misplaced notes that another endpoint answers at an endpoint's address: it is
-// out until the list tells of the change.
-func (t *Table) Misplaced(id string, now time.Time) {
-	e := t.of(id)
-	e.outUntil = now.Add(misplacedOut)
-	e.gone = true
+// MarkMisplaced records that another endpoint answers at an endpoint's address. The endpoint is
+// ejected until the list of endpoints shows the change.
+func (t *Table) MarkMisplaced(id string, now time.Time) {
+	e := t.getOrCreate(id)
+	e.ejectedUntil = now.Add(misplacedEjection)
+	e.misplaced = true
 }
 
-// Forget drops what is known of endpoints that are no longer listed.
+// Forget drops the state of endpoints that are no longer listed and have no requests of this process
+// in flight.
 func (t *Table) Forget(listed func(id string) bool) {
-	for id, e := range t.by {
-		if e.own == 0 && !listed(id) {
-			delete(t.by, id)
+	for id, e := range t.endpoints {
+		if e.inFlight == 0 && !listed(id) {
+			delete(t.endpoints, id)
 		}
 	}
 }
 
-// Candidate is an endpoint that may be chosen.
+// Candidate is an endpoint that Pick may choose.
 type Candidate struct {
-	ID    string
-	Near  bool // In the failure domain of the process.
-	Slow  bool // Still cold after its start.
-	Paced bool // It is cold and bears few requests a second.
-	Spent bool // It is paced and has got all that this process may send to it for now.
-	Slots int  // Requests that it runs at once; 0 when not told.
-	Base  int  // Requests whose work equals that of a pass without any; 0 where there are no passes.
+	ID          string
+	SameDomain  bool // In the failure domain of the process.
+	Cold        bool // Still cold after its start.
+	ColdLimited bool // Cold, and can take only a few requests a second.
+	BudgetSpent bool // ColdLimited, and this process has used up its share of that rate for now.
+	Slots       int  // Number of requests that it runs at once; 0 when unknown.
+	FixedCost   int  // Cost of a forward pass without requests, in requests; 0 for endpoints that run no passes.
 }
 
-// Pick returns the index of the least busy candidate that is not out and not spent, ok
-// false when there is none. Endpoints that were taken out count again when too many
-// are out. Ties go to the own failure domain and then to chance.
+// Pick returns the index of the least loaded candidate that is neither ejected nor out of budget; ok
+// is false when there is none. When too many candidates are ejected, ejections are ignored, except
+// those of misplaced endpoints. Ties are broken in favor of the process's own failure domain, then at
+// random.
 func (t *Table) Pick(list []Candidate, random func(n int) int, now time.Time) (index int, ok bool) {
-	limit := int(outShare * float64(len(list)))
-	out := 0
-	t.usual = t.mean(list, now)
+	limit := int(maxEjectedShare * float64(len(list)))
+	ejected := 0
+	t.meanLoad = t.meanOutstanding(list, now)
 	for _, c := range list {
-		if now.Before(t.of(c.ID).outUntil) {
-			out++
+		if now.Before(t.getOrCreate(c.ID).ejectedUntil) {
+			ejected++
 		}
 	}
-	index, ok = t.least(list, random, now, out <= limit)
+	index, ok = t.leastLoaded(list, random, now, ejected <= limit)
 	if !ok {
-		index, ok = t.least(list, random, now, false)
+		index, ok = t.leastLoaded(list, random, now, false)
 	}
-	if ok && list[index].Base > 0 {
-		index = t.fill(list, index, random, now)
+	if ok && list[index].FixedCost > 0 {
+		index = t.drawByWaterFilling(list, index, random, now)
 	}
 	return index, ok
 }
 
-// mean returns the mean requests at the candidates whose load is known.
-func (t *Table) mean(list []Candidate, now time.Time) int {
+// meanOutstanding returns the mean number of outstanding requests at the candidates with a fresh
+// report.
+func (t *Table) meanOutstanding(list []Candidate, now time.Time) int {
 	known, sum := 0, 0
 	for _, c := range list {
-		if e := t.of(c.ID); now.Sub(e.load.At) <= reportAge {
+		if e := t.getOrCreate(c.ID); now.Sub(e.load.At) <= maxReportAge {
 			known++
-			sum += e.busy(now)
+			sum += e.outstanding(now)
 		}
 	}
 	if known == 0 {
@@ -336,46 +341,45 @@
 	return sum / known
 }
 
-// staleShare is the part of the requests at work that arrive, at all gateways,
-// until a report tells of them: a request takes about a second, and reports and
-// what follows from them are about a quarter of that behind.
-const staleShare = 0.25
+// arrivingShare is the number of requests that arrive at all gateways before a report shows them, as a
+// share of the running requests: a request takes about a second, and a report takes effect about a
+// quarter of a second late.
+const arrivingShare = 0.25
 
-// leastArriving is taken in its place when little is at work.
-const leastArriving = 3
+// minArriving is the least number of arrivals assumed, for endpoints with little work.
+const minArriving = 3
 
-// fill chooses among ranks that other gateways see just like this one. If all
-// took the least busy, it would be the busiest a moment later; so each is drawn
-// with the part that it gets of the next arrivals, were they poured in from the
-// least busy upwards.
-func (t *Table) fill(list []Candidate, least int, random func(n int) int, now time.Time) int {
-	floor := t.score(t.of(list[least].ID), list[least], now)
+// drawByWaterFilling picks among ranks whose load all gateways see alike. If all gateways took the
+// least loaded rank, it would soon be the most loaded one. Each rank is therefore drawn with the share
+// of the next arrivals that it would get if these filled the ranks up from the least loaded one.
+func (t *Table) drawByWaterFilling(list []Candidate, least int, random func(n int) int, now time.Time) int {
+	lowest := t.score(t.getOrCreate(list[least].ID), list[least], now)
 	scores := make([]int, 0, len(list))
-	open := make([]int, 0, len(list)) // Indexes of scores in list.
+	indexes := make([]int, 0, len(list)) // By position in scores, the index in list.
 	total := 0
 	for i, c := range list {
-		e := t.of(c.ID)
+		e := t.getOrCreate(c.ID)
 		s := t.score(e, c, now)
-		if c.Spent || i != least && (s < floor || s >= floor+slowScore/2 || now.Before(e.outUntil) || e.trial && e.own > 0) {
+		if c.BudgetSpent || i != least && (s < lowest || s >= lowest+slowScore/2 || now.Before(e.ejectedUntil) || e.probation && e.inFlight > 0) {
 			continue
 		}
 		scores = append(scores, s)
-		open = append(open, i)
-		total += e.busy(now)
+		indexes = append(indexes, i)
+		total += e.outstanding(now)
 	}
-	arriving := max(int(staleShare*float64(total)), leastArriving) * scoreUnit
+	arriving := max(int(arrivingShare*float64(total)), minArriving) * scoreUnit
 	level := waterLevel(scores, arriving)
 	n := random(max(arriving, 1))
 	for k, s := range scores {
 		if n -= max(level-s, 0); n < 0 {
-			return open[k]
+			return indexes[k]
 		}
 	}
 	return least
 }
 
-// waterLevel returns the level to which an amount fills columns that are so
-// high already.
+// waterLevel returns the level that columns of the given heights reach when amount is poured over
+// them, lowest first.
 func waterLevel(columns []int, amount int) int {
 	sorted := slices.Clone(columns)
 	slices.Sort(sorted)
@@ -391,14 +395,14 @@
 	return level + amount/len(sorted)
 }
 
-func (t *Table) least(list []Candidate, random func(n int) int, now time.Time, judge bool) (index int, ok bool) {
+func (t *Table) leastLoaded(list []Candidate, random func(n int) int, now time.Time, skipEjected bool) (index int, ok bool) {
 	best, ties := 0, 0
 	for i, c := range list {
-		e := t.of(c.ID)
-		if c.Spent || e.gone && now.Before(e.outUntil) {
+		e := t.getOrCreate(c.ID)
+		if c.BudgetSpent || e.misplaced && now.Before(e.ejectedUntil) {
 			continue
 		}
-		if judge && (now.Before(e.outUntil) || e.trial && e.own > 0) {
+		if skipEjected && (now.Before(e.ejectedUntil) || e.probation && e.inFlight > 0) {
 			continue
 		}
 		score := t.score(e, c, now)
@@ -415,43 +419,43 @@
 	return index, ok
 }
 
-// Parts of a score, in requests times scoreUnit.
+// Terms of a score, in units of 1/scoreUnit request. The lowest score is picked.
 const (
-	scoreUnit    = 4
-	farScore     = 1             // Less than one request: it only breaks ties.
-	coldScore    = 2 * scoreUnit // Of an endpoint that is still slow.
-	closedScore  = 1 << 20       // Of an endpoint whose group is broken.
-	slowScore    = 1 << 10
-	silentScore  = 1 << 21
-	slowestScore = 8 // Pace above which an endpoint is judged alike.
+	scoreUnit   = 4
+	farScore    = 1             // Other failure domain: less than one request, so that it only breaks ties.
+	coldScore   = 2 * scoreUnit // Cold endpoint.
+	closedScore = 1 << 20       // Endpoint whose group is closed.
+	slowScore   = 1 << 10       // Rank that is slower when idle than the others are when full.
+	silentScore = 1 << 21       // Endpoint of a closed group without a fresh report of its own.
+	maxSlowdown = 8             // Slowdowns above this one count the same.
 )
 
 func (t *Table) score(e *endpoint, c Candidate, now time.Time) int {
-	fresh := now.Sub(e.load.At) <= reportAge
-	busy := e.busy(now)
-	if c.Base > 0 && (!fresh || c.Paced) {
-		// What is not heard, and what is empty since it has just started, gets no more
-		// than its part of the work.
-		busy = max(busy, t.usual)
-	}
-	s := busy * scoreUnit
-	if fresh && e.load.Pace > 1 {
-		// A slow rank holds up every pass of its group, even with little to do.
-		s = int(float64(s+scoreUnit*(1+c.Base))*min(e.load.Pace, slowestScore)) - scoreUnit*(1+c.Base)
-		if c.Base > 0 && e.load.Pace*float64(c.Base) > float64(c.Base+c.Slots) {
-			s += slowScore // Even idle it takes longer than the others when full.
+	fresh := now.Sub(e.load.At) <= maxReportAge
+	requests := e.outstanding(now)
+	if c.FixedCost > 0 && (!fresh || c.ColdLimited) {
+		// A rank without a fresh report, or one that is empty because it has just started, gets no
+		// more than its share of the work.
+		requests = max(requests, t.meanLoad)
+	}
+	s := requests * scoreUnit
+	if fresh && e.load.Slowdown > 1 {
+		// A slow rank delays every pass of its group, even with little to do.
+		s = int(float64(s+scoreUnit*(1+c.FixedCost))*min(e.load.Slowdown, maxSlowdown)) - scoreUnit*(1+c.FixedCost)
+		if c.FixedCost > 0 && e.load.Slowdown*float64(c.FixedCost) > float64(c.FixedCost+c.Slots) {
+			s += slowScore // It is slower when idle than the others are when full.
 		}
 	}
 	if fresh && e.load.Closed {
 		s += closedScore
 	}
-	if at, ok := t.closed[e.load.Group]; ok && !fresh && now.Sub(at) <= reportAge {
-		s += silentScore // Its group is down, and it cannot even be heard.
+	if at, ok := t.closedGroups[e.load.Group]; ok && !fresh && now.Sub(at) <= maxReportAge {
+		s += silentScore // Its group is closed, and the rank itself does not report either.
 	}
-	if !c.Near {
+	if !c.SameDomain {
 		s += farScore
 	}
-	if c.Slow || c.Paced {
+	if c.Cold || c.ColdLimited {
 		s += coldScore
 	}
 	return s
--- a/internal/decide/balance/outage.go
+++ b/internal/decide/balance/outage.go
@@ -9,95 +9,95 @@
 )
 
 const (
-	// outageWeight is the weight of the newest outage in the usual time of one: those of
-	// a day differ, and there are few.
-	outageWeight = 0.5
-	// leastOutage is the shortest time that counts as an outage: when a group opens or
-	// closes, the words of its ranks cross each other.
-	leastOutage = 300 * time.Millisecond
-	// usualOutage is the time of an outage as long as none was seen whole: a rank must
-	// be taken as gone, start again, and the group forms, each of which takes about a
-	// second.
-	usualOutage = 3 * time.Second
-	// lateOutage is that of one whose beginning was not seen, from when it was first
-	// heard of: this process has just started, most likely as the ranks have.
-	lateOutage = time.Second
-	// overdue is how many times longer than it has lasted an outage is expected to last
-	// that is longer than usual: nothing more is known of it.
-	overdue = 1.5
+	// newestOutageWeight is the weight of the newest outage in the estimated duration of one: the
+	// outages of a day differ in length, and there are few.
+	newestOutageWeight = 0.5
+	// minOutage is the shortest time that counts as an outage: when a group opens or closes, reports
+	// of its ranks arrive out of order.
+	minOutage = 300 * time.Millisecond
+	// defaultOutage is the expected duration of an outage until one has been observed from start to
+	// end: the failed rank must be declared dead and restart, and the group must form again, each of
+	// which takes about a second.
+	defaultOutage = 3 * time.Second
+	// unseenStartOutage is the expected duration of an outage whose start was not observed, counted
+	// from the first report of it: this process has just started, and most likely so have the ranks.
+	unseenStartOutage = time.Second
+	// overdueFactor estimates the total duration of an outage that lasts longer than usual, as a
+	// multiple of its duration so far: there is nothing else to go by.
+	overdueFactor = 1.5
 )
 
-// outage is the time in which a group serves nothing.
+// outage is a period in which a group serves nothing.
 type outage struct {
-	since time.Time
-	whole bool // Its beginning was seen.
+	since     time.Time
+	startSeen bool // The group was seen open before it closed.
 }
 
-// outages holds those of all groups.
+// outages tracks the outages of all groups.
 type outages struct {
-	down   map[string]outage    // By group.
-	opened map[string]time.Time // Since when a group is heard to serve; those that ever were.
-	took   estimate.Time
+	down      map[string]outage    // By group.
+	openSince map[string]time.Time // By group, when it was first reported open or last reopened after an outage.
+	durations estimate.Time
 }
 
 func newOutages() outages {
-	return outages{down: map[string]outage{}, opened: map[string]time.Time{}, took: estimate.New(outageWeight)}
+	return outages{down: map[string]outage{}, openSince: map[string]time.Time{}, durations: estimate.New(newestOutageWeight)}
 }
 
-// note takes in that a group serves nothing, or that it serves.
-func (o *outages) note(group string, closed bool, now time.Time) {
-	was, down := o.down[group]
+// record notes a report that a group is closed or open.
+func (o *outages) record(group string, closed bool, now time.Time) {
+	current, down := o.down[group]
 	switch {
 	case closed && !down:
-		o.down[group] = outage{since: now, whole: !o.opened[group].IsZero()}
+		o.down[group] = outage{since: now, startSeen: !o.openSince[group].IsZero()}
 	case !closed:
-		if o.opened[group].IsZero() || down && now.Sub(was.since) >= leastOutage {
-			o.opened[group] = now
+		if o.openSince[group].IsZero() || down && now.Sub(current.since) >= minOutage {
+			o.openSince[group] = now
 		}
 		delete(o.down, group)
-		if took := now.Sub(was.since); down && was.whole && took >= leastOutage {
-			o.took.Add(took)
+		if duration := now.Sub(current.since); down && current.startSeen && duration >= minOutage {
+			o.durations.Add(duration)
 		}
 	}
 }
 
-// opens returns when a group that is down is expected to serve again.
-func (o *outages) opens(group string, now time.Time) time.Time {
-	was, down := o.down[group]
+// expectedOpen returns when a closed group is expected to serve again, now for an open one.
+func (o *outages) expectedOpen(group string, now time.Time) time.Time {
+	current, down := o.down[group]
 	if !down {
 		return now
 	}
-	usual := usualOutage
+	expected := defaultOutage
 	switch {
-	case !was.whole:
-		usual = lateOutage
-	case o.took.Known():
-		usual = o.took.Mean()
+	case !current.startSeen:
+		expected = unseenStartOutage
+	case o.durations.Known():
+		expected = o.durations.Mean()
 	}
-	soFar := time.Duration(overdue * float64(now.Sub(was.since)))
-	return was.since.Add(max(usual, soFar))
+	extrapolated := time.Duration(overdueFactor * float64(now.Sub(current.since)))
+	return current.since.Add(max(expected, extrapolated))
 }
 
-// openSurge is for how long after a group opened the callers of all gateways come at
-// once, who waited for it or were told to come back then.
-const openSurge = 1500 * time.Millisecond
+// surgeAfterOpen is the time after the opening of a group in which the callers of all gateways arrive
+// at once, after they waited for it or were told to retry then.
+const surgeAfterOpen = 1500 * time.Millisecond
 
-// JustOpened reports whether a group was first heard to serve a moment ago, for the
-// first time or after an outage.
+// JustOpened reports whether a group opened less than surgeAfterOpen ago, for the first time or after
+// an outage.
 func (t *Table) JustOpened(group string, now time.Time) bool {
-	at, ok := t.outages.opened[group]
-	return ok && now.Sub(at) < openSurge
+	at, ok := t.outages.openSince[group]
+	return ok && now.Sub(at) < surgeAfterOpen
 }
 
-// Opens returns when the first of the groups of the candidates, which are all down, is
-// expected to serve again.
-func (t *Table) Opens(list []Candidate, now time.Time) (at time.Time) {
+// ExpectedOpen returns when the first of the candidates' groups, which are all closed, is expected to
+// serve again; zero when no candidate has a group.
+func (t *Table) ExpectedOpen(list []Candidate, now time.Time) (at time.Time) {
 	for _, c := range list {
-		group := t.of(c.ID).load.Group
+		group := t.getOrCreate(c.ID).load.Group
 		if group == "" {
 			continue
 		}
-		if opens := t.outages.opens(group, now); at.IsZero() || opens.Before(at) {
+		if opens := t.outages.expectedOpen(group, now); at.IsZero() || opens.Before(at) {
 			at = opens
 		}
 	}
--- a/internal/decide/balance/outage_test.go
+++ b/internal/decide/balance/outage_test.go
@@ -9,45 +9,45 @@
 	. "github.com/onsi/gomega"
 )
 
-// say has a group of one rank say at a moment whether it serves.
-func say(t *Table, closed bool, after time.Duration) {
+// reportGroup reports that the group, which has one rank, is open or closed at a time after start.
+func reportGroup(t *Table, closed bool, after time.Duration) {
 	t.Report("a", Load{Group: "g", Closed: closed, At: start.Add(after)})
 }
 
-// opensAfter returns how long after start the group is expected to open.
+// opensAfter returns how long after start the group is expected to serve again.
 func opensAfter(t *Table, now time.Duration) time.Duration {
-	return t.Opens(candidates("a"), start.Add(now)).Sub(start)
+	return t.ExpectedOpen(candidates("a"), start.Add(now)).Sub(start)
 }
 
-func TestWhenAGroupIsExpectedToOpen(t *testing.T) {
+func TestExpectedOpen(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		tells func(t *Table)
 		now   time.Duration
 		opens time.Duration
 	}{
-		{"its beginning was not seen", func(t *Table) { say(t, true, 0) }, 0, lateOutage},
-		{"nothing is known of outages", func(t *Table) {
-			say(t, false, 0)
-			say(t, true, time.Second)
-		}, time.Second, time.Second + usualOutage},
-		{"one was seen", func(t *Table) {
-			say(t, false, 0)
-			say(t, true, time.Second)
-			say(t, false, 3*time.Second)
-			say(t, true, 10*time.Second)
+		{"its start was not observed", func(t *Table) { reportGroup(t, true, 0) }, 0, unseenStartOutage},
+		{"no outage was observed yet", func(t *Table) {
+			reportGroup(t, false, 0)
+			reportGroup(t, true, time.Second)
+		}, time.Second, time.Second + defaultOutage},
+		{"one outage was observed", func(t *Table) {
+			reportGroup(t, false, 0)
+			reportGroup(t, true, time.Second)
+			reportGroup(t, false, 3*time.Second)
+			reportGroup(t, true, 10*time.Second)
 		}, 10 * time.Second, 12 * time.Second},
-		{"words that cross each other are none", func(t *Table) {
-			say(t, false, 0)
-			say(t, true, time.Second)
-			say(t, false, time.Second+leastOutage/2)
-			say(t, true, 10*time.Second)
-		}, 10 * time.Second, 10*time.Second + usualOutage},
+		{"reports out of order are no outage", func(t *Table) {
+			reportGroup(t, false, 0)
+			reportGroup(t, true, time.Second)
+			reportGroup(t, false, time.Second+minOutage/2)
+			reportGroup(t, true, 10*time.Second)
+		}, 10 * time.Second, 10*time.Second + defaultOutage},
 		{"it is longer than usual", func(t *Table) {
-			say(t, false, 0)
-			say(t, true, 0)
+			reportGroup(t, false, 0)
+			reportGroup(t, true, 0)
 		}, 6 * time.Second, 9 * time.Second},
-		{"it serves", func(t *Table) { say(t, false, 0) }, time.Second, time.Second},
+		{"it is open", func(t *Table) { reportGroup(t, false, 0) }, time.Second, time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -58,27 +58,27 @@
 	}
 }
 
-func TestAGroupHasJustOpened(t *testing.T) {
+func TestJustOpened(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		tells func(t *Table)
 		just  bool
 	}{
-		{"nothing is heard", func(*Table) {}, false},
-		{"it was first heard a moment ago", func(t *Table) { say(t, false, 0) }, true},
-		{"it was heard long before", func(t *Table) {
-			say(t, false, -time.Minute)
-			say(t, false, 0)
+		{"no reports", func(*Table) {}, false},
+		{"it was first reported open just now", func(t *Table) { reportGroup(t, false, 0) }, true},
+		{"it has been open for long", func(t *Table) {
+			reportGroup(t, false, -time.Minute)
+			reportGroup(t, false, 0)
 		}, false},
-		{"it was down", func(t *Table) {
-			say(t, false, -time.Minute)
-			say(t, true, -time.Second)
-			say(t, false, 0)
+		{"it was closed", func(t *Table) {
+			reportGroup(t, false, -time.Minute)
+			reportGroup(t, true, -time.Second)
+			reportGroup(t, false, 0)
 		}, true},
-		{"words crossed each other", func(t *Table) {
-			say(t, false, -time.Minute)
-			say(t, true, -leastOutage/2)
-			say(t, false, 0)
+		{"reports arrived out of order", func(t *Table) {
+			reportGroup(t, false, -time.Minute)
+			reportGroup(t, true, -minOutage/2)
+			reportGroup(t, false, 0)
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -89,19 +89,18 @@
 	}
 }
 
-// What is heard of one rank holds for those that were never heard, but not for another
-// group's.
-func TestWhichRanksServeAsFarAsIsKnown(t *testing.T) {
+// A report of one rank counts for ranks that never reported, but not for ranks of another group.
+func TestServing(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
 	list := candidates("a", "b", "c")
 	_, known := table.Serving(list, start)
 	g.Expect(known).To(BeFalse())
-	say(table, true, 0) // Of a.
+	reportGroup(table, true, 0) // Of a.
 	serving, known := table.Serving(list, start)
 	g.Expect(known).To(BeTrue())
 	g.Expect(serving).To(BeEmpty())
 	table.Report("b", Load{Group: "h", At: start})
 	serving, _ = table.Serving(list, start)
-	g.Expect(serving).To(Equal(candidates("b", "c")), "a's group is down, and c was never heard")
+	g.Expect(serving).To(Equal(candidates("b", "c")), "a's group is closed, and c never reported")
 }
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -130,15 +130,15 @@
 		if !q.g.cold.Cold(c.ID, group, now) {
 			continue
 		}
-		list[i].Paced = true
-		list[i].Spent = !q.g.cold.Due(c.ID, t, rand.Float64, now)
+		list[i].ColdLimited = true
+		list[i].BudgetSpent = !q.g.cold.Due(c.ID, t, rand.Float64, now)
 	}
 }
 
 // allSpent reports whether nothing but the pace of cold endpoints keeps a request from
 // them.
 func allSpent(list []balance.Candidate) bool {
-	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.Spent })
+	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.BudgetSpent })
 }
 
 // paceTurnover has the request wait for one of so many cold endpoints as for room that
@@ -162,7 +162,7 @@
 // what is sent to them is turned away and overruns them. The caller holds mu.
 func (g *Gateway) listensStill(now time.Time) bool {
 	since := g.started
-	if at := g.table.LastWord(); at.After(since) {
+	if at := g.table.LastReportOfAny(); at.After(since) {
 		since = at
 	}
 	return now.Sub(since) < blindAfter
@@ -172,7 +172,7 @@
 func (g *Gateway) hearsRanks(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return now.Sub(g.table.LastWord()) < blindAfter/2
+	return now.Sub(g.table.LastReportOfAny()) < blindAfter/2
 }
 
 // noteUnreached takes in that an endpoint could not be reached: one that refuses a
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -80,9 +80,9 @@
 	g := NewWithT(t)
 	s, _, list := coldSite(t, 3, 1e6)
 	s.expectRefused(g, "early", longPatience)
-	s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+	s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 	for i := range 60 {
-		s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		s.expectServed(g, fmt.Sprint(i), longPatience)
 	}
 	for _, c := range list {
@@ -97,7 +97,7 @@
 	s, _, list := coldSite(t, 2, 0.001)
 	tell := func() {
 		for _, a := range s.addresses {
-			s.Report(a, balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+			s.Report(a, balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		}
 	}
 	for i := range 4 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -227,7 +227,7 @@
 	if !ok || s.Config == nil {
 		return
 	}
-	if fleet.CompareLives(e.Born, l.Born) < 0 {
+	if fleet.CompareLives(e.Born, l.StartedAt) < 0 {
 		return
 	}
 	shape, ranked := g.shape(s.Config, e.Service)
@@ -244,7 +244,7 @@
 		if !l.Closed {
 			g.cold.Opened(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
 		}
-		g.passes.Report(e.ID, l.Group, shape, passes.Rank{Running: l.Running, Pass: l.Pass, Pace: l.Pace, Closed: l.Closed, At: l.At})
+		g.passes.Report(e.ID, l.Group, shape, passes.Rank{Running: l.Running, Pass: l.PassTime, Pace: l.Slowdown, Closed: l.Closed, At: l.At})
 	}
 	return ranked && g.passes.Vacate(e.ID, l.At)
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -20,7 +20,7 @@
 	}
 	n.g.hearSenders(l.Gateways, time.Now())
 	n.g.Report(l.Address, balance.Load{
-		Born: l.Born, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: l.Pace, Pass: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
+		StartedAt: l.Born, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: l.Pace, PassTime: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
 	})
 }
 
@@ -40,7 +40,7 @@
 			continue
 		}
 		n.g.Report(a.String(), balance.Load{
-			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: float64(r.Pace), Pass: time.Duration(l.PassMs) * time.Millisecond, At: now,
+			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: float64(r.Pace), PassTime: time.Duration(l.PassMs) * time.Millisecond, At: now,
 		})
 	}
 }
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -170,7 +170,7 @@
 	n.publish(1, 1, list...)
 	n.Receive(netip.AddrPort{}, m)
 	for r := range peers.MostRanks {
-		g.Expect(n.g.table.Busy(fmt.Sprint(r), time.Now())).To(Equal(r))
+		g.Expect(n.g.table.Outstanding(fmt.Sprint(r), time.Now())).To(Equal(r))
 	}
 }
 
@@ -181,7 +181,7 @@
 	l.Ranks[0].Address = []byte{1, 2}
 	n.publish(1, 1, fleet.Endpoint{ID: "b", Service: "s", Address: "10.0.0.2:80", Revision: 1})
 	n.Receive(netip.AddrPort{}, peers.Message{Loads: &l})
-	g.Expect(n.g.table.Busy("b", time.Now())).To(Equal(1))
+	g.Expect(n.g.table.Outstanding("b", time.Now())).To(Equal(1))
 }
 
 // endsOf are as many ends as one message names, each of another request and of an endpoint
--- a/internal/gateway/recover_test.go
+++ b/internal/gateway/recover_test.go
@@ -132,7 +132,7 @@
 	only := newStreamer(0)
 	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = time.Second, patienceOf }, only)
 	group := func(closed bool) {
-		s.Report(s.addresses[0], balance.Load{Group: "g", Closed: closed, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.Report(s.addresses[0], balance.Load{Group: "g", Closed: closed, PassTime: 20 * time.Millisecond, At: time.Now()})
 	}
 	group(true)
 	g.Expect(s.expectRefused(g, "first", "30000")).To(Equal("2.5"))
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -144,7 +144,7 @@
 
 // tell reports the load of one endpoint.
 func (s site) tell(i, running int, pace float64) {
-	s.Report(s.addresses[i], balance.Load{Running: running, Group: "g", Pass: 20 * time.Millisecond, Pace: pace, At: time.Now()})
+	s.Report(s.addresses[i], balance.Load{Running: running, Group: "g", PassTime: 20 * time.Millisecond, Slowdown: pace, At: time.Now()})
 }
 
 // ask sends a caller's request and returns the answer.
