--- a/internal/decide/demand/demand.go
+++ b/internal/decide/demand/demand.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package demand follows which experts the requests of a group of ranks choose:
-// it smooths the counts of the ranks, notices when demand has shifted, and says
-// for how long it may be expected to stay as it is. It is a pure state machine:
-// time comes in as an argument, and the caller serialises access. What to do
-// about a shift is package remap's matter.
+// Package demand tracks which experts the requests of a group of ranks choose: it smooths the expert
+// counts of the ranks, detects shifts in demand, and estimates how long demand will remain stable. It
+// is a pure state machine: time is passed in as an argument, and the caller serialises access. Package
+// remap decides how to react to a shift.
 package demand
 
 import (
@@ -13,115 +12,114 @@
 )
 
 const (
-	// shiftRatio is how far, against the usual distance, the newest counts lie from
-	// the smoothed ones when demand has shifted. The usual distance is observed, so
-	// that few and long prompts, which make counts uneven, are not taken for a shift.
+	// shiftRatio is the ratio of the newest counts' distance from the smoothed ones to the typical
+	// distance above which demand has shifted. The typical distance is observed, so that few and long
+	// prompts, which make counts uneven, are not mistaken for a shift.
 	shiftRatio = 1.8
-	// usualWeight is the weight of one more distance in the usual one: some ten of
-	// them are one request's time.
-	usualWeight = 0.1
-	// noDistance is taken as the usual distance until one was seen: half of all
-	// choices are others.
-	noDistance = 0.5
-	// maxSpans bounds the times between shifts that are remembered.
-	maxSpans = 8
+	// typicalWeight is the weight of the newest distance in the typical one: about ten updates take as
+	// long as one request.
+	typicalWeight = 0.1
+	// initialDistance is the typical distance before any was observed: half of all choices differ.
+	initialDistance = 0.5
+	// maxPeriods bounds the number of remembered periods between shifts.
+	maxPeriods = 8
 )
 
-// Config is the shape of what is counted, and its times.
+// Config is the shape of the counts and the time over which they are smoothed.
 type Config struct {
 	Sets    int
-	Experts int // A set.
+	Experts int // Per set.
 	Ranks   int
-	// Memory is the time over which counts are smoothed: long against the time
-	// between two prompts, short against the time of a request.
-	Memory time.Duration
+	// SmoothingTime is the time constant of the smoothing: long compared to the time between two
+	// prompts, short compared to the duration of a request.
+	SmoothingTime time.Duration
 }
 
-// judged is the part of the ranks whose counts must be there for a shift to be
-// judged by them: ranks differ in what their requests are about.
-const judged = 0.7
-
-// Follower follows the demand of one group.
-type Follower struct {
-	cfg     Config
-	load    [][]float64 // Smoothed counts by set and expert; nil before the first.
-	at      time.Time   // When load was last brought up to date.
-	since   time.Time   // When demand became as it is.
-	usual   float64     // Usual distance of the newest counts to load.
-	suspect bool        // The newest counts lie far off, for the first time.
-	spans   []time.Duration
-	shifts  int
+// minRankShare is the share of the ranks whose counts are needed to detect a shift: ranks differ in
+// the topics of their requests.
+const minRankShare = 0.7
+
+// Tracker tracks the demand of one group.
+type Tracker struct {
+	cfg             Config
+	smoothed        [][]float64     // Smoothed counts by set and expert; nil before the first update.
+	updatedAt       time.Time       // Time of the last update of smoothed.
+	stableSince     time.Time       // Time of the last shift, or of the first update.
+	typicalDistance float64         // Smoothed distance of the newest counts from smoothed.
+	shiftSuspected  bool            // The newest counts lie far off, but those before did not.
+	periods         []time.Duration // Durations of the latest periods between shifts, oldest first.
+	shifts          int
 }
 
-// New returns a follower that has heard nothing.
-func New(cfg Config) *Follower {
-	return &Follower{cfg: cfg, usual: noDistance}
+// New returns a tracker without any counts.
+func New(cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, typicalDistance: initialDistance}
 }
 
-// Learn brings the smoothed counts up to date with the newest ones, set by set,
-// which are the sum of those of so many ranks. It reports whether demand is now
-// known to have shifted. Counts of another size than configured are left out.
-func (f *Follower) Learn(counts []uint64, ranks int, now time.Time) (shifted bool) {
-	if ranks == 0 || len(counts) != f.cfg.Sets*f.cfg.Experts {
+// Update adds the newest counts, ordered by set and then by expert and summed over the given number of
+// ranks. It reports whether they confirm a shift in demand. Counts of another size than configured are
+// ignored.
+func (t *Tracker) Update(counts []uint64, ranks int, now time.Time) (shifted bool) {
+	if ranks == 0 || len(counts) != t.cfg.Sets*t.cfg.Experts {
 		return false
 	}
-	newest := f.bySet(counts)
-	if f.load == nil {
-		f.load, f.at, f.since = newest, now, now
+	newest := t.bySet(counts)
+	if t.smoothed == nil {
+		t.smoothed, t.updatedAt, t.stableSince = newest, now, now
 		return false
 	}
-	d := distance(newest, f.load)
-	far := d > shiftRatio*f.usual && float64(ranks) >= judged*float64(f.cfg.Ranks)
+	d := distance(newest, t.smoothed)
+	far := d > shiftRatio*t.typicalDistance && float64(ranks) >= minRankShare*float64(t.cfg.Ranks)
 	switch {
-	case far && f.suspect:
-		f.suspect = false
-		f.spans = append(f.spans, now.Sub(f.since))
-		f.spans = f.spans[max(0, len(f.spans)-maxSpans):]
-		f.load, f.at, f.since = newest, now, now
-		f.shifts++
+	case far && t.shiftSuspected:
+		t.shiftSuspected = false
+		t.periods = append(t.periods, now.Sub(t.stableSince))
+		t.periods = t.periods[max(0, len(t.periods)-maxPeriods):]
+		t.smoothed, t.updatedAt, t.stableSince = newest, now, now
+		t.shifts++
 		return true
 	case far:
-		// One window may lie far off by a single long prompt, and the first after a
-		// shift holds counts from before it: the next one tells.
-		f.suspect = true
+		// A single long prompt can make one window of counts lie far off, and the first window after a
+		// shift holds counts from before it: the next window decides.
+		t.shiftSuspected = true
 		return false
 	}
-	f.suspect = false
-	f.usual += usualWeight * (d - f.usual)
-	f.smooth(newest, now)
+	t.shiftSuspected = false
+	t.typicalDistance += typicalWeight * (d - t.typicalDistance)
+	t.smooth(newest, now)
 	return false
 }
 
 // bySet returns counts by set and expert.
-func (f *Follower) bySet(counts []uint64) [][]float64 {
-	list := make([][]float64, f.cfg.Sets)
+func (t *Tracker) bySet(counts []uint64) [][]float64 {
+	list := make([][]float64, t.cfg.Sets)
 	for k := range list {
-		list[k] = make([]float64, f.cfg.Experts)
+		list[k] = make([]float64, t.cfg.Experts)
 		for x := range list[k] {
-			list[k][x] = float64(counts[k*f.cfg.Experts+x])
+			list[k][x] = float64(counts[k*t.cfg.Experts+x])
 		}
 	}
 	return list
 }
 
-// smooth mixes the newest counts in. Soon after a shift all counts since weigh
-// alike, so that the first ones do not count for more than the rest.
-func (f *Follower) smooth(newest [][]float64, now time.Time) {
-	passed := now.Sub(f.at).Seconds()
-	weight := 1 - math.Exp(-passed/f.cfg.Memory.Seconds())
-	if all := now.Sub(f.since).Seconds(); all > 0 {
-		weight = max(weight, passed/(all+passed))
+// smooth adds the newest counts to the smoothed ones. Soon after a shift all counts since then have
+// equal weights, so that the first ones do not count for more than the rest.
+func (t *Tracker) smooth(newest [][]float64, now time.Time) {
+	elapsed := now.Sub(t.updatedAt).Seconds()
+	weight := 1 - math.Exp(-elapsed/t.cfg.SmoothingTime.Seconds())
+	if sinceShift := now.Sub(t.stableSince).Seconds(); sinceShift > 0 {
+		weight = max(weight, elapsed/(sinceShift+elapsed))
 	}
-	f.at = now
-	for k := range f.load {
-		for x := range f.load[k] {
-			f.load[k][x] += weight * (newest[k][x] - f.load[k][x])
+	t.updatedAt = now
+	for k := range t.smoothed {
+		for x := range t.smoothed[k] {
+			t.smoothed[k][x] += weight * (newest[k][x] - t.smoothed[k][x])
 		}
 	}
 }
 
-// distance is the part of all choices, as a mean over the sets, that would have
-// to be others for the one to become the other: 0 to 1.
+// distance returns the share of all choices, averaged over the sets, that would have to change to turn
+// one distribution into the other: 0 to 1.
 func distance(a, b [][]float64) (d float64) {
 	for k := range a {
 		sumA, sumB := total(a[k]), total(b[k])
@@ -142,32 +140,31 @@
 	return sum
 }
 
-// Load returns the smoothed counts by set and expert, nil before the first. The
-// caller must not change them.
-func (f *Follower) Load() [][]float64 { return f.load }
+// Smoothed returns the smoothed counts by set and expert, nil before the first update. The caller must
+// not change them.
+func (t *Tracker) Smoothed() [][]float64 { return t.smoothed }
 
-// Suspect reports whether the newest counts lie so far off that a shift may
-// have come, which is not yet sure.
-func (f *Follower) Suspect() bool { return f.suspect }
+// ShiftSuspected reports whether the newest counts lie so far off that demand may have shifted, which
+// the next update confirms or refutes.
+func (t *Tracker) ShiftSuspected() bool { return t.shiftSuspected }
 
-// Shifts returns how many shifts were noticed.
-func (f *Follower) Shifts() int { return f.shifts }
+// Shifts returns the number of detected shifts.
+func (t *Tracker) Shifts() int { return t.shifts }
 
-// Left says how much longer demand may be expected to stay as it is: what was
-// left, in the mean, of the earlier spans between shifts that lasted as long as
-// this one has. A span that is longer than all before, or the first one, is
-// expected to last as long again as it has.
-func (f *Follower) Left(now time.Time) time.Duration {
-	passed := now.Sub(f.since)
+// ExpectedRemaining returns how much longer demand is expected to remain stable: the mean remaining
+// time of those earlier periods between shifts that lasted longer than the current one has so far. If
+// there is none, the current period is expected to last as long again.
+func (t *Tracker) ExpectedRemaining(now time.Time) time.Duration {
+	elapsed := now.Sub(t.stableSince)
 	sum, n := time.Duration(0), time.Duration(0)
-	for _, s := range f.spans {
-		if s > passed {
-			sum += s - passed
+	for _, s := range t.periods {
+		if s > elapsed {
+			sum += s - elapsed
 			n++
 		}
 	}
 	if n == 0 {
-		return passed
+		return elapsed
 	}
 	return sum / n
 }
--- a/internal/decide/demand/demand_test.go
+++ b/internal/decide/demand/demand_test.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	sets    = 2
-	experts = 40
-	ranks   = 4
-	look    = 80 * time.Millisecond
+	sets           = 2
+	experts        = 40
+	ranks          = 4
+	updateInterval = 80 * time.Millisecond
 )
 
-// source makes counts of passes in scripted time.
+// source generates the expert counts of forward passes.
 type source struct {
 	random  *rand.Rand
-	popular []int // Expert by popularity.
-	prompts int   // In one pass of one rank; few make counts uneven.
+	popular []int // By expert, its place in popularity, 0 for the most popular.
+	prompts int   // Per rank and pass; few make counts uneven.
 }
 
 func newSource(prompts int) *source {
@@ -38,17 +38,17 @@
 	for range s.prompts {
 		topic := s.random.IntN(experts)
 		for i := range flat {
-			place := s.popular[i%experts]
-			flat[i] += uint64(1000 / (1 + place))
+			popularity := s.popular[i%experts]
+			flat[i] += uint64(1000 / (1 + popularity))
 			if (i+topic)%experts < 4 {
-				flat[i] += 60 // What this prompt is about.
+				flat[i] += 60 // Experts of this prompt's topic.
 			}
 		}
 	}
 	return flat
 }
 
-// passOf returns the sum of the counts of so many ranks in one pass.
+// passOf returns the counts of one pass, summed over n ranks.
 func (s *source) passOf(n int) []uint64 {
 	sum := make([]uint64, sets*experts)
 	for range n {
@@ -59,26 +59,26 @@
 	return sum
 }
 
-// script feeds a follower with one pass a look and returns the time of each
-// shift that it noticed, from the start.
-func script(f *Follower, s *source, looks int, shiftAt ...int) (noticed []time.Duration) {
+// feed updates a tracker with the counts of one pass every updateInterval and returns when it detected
+// shifts, measured from the start. Demand shifts before the updates listed in shiftAt.
+func feed(f *Tracker, s *source, updates int, shiftAt ...int) (detected []time.Duration) {
 	start := time.Unix(1000, 0)
-	for n := range looks {
+	for n := range updates {
 		for _, at := range shiftAt {
 			if n == at {
 				s.shift()
 			}
 		}
-		now := start.Add(time.Duration(n) * look)
-		if f.Learn(s.passOf(ranks), ranks, now) {
-			noticed = append(noticed, now.Sub(start))
+		now := start.Add(time.Duration(n) * updateInterval)
+		if f.Update(s.passOf(ranks), ranks, now) {
+			detected = append(detected, now.Sub(start))
 		}
 	}
-	return noticed
+	return detected
 }
 
-func newFollower() *Follower {
-	return New(Config{Sets: sets, Experts: experts, Ranks: ranks, Memory: 450 * time.Millisecond})
+func newTracker() *Tracker {
+	return New(Config{Sets: sets, Experts: experts, Ranks: ranks, SmoothingTime: 450 * time.Millisecond})
 }
 
 func TestShiftsAreNoticedAndNothingElse(t *testing.T) {
@@ -88,30 +88,30 @@
 	}{{"many prompts", 6}, {"one prompt a pass and rank", 1}} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			f := newFollower()
-			noticed := script(f, newSource(tc.prompts), 200, 50, 90, 130)
-			g.Expect(noticed).To(Equal([]time.Duration{51 * look, 91 * look, 131 * look}), "each is confirmed by the second window after it")
+			f := newTracker()
+			noticed := feed(f, newSource(tc.prompts), 200, 50, 90, 130)
+			g.Expect(noticed).To(Equal([]time.Duration{51 * updateInterval, 91 * updateInterval, 131 * updateInterval}), "the second window after each shift confirms it")
 		})
 	}
 }
 
-func TestOneOddWindowIsNoShift(t *testing.T) {
+func TestOneOutlierIsNoShift(t *testing.T) {
 	g := NewWithT(t)
-	f, s := newFollower(), newSource(4)
-	g.Expect(script(f, s, 60)).To(BeEmpty())
-	now := time.Unix(1000, 0).Add(60 * look)
+	f, s := newTracker(), newSource(4)
+	g.Expect(feed(f, s, 60)).To(BeEmpty())
+	now := time.Unix(1000, 0).Add(60 * updateInterval)
 	odd := newSource(4)
 	odd.shift()
-	g.Expect(f.Learn(odd.passOf(ranks), ranks, now)).To(BeFalse())
-	g.Expect(f.Suspect()).To(BeTrue())
-	g.Expect(f.Learn(s.passOf(ranks), ranks, now.Add(look))).To(BeFalse())
-	g.Expect(f.Suspect()).To(BeFalse())
+	g.Expect(f.Update(odd.passOf(ranks), ranks, now)).To(BeFalse())
+	g.Expect(f.ShiftSuspected()).To(BeTrue())
+	g.Expect(f.Update(s.passOf(ranks), ranks, now.Add(updateInterval))).To(BeFalse())
+	g.Expect(f.ShiftSuspected()).To(BeFalse())
 }
 
-func TestLoadAfterAShiftHoldsNothingFromBefore(t *testing.T) {
+func TestCountsFromBeforeAShiftAreDropped(t *testing.T) {
 	g := NewWithT(t)
-	f, s := newFollower(), newSource(6)
-	script(f, s, 56, 50)
+	f, s := newTracker(), newSource(6)
+	feed(f, s, 56, 50)
 	fresh := make([][]float64, sets)
 	for k := range fresh {
 		fresh[k] = make([]float64, experts)
@@ -121,52 +121,52 @@
 			fresh[i/experts][i%experts] += float64(n)
 		}
 	}
-	g.Expect(distance(f.Load(), fresh)).To(BeNumerically("<", 0.06))
+	g.Expect(distance(f.Smoothed(), fresh)).To(BeNumerically("<", 0.06))
 }
 
-func TestHowLongDemandIsExpectedToStay(t *testing.T) {
+func TestExpectedRemaining(t *testing.T) {
 	at := time.Unix(1000, 0)
-	f := newFollower()
-	f.since = at
+	f := newTracker()
+	f.stableSince = at
 	for _, tc := range []struct {
-		name   string
-		spans  []time.Duration
-		passed time.Duration
-		want   time.Duration
+		name    string
+		periods []time.Duration
+		elapsed time.Duration
+		want    time.Duration
 	}{
-		{"nothing seen yet: as long again", nil, 2 * time.Second, 2 * time.Second},
-		{"what the earlier ones had left", []time.Duration{3 * time.Second, 5 * time.Second}, time.Second, 3 * time.Second},
-		{"those that ended sooner do not count", []time.Duration{time.Second, 5 * time.Second}, 2 * time.Second, 3 * time.Second},
-		{"longer than all before", []time.Duration{time.Second}, 4 * time.Second, 4 * time.Second},
+		{"no earlier period: as long again", nil, 2 * time.Second, 2 * time.Second},
+		{"mean of what earlier periods had left", []time.Duration{3 * time.Second, 5 * time.Second}, time.Second, 3 * time.Second},
+		{"shorter periods do not count", []time.Duration{time.Second, 5 * time.Second}, 2 * time.Second, 3 * time.Second},
+		{"longer than all earlier periods", []time.Duration{time.Second}, 4 * time.Second, 4 * time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			f.spans = tc.spans
-			NewWithT(t).Expect(f.Left(at.Add(tc.passed))).To(Equal(tc.want))
+			f.periods = tc.periods
+			NewWithT(t).Expect(f.ExpectedRemaining(at.Add(tc.elapsed))).To(Equal(tc.want))
 		})
 	}
 }
 
-func TestCountsOfAnotherShapeAreLeftOut(t *testing.T) {
+func TestCountsOfAnotherShapeAreIgnored(t *testing.T) {
 	g := NewWithT(t)
-	f := newFollower()
-	g.Expect(f.Learn(make([]uint64, 3), ranks, time.Unix(1000, 0))).To(BeFalse())
-	g.Expect(f.Load()).To(BeNil())
+	f := newTracker()
+	g.Expect(f.Update(make([]uint64, 3), ranks, time.Unix(1000, 0))).To(BeFalse())
+	g.Expect(f.Smoothed()).To(BeNil())
 }
 
-func TestFewRanksDoNotTellOfAShift(t *testing.T) {
+func TestShiftNeedsCountsOfMostRanks(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		heard int
-		want  bool
+		name      string
+		reporting int
+		want      bool
 	}{{"one of four", 1, false}, {"two of four", 2, false}, {"three of four", 3, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			f, s := newFollower(), newSource(4)
-			script(f, s, 60)
+			f, s := newTracker(), newSource(4)
+			feed(f, s, 60)
 			s.shift()
-			now := time.Unix(1000, 0).Add(60 * look)
-			g.Expect(f.Learn(s.passOf(tc.heard), tc.heard, now)).To(BeFalse(), "it may be one odd window")
-			g.Expect(f.Learn(s.passOf(tc.heard), tc.heard, now.Add(look))).To(Equal(tc.want))
+			now := time.Unix(1000, 0).Add(60 * updateInterval)
+			g.Expect(f.Update(s.passOf(tc.reporting), tc.reporting, now)).To(BeFalse(), "it may be an outlier")
+			g.Expect(f.Update(s.passOf(tc.reporting), tc.reporting, now.Add(updateInterval))).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -19,8 +19,8 @@
 
 // planner follows the demand for experts and makes maps for it.
 type planner struct {
-	follower *demand.Follower // Nil until the group's shape is known.
-	taken    uint64           // Number of the own window when counts were last taken in.
+	follower *demand.Tracker // Nil until the group's shape is known.
+	taken    uint64          // Number of the own window when counts were last taken in.
 	current  rebalance.Map
 	version  uint64 // Of current; meaningful only when known is set.
 	known    bool
@@ -114,8 +114,8 @@
 		l.s.log.Warn("counts left out", zap.Int("ranks", l.newest.Summed), zap.Int("numbers", len(flat)), zap.Error(err))
 		return
 	}
-	if p.follower.Learn(flat, l.newest.Summed, now) {
-		l.s.log.Info("demand has shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.Left(now)))
+	if p.follower.Update(flat, l.newest.Summed, now) {
+		l.s.log.Info("demand has shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.ExpectedRemaining(now)))
 	}
 }
 
@@ -126,7 +126,7 @@
 		step := e.StepTime + time.Duration(e.Slots)*e.WriterTime/2
 		memory = time.Duration(memoryShare * e.UsualAnswer * float64(step))
 	}
-	return demand.Config{Sets: e.Sets, Experts: e.Experts, Ranks: len(l.byRank), Memory: memory}
+	return demand.Config{Sets: e.Sets, Experts: e.Experts, Ranks: len(l.byRank), SmoothingTime: memory}
 }
 
 // group returns the group as package remap sees it.
@@ -156,7 +156,7 @@
 // change begins a new map, if that pays.
 func (l *leader) change(ctx context.Context) {
 	p := &l.planner
-	if p.follower == nil || p.follower.Load() == nil || p.follower.Suspect() || !l.readMap(ctx) {
+	if p.follower == nil || p.follower.Smoothed() == nil || p.follower.ShiftSuspected() || !l.readMap(ctx) {
 		return
 	}
 	price := l.price(l.left(time.Now()))
@@ -174,10 +174,10 @@
 func (l *leader) left(now time.Time) time.Duration {
 	f := l.planner.follower
 	if f.Shifts() > 0 {
-		return f.Left(now)
+		return f.ExpectedRemaining(now)
 	}
 	e := l.effort()
-	return max(f.Left(now), firstChanges*(e.Copy+e.Rest))
+	return max(f.ExpectedRemaining(now), firstChanges*(e.Copy+e.Rest))
 }
 
 // price says what changes are worth while demand stays for so long.
@@ -191,7 +191,7 @@
 
 // plan makes a map for what is asked for now.
 func (l *leader) plan(price remap.Price) remap.Plan {
-	return remap.Make(l.group(), l.planner.current, l.planner.follower.Load(), l.effort(), price, pause)
+	return remap.Make(l.group(), l.planner.current, l.planner.follower.Smoothed(), l.effort(), price, pause)
 }
 
 // begin has the ranks copy the experts of a plan.
@@ -257,7 +257,7 @@
 	p, g := &l.planner, l.group()
 	price := l.price(l.left(now))
 	plan := l.plan(price)
-	soon := g.PassTime(p.pending.plan.Map, p.follower.Load())
+	soon := g.PassTime(p.pending.plan.Map, p.follower.Smoothed())
 	remaining := max(p.pending.due.Sub(now), 0)
 	if !plan.Pays(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, soon) {
 		p.pending.shifts, p.pending.speeds = p.follower.Shifts(), l.speeds()
