--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -1,13 +1,12 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package member decides who is there: probes, suspicion, and news that rides
-// on messages, after SWIM. A Table is the view of one process. It is a pure
-// state machine: time and chance come in as arguments, and the caller
+// Package member maintains the membership of the fleet after SWIM: processes probe each other, suspect
+// silent ones, and spread updates piggybacked on their messages. A Table is the view of one process.
+// It is a pure state machine: time and randomness are passed in as arguments, and the caller
 // serialises access and sends the messages.
 //
-// News is ordered by (life, incarnation, state), never by arrival. A life
-// begins with a process; only the process itself raises its incarnation, to
-// deny that it is dead.
+// Updates are ordered by (start of the process, incarnation, state), never by arrival. Only the
+// process itself raises its incarnation, to refute that it is suspect or dead.
 package member
 
 import (
@@ -16,10 +15,10 @@
 	"time"
 )
 
-// State is what is believed of a process.
+// State is the state of a process in a view.
 type State int
 
-// The states, in the order in which news of one incarnation overrides.
+// The states, in the order in which updates of one incarnation override each other.
 const (
 	Alive State = iota
 	Suspect
@@ -31,23 +30,23 @@
 	return [...]string{"alive", "suspect", "dead"}[s]
 }
 
-// Member is one process as others see it.
+// Member describes one process, as it appears in a view and in updates.
 type Member struct {
 	Name        string `json:"n"`
 	Role        string `json:"r"`
-	Endpoint    string `json:"e,omitempty"` // Slot, "" for entries.
+	Endpoint    string `json:"e,omitempty"` // Endpoint slot that the process fills; "" for entries.
 	Domain      string `json:"d"`
-	Address     string `json:"a"` // Peer listener.
-	Life        int64  `json:"l"` // Start of the process, Unix milliseconds; 0 when only the platform's list names it.
+	Address     string `json:"a"` // Address of the listener for peers.
+	StartedAt   int64  `json:"l"` // Start of the process, Unix milliseconds; 0 when only the platform's list names it.
 	Incarnation uint32 `json:"i,omitempty"`
 	State       State  `json:"s,omitempty"`
-	Leaving     bool   `json:"v,omitempty"` // Never taken back within a life.
+	Leaving     bool   `json:"v,omitempty"` // Never reset for one process.
 }
 
-// newer reports whether news a overrides b.
+// newer reports whether update a overrides b.
 func newer(a, b Member) bool {
-	if a.Life != b.Life {
-		return a.Life > b.Life
+	if a.StartedAt != b.StartedAt {
+		return a.StartedAt > b.StartedAt
 	}
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -55,167 +54,165 @@
 	return a.State > b.State || a.Leaving && !b.Leaving
 }
 
-// merge returns the newer of a and b; Leaving stays set within a life.
+// merge returns the newer of a and b; Leaving stays set for one process.
 func merge(a, b Member) Member {
 	m := a
 	if newer(b, a) {
 		m = b
-		if a.Life == b.Life && a.Incarnation == b.Incarnation && a.State > b.State {
+		if a.StartedAt == b.StartedAt && a.Incarnation == b.Incarnation && a.State > b.State {
 			m.State = a.State
 		}
 	}
-	if a.Life == b.Life {
+	if a.StartedAt == b.StartedAt {
 		m.Leaving = a.Leaving || b.Leaving
 	}
 	return m
 }
 
-// Config sets the times of a Table.
+// Config sets the timeouts and limits of a Table.
 type Config struct {
-	Interval     time.Duration // Between two probes.
-	SuspectAfter time.Duration // From suspicion to death, among a few members.
-	ForgetAfter  time.Duration // From death until a process is forgotten.
-	News         int           // Rows of news in a message at most.
-	Helpers      int           // Peers asked to probe a silent one.
+	ProbeInterval    time.Duration // Between two probes.
+	SuspicionTimeout time.Duration // From suspicion to declared death, in a small fleet.
+	ForgetAfter      time.Duration // From declared death until the member is removed.
+	MaxUpdates       int           // Maximum number of updates in a message, besides the sender's own row.
+	IndirectProbes   int           // Number of peers that are asked to probe a silent member.
 }
 
 // Change is a member whose state changed in this view.
 type Change struct {
 	Member Member
 	Was    State
-	New    bool // Not known before.
+	New    bool // The member was not known before.
 	Cause  string
 }
 
-// Probe asks the caller to exchange messages with a target, or to have the
-// helpers do so first when there are any.
+// Probe asks the caller to exchange messages with a target, through the relays first if there are any.
 type Probe struct {
-	Target  Member
-	Helpers []Member
+	Target Member
+	Relays []Member
 }
 
 type entry struct {
-	m     Member
-	since time.Time // When the present state began.
-	sends int       // How often this row has still to ride on messages.
-	mine  bool      // This process itself found the member silent.
+	member       Member
+	stateSince   time.Time // Time of the last change of the state or of the process.
+	sendsLeft    int       // Number of messages that still have to carry this row.
+	ownSuspicion bool      // The member is suspect because it did not answer this process.
 }
 
 // Table is the view of one process.
 type Table struct {
-	cfg    Config
-	self   Member
-	all    map[string]*entry
-	order  []string // Names still to be probed in this round.
-	deadAt int      // Place in the round of probes of dead members.
-	ticked time.Time
-	stamp  uint64 // Raised whenever a member changes.
+	cfg         Config
+	self        Member
+	members     map[string]*entry
+	probeOrder  []string // Names still to be probed in this round, last one first.
+	probes      int      // Number of probes, of which every deadProbePeriod-th goes to a dead member.
+	lastTick    time.Time
+	viewVersion uint64 // Incremented whenever a member changes.
 }
 
-// Stamp returns a number that is another one after each change of a member, so
-// that what was derived from the view can be kept until then.
-func (t *Table) Stamp() uint64 { return t.stamp }
+// ViewVersion returns a number that changes with every change of a member, so that data derived from
+// the view can be cached until then.
+func (t *Table) ViewVersion() uint64 { return t.viewVersion }
 
 // New returns a view that holds only the process itself.
 func New(cfg Config, self Member) *Table {
-	t := &Table{cfg: cfg, self: self, all: map[string]*entry{}}
-	t.all[self.Name] = &entry{m: self, sends: 1}
+	t := &Table{cfg: cfg, self: self, members: map[string]*entry{}}
+	t.members[self.Name] = &entry{member: self, sendsLeft: 1}
 	return t
 }
 
-// Self returns the process as it describes itself.
+// Self returns the row of the process itself.
 func (t *Table) Self() Member { return t.self }
 
 // Len returns the number of members known, the process itself included.
-func (t *Table) Len() int { return len(t.all) }
+func (t *Table) Len() int { return len(t.members) }
 
-// Get returns what is believed of the named process.
+// Get returns the named member.
 func (t *Table) Get(name string) (m Member, ok bool) {
-	e, ok := t.all[name]
+	e, ok := t.members[name]
 	if !ok {
 		return m, false
 	}
-	return e.m, true
+	return e.member, true
 }
 
 // Members lists all members that satisfy keep, ordered by name.
 func (t *Table) Members(keep func(Member) bool) []Member {
 	var list []Member
-	for _, e := range t.all {
-		if keep(e.m) {
-			list = append(list, e.m)
+	for _, e := range t.members {
+		if keep(e.member) {
+			list = append(list, e.member)
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
 	return list
 }
 
-// spread is how often a row of news rides on messages: a multiple of the
-// logarithm of the number of members, which reaches all with high likelihood.
-func (t *Table) spread() int {
+// transmitLimit returns how many messages carry an update: it grows with the logarithm of the number
+// of members, so that an update reaches all with high probability.
+func (t *Table) transmitLimit() int {
 	n := 3
-	for size := len(t.all); size > 0; size /= 2 {
+	for size := len(t.members); size > 0; size /= 2 {
 		n += 2
 	}
 	return n
 }
 
-// Overdue reports whether the last Tick is so long ago that the process must
-// have been paused.
-func (t *Table) Overdue(now time.Time) bool {
-	return !t.ticked.IsZero() && now.Sub(t.ticked) >= 2*t.cfg.Interval+t.cfg.SuspectAfter/2
+// TickOverdue reports whether the last Tick was so long ago that the process must have been paused.
+func (t *Table) TickOverdue(now time.Time) bool {
+	return !t.lastTick.IsZero() && now.Sub(t.lastTick) >= 2*t.cfg.ProbeInterval+t.cfg.SuspicionTimeout/2
 }
 
-// patience is the time from suspicion to death. It grows with the logarithm of
-// the number of members, as the time does in which a denial reaches all.
-func (t *Table) patience() time.Duration {
-	const calm = 1.2 // Decimal digits of the number of members up to which it does not.
-	return time.Duration(float64(t.cfg.SuspectAfter) * max(1, math.Log10(float64(len(t.all)))/calm))
+// suspicionTimeout returns the time from suspicion to declared death. It grows with the logarithm of
+// the number of members, as does the time in which a refutation reaches all.
+func (t *Table) suspicionTimeout() time.Duration {
+	const flatLog10 = 1.2 // Decimal logarithm of the number of members up to which the timeout is constant.
+	return time.Duration(float64(t.cfg.SuspicionTimeout) * max(1, math.Log10(float64(len(t.members)))/flatLog10))
 }
 
-// Woke reports whether the process was paused since the last Tick, and raises
-// its incarnation if so: others may have given it up meanwhile.
-func (t *Table) Woke(now time.Time) bool {
-	paused := t.Overdue(now)
-	t.ticked = now
+// DetectPause reports whether the process was paused since the last Tick, and raises its incarnation
+// if so: others may have declared it dead meanwhile.
+func (t *Table) DetectPause(now time.Time) bool {
+	paused := t.TickOverdue(now)
+	t.lastTick = now
 	if !paused {
 		return false
 	}
 	t.self.Incarnation++
-	t.setSelf()
+	t.updateSelf()
 	return true
 }
 
-func (t *Table) setSelf() {
-	t.stamp++
-	t.all[t.self.Name] = &entry{m: t.self, sends: t.spread()}
+func (t *Table) updateSelf() {
+	t.viewVersion++
+	t.members[t.self.Name] = &entry{member: t.self, sendsLeft: t.transmitLimit()}
 }
 
-// Leave names the process itself as leaving.
+// Leave marks the process itself as leaving.
 func (t *Table) Leave() {
 	t.self.Leaving = true
-	t.setSelf()
+	t.updateSelf()
 }
 
-// Tick turns overdue suspicions into deaths, forgets the long dead and chooses
-// whom to probe. ok is false when there is nobody.
+// Tick declares members dead whose suspicion timed out, removes those that have been dead for long,
+// and chooses the member to probe. ok is false when there is none.
 func (t *Table) Tick(now time.Time, random uint64) (p Probe, changes []Change, ok bool) {
-	doubted := ""
-	for name, e := range t.all {
-		if e.mine && e.m.State == Suspect && (doubted == "" || name < doubted) {
-			doubted = name
+	ownSuspect := ""
+	for name, e := range t.members {
+		if e.ownSuspicion && e.member.State == Suspect && (ownSuspect == "" || name < ownSuspect) {
+			ownSuspect = name
 		}
 		switch {
-		case e.m.State == Suspect && now.Sub(e.since) >= t.patience():
-			changes = append(changes, t.set(e, Dead, now, "suspicion not denied"))
-		case e.m.State == Dead && now.Sub(e.since) >= t.cfg.ForgetAfter:
-			delete(t.all, name)
-			t.stamp++
+		case e.member.State == Suspect && now.Sub(e.stateSince) >= t.suspicionTimeout():
+			changes = append(changes, t.setState(e, Dead, now, "suspicion not denied"))
+		case e.member.State == Dead && now.Sub(e.stateSince) >= t.cfg.ForgetAfter:
+			delete(t.members, name)
+			t.viewVersion++
 		}
 	}
 	sortChanges(changes)
-	if e, found := t.all[doubted]; found && e.m.State == Suspect {
-		return Probe{Target: e.m}, changes, true // Whoever doubts asks again, so that it can be denied in time.
+	if e, found := t.members[ownSuspect]; found && e.member.State == Suspect {
+		return Probe{Target: e.member}, changes, true // The process that suspects a member probes it again, so that it can refute in time.
 	}
 	target, ok := t.nextTarget(random)
 	return Probe{Target: target}, changes, ok
@@ -225,26 +222,25 @@
 	sort.Slice(list, func(i, j int) bool { return list[i].Member.Name < list[j].Member.Name })
 }
 
-// deadEvery is how many probes go to the living for each one to the dead. The
-// dead are probed so that two parts of the fleet find each other after a cut.
-const deadEvery = 8
+// deadProbePeriod is the number of probes of which one goes to a dead member. Dead members are probed
+// so that the two sides of a network partition find each other after it heals.
+const deadProbePeriod = 8
 
-// nextTarget goes round all members in a random order, so that each is probed
-// within one round.
+// nextTarget cycles through all members in a random order, so that each is probed once per round.
 func (t *Table) nextTarget(random uint64) (m Member, ok bool) {
-	t.deadAt++
-	if t.deadAt%deadEvery == 0 {
+	t.probes++
+	if t.probes%deadProbePeriod == 0 {
 		dead := t.Members(func(m Member) bool { return m.State == Dead && m.Name != t.self.Name })
 		if len(dead) > 0 {
 			return dead[random%uint64(len(dead))], true
 		}
 	}
 	for range 2 {
-		for len(t.order) > 0 {
-			name := t.order[len(t.order)-1]
-			t.order = t.order[:len(t.order)-1]
-			if e, found := t.all[name]; found && e.m.State != Dead {
-				return e.m, true
+		for len(t.probeOrder) > 0 {
+			name := t.probeOrder[len(t.probeOrder)-1]
+			t.probeOrder = t.probeOrder[:len(t.probeOrder)-1]
+			if e, found := t.members[name]; found && e.member.State != Dead {
+				return e.member, true
 			}
 		}
 		t.shuffle(random)
@@ -253,27 +249,27 @@
 }
 
 func (t *Table) shuffle(random uint64) {
-	t.order = t.order[:0]
-	for name := range t.all {
+	t.probeOrder = t.probeOrder[:0]
+	for name := range t.members {
 		if name != t.self.Name {
-			t.order = append(t.order, name)
+			t.probeOrder = append(t.probeOrder, name)
 		}
 	}
-	sort.Strings(t.order)
-	for i := len(t.order) - 1; i > 0; i-- {
+	sort.Strings(t.probeOrder)
+	for i := len(t.probeOrder) - 1; i > 0; i-- {
 		random = random*6364136223846793005 + 1442695040888963407
 		j := int((random >> 33) % uint64(i+1))
-		t.order[i], t.order[j] = t.order[j], t.order[i]
+		t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i]
 	}
 }
 
-// Helpers draws living peers to probe a silent target.
-func (t *Table) Helpers(target string, random uint64) []Member {
+// PickRelays picks random alive members to probe a target that did not answer.
+func (t *Table) PickRelays(target string, random uint64) []Member {
 	alive := t.Members(func(m Member) bool {
 		return m.State == Alive && m.Name != target && m.Name != t.self.Name
 	})
 	var list []Member
-	for len(alive) > 0 && len(list) < t.cfg.Helpers {
+	for len(alive) > 0 && len(list) < t.cfg.IndirectProbes {
 		i := int(random % uint64(len(alive)))
 		list = append(list, alive[i])
 		alive = append(alive[:i], alive[i+1:]...)
@@ -283,143 +279,142 @@
 	return list
 }
 
-// Answered takes note that the target answered, itself or through a helper.
-// The answer itself carries the target's own word about its state.
-func (t *Table) Answered(target string, now time.Time) (changes []Change) {
-	e, ok := t.all[target]
-	if !ok || e.m.State != Suspect {
+// ProbeAnswered records that the target answered, directly or through a relay. The answer carries the
+// target's own row, which is merged separately.
+func (t *Table) ProbeAnswered(target string, now time.Time) (changes []Change) {
+	e, ok := t.members[target]
+	if !ok || e.member.State != Suspect {
 		return nil
 	}
-	return []Change{t.set(e, Alive, now, "answered a probe")}
+	return []Change{t.setState(e, Alive, now, "answered a probe")}
 }
 
-// Silent takes note that neither the target nor a helper answered.
-func (t *Table) Silent(target string, now time.Time) (changes []Change) {
-	e, ok := t.all[target]
-	if !ok || e.m.State != Alive || target == t.self.Name {
+// ProbeUnanswered records that the target answered neither directly nor through a relay.
+func (t *Table) ProbeUnanswered(target string, now time.Time) (changes []Change) {
+	e, ok := t.members[target]
+	if !ok || e.member.State != Alive || target == t.self.Name {
 		return nil
 	}
-	c := t.set(e, Suspect, now, "probe not answered")
-	e.mine = true
+	c := t.setState(e, Suspect, now, "probe not answered")
+	e.ownSuspicion = true
 	return []Change{c}
 }
 
-func (t *Table) set(e *entry, s State, now time.Time, cause string) Change {
-	t.stamp++
-	c := Change{Member: e.m, Was: e.m.State, Cause: cause}
-	e.m.State = s
-	e.since = now
-	e.sends = t.spread()
-	e.mine = false
+func (t *Table) setState(e *entry, s State, now time.Time, cause string) Change {
+	t.viewVersion++
+	c := Change{Member: e.member, Was: e.member.State, Cause: cause}
+	e.member.State = s
+	e.stateSince = now
+	e.sendsLeft = t.transmitLimit()
+	e.ownSuspicion = false
 	c.Member.State = s
 	return c
 }
 
-// OutgoingTo is Outgoing for a message to the named member: what is believed
-// of it rides along, so that it can deny it at once.
+// OutgoingTo is Outgoing for a message to the named member. If that member is suspect or dead in this
+// view, the message says so, so that the member can refute at once.
 func (t *Table) OutgoingTo(name string) []Member {
 	rows := t.Outgoing()
-	if e, ok := t.all[name]; ok && e.m.State != Alive && name != t.self.Name {
-		rows = append(rows, e.m)
+	if e, ok := t.members[name]; ok && e.member.State != Alive && name != t.self.Name {
+		rows = append(rows, e.member)
 	}
 	return rows
 }
 
-// Outgoing takes the rows that ride on the next message: the process itself
-// first, then the news that has been sent least.
+// Outgoing returns the rows for the next message, the process's own first, then the updates that have
+// been sent least often. It counts them as sent.
 func (t *Table) Outgoing() []Member {
 	rows := []Member{t.self}
-	var fresh []*entry
-	for _, e := range t.all {
-		if e.sends > 0 && e.m.Name != t.self.Name {
-			fresh = append(fresh, e)
+	var pending []*entry
+	for _, e := range t.members {
+		if e.sendsLeft > 0 && e.member.Name != t.self.Name {
+			pending = append(pending, e)
 		}
 	}
-	sort.Slice(fresh, func(i, j int) bool {
-		if fresh[i].sends != fresh[j].sends {
-			return fresh[i].sends > fresh[j].sends
+	sort.Slice(pending, func(i, j int) bool {
+		if pending[i].sendsLeft != pending[j].sendsLeft {
+			return pending[i].sendsLeft > pending[j].sendsLeft
 		}
-		return fresh[i].m.Name < fresh[j].m.Name
+		return pending[i].member.Name < pending[j].member.Name
 	})
-	for _, e := range fresh[:min(len(fresh), t.cfg.News)] {
-		e.sends--
-		rows = append(rows, e.m)
+	for _, e := range pending[:min(len(pending), t.cfg.MaxUpdates)] {
+		e.sendsLeft--
+		rows = append(rows, e.member)
 	}
 	return rows
 }
 
-// Merge takes in news from a message. Whatever the order of arrival, views
-// that have merged the same news agree.
-func (t *Table) Merge(news []Member, now time.Time) (changes []Change) {
-	for _, m := range news {
+// Merge applies the updates of a message. Views that have merged the same updates agree, whatever the
+// order of arrival.
+func (t *Table) Merge(updates []Member, now time.Time) (changes []Change) {
+	for _, m := range updates {
 		if m.Name == "" || m.Address == "" || m.State < Alive || m.State > Dead {
 			continue
 		}
 		if m.Name == t.self.Name {
-			t.deny(m)
+			t.refute(m)
 			continue
 		}
-		if c, changed := t.mergeOne(m, now); changed {
+		if c, changed := t.mergeUpdate(m, now); changed {
 			changes = append(changes, c)
 		}
 	}
 	return changes
 }
 
-// deny answers news of the process's own death or suspicion with a higher
-// incarnation. News of a later life means that another process has taken the
-// name; this one cannot deny that. That it is leaving is never denied.
-func (t *Table) deny(m Member) {
-	mine := m.Life == t.self.Life || m.Life == 0 && m.Address == t.self.Address
-	if m.Leaving && mine && !t.self.Leaving {
+// refute answers an update that says that this process is suspect or dead with a higher incarnation.
+// An update with a later start means that another process has taken over the name, which this one
+// cannot refute. An update that it is leaving is never refuted.
+func (t *Table) refute(m Member) {
+	aboutSelf := m.StartedAt == t.self.StartedAt || m.StartedAt == 0 && m.Address == t.self.Address
+	if m.Leaving && aboutSelf && !t.self.Leaving {
 		t.Leave()
 	}
-	if m.Life != t.self.Life || m.State == Alive || m.Incarnation < t.self.Incarnation {
+	if m.StartedAt != t.self.StartedAt || m.State == Alive || m.Incarnation < t.self.Incarnation {
 		return
 	}
 	t.self.Incarnation = m.Incarnation + 1
-	t.setSelf()
+	t.updateSelf()
 }
 
-// Superseded reports whether the news tell of a later life of the same name, or
-// of a later process that lives in the same slot.
-func (t *Table) Superseded(news []Member) bool {
-	for _, m := range news {
-		heir := m.Name == t.self.Name || m.Endpoint != "" && m.Endpoint == t.self.Endpoint && m.State == Alive
-		if heir && m.Life > t.self.Life {
+// Superseded reports whether the updates name a later process of the same name, or a later process
+// that is alive in the same endpoint slot.
+func (t *Table) Superseded(updates []Member) bool {
+	for _, m := range updates {
+		successor := m.Name == t.self.Name || m.Endpoint != "" && m.Endpoint == t.self.Endpoint && m.State == Alive
+		if successor && m.StartedAt > t.self.StartedAt {
 			return true
 		}
 	}
 	return false
 }
 
-func (t *Table) mergeOne(m Member, now time.Time) (c Change, changed bool) {
-	e, ok := t.all[m.Name]
+func (t *Table) mergeUpdate(m Member, now time.Time) (c Change, changed bool) {
+	e, ok := t.members[m.Name]
 	if !ok {
-		e = &entry{m: m, since: now, sends: t.spread()}
-		t.all[m.Name] = e
-		t.stamp++
+		e = &entry{member: m, stateSince: now, sendsLeft: t.transmitLimit()}
+		t.members[m.Name] = e
+		t.viewVersion++
 		return Change{Member: m, Was: Dead, New: true, Cause: "news"}, true
 	}
-	merged := merge(e.m, m)
-	if merged == e.m {
+	merged := merge(e.member, m)
+	if merged == e.member {
 		return c, false
 	}
-	t.stamp++
-	c = Change{Member: merged, Was: e.m.State, Cause: "news"}
-	if merged.State != e.m.State || merged.Life != e.m.Life {
-		e.since = now
-		e.mine = false
+	t.viewVersion++
+	c = Change{Member: merged, Was: e.member.State, Cause: "news"}
+	if merged.State != e.member.State || merged.StartedAt != e.member.StartedAt {
+		e.stateSince = now
+		e.ownSuspicion = false
 	}
-	e.m = merged
-	e.sends = t.spread()
+	e.member = merged
+	e.sendsLeft = t.transmitLimit()
 	return c, true
 }
 
-// Seed takes in the platform's list: unknown instances become members, leaving
-// ones are marked. The list lags, so that it never says that a process is dead
-// or alive.
-func (t *Table) Seed(list []Member, now time.Time) (changes []Change) {
+// MergePlatformList merges the platform's list of instances: unknown instances become members, and
+// leaving ones are marked. Since the list lags, it never declares a member dead or alive.
+func (t *Table) MergePlatformList(list []Member, now time.Time) (changes []Change) {
 	for _, m := range list {
 		if m.Name == t.self.Name {
 			if m.Leaving && !t.self.Leaving {
@@ -428,19 +423,19 @@
 			}
 			continue
 		}
-		e, ok := t.all[m.Name]
-		if ok && (!m.Leaving || e.m.Leaving || e.m.Address != m.Address) {
+		e, ok := t.members[m.Name]
+		if ok && (!m.Leaving || e.member.Leaving || e.member.Address != m.Address) {
 			continue
 		}
 		if ok {
-			m = e.m
+			m = e.member
 			m.Leaving = true
 		}
-		if c, changed := t.mergeOne(m, now); changed {
+		if c, changed := t.mergeUpdate(m, now); changed {
 			c.Cause = "platform's list"
 			changes = append(changes, c)
 			if !ok {
-				t.all[m.Name].sends = 0 // Others read the same list.
+				t.members[m.Name].sendsLeft = 0 // Not spread: others read the same list.
 			}
 		}
 	}
--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -12,36 +12,36 @@
 	"pgregory.net/rapid"
 )
 
-func init() { _ = flag.Set("rapid.seed", "1") } // The same verdict every time.
+func init() { _ = flag.Set("rapid.seed", "1") } // Makes runs reproducible.
 
 var (
-	start = time.Unix(1_800_000_000, 0)
-	times = Config{Interval: time.Second, SuspectAfter: 3 * time.Second, ForgetAfter: time.Hour, News: 8, Helpers: 2}
+	start      = time.Unix(1_800_000_000, 0)
+	testConfig = Config{ProbeInterval: time.Second, SuspicionTimeout: 3 * time.Second, ForgetAfter: time.Hour, MaxUpdates: 8, IndirectProbes: 2}
 )
 
 func row(name string) Member {
-	return Member{Name: name, Address: name, Life: 1}
+	return Member{Name: name, Address: name, StartedAt: 1}
 }
 
-func anyRow(t *rapid.T) Member {
+func randomRow(t *rapid.T) Member {
 	return Member{
 		Name: fmt.Sprint("m", rapid.IntRange(0, 2).Draw(t, "name")), Address: "a",
-		Life:        int64(rapid.IntRange(0, 2).Draw(t, "life")),
+		StartedAt:   int64(rapid.IntRange(0, 2).Draw(t, "life")),
 		Incarnation: uint32(rapid.IntRange(0, 2).Draw(t, "incarnation")),
 		State:       State(rapid.IntRange(0, 2).Draw(t, "state")),
 		Leaving:     rapid.Bool().Draw(t, "leaving"),
 	}
 }
 
-// TestNewsMergesInAnyOrder gives the same news in two orders, some of it twice.
-func TestNewsMergesInAnyOrder(t *testing.T) {
+// TestMergeIsIndependentOfOrder merges the same updates in two orders, some of them twice.
+func TestMergeIsIndependentOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		news := rapid.SliceOfN(rapid.Custom(anyRow), 1, 12).Draw(t, "news")
-		other := rapid.Permutation(news).Draw(t, "other order")
-		a, b := New(times, row("self")), New(times, row("self"))
-		a.Merge(news, start)
+		updates := rapid.SliceOfN(rapid.Custom(randomRow), 1, 12).Draw(t, "news")
+		other := rapid.Permutation(updates).Draw(t, "other order")
+		a, b := New(testConfig, row("self")), New(testConfig, row("self"))
+		a.Merge(updates, start)
 		b.Merge(other, start)
-		b.Merge(news[:1], start)
+		b.Merge(updates[:1], start)
 		all := func(Member) bool { return true }
 		x, y := fmt.Sprint(a.Members(all)), fmt.Sprint(b.Members(all))
 		if x != y {
@@ -50,9 +50,9 @@
 	})
 }
 
-func TestLeavingIsNeverTakenBackWithinALife(t *testing.T) {
+func TestLeavingIsNeverRevokedForOneProcess(t *testing.T) {
 	g := gomega.NewWithT(t)
-	v := New(times, row("self"))
+	v := New(testConfig, row("self"))
 	m := row("a")
 	m.Leaving = true
 	v.Merge([]Member{m}, start)
@@ -61,18 +61,18 @@
 	v.Merge([]Member{newer}, start)
 	got, _ := v.Get("a")
 	g.Expect(got.Leaving).To(gomega.BeTrue())
-	newer.Life = 2
+	newer.StartedAt = 2
 	v.Merge([]Member{newer}, start)
 	got, _ = v.Get("a")
-	g.Expect(got.Leaving).To(gomega.BeFalse(), "a new life begins anew")
+	g.Expect(got.Leaving).To(gomega.BeFalse(), "a later process starts without the mark")
 }
 
-func TestDeadIsDenied(t *testing.T) {
+func TestDeathIsRefuted(t *testing.T) {
 	g := gomega.NewWithT(t)
-	self := New(times, row("self"))
-	peer := New(times, row("peer"))
+	self := New(testConfig, row("self"))
+	peer := New(testConfig, row("peer"))
 	peer.Merge(self.Outgoing(), start)
-	peer.Silent("self", start)
+	peer.ProbeUnanswered("self", start)
 	_, _, _ = peer.Tick(start.Add(4*time.Second), 1)
 	got, _ := peer.Get("self")
 	g.Expect(got.State).To(gomega.Equal(Dead))
@@ -83,39 +83,39 @@
 	g.Expect(got.Incarnation).To(gomega.BeEquivalentTo(1))
 }
 
-func TestLaterLifeSupersedes(t *testing.T) {
+func TestLaterProcessSupersedes(t *testing.T) {
 	g := gomega.NewWithT(t)
-	self := New(times, row("self"))
+	self := New(testConfig, row("self"))
 	later := row("self")
-	later.Life = 9
+	later.StartedAt = 9
 	g.Expect(self.Superseded([]Member{later})).To(gomega.BeTrue())
 	g.Expect(self.Superseded([]Member{row("self")})).To(gomega.BeFalse())
 
 	mine := row("old-vm")
 	mine.Endpoint = "rank-0"
-	old := New(times, mine)
-	heir := row("new-vm")
-	heir.Endpoint, heir.Life = "rank-0", 5
-	g.Expect(old.Superseded([]Member{heir})).To(gomega.BeTrue(), "another instance fills the slot")
-	heir.State = Dead
-	g.Expect(old.Superseded([]Member{heir})).To(gomega.BeFalse(), "one that has died does not")
-	heir.State, heir.Life = Alive, 0
-	g.Expect(old.Superseded([]Member{heir})).To(gomega.BeFalse(), "nor one that only the list names")
+	old := New(testConfig, mine)
+	successor := row("new-vm")
+	successor.Endpoint, successor.StartedAt = "rank-0", 5
+	g.Expect(old.Superseded([]Member{successor})).To(gomega.BeTrue(), "another instance has taken over the slot")
+	successor.State = Dead
+	g.Expect(old.Superseded([]Member{successor})).To(gomega.BeFalse(), "a dead one has not")
+	successor.State, successor.StartedAt = Alive, 0
+	g.Expect(old.Superseded([]Member{successor})).To(gomega.BeFalse(), "nor has one that only the platform's list names")
 }
 
-func TestPauseIsNoticed(t *testing.T) {
+func TestPauseIsDetected(t *testing.T) {
 	g := gomega.NewWithT(t)
-	v := New(times, row("self"))
-	g.Expect(v.Woke(start)).To(gomega.BeFalse())
-	g.Expect(v.Woke(start.Add(1100 * time.Millisecond))).To(gomega.BeFalse())
-	g.Expect(v.Overdue(start.Add(10 * time.Second))).To(gomega.BeTrue())
-	g.Expect(v.Woke(start.Add(10 * time.Second))).To(gomega.BeTrue())
+	v := New(testConfig, row("self"))
+	g.Expect(v.DetectPause(start)).To(gomega.BeFalse())
+	g.Expect(v.DetectPause(start.Add(1100 * time.Millisecond))).To(gomega.BeFalse())
+	g.Expect(v.TickOverdue(start.Add(10 * time.Second))).To(gomega.BeTrue())
+	g.Expect(v.DetectPause(start.Add(10 * time.Second))).To(gomega.BeTrue())
 	g.Expect(v.Self().Incarnation).To(gomega.BeEquivalentTo(1))
 }
 
 func TestRoundProbesEachMemberOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	v := New(times, row("self"))
+	v := New(testConfig, row("self"))
 	for i := range 20 {
 		v.Merge([]Member{row(fmt.Sprint("m", i))}, start)
 	}
@@ -130,58 +130,58 @@
 
 func TestMessagesAreBounded(t *testing.T) {
 	g := gomega.NewWithT(t)
-	v := New(times, row("self"))
+	v := New(testConfig, row("self"))
 	for i := range 1000 {
 		v.Merge([]Member{row(fmt.Sprint("m", i))}, start)
 	}
-	g.Expect(len(v.Outgoing())).To(gomega.BeNumerically("<=", times.News+1))
+	g.Expect(len(v.Outgoing())).To(gomega.BeNumerically("<=", testConfig.MaxUpdates+1))
 }
 
-func TestListIsSlowTruth(t *testing.T) {
+func TestPlatformListNeverRevivesButMarksLeaving(t *testing.T) {
 	g := gomega.NewWithT(t)
-	v := New(times, row("self"))
+	v := New(testConfig, row("self"))
 	v.Merge([]Member{row("a")}, start)
-	v.Silent("a", start)
+	v.ProbeUnanswered("a", start)
 	_, _, _ = v.Tick(start.Add(4*time.Second), 1)
 	listed := row("a")
-	listed.Life = 0
-	v.Seed([]Member{listed}, start)
+	listed.StartedAt = 0
+	v.MergePlatformList([]Member{listed}, start)
 	got, _ := v.Get("a")
-	g.Expect(got.State).To(gomega.Equal(Dead), "the list revives nobody")
+	g.Expect(got.State).To(gomega.Equal(Dead), "the list does not revive a dead member")
 	listed.Leaving = true
-	v.Seed([]Member{listed}, start)
+	v.MergePlatformList([]Member{listed}, start)
 	got, _ = v.Get("a")
 	g.Expect(got.Leaving).To(gomega.BeTrue())
 	mine := row("self")
 	mine.Leaving = true
-	v.Seed([]Member{mine}, start)
+	v.MergePlatformList([]Member{mine}, start)
 	g.Expect(v.Self().Leaving).To(gomega.BeTrue())
 }
 
-func TestSuspectIsToldAndAskedAgain(t *testing.T) {
+func TestSuspectIsInformedAndProbedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
-	v := New(times, row("self"))
+	v := New(testConfig, row("self"))
 	for i := range 30 {
 		v.Merge([]Member{row(fmt.Sprint("m", i))}, start)
 	}
-	v.Silent("m7", start)
+	v.ProbeUnanswered("m7", start)
 	p, _, _ := v.Tick(start.Add(time.Second), 5)
-	g.Expect(p.Target.Name).To(gomega.Equal("m7"), "whoever doubts asks again")
-	told := false
+	g.Expect(p.Target.Name).To(gomega.Equal("m7"), "the process that suspects a member probes it again")
+	informed := false
 	for range 40 {
 		for _, m := range v.OutgoingTo("m7") {
-			told = m.Name == "m7" && m.State == Suspect
+			informed = m.Name == "m7" && m.State == Suspect
 		}
 	}
-	g.Expect(told).To(gomega.BeTrue(), "also when the news has been sent often enough")
+	g.Expect(informed).To(gomega.BeTrue(), "even when the update has reached its transmit limit")
 }
 
-func TestPatienceGrowsWithTheFleet(t *testing.T) {
+func TestSuspicionTimeoutGrowsWithTheFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
-	v := New(times, row("self"))
-	g.Expect(v.patience()).To(gomega.Equal(times.SuspectAfter))
+	v := New(testConfig, row("self"))
+	g.Expect(v.suspicionTimeout()).To(gomega.Equal(testConfig.SuspicionTimeout))
 	for i := range 3000 {
 		v.Merge([]Member{row(fmt.Sprint("m", i))}, start)
 	}
-	g.Expect(v.patience()).To(gomega.BeNumerically("~", 3*times.SuspectAfter, times.SuspectAfter/2))
+	g.Expect(v.suspicionTimeout()).To(gomega.BeNumerically("~", 3*testConfig.SuspicionTimeout, testConfig.SuspicionTimeout/2))
 }
