--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -1,47 +1,45 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package cutover brings a new expert map into force on all ranks of a group
-// as one pass begins, over engines that take orders one by one, may lose the
-// answer of any of them and may carry any of them out much later. It is a pure
-// state machine: it returns the orders to be sent and takes in what became of
-// each.
+// Package cutover switches all ranks of a group to a new expert map at the start of one forward pass.
+// It does so over engines that take orders one by one, may lose the answer to any order, and may carry
+// out any order much later. It is a pure state machine: it returns the orders to send and takes in
+// their results.
 //
-// What makes it safe:
+// The protocol is safe for these reasons:
 //
-//   - A hold at one rank keeps the pass from beginning. It is let go only when
-//     every rank is known to be armed for that pass, or every rank is known not
-//     to be.
-//   - The first orders of a leader raise the fence at every rank, so that no
-//     order of an earlier leader can be carried out any more, however late.
-//   - To give up, the fence is raised again before anything else: an arming
-//     whose answer was lost can no longer happen behind the leader's back.
+//   - A hold at one rank keeps the group's next pass from beginning. It is released only when every
+//     rank is known to be armed for that pass, or every rank is known not to be.
+//   - The first orders of a leader raise the fence at every rank, so that no order of an earlier
+//     leader can be carried out any more, however late.
+//   - To abort, the leader first raises the fence again: an arming whose answer was lost can then no
+//     longer take effect.
 //   - Versions and passes are never used twice.
-//   - A leader arms its own rank last, has the rank at which it holds passes do so
-//     for it, and holds them at another rank than its own: an instance that freezes
-//     takes its process and the way to its engine with it. Should it freeze with a
-//     hold standing, the hold can be reached; its own rank is not armed as long as
-//     one of the others is not, and else the holder knows.
+//   - A leader arms its own rank last, through the rank that holds passes for it (the holder), which
+//     is never its own rank: when an instance freezes, both its process and its engine become
+//     unreachable. If the leader freezes while a hold stands, the hold can still be released at the
+//     holder. The leader's own rank is not armed unless all others are, and in that case the holder
+//     knows whether it is.
 package cutover
 
 import "github.com/canvaspulley/canvaspulley/internal/rank"
 
-// Phase is how far a Machine has come.
+// Phase is a phase of a Machine.
 type Phase int
 
 // The phases.
 const (
-	Fencing   Phase = iota // Raises the fence at every rank.
-	Settling               // Waits for reports of all ranks that fit together.
-	Clearing               // Takes back what an earlier leader armed.
-	Releasing              // Lets go of holds that were left behind.
-	Ready                  // Nothing is under way.
-	Preparing              // Has the experts copied.
-	Holding                // Stops the group before the pass.
-	Arming                 // Has every rank take the map at that pass.
-	Going                  // Lets the group go on, with the new map.
-	Undoing                // Takes back every arming, under a higher fence.
-	Freeing                // Lets the group go on, with the old map.
-	Deposed                // A rank has seen a higher fence.
+	Fencing   Phase = iota // Raising the fence at every rank.
+	Settling               // Waiting for consistent reports of all ranks.
+	Clearing               // Disarming what an earlier leader armed.
+	Releasing              // Releasing holds that an earlier leader or an aborted switch left.
+	Ready                  // No switch in progress.
+	Preparing              // Having every rank copy the new map's experts.
+	Holding                // Holding the group before the pass.
+	Arming                 // Arming every rank to take the map at that pass.
+	Going                  // Releasing the hold; the new map comes into force.
+	Undoing                // Aborting: disarming every rank under a higher fence.
+	Freeing                // Releasing the hold; the old map remains.
+	Deposed                // A rank has seen a higher fence: another leader has taken over.
 )
 
 // String returns the name of p.
@@ -50,45 +48,45 @@
 		"holding", "arming", "going", "undoing", "freeing", "deposed"}[p]
 }
 
-// Machine drives the map of one group in one epoch. The zero value is of no
-// use; New makes one.
+// Machine drives the map switches of one group in one epoch. Use New to make one.
 type Machine struct {
-	Ranks   int
-	Self    int
-	absence Absence
-	Epoch   uint64
-	Fence   uint64
-	Phase   Phase
-	Version uint64 // Of the switch under way.
-	Step    uint64 // Pass at which it comes into force.
-	Newest  uint64 // Highest version heard of.
-	done    []bool // Ranks that have confirmed the phase.
-	clear   rank.Arming
-	held    []uint64 // By rank, what is to be let go.
-	layout  [][][]int
-
-	conflicts int  // Holds refused in this switch.
-	spent     bool // Version was taken back: an order to do so may still come late, so it is not armed again.
-
-	Gained int // Switches that came into force.
-	GaveUp int
+	Ranks          int
+	Self           int
+	absent         Absence
+	Epoch          uint64
+	Fence          uint64
+	Phase          Phase
+	Version        uint64 // Version of the map being prepared or switched to.
+	Step           uint64 // Pass at which the new map comes into force.
+	HighestVersion uint64 // Highest version reported by any rank or used by this leader.
+	confirmed      []bool // By rank, whether it has confirmed the phase or needs no order.
+	toDisarm       rank.Arming
+	holds          []uint64  // By rank, the pass that it holds; 0 for none.
+	layout         [][][]int // The new map: experts by set and rank.
+
+	holdConflicts  int  // Conflicts on the hold order in this switch.
+	versionRetired bool // Version was disarmed: that order may still arrive late, so Version is not armed again.
+
+	Completed int // Number of switches that came into force.
+	Aborted   int // Number of aborted switches.
 }
 
-// None is no rank.
-const None = -1
+// NoRank stands for no rank.
+const NoRank = -1
 
-// Absence is what is known of the leader before, if it alone does not answer.
+// Absence is what is known of the previous leader when its rank is the only one that does not
+// answer.
 type Absence struct {
-	Rank  int         // None when all answer.
-	Sure  bool        // Armed is sure, and the rank will not be armed from now on.
-	Armed rank.Arming // Of its own rank; zero when it is not armed.
+	Rank        int         // Its rank; NoRank when all ranks answer.
+	ArmingKnown bool        // Armed is certain, and the rank will not be armed any more.
+	Armed       rank.Arming // Arming of its own rank; zero when it is not armed.
 }
 
-// Nobody is absent.
-var Nobody = Absence{Rank: None}
+// NoAbsence means that all ranks answer.
+var NoAbsence = Absence{Rank: NoRank}
 
-// Holder returns the rank at which a leader holds passes, and which arms the
-// leader's own: the one that leads after it, should it fail.
+// Holder returns the rank at which a leader holds passes and which arms the leader's own rank. It
+// takes over the lead if the leader fails.
 func Holder(leader int) int {
 	if leader == 0 {
 		return 1
@@ -96,24 +94,24 @@
 	return 0
 }
 
-// New returns a machine that begins by raising the fence. While a rank is absent,
-// it ends what that leader left, as far as it is sure how, and does nothing else.
+// New returns a machine that begins by raising the fence. While a rank is absent, the machine only
+// cleans up what that leader left, as far as it is certain how.
 func New(ranks, self int, absence Absence, epoch, fence uint64) *Machine {
-	m := &Machine{Ranks: ranks, Self: self, absence: absence, Epoch: epoch, Fence: fence, held: make([]uint64, ranks)}
+	m := &Machine{Ranks: ranks, Self: self, absent: absence, Epoch: epoch, Fence: fence, holds: make([]uint64, ranks)}
 	m.enter(Fencing)
 	return m
 }
 
 func (m *Machine) enter(p Phase) {
 	m.Phase = p
-	m.done = make([]bool, m.Ranks)
-	if m.absence.Rank != None {
-		m.done[m.absence.Rank] = true
+	m.confirmed = make([]bool, m.Ranks)
+	if m.absent.Rank != NoRank {
+		m.confirmed[m.absent.Rank] = true
 	}
 }
 
-func (m *Machine) all() bool {
-	for _, d := range m.done {
+func (m *Machine) allConfirmed() bool {
+	for _, d := range m.confirmed {
 		if !d {
 			return false
 		}
@@ -121,24 +119,23 @@
 	return true
 }
 
-// Next returns the orders that are to be sent now, by rank; those without an
-// order have an Op of "".
+// Next returns the orders to send now, by rank; the Op is "" for ranks without an order.
 func (m *Machine) Next() []rank.Order {
 	orders := make([]rank.Order, m.Ranks)
 	for r := range orders {
-		if !m.done[r] && !m.waits(r) {
+		if !m.confirmed[r] && !m.mustWait(r) {
 			orders[r] = m.order(r)
 		}
 	}
 	return orders
 }
 
-// waits reports whether a rank's order must wait for those of all others.
-func (m *Machine) waits(r int) bool {
+// mustWait reports whether a rank's order must wait until all others have confirmed.
+func (m *Machine) mustWait(r int) bool {
 	if m.Phase != Arming || r != m.Self {
 		return false
 	}
-	for k, d := range m.done {
+	for k, d := range m.confirmed {
 		if k != r && !d {
 			return true
 		}
@@ -149,12 +146,12 @@
 func (m *Machine) order(r int) rank.Order {
 	o := rank.Order{Fence: m.Fence, Epoch: m.Epoch}
 	switch m.Phase {
-	case Fencing: // Takes nothing back: the version is one that was never armed.
+	case Fencing: // Raises the fence only: this version was never armed.
 		o.Op, o.Version = rank.Disarm, unusedVersion
 	case Clearing:
-		o.Op, o.Version = rank.Disarm, m.clear.Version
+		o.Op, o.Version = rank.Disarm, m.toDisarm.Version
 	case Releasing:
-		o.Op, o.Step = rank.Go, m.held[r]
+		o.Op, o.Step = rank.Go, m.holds[r]
 	case Preparing:
 		o.Op, o.Version, o.Map = rank.Prepare, m.Version, m.layout
 	case Holding:
@@ -169,122 +166,122 @@
 	return o
 }
 
-// unusedVersion is never given to a map.
+// unusedVersion is a version that no map has.
 const unusedVersion = 1 << 50
 
-// Handle takes in what became of an order of the present phase.
+// Handle takes in the result of an order of the current phase.
 func (m *Machine) Handle(r int, result rank.Result) {
-	if m.Phase == Deposed || m.done[r] {
+	if m.Phase == Deposed || m.confirmed[r] {
 		return
 	}
 	switch result {
 	case rank.Done:
-		m.done[r] = true
+		m.confirmed[r] = true
 	case rank.Fenced:
 		m.Phase = Deposed
 		return
 	case rank.Conflict:
-		m.conflict(r)
-	case rank.Lost: // It is sent again.
+		m.handleConflict(r)
+	case rank.Lost: // The order is sent again.
 	}
-	if m.all() {
+	if m.allConfirmed() {
 		m.advance()
 	}
 }
 
-// conflict takes in that an order did not fit a rank's state.
-func (m *Machine) conflict(r int) {
+// handleConflict handles an order that did not fit the state of a rank.
+func (m *Machine) handleConflict(r int) {
 	switch m.Phase {
 	case Fencing, Clearing, Releasing, Going, Freeing:
 		// Disarm: the version is in force already. Go: the pass has begun.
-		m.done[r] = true
+		m.confirmed[r] = true
 	case Preparing:
-		// An order whose answer was lost may have been carried out before; the
-		// reports show whether the copies are there.
-		m.done[r] = true
+		// The order may have been carried out before, and its answer lost; the reports show whether
+		// the experts have been copied.
+		m.confirmed[r] = true
 	case Holding:
-		m.holdLater()
+		m.retryHoldLater()
 	case Arming:
-		m.giveUp()
+		m.abortArming()
 	case Undoing:
-		m.done[r] = true // The rank never armed it.
+		m.confirmed[r] = true // The rank was never armed.
 	}
 }
 
-// holdLater tries a later pass, since the one asked for had begun. When that
-// does not help either, another hold stands, which the reports will show.
-func (m *Machine) holdLater() {
-	m.conflicts++
-	if m.conflicts > mostConflicts {
-		m.GaveUp++
+// retryHoldLater holds a later pass, since the requested one had already begun. If that keeps failing,
+// another hold stands, which the reports will show.
+func (m *Machine) retryHoldLater() {
+	m.holdConflicts++
+	if m.holdConflicts > maxHoldConflicts {
+		m.Aborted++
 		m.enter(Settling)
 		return
 	}
-	m.Step += holdMargin
+	m.Step += holdRetryOffset
 }
 
-// mostConflicts is how often a later pass is tried.
-const mostConflicts = 3
+// maxHoldConflicts is the number of times a later pass is tried.
+const maxHoldConflicts = 3
 
-// holdMargin is how many passes later a hold is tried again: the one that has
-// begun may be the next one after that asked for.
-const holdMargin = 2
+// holdRetryOffset is the number of passes by which a refused hold is moved: the pass that has begun
+// may be the one after the requested pass.
+const holdRetryOffset = 2
 
 func (m *Machine) advance() {
 	switch m.Phase {
 	case Fencing:
 		m.enter(Settling)
 	case Clearing:
-		m.release()
+		m.enterReleasing()
 	case Releasing:
 		m.enter(Settling)
 	case Preparing:
-		m.enter(Settling) // Until the reports show that the copies are there.
+		m.enter(Settling) // Until the reports show that the experts have been copied.
 	case Holding:
 		m.enter(Arming)
 	case Arming:
 		m.enter(Going)
-		m.onlyHolder()
+		m.askOnlyHolder()
 	case Going:
-		m.Gained++
+		m.Completed++
 		m.enter(Settling)
 	case Undoing:
 		m.enter(Freeing)
-		m.onlyHolder()
+		m.askOnlyHolder()
 	case Freeing:
 		m.enter(Settling)
 	}
 }
 
-// onlyHolder leaves the rank that holds passes as the only one that is asked.
-func (m *Machine) onlyHolder() {
-	for r := range m.done {
-		m.done[r] = r != Holder(m.Self)
+// askOnlyHolder marks all ranks but the holder as confirmed, so that only the holder gets an order.
+func (m *Machine) askOnlyHolder() {
+	for r := range m.confirmed {
+		m.confirmed[r] = r != Holder(m.Self)
 	}
 }
 
-// release lets go of every hold that was found.
-func (m *Machine) release() {
+// enterReleasing starts to release all reported holds.
+func (m *Machine) enterReleasing() {
 	m.enter(Releasing)
-	for r, step := range m.held {
-		m.done[r] = step == 0 || r == m.absence.Rank
+	for r, step := range m.holds {
+		m.confirmed[r] = step == 0 || r == m.absent.Rank
 	}
-	if m.all() {
+	if m.allConfirmed() {
 		m.enter(Settling)
 	}
 }
 
-// Observe takes in reports of all ranks, by rank. It returns false when they
-// are not of this machine's epoch, or the group is not open.
+// Observe takes in the reports of all ranks, by rank. It returns false if any is of another epoch or
+// says that the group is not open.
 func (m *Machine) Observe(reports []rank.Report) bool {
 	for i, r := range reports {
-		if i == m.absence.Rank {
+		if i == m.absent.Rank {
 			continue
 		}
 		if r.Epoch != m.Epoch || !r.Open {
 			return false
 		}
-		m.Newest = max(m.Newest, r.Map, r.Prepared, r.Armed.Version)
+		m.HighestVersion = max(m.HighestVersion, r.Map, r.Prepared, r.Armed.Version)
 	}
 	if m.Phase == Settling || m.Phase == Ready {
 		m.settle(reports)
@@ -292,59 +289,60 @@
 	return true
 }
 
-// settle decides what reports that fit together ask for.
+// settle decides the next phase from a set of reports.
 func (m *Machine) settle(reports []rank.Report) {
 	m.Phase = Settling
-	armed, held, asked := 0, 0, m.Ranks
-	m.clear = rank.Arming{}
+	armed, holding, expected := 0, 0, m.Ranks
+	m.toDisarm = rank.Arming{}
 	for r, rep := range reports {
-		if r == m.absence.Rank {
-			asked--
+		if r == m.absent.Rank {
+			expected--
 			continue
 		}
-		m.held[r] = rep.Held
+		m.holds[r] = rep.Held
 		if rep.Held != 0 {
-			held++
+			holding++
 		}
 		if rep.Armed.Version != 0 {
 			armed++
-			m.clear = rep.Armed
+			m.toDisarm = rep.Armed
 		}
 	}
 	switch {
-	case m.absence.Rank != None && !m.mayEnd(armed == asked, held):
+	case m.absent.Rank != NoRank && !m.canResolveAbsence(armed == expected, holding):
 		return
-	case m.absence.Rank != None && armed == asked && m.absence.Armed != m.clear:
+	case m.absent.Rank != NoRank && armed == expected && m.absent.Armed != m.toDisarm:
 		m.enter(Clearing)
-	case armed > 0 && armed < asked && held > 0:
+	case armed > 0 && armed < expected && holding > 0:
 		m.enter(Clearing)
-	case armed == asked && held > 0:
-		m.release() // All take the map as the pass begins.
+	case armed == expected && holding > 0:
+		m.enterReleasing() // All ranks switch to the map as the pass begins.
 	case armed > 0:
-		return // The pass is about to begin; later reports show it.
-	case held > 0:
-		m.release()
-	case !m.alike(reports):
+		return // The pass is about to begin; later reports will show it.
+	case holding > 0:
+		m.enterReleasing()
+	case !m.sameMap(reports):
 		return
 	default:
 		m.enter(Ready)
 	}
 }
 
-// mayEnd reports whether it is sure how to end what the absent leader left: a hold
-// of its own, and whether its rank is armed.
-func (m *Machine) mayEnd(allArmed bool, holds int) bool {
-	if holds != 1 || m.held[Holder(m.absence.Rank)] == 0 {
+// canResolveAbsence reports whether it is certain how to clean up after the absent leader: the only
+// hold is at its holder, and whether its own rank is armed is known or does not matter, since another
+// rank is not armed.
+func (m *Machine) canResolveAbsence(allArmed bool, holdCount int) bool {
+	if holdCount != 1 || m.holds[Holder(m.absent.Rank)] == 0 {
 		return false
 	}
-	return !allArmed || m.absence.Sure
+	return !allArmed || m.absent.ArmingKnown
 }
 
-// Absent returns the rank that was absent when the machine was made, or None.
-func (m *Machine) Absent() int { return m.absence.Rank }
+// AbsentRank returns the rank that was absent when the machine was made, or NoRank.
+func (m *Machine) AbsentRank() int { return m.absent.Rank }
 
-// alike reports whether all ranks tell the same map.
-func (m *Machine) alike(reports []rank.Report) bool {
+// sameMap reports whether all ranks report the same map in force.
+func (m *Machine) sameMap(reports []rank.Report) bool {
 	for _, r := range reports {
 		if r.Map != reports[0].Map {
 			return false
@@ -353,55 +351,59 @@
 	return true
 }
 
-// Copied reports whether every rank has the prepared map's experts.
-func (m *Machine) Copied(reports []rank.Report) bool {
+// AllPrepared reports whether every rank has copied the experts of the prepared map and the map can
+// still be switched to.
+func (m *Machine) AllPrepared(reports []rank.Report) bool {
 	for _, r := range reports {
-		if r.Prepared != m.Version || m.Version == 0 || m.spent {
+		if r.Prepared != m.Version || m.Version == 0 || m.versionRetired {
 			return false
 		}
 	}
 	return true
 }
 
-// Begin prepares a map, given by set and rank, from Ready.
-func (m *Machine) Begin(version uint64, layout [][][]int) {
-	if m.Phase != Ready || version <= m.Newest {
+// StartPreparing has the ranks copy the experts of a new map, given as experts by set and rank. It
+// does nothing unless the phase is Ready and the version is new.
+func (m *Machine) StartPreparing(version uint64, layout [][][]int) {
+	if m.Phase != Ready || version <= m.HighestVersion {
 		return
 	}
-	m.Version, m.layout, m.Newest = version, layout, version
-	m.spent = false
+	m.Version, m.layout, m.HighestVersion = version, layout, version
+	m.versionRetired = false
 	m.enter(Preparing)
 }
 
-// Switch brings the prepared map into force at a pass, from Ready.
-func (m *Machine) Switch(step uint64) {
-	if m.Phase != Ready || m.spent {
+// SwitchAt starts the switch to the prepared map at the given pass, or at a later one if that pass was
+// already used. It does nothing unless the phase is Ready.
+func (m *Machine) SwitchAt(step uint64) {
+	if m.Phase != Ready || m.versionRetired {
 		return
 	}
 	m.Step = max(step, m.Step+1)
-	m.conflicts = 0
+	m.holdConflicts = 0
 	m.enter(Holding)
-	m.onlyHolder()
+	m.askOnlyHolder()
 }
 
-// GiveUp takes an arming that does not come to an end back.
-func (m *Machine) GiveUp() {
+// Abort aborts a preparation or a switch that makes no progress. It does nothing in phases that cannot
+// be aborted.
+func (m *Machine) Abort() {
 	switch m.Phase {
 	case Preparing:
-		m.GaveUp++
+		m.Aborted++
 		m.enter(Settling)
-	case Holding: // A hold whose answer was lost may stand: it is let go.
-		m.GaveUp++
+	case Holding: // A hold whose answer was lost may stand, so it is released.
+		m.Aborted++
 		m.enter(Freeing)
-		m.onlyHolder()
+		m.askOnlyHolder()
 	case Arming:
-		m.giveUp()
+		m.abortArming()
 	}
 }
 
-func (m *Machine) giveUp() {
-	m.GaveUp++
-	m.spent = true
-	m.Fence++ // Armings that are still on their way are refused from here on.
+func (m *Machine) abortArming() {
+	m.Aborted++
+	m.versionRetired = true
+	m.Fence++ // Arm orders still in transit are refused from here on.
 	m.enter(Undoing)
 }
--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -209,12 +209,12 @@
 // complete reports whether all ranks are in their places, but perhaps for the one
 // that led before, which is then the absent one.
 func (l *leader) complete(own rank.Report) bool {
-	l.absent = cutover.None
+	l.absent = cutover.NoRank
 	for r, m := range l.byRank {
 		if m != nil {
 			continue
 		}
-		if l.absent != cutover.None || !l.ledBefore(r, own) || !l.engineLost(own) {
+		if l.absent != cutover.NoRank || !l.ledBefore(r, own) || !l.engineLost(own) {
 			return false
 		}
 		l.absent = r
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -197,11 +197,11 @@
 // begin has the ranks copy the experts of a plan.
 func (l *leader) begin(ctx context.Context, plan remap.Plan) {
 	p, m := &l.planner, l.machine
-	version := (m.Newest/versionsPerRank+1)*versionsPerRank + uint64(m.Self)
+	version := (m.HighestVersion/versionsPerRank+1)*versionsPerRank + uint64(m.Self)
 	layout := rows(plan.Map, len(l.byRank))
 	now := time.Now()
 	p.pending = &pending{plan: plan, version: version, began: now, due: now.Add(l.copyTime(plan.Most)), shifts: p.follower.Shifts(), speeds: l.speeds()}
-	m.Begin(version, layout)
+	m.StartPreparing(version, layout)
 	l.writeMap(layout)
 	l.drive(ctx, prepareTries*l.orderLimit(&l.whole, len(l.byRank)-1))
 	l.countsAt = time.Now() // The copies are looked for first.
@@ -234,7 +234,7 @@
 	l.s.figures.gaveUp.Inc(1)
 	l.s.log.Warn("map given up", zap.String("cause", cause), zap.Uint64("version", p.pending.version), zap.Duration("after", time.Since(p.pending.began)))
 	p.pending = nil
-	l.machine.GiveUp()
+	l.machine.Abort()
 }
 
 // proceed goes on with the change that is under way.
@@ -242,7 +242,7 @@
 	p := &l.planner
 	now := time.Now()
 	switch {
-	case l.machine.Copied(l.reports()):
+	case l.machine.AllPrepared(l.reports()):
 		l.switchOver(ctx)
 	case now.Sub(p.pending.due) > p.pending.due.Sub(p.pending.began)+overdue:
 		l.abandon("not copied in time")
@@ -270,16 +270,16 @@
 // switchOver brings the map whose experts were copied into force.
 func (l *leader) switchOver(ctx context.Context) {
 	p, m := &l.planner, l.machine
-	change, copied, before := p.pending, time.Now(), m.Gained
+	change, copied, before := p.pending, time.Now(), m.Completed
 	p.pending = nil
-	m.Switch(l.nextStep())
+	m.SwitchAt(l.nextStep())
 	l.drive(ctx, armLimit)
-	m.GiveUp()
+	m.Abort()
 	l.drive(ctx, recoverLimit)
 	l.handing += time.Duration(armingWeight * float64(max(copied.Sub(change.due), 0)-l.handing))
 	l.switched = time.Now()
 	took := l.switched.Sub(copied)
-	done := m.Gained > before
+	done := m.Completed > before
 	if done {
 		// One that came to nothing says how long an answer did not come, as from a
 		// frozen instance, and not how long orders take.
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -154,7 +154,7 @@
 // deposed reacts to a higher fence: in the first orders it may be an earlier
 // leader's, whose clock ran ahead; later it is a new leader's.
 func (l *leader) deposed() {
-	l.s.log.Warn("fence refused", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Gained))
+	l.s.log.Warn("fence refused", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Completed))
 	l.fence += fenceStep
 	l.resign("a higher fence")                 // Refused once: the same fence is not used again.
 	l.openedAt = time.Now().Add(2 * leadEvery) // Whoever leads is heard until then.
