--- a/internal/decide/mapswitch/random_test.go
+++ b/internal/decide/mapswitch/random_test.go
@@ -10,56 +10,56 @@
 	"github.com/onsi/gomega"
 )
 
-// randomRun drives a group of n ranks with up to three coordinators at once
-// through random loss, duplication, reordering and crashes of coordinators,
-// and returns the first violation and the number of switches completed.
+// randomRun drives a group of n ranks with up to three concurrent coordinators through random loss,
+// duplication, reordering and coordinator crashes. It returns the first violation and the number of
+// completed switches.
 func randomRun(n int, seed uint64, events int) (violation string, switches int) {
-	rnd := rand.New(rand.NewPCG(seed, uint64(n)))
-	group := make([]Rank, n)
-	var coords []Coordinator
+	random := rand.New(rand.NewPCG(seed, uint64(n)))
+	group := make([]RankState, n)
+	var coordinators []Coordinator
 	var orders []Order
 	var replies []Reply
 	ballot := uint64(0)
-	used := map[uint64]uint64{} // Map by step.
-	take := func(length int) (i int, again bool) { return rnd.IntN(length), rnd.IntN(10) == 0 }
+	mapOfStep := map[uint64]uint64{} // Version of the map on which each step ran.
+	pickIndex := func(length int) (i int, again bool) { return random.IntN(length), random.IntN(10) == 0 }
 	for range events {
-		switch k := rnd.IntN(1000); {
-		case k < 2 || len(coords) == 0: // A coordinator begins; one may crash.
+		switch k := random.IntN(1000); {
+		case k < 2 || len(coordinators) == 0: // A coordinator begins; one may crash.
 			ballot++
-			c := NewCoordinator(ballot, n, uint64(1+rnd.IntN(6)))
-			if len(coords) == 3 {
-				coords = coords[1:]
+			c := NewCoordinator(ballot, n, uint64(1+random.IntN(6)))
+			if len(coordinators) == 3 {
+				coordinators = coordinators[1:]
 			}
-			coords = append(coords, c)
+			coordinators = append(coordinators, c)
 			orders = append(orders, c.Resend()...)
-		case k < 40: // Orders are sent again.
-			orders = append(orders, coords[rnd.IntN(len(coords))].Resend()...)
+		case k < 40: // Orders are resent.
+			orders = append(orders, coordinators[random.IntN(len(coordinators))].Resend()...)
 		case k < 400: // Each rank may step, as lock-step allows.
-			low := group[0].Begun
+			lowest := group[0].LastStep
 			for _, r := range group {
-				low = min(low, r.Begun)
+				lowest = min(lowest, r.LastStep)
 			}
 			for range n / 2 {
-				r := rnd.IntN(n)
-				if group[r].Begun > low || !group[r].MayBegin() {
+				r := random.IntN(n)
+				if group[r].LastStep > lowest || !group[r].CanBegin() {
 					continue
 				}
-				group[r] = group[r].Begin()
-				m, seen := used[group[r].Begun]
+				group[r] = group[r].BeginStep()
+				m, seen := mapOfStep[group[r].LastStep]
 				if seen && m != group[r].Map {
-					return fmt.Sprintf("step %d runs on maps %d and %d", group[r].Begun, m, group[r].Map), switches
+					return fmt.Sprintf("step %d runs on maps %d and %d", group[r].LastStep, m, group[r].Map), switches
 				}
-				used[group[r].Begun] = group[r].Map
+				mapOfStep[group[r].LastStep] = group[r].Map
 			}
 		case k < 700:
 			for range min(len(orders), n) {
-				i, again := take(len(orders))
+				i, again := pickIndex(len(orders))
 				o := orders[i]
 				if !again {
 					orders[i] = orders[len(orders)-1]
 					orders = orders[:len(orders)-1]
 				}
-				if rnd.IntN(20) == 0 {
+				if random.IntN(20) == 0 {
 					continue // Lost.
 				}
 				var reply Reply
@@ -68,21 +68,21 @@
 			}
 		default:
 			for range min(len(replies), n) {
-				i, again := take(len(replies))
+				i, again := pickIndex(len(replies))
 				reply := replies[i]
 				if !again {
 					replies[i] = replies[len(replies)-1]
 					replies = replies[:len(replies)-1]
 				}
-				for j := range coords {
-					if coords[j].Ballot != reply.Ballot {
+				for j := range coordinators {
+					if coordinators[j].Ballot != reply.Ballot {
 						continue
 					}
-					was := coords[j].Phase
+					was := coordinators[j].Phase
 					var more []Order
-					coords[j], more = coords[j].Handle(reply)
+					coordinators[j], more = coordinators[j].Handle(reply)
 					orders = append(orders, more...)
-					if was != Done && coords[j].Phase == Done {
+					if was != Done && coordinators[j].Phase == Done {
 						switches++
 					}
 				}
@@ -107,7 +107,7 @@
 				total += switches
 			}
 			t.Logf("%d switches completed", total)
-			g.Expect(total).To(gomega.BeNumerically(">", one.seeds), "the runs have become idle")
+			g.Expect(total).To(gomega.BeNumerically(">", one.seeds), "the runs complete too few switches to test anything")
 		})
 	}
 }
--- a/internal/decide/mapswitch/search_test.go
+++ b/internal/decide/mapswitch/search_test.go
@@ -10,50 +10,47 @@
 	"github.com/onsi/gomega"
 )
 
-// The search visits every state that three ranks and several coordinators can
-// reach. An order or reply that was sent may arrive at any later time, any
-// number of times or never: that covers loss, delay, reordering, duplication,
-// and pauses of ranks and coordinators. A coordinator may stop for ever at any
-// point, which is its crash; the next one is its restart. A rank's agent that
-// starts anew reads its state back from the engine, so that its crash is a
-// pause.
+// The search visits every state that three ranks and several coordinators can reach. An order or reply
+// that was sent may arrive at any later time, any number of times or never: that covers loss, delay,
+// reordering, duplication, and pauses of ranks and coordinators. A coordinator may stop forever at any
+// point, which models its crash; the next coordinator models its restart. A restarted agent of a rank
+// reads the rank's state back from the engine, so that its crash is a pause.
 const (
 	ranks    = 3
-	maxStep  = 3 // Steps beyond this one are not begun.
-	ballots  = 2 // Coordinators, each with a ballot of its own.
+	maxStep  = 3 // No step beyond this one begins.
+	ballots  = 2 // Number of coordinators, each with a ballot of its own.
 	allKinds = Abort + 1
 )
 
-// world is one state of the group. Orders are not in it: what a coordinator has
-// sent follows from sent, and stays on its way for ever. Replies are a set of
-// those that may still be delivered.
+// world is one state of the model. Orders in transit are not part of it: they follow from hasSent and
+// sentPlans, and remain deliverable forever. Replies are the set of those that may still be delivered.
 type world struct {
-	ranks   [ranks]Rank
-	coords  [ballots]Coordinator
-	sent    [ballots][allKinds]Plan // Plan of each kind of order, once sent.
-	has     [ballots][allKinds]bool
-	replies [ballots][ranks]uint16 // Bits by replyBit.
+	ranks        [ranks]RankState
+	coordinators [ballots]Coordinator
+	sentPlans    [ballots][allKinds]Plan // Plan of each kind of order that was sent.
+	hasSent      [ballots][allKinds]bool
+	replies      [ballots][ranks]uint16 // Bitmap of replies, see replyBit.
 }
 
-// mutation is a fault put into the protocol; the search must find its harm.
+// mutation is a fault injected into the protocol; the search must find a violation caused by it.
 type mutation struct {
-	name   string
-	handle func(Rank, Order) (Rank, Reply)
-	reply  func(Coordinator, Reply) (Coordinator, []Order)
-	low    bool // Ranks obey ballots below their fence.
-	early  bool // Coordinators give up before they have heard from every rank.
+	name              string
+	handle            func(RankState, Order) (RankState, Reply)
+	reply             func(Coordinator, Reply) (Coordinator, []Order)
+	obeysLowerBallots bool // Ranks execute orders with ballots below their fence.
+	abortsEarly       bool // Coordinators abort before every rank has replied.
 }
 
-var faultless = mutation{
+var noMutation = mutation{
 	name:   "none",
-	handle: Rank.Handle,
+	handle: RankState.Handle,
 	reply:  Coordinator.Handle,
 }
 
-// Bits of the replies that differ for a coordinator.
+// Bits of the replies that a coordinator can tell apart.
 const (
-	bitAsk     = 0 // And bitAsk+1 with the decision of an earlier ballot.
-	bitPrepare = 2 // Plus the step begun, up to maxStep.
+	bitAsk     = 0 // bitAsk+1: with the decision of an earlier ballot.
+	bitPrepare = 2 // Plus the last step begun, up to maxStep.
 	bitArm     = 6
 	bitLate    = 7
 	bitFinish  = 8
@@ -61,9 +58,9 @@
 	bits       = 10
 )
 
-// bitOf says which bit stands for a reply, or -1 for a refusal, whose only
-// effect is that of a coordinator's crash.
-func bitOf(r Reply) int {
+// replyBit returns the bit that stands for a reply, or -1 for a refusal, which has no effect other
+// than that of a crash of the coordinator.
+func replyBit(r Reply) int {
 	switch {
 	case r.Kind == Arm && r.Late:
 		return bitLate
@@ -74,7 +71,7 @@
 	case r.Kind == Ask:
 		return bitAsk
 	case r.Kind == Prepare:
-		return bitPrepare + int(r.State.Begun)
+		return bitPrepare + int(r.State.LastStep)
 	case r.Kind == Arm:
 		return bitArm
 	case r.Kind == Commit && r.Plan.Version != r.Ballot:
@@ -83,40 +80,40 @@
 	return bitCommit
 }
 
-// replyOf builds the reply that a bit stands for.
-func (w *world) replyOf(b, rank, bit int) Reply {
-	r := Reply{Ballot: uint64(b + 1), Rank: rank, OK: true, State: Rank{Fence: uint64(b + 1)}}
+// replyFor returns the reply that a bit stands for.
+func (w *world) replyFor(b, rank, bit int) Reply {
+	r := Reply{Ballot: uint64(b + 1), Rank: rank, OK: true, State: RankState{Fence: uint64(b + 1)}}
 	switch {
 	case bit == bitAsk || bit == bitAsk+1:
 		r.Kind = Ask
 		if bit == bitAsk+1 {
-			r.State.Decided = w.decided(b)
+			r.State.Decided = w.earlierDecision(b)
 		}
 	case bit < bitArm:
-		r.Kind, r.State.Begun = Prepare, uint64(bit-bitPrepare)
+		r.Kind, r.State.LastStep = Prepare, uint64(bit-bitPrepare)
 	case bit == bitArm || bit == bitLate:
 		r.Kind, r.OK, r.Late = Arm, bit == bitArm, bit == bitLate
 	default:
 		r.Kind = Commit
 	}
-	r.Plan = w.sent[b][r.Kind]
+	r.Plan = w.sentPlans[b][r.Kind]
 	if bit == bitFinish {
-		r.Plan = w.coords[b].Newest
+		r.Plan = w.coordinators[b].NewestDecision
 	}
 	return r
 }
 
-// decided is the decision of a ballot below b; with two ballots there is one.
-func (w *world) decided(b int) (p Plan) {
+// earlierDecision returns the decision of a ballot below b; with two ballots there is at most one.
+func (w *world) earlierDecision(b int) (p Plan) {
 	for earlier := range b {
-		if w.has[earlier][Commit] {
-			p = w.sent[earlier][Commit]
+		if w.hasSent[earlier][Commit] {
+			p = w.sentPlans[earlier][Commit]
 		}
 	}
 	return p
 }
 
-// rowLen and keyLen are the sizes of a rank's part of a key and of a key.
+// rowLen is the size of the part of a key for one rank, keyLen the size of a key.
 const (
 	rowLen = 8 + 3*ballots
 	keyLen = ranks*rowLen + 11*ballots
@@ -124,17 +121,17 @@
 
 type key [keyLen]byte
 
-// key is equal for worlds that are equal but for the numbering of ranks, which
-// are all alike.
+// key returns equal keys for worlds that differ only in the numbering of ranks, which are
+// interchangeable.
 func (w *world) key() (k key) {
 	var rows [ranks][rowLen]byte
 	for i, r := range w.ranks {
 		row := &rows[i]
-		copy(row[:], []byte{byte(r.Fence), byte(r.Begun), byte(r.Map), byte(r.Prepared),
-			byte(r.Armed.Version), byte(r.Armed.At), byte(r.Decided.Version), byte(r.Decided.At)})
-		for b := range w.coords {
+		copy(row[:], []byte{byte(r.Fence), byte(r.LastStep), byte(r.Map), byte(r.Prepared),
+			byte(r.Armed.Version), byte(r.Armed.AtStep), byte(r.Decided.Version), byte(r.Decided.AtStep)})
+		for b := range w.coordinators {
 			row[8+3*b], row[9+3*b] = byte(w.replies[b][i]), byte(w.replies[b][i]>>8)
-			row[10+3*b] = flag(w.coords[b].Heard.Has(i))
+			row[10+3*b] = boolByte(w.coordinators[b].Confirmed.Has(i))
 		}
 		for j := i; j > 0 && bytes.Compare(rows[j][:], rows[j-1][:]) < 0; j-- {
 			rows[j], rows[j-1] = rows[j-1], rows[j]
@@ -143,15 +140,15 @@
 	for i := range rows {
 		copy(k[i*rowLen:], rows[i][:])
 	}
-	for b, c := range w.coords {
-		copy(k[ranks*rowLen+11*b:], []byte{byte(c.Phase), byte(c.Plan.Version), byte(c.Plan.At),
-			byte(c.Newest.Version), byte(c.Newest.At), flag(c.Spread), byte(c.Step),
-			flag(w.has[b][Prepare]), flag(w.has[b][Commit]), byte(w.sent[b][Arm].At), flag(w.has[b][Abort])})
+	for b, c := range w.coordinators {
+		copy(k[ranks*rowLen+11*b:], []byte{byte(c.Phase), byte(c.Plan.Version), byte(c.Plan.AtStep),
+			byte(c.NewestDecision.Version), byte(c.NewestDecision.AtStep), boolByte(c.DecisionsDiffer), byte(c.HighestStep),
+			boolByte(w.hasSent[b][Prepare]), boolByte(w.hasSent[b][Commit]), byte(w.sentPlans[b][Arm].AtStep), boolByte(w.hasSent[b][Abort])})
 	}
 	return k
 }
 
-func flag(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
@@ -160,71 +157,71 @@
 
 func (w *world) send(orders []Order) {
 	for _, o := range orders {
-		w.sent[o.Ballot-1][o.Kind] = o.Plan
-		w.has[o.Ballot-1][o.Kind] = true
+		w.sentPlans[o.Ballot-1][o.Kind] = o.Plan
+		w.hasSent[o.Ballot-1][o.Kind] = true
 	}
 }
 
-// open is which replies a coordinator still wants, by phase; own is those of
-// the phase itself, which count once a rank.
+// acceptedReplies holds the replies that a coordinator still uses, by phase; phaseReplies those that
+// confirm the phase itself, of which one per rank counts.
 var (
-	open = [GivenUp + 1]uint16{Asking: 0x3ff, Finishing: 0x3fc, Preparing: 0x2fc, Arming: 0x2c0, Deciding: 0x200}
-	own  = [GivenUp + 1]uint16{Asking: 0x3, Finishing: 0x100, Preparing: 0x3c, Arming: 0xc0, Deciding: 0x200}
+	acceptedReplies = [GivenUp + 1]uint16{Asking: 0x3ff, Finishing: 0x3fc, Preparing: 0x2fc, Arming: 0x2c0, Deciding: 0x200}
+	phaseReplies    = [GivenUp + 1]uint16{Asking: 0x3, Finishing: 0x100, Preparing: 0x3c, Arming: 0xc0, Deciding: 0x200}
 )
 
-// prune drops replies that their coordinator has gone past.
+// prune drops replies that have no effect on their coordinator any more.
 func (w *world) prune() {
-	for b := range w.coords {
-		c := &w.coords[b]
+	for b := range w.coordinators {
+		c := &w.coordinators[b]
 		for r := range ranks {
-			w.replies[b][r] &= open[c.Phase]
-			if c.Heard.Has(r) {
-				w.replies[b][r] &^= own[c.Phase]
+			w.replies[b][r] &= acceptedReplies[c.Phase]
+			if c.Confirmed.Has(r) {
+				w.replies[b][r] &^= phaseReplies[c.Phase]
 			}
 		}
 	}
 }
 
-// broken returns the violation in w, if there is one: two maps in one step.
-func (w *world) broken() string {
+// findViolation returns a description of the violation in w, if there is one: two maps in one step.
+func (w *world) findViolation() string {
 	for a := range w.ranks {
 		for b := range a {
-			if w.ranks[a].Begun == w.ranks[b].Begun && w.ranks[a].Map != w.ranks[b].Map {
-				return fmt.Sprintf("step %d runs on maps %d and %d", w.ranks[a].Begun, w.ranks[a].Map, w.ranks[b].Map)
+			if w.ranks[a].LastStep == w.ranks[b].LastStep && w.ranks[a].Map != w.ranks[b].Map {
+				return fmt.Sprintf("step %d runs on maps %d and %d", w.ranks[a].LastStep, w.ranks[a].Map, w.ranks[b].Map)
 			}
 		}
 	}
 	return ""
 }
 
-// mayStep reports whether lock-step and its own promise let rank r go on.
-func (w *world) mayStep(r int) bool {
+// canStep reports whether lock-step and its own promise allow rank r to begin its next step.
+func (w *world) canStep(r int) bool {
 	for _, other := range w.ranks {
-		if other.Begun < w.ranks[r].Begun {
+		if other.LastStep < w.ranks[r].LastStep {
 			return false
 		}
 	}
-	return w.ranks[r].Begun < maxStep && w.ranks[r].MayBegin()
+	return w.ranks[r].LastStep < maxStep && w.ranks[r].CanBegin()
 }
 
-// deliver gives an order to a rank and keeps its reply.
-func (w *world) deliver(m mutation, o Order) {
+// deliverOrder delivers an order to a rank and keeps its reply.
+func (w *world) deliverOrder(m mutation, o Order) {
 	var reply Reply
 	w.ranks[o.Rank], reply = m.handle(w.ranks[o.Rank], o)
-	if bit := bitOf(reply); bit >= 0 {
+	if bit := replyBit(reply); bit >= 0 {
 		w.replies[o.Ballot-1][o.Rank] |= 1 << bit
 	}
 }
 
-// hear gives a reply to its coordinator.
-func (w *world) hear(m mutation, b, rank, bit int) {
-	c, orders := m.reply(w.coords[b], w.replyOf(b, rank, bit))
-	w.coords[b] = c
+// deliverReply delivers a reply to its coordinator.
+func (w *world) deliverReply(m mutation, b, rank, bit int) {
+	c, orders := m.reply(w.coordinators[b], w.replyFor(b, rank, bit))
+	w.coordinators[b] = c
 	w.send(orders)
 }
 
-// next calls visit with all worlds that follow w in one event.
-func (w *world) next(m mutation, visit func(world)) {
+// successors calls visit with all worlds that follow w by one event.
+func (w *world) successors(m mutation, visit func(world)) {
 	add := func(change func(*world)) {
 		n := *w
 		change(&n)
@@ -232,48 +229,48 @@
 		visit(n)
 	}
 	for r := range w.ranks {
-		if w.mayStep(r) {
-			add(func(n *world) { n.ranks[r] = n.ranks[r].Begin() })
+		if w.canStep(r) {
+			add(func(n *world) { n.ranks[r] = n.ranks[r].BeginStep() })
 		}
 	}
-	for b, c := range w.coords {
+	for b, c := range w.coordinators {
 		if c.Phase == 0 {
 			add(func(n *world) {
-				n.coords[b] = NewCoordinator(uint64(b+1), ranks, 1)
-				n.send(n.coords[b].Resend())
+				n.coordinators[b] = NewCoordinator(uint64(b+1), ranks, 1)
+				n.send(n.coordinators[b].Resend())
 			})
 		}
-		if next, orders, ok := c.GiveUp(); ok {
+		if next, orders, ok := c.AbortSwitch(); ok {
 			add(func(n *world) {
-				n.coords[b] = next
+				n.coordinators[b] = next
 				n.send(orders)
 			})
-		} else if m.early && c.Phase == Asking {
+		} else if m.abortsEarly && c.Phase == Asking {
 			add(func(n *world) {
-				n.coords[b].Phase = GivenUp
-				n.has[b][Abort] = true
+				n.coordinators[b].Phase = GivenUp
+				n.hasSent[b][Abort] = true
 			})
 		}
 		for kind := Ask; kind < allKinds; kind++ {
 			for r := range ranks {
-				if w.has[b][kind] && (m.low || w.ranks[r].Fence <= uint64(b+1)) {
-					o := Order{Kind: kind, Ballot: uint64(b + 1), Rank: r, Plan: w.sent[b][kind]}
-					add(func(n *world) { n.deliver(m, o) })
+				if w.hasSent[b][kind] && (m.obeysLowerBallots || w.ranks[r].Fence <= uint64(b+1)) {
+					o := Order{Kind: kind, Ballot: uint64(b + 1), Rank: r, Plan: w.sentPlans[b][kind]}
+					add(func(n *world) { n.deliverOrder(m, o) })
 				}
 			}
 		}
 		for r := range ranks {
 			for bit := range bits {
 				if w.replies[b][r]&(1<<bit) != 0 {
-					add(func(n *world) { n.hear(m, b, r, bit) })
+					add(func(n *world) { n.deliverReply(m, b, r, bit) })
 				}
 			}
 		}
 	}
 }
 
-// search visits all reachable worlds, at most limit, and returns how many
-// there are and the first violation. visit is called for each.
+// search visits all reachable worlds, at most limit, and returns their number and the first violation.
+// It calls visit for each.
 func search(m mutation, limit int, visit func(*world)) (states int, violation string) {
 	start := world{}
 	seen := map[key]struct{}{start.key(): {}}
@@ -282,8 +279,8 @@
 		w := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
 		visit(&w)
-		w.next(m, func(n world) {
-			if v := n.broken(); v != "" {
+		w.successors(m, func(n world) {
+			if v := n.findViolation(); v != "" {
 				violation = v
 			}
 			k := n.key()
@@ -296,9 +293,8 @@
 	return len(seen), violation
 }
 
-// recovers reports whether the group gets going once the faults have stopped:
-// a new coordinator that hears every rank completes, all ranks run on its map,
-// and steps go on.
+// recovers reports whether the group makes progress once the faults have stopped: a new coordinator
+// that reaches every rank completes, all ranks run on its map, and steps continue.
 func recovers(w world) bool {
 	group := w.ranks
 	c := NewCoordinator(ballots+1, ranks, 1)
@@ -312,7 +308,7 @@
 		stepAll(&group)
 		orders = c.Resend()
 		if c.Phase == Done && group[0].Map == c.Ballot {
-			return group[0].Begun == group[1].Begun && group[1].Map == group[2].Map
+			return group[0].LastStep == group[1].LastStep && group[1].Map == group[2].Map
 		}
 		if c.Phase == TooLate {
 			c = NewCoordinator(c.Ballot+1, ranks, 2*c.Margin)
@@ -322,46 +318,45 @@
 	return false
 }
 
-// stepAll lets each rank begin one step if all others let it.
-func stepAll(group *[ranks]Rank) {
-	low := min(group[0].Begun, group[1].Begun, group[2].Begun)
+// stepAll has each rank begin one step if lock-step allows it.
+func stepAll(group *[ranks]RankState) {
+	lowest := min(group[0].LastStep, group[1].LastStep, group[2].LastStep)
 	for r := range group {
-		if group[r].Begun == low && group[r].MayBegin() {
-			group[r] = group[r].Begin()
+		if group[r].LastStep == lowest && group[r].CanBegin() {
+			group[r] = group[r].BeginStep()
 		}
 	}
 }
 
-// recoverEvery is how many states go by for each from which recovery is run.
-const recoverEvery = 16
+// recoverySampling is the number of states of which one is checked for recovery.
+const recoverySampling = 16
 
 func TestNoStepRunsOnTwoMaps(t *testing.T) {
 	t.Parallel()
 	g := gomega.NewWithT(t)
 	n, stuck := 0, 0
-	states, violation := search(faultless, 10_000_000, func(w *world) {
+	states, violation := search(noMutation, 10_000_000, func(w *world) {
 		n++
-		if n%recoverEvery == 0 && !recovers(*w) {
+		if n%recoverySampling == 0 && !recovers(*w) {
 			stuck++
 		}
 	})
-	t.Logf("%d states searched, recovery run from %d", states, n/recoverEvery)
+	t.Logf("%d states searched, recovery run from %d", states, n/recoverySampling)
 	g.Expect(violation).To(gomega.BeEmpty())
-	g.Expect(stuck).To(gomega.BeZero(), "states from which the group does not get going")
-	g.Expect(states).To(gomega.BeNumerically(">", 2_000_000), "the search has become shallow")
+	g.Expect(stuck).To(gomega.BeZero(), "states from which the group does not recover")
+	g.Expect(states).To(gomega.BeNumerically(">", 2_000_000), "the search visits too few states")
 }
 
-// mutations are faults of the protocol; the last two were in it and were found
-// by the search.
+// mutations are faults of the protocol; the last two were real and were found by the search.
 var mutations = []mutation{
 	{
 		name:   "commit before all have armed",
-		handle: Rank.Handle,
+		handle: RankState.Handle,
 		reply: func(c Coordinator, r Reply) (Coordinator, []Order) {
 			if c.Phase == Arming && r.Kind == Arm && r.OK {
 				for other := range ranks {
 					if other != r.Rank {
-						c.Heard = c.Heard.Add(other)
+						c.Confirmed = c.Confirmed.Add(other)
 					}
 				}
 			}
@@ -369,9 +364,9 @@
 		},
 	},
 	{
-		name: "obey a lower ballot",
-		low:  true,
-		handle: func(r Rank, o Order) (Rank, Reply) {
+		name:              "execute orders of a lower ballot",
+		obeysLowerBallots: true,
+		handle: func(r RankState, o Order) (RankState, Reply) {
 			fence := r.Fence
 			r.Fence = 0
 			r, reply := r.Handle(o)
@@ -382,20 +377,20 @@
 	},
 	{
 		name:   "ignore an earlier decision",
-		handle: Rank.Handle,
+		handle: RankState.Handle,
 		reply: func(c Coordinator, r Reply) (Coordinator, []Order) {
 			r.State.Decided = Plan{}
 			return c.Handle(r)
 		},
 	},
 	{
-		name:   "ask a majority only",
-		handle: Rank.Handle,
+		name:   "ask only a majority",
+		handle: RankState.Handle,
 		reply: func(c Coordinator, r Reply) (Coordinator, []Order) {
-			if c.Phase == Asking && r.Kind == Ask && c.Heard != (Set{}) && !c.Heard.Has(r.Rank) {
+			if c.Phase == Asking && r.Kind == Ask && c.Confirmed != (RankSet{}) && !c.Confirmed.Has(r.Rank) {
 				for other := range ranks {
 					if other != r.Rank {
-						c.Heard = c.Heard.Add(other)
+						c.Confirmed = c.Confirmed.Add(other)
 					}
 				}
 			}
@@ -403,33 +398,33 @@
 		},
 	},
 	{
-		name:   "give up before every rank was heard",
-		handle: Rank.Handle,
-		reply:  Coordinator.Handle,
-		early:  true,
+		name:        "abort before every rank has replied",
+		handle:      RankState.Handle,
+		reply:       Coordinator.Handle,
+		abortsEarly: true,
 	},
 	{
 		name: "arm a step that has begun",
-		handle: func(r Rank, o Order) (Rank, Reply) {
-			if o.Kind != Arm || r.Begun < o.Plan.At {
+		handle: func(r RankState, o Order) (RankState, Reply) {
+			if o.Kind != Arm || r.LastStep < o.Plan.AtStep {
 				return r.Handle(o)
 			}
-			begun := r.Begun
-			r.Begun = o.Plan.At - 1
+			begun := r.LastStep
+			r.LastStep = o.Plan.AtStep - 1
 			r, reply := r.Handle(o)
-			r.Begun = begun
+			r.LastStep = begun
 			return r, reply
 		},
 		reply: Coordinator.Handle,
 	},
 	{
 		name: "arm before the last decision is in force",
-		handle: func(r Rank, o Order) (Rank, Reply) {
+		handle: func(r RankState, o Order) (RankState, Reply) {
 			if o.Kind != Arm {
 				return r.Handle(o)
 			}
 			decided := r.Decided
-			r.Decided.At = 0
+			r.Decided.AtStep = 0
 			r, reply := r.Handle(o)
 			if r.Decided.Version == decided.Version {
 				r.Decided = decided
@@ -439,8 +434,8 @@
 		reply: Coordinator.Handle,
 	},
 	{
-		name: "drop an arming when prepare comes again",
-		handle: func(r Rank, o Order) (Rank, Reply) {
+		name: "cancel an arming when prepare is repeated",
+		handle: func(r RankState, o Order) (RankState, Reply) {
 			if o.Kind == Prepare && o.Ballot >= r.Fence {
 				r.Armed = Plan{}
 			}
