--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -1,26 +1,24 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package admit decides which request an endpoint takes next and which it
-// refuses. One Queue stands before one endpoint, where the requests of all
-// entries meet. It is a pure state machine: time comes in as an argument, and
-// the caller serialises access.
+// Package admit decides which request an endpoint runs next and which it refuses. One Queue stands
+// before one endpoint and receives the requests of all entries. It is a pure state machine: time is
+// passed in as an argument, and the caller serialises access.
 //
-// Order: the policy's priority, raised with waiting so that batch work ends
-// too; then the customer that has had the least service for its weight; then,
-// within the customer, the earliest deadline. Fair share goes before deadline
-// between customers, since otherwise a large customer with short deadlines
-// starves a small one.
+// Requests are ordered by the policy's priority, which rises with waiting time so that batch requests
+// finish too; then by the service that their customers have received relative to their weights, least
+// first; then, for one customer, by deadline. Between customers, fair share takes precedence over
+// deadlines, since otherwise a large customer with short deadlines would starve a small one.
 package admit
 
 import "time"
 
-// Request is one request that wants the endpoint.
+// Request is a request for the endpoint.
 type Request struct {
 	ID       string
 	Customer string
-	Weight   float64 // Share of the customer, above 0.
+	Weight   float64 // The customer's weight in fair sharing, above 0.
 	Priority int
-	Deadline time.Time // Zero when there is none.
+	Deadline time.Time // Zero for none.
 	Arrived  time.Time
 }
 
@@ -34,14 +32,14 @@
 	ReasonLeaving  Reason = "endpoint is leaving"
 )
 
-// Refusal is a request that was given up, and when to come back.
+// Refusal is a refused request, and the time after which to retry it.
 type Refusal struct {
-	Request Request
-	Reason  Reason
-	After   time.Duration
+	Request    Request
+	Reason     Reason
+	RetryAfter time.Duration
 }
 
-// Actions is what the caller must do: start these, refuse those, at once.
+// Actions is what the caller must do at once: start some requests and refuse others.
 type Actions struct {
 	Start  []Request
 	Refuse []Refusal
@@ -49,34 +47,34 @@
 
 // Config bounds a Queue.
 type Config struct {
-	Capacity   int           // Waiting requests held at most.
-	MinLimit   int           // Lowest concurrency the limit falls to, at least 1.
-	MaxLimit   int           // Highest concurrency.
-	StepTarget time.Duration // Step time above which concurrency falls; 0 keeps it fixed.
-	AgePerStep time.Duration // Waiting time that raises the priority by one.
+	Capacity      int           // Maximum number of waiting requests.
+	MinLimit      int           // Lowest concurrency limit, at least 1.
+	MaxLimit      int           // Highest concurrency limit.
+	StepTarget    time.Duration // Step time above which the limit falls; 0 keeps the limit fixed.
+	AgingInterval time.Duration // Waiting time that raises the priority by one; 0 for no aging.
 }
 
-// hold smoothing and adaptation constants.
+// Constants of smoothing and of the adaptation of the limit.
 const (
-	smoothing   = 0.1                    // Weight of the newest sample in a running mean.
-	lowerFactor = 0.9                    // Limit after a step over the target.
-	raiseBelow  = 0.9                    // Share of the target under which the limit rises.
-	adaptEvery  = 100 * time.Millisecond // Least time between two changes of the limit.
-	minRetry    = 50 * time.Millisecond  // Shortest Retry-After of a refusal.
+	smoothingWeight  = 0.1                    // Weight of the newest sample in a running mean.
+	limitDecrease    = 0.9                    // Factor by which the limit falls when steps exceed the target.
+	raiseThreshold   = 0.9                    // Share of the target step time below which the limit rises.
+	minAdaptInterval = 100 * time.Millisecond // Minimum time between two changes of the limit.
+	minRetryAfter    = 50 * time.Millisecond  // Shortest Retry-After of a refusal.
 )
 
 // Queue is the bounded queue and the concurrency limit of one endpoint.
 type Queue struct {
-	cfg     Config
-	limit   float64 // Invariant: MinLimit <= limit <= MaxLimit.
-	waiting []Request
-	running map[string]time.Time // Start time by id.
-	served  map[string]float64   // Service by customer, divided by weight.
-	floor   float64              // Least service a customer that comes anew is given.
-	hold    time.Duration        // Running mean of the time a request is held.
-	step    time.Duration        // Running mean of the step time.
-	adapted time.Time
-	leaving bool
+	cfg               Config
+	limit             float64 // Invariant: MinLimit <= limit <= MaxLimit.
+	waiting           []Request
+	running           map[string]time.Time // Start time by id.
+	normalizedService map[string]float64   // By customer, the number of started requests divided by weight.
+	minService        float64              // Service that a customer without recent requests is taken to have received.
+	meanServiceTime   time.Duration        // Running mean of the time for which a request runs.
+	meanStepTime      time.Duration        // Running mean of the step time.
+	adaptedAt         time.Time
+	leaving           bool
 }
 
 // New returns an empty queue at its highest limit.
@@ -84,10 +82,10 @@
 	cfg.MinLimit = max(1, cfg.MinLimit)
 	cfg.MaxLimit = max(cfg.MinLimit, cfg.MaxLimit)
 	return &Queue{
-		cfg:     cfg,
-		limit:   float64(cfg.MaxLimit),
-		running: map[string]time.Time{},
-		served:  map[string]float64{},
+		cfg:               cfg,
+		limit:             float64(cfg.MaxLimit),
+		running:           map[string]time.Time{},
+		normalizedService: map[string]float64{},
 	}
 }
 
@@ -97,152 +95,152 @@
 // Waiting returns the number of requests in the queue.
 func (q *Queue) Waiting() int { return len(q.waiting) }
 
-// Limit returns the present concurrency limit.
+// Limit returns the current concurrency limit.
 func (q *Queue) Limit() int { return int(q.limit) }
 
-// Step returns the running mean of the step time.
-func (q *Queue) Step() time.Duration { return q.step }
+// StepTime returns the running mean of the step time.
+func (q *Queue) StepTime() time.Duration { return q.meanStepTime }
 
-// Offer takes in a request and returns what to do now. The request itself is
-// in Start or in Refuse, or waits.
+// Offer adds a request and returns what to do now. The request itself is started, refused, or queued.
 func (q *Queue) Offer(r Request, now time.Time) (a Actions) {
 	if q.leaving {
-		a.Refuse = append(a.Refuse, Refusal{r, ReasonLeaving, minRetry})
+		a.Refuse = append(a.Refuse, Refusal{r, ReasonLeaving, minRetryAfter})
 		return a
 	}
-	if late, after := q.tooLate(r, now); late {
+	if late, after := q.missesDeadline(r, now); late {
 		a.Refuse = append(a.Refuse, Refusal{r, ReasonDeadline, after})
 		return a
 	}
 	q.waiting = append(q.waiting, r)
-	q.fill(&a, now)
+	q.startWaiting(&a, now)
 	if len(q.waiting) > q.cfg.Capacity {
-		worst := q.take(q.last(now))
-		a.Refuse = append(a.Refuse, Refusal{worst, ReasonFull, q.wait(len(q.waiting))})
+		worst := q.remove(q.evictIndex(now))
+		a.Refuse = append(a.Refuse, Refusal{worst, ReasonFull, q.predictWait(len(q.waiting))})
 	}
 	return a
 }
 
-// tooLate predicts whether r would start after its deadline.
-func (q *Queue) tooLate(r Request, now time.Time) (late bool, after time.Duration) {
+// missesDeadline predicts whether r would start after its deadline, and if so, after what time to
+// retry it.
+func (q *Queue) missesDeadline(r Request, now time.Time) (late bool, retryAfter time.Duration) {
 	if r.Deadline.IsZero() {
 		return false, 0
 	}
 	ahead := 0
 	for _, w := range q.waiting {
-		if q.aged(w, now) >= q.aged(r, now) {
+		if q.agedPriority(w, now) >= q.agedPriority(r, now) {
 			ahead++
 		}
 	}
 	wait := time.Duration(0)
 	if len(q.running) >= int(q.limit) {
-		wait = q.wait(ahead)
+		wait = q.predictWait(ahead)
 	}
 	if !now.Add(wait).Before(r.Deadline) {
-		return true, max(minRetry, wait)
+		return true, max(minRetryAfter, wait)
 	}
 	return false, 0
 }
 
-// wait predicts how long a request behind n others waits.
-func (q *Queue) wait(n int) time.Duration {
-	each := q.hold / time.Duration(max(1, int(q.limit)))
-	return max(minRetry, time.Duration(n+1)*each)
+// predictWait predicts the waiting time of a request that is queued behind n others.
+func (q *Queue) predictWait(n int) time.Duration {
+	perRequest := q.meanServiceTime / time.Duration(max(1, int(q.limit)))
+	return max(minRetryAfter, time.Duration(n+1)*perRequest)
 }
 
-// Done takes note that a running request has left the endpoint.
+// Done records that a running request has left the endpoint.
 func (q *Queue) Done(id string, now time.Time) (a Actions) {
 	started, ok := q.running[id]
 	if !ok {
 		return a
 	}
 	delete(q.running, id)
-	held := now.Sub(started)
-	if q.hold == 0 {
-		q.hold = held
+	serviceTime := now.Sub(started)
+	if q.meanServiceTime == 0 {
+		q.meanServiceTime = serviceTime
 	}
-	q.hold += time.Duration(smoothing * float64(held-q.hold))
-	q.fill(&a, now)
+	q.meanServiceTime += time.Duration(smoothingWeight * float64(serviceTime-q.meanServiceTime))
+	q.startWaiting(&a, now)
 	return a
 }
 
-// Cancel removes a waiting request whose caller has gone. It reports whether
-// the request was still waiting.
+// Cancel removes a waiting request whose caller has gone. It reports whether the request was still
+// waiting.
 func (q *Queue) Cancel(id string) bool {
 	for i, w := range q.waiting {
 		if w.ID == id {
-			q.take(i)
+			q.remove(i)
 			return true
 		}
 	}
 	return false
 }
 
-// Leave refuses everything that waits and all that comes later. What runs goes
-// on.
+// Leave refuses all waiting and all later requests. Running requests continue.
 func (q *Queue) Leave() (a Actions) {
 	q.leaving = true
 	for _, w := range q.waiting {
-		a.Refuse = append(a.Refuse, Refusal{w, ReasonLeaving, minRetry})
+		a.Refuse = append(a.Refuse, Refusal{w, ReasonLeaving, minRetryAfter})
 	}
 	q.waiting = nil
 	return a
 }
 
-// Tick refuses what can no longer start before its deadline.
+// Tick refuses the waiting requests whose deadlines have passed and starts others as far as the limit
+// allows.
 func (q *Queue) Tick(now time.Time) (a Actions) {
-	kept := q.waiting[:0]
+	remaining := q.waiting[:0]
 	for _, w := range q.waiting {
 		if !w.Deadline.IsZero() && !now.Before(w.Deadline) {
-			a.Refuse = append(a.Refuse, Refusal{w, ReasonDeadline, q.wait(len(q.waiting))})
+			a.Refuse = append(a.Refuse, Refusal{w, ReasonDeadline, q.predictWait(len(q.waiting))})
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	q.waiting = kept
-	q.fill(&a, now)
+	q.waiting = remaining
+	q.startWaiting(&a, now)
 	return a
 }
 
-// Observe takes in the time of one engine step and adapts the limit to it. A
-// lower limit cuts nothing that runs.
-func (q *Queue) Observe(step time.Duration, now time.Time) (a Actions) {
-	if q.step == 0 {
-		q.step = step
+// ObserveStep records the duration of one engine step and adapts the limit to it. Lowering the limit
+// stops no running request.
+func (q *Queue) ObserveStep(step time.Duration, now time.Time) (a Actions) {
+	if q.meanStepTime == 0 {
+		q.meanStepTime = step
 	}
-	q.step += time.Duration(smoothing * float64(step-q.step))
-	if q.cfg.StepTarget == 0 || now.Sub(q.adapted) < adaptEvery {
+	q.meanStepTime += time.Duration(smoothingWeight * float64(step-q.meanStepTime))
+	if q.cfg.StepTarget == 0 || now.Sub(q.adaptedAt) < minAdaptInterval {
 		return a
 	}
-	used := len(q.running) >= int(q.limit)
+	atLimit := len(q.running) >= int(q.limit)
 	switch {
-	case q.step > q.cfg.StepTarget:
+	case q.meanStepTime > q.cfg.StepTarget:
 		base := min(q.limit, float64(max(len(q.running), q.cfg.MinLimit)))
-		q.limit = max(float64(q.cfg.MinLimit), base*lowerFactor)
-		q.adapted = now
-	case used && q.step < time.Duration(raiseBelow*float64(q.cfg.StepTarget)):
+		q.limit = max(float64(q.cfg.MinLimit), base*limitDecrease)
+		q.adaptedAt = now
+	case atLimit && q.meanStepTime < time.Duration(raiseThreshold*float64(q.cfg.StepTarget)):
 		q.limit = min(float64(q.cfg.MaxLimit), q.limit+1)
-		q.adapted = now
-		q.fill(&a, now)
+		q.adaptedAt = now
+		q.startWaiting(&a, now)
 	}
 	return a
 }
 
-// aged is the priority of r, raised with the time it has waited.
-func (q *Queue) aged(r Request, now time.Time) int {
-	if q.cfg.AgePerStep <= 0 {
+// agedPriority returns the priority of r, raised with its waiting time.
+func (q *Queue) agedPriority(r Request, now time.Time) int {
+	if q.cfg.AgingInterval <= 0 {
 		return r.Priority
 	}
-	return r.Priority + int(now.Sub(r.Arrived)/q.cfg.AgePerStep)
+	return r.Priority + int(now.Sub(r.Arrived)/q.cfg.AgingInterval)
 }
 
-// before reports whether a goes before b.
-func (q *Queue) before(a, b Request, now time.Time) bool {
-	if pa, pb := q.aged(a, now), q.aged(b, now); pa != pb {
+// precedes reports whether a goes before b.
+func (q *Queue) precedes(a, b Request, now time.Time) bool {
+	if pa, pb := q.agedPriority(a, now), q.agedPriority(b, now); pa != pb {
 		return pa > pb
 	}
 	if a.Customer != b.Customer {
-		if sa, sb := q.service(a.Customer), q.service(b.Customer); sa != sb {
+		if sa, sb := q.serviceOf(a.Customer), q.serviceOf(b.Customer); sa != sb {
 			return sa < sb
 		}
 	}
@@ -252,28 +250,28 @@
 	return a.Arrived.Before(b.Arrived)
 }
 
-func (q *Queue) service(customer string) float64 {
-	return max(q.floor, q.served[customer])
+func (q *Queue) serviceOf(customer string) float64 {
+	return max(q.minService, q.normalizedService[customer])
 }
 
-// first returns the index of the waiting request that goes next.
-func (q *Queue) first(now time.Time) int {
+// nextIndex returns the index of the waiting request that goes next.
+func (q *Queue) nextIndex(now time.Time) int {
 	best := 0
 	for i := range q.waiting {
-		if q.before(q.waiting[i], q.waiting[best], now) {
+		if q.precedes(q.waiting[i], q.waiting[best], now) {
 			best = i
 		}
 	}
 	return best
 }
 
-// last returns the index of the waiting request to give up when the queue is
-// full: among the lowest priority, the newest of the customer with the most
-// waiting for its weight.
-func (q *Queue) last(now time.Time) int {
-	lowest := q.aged(q.waiting[0], now)
+// evictIndex returns the index of the waiting request to refuse when the queue is full: among the
+// lowest priority, the newest request of the customer with the most waiting requests relative to its
+// weight.
+func (q *Queue) evictIndex(now time.Time) int {
+	lowest := q.agedPriority(q.waiting[0], now)
 	for _, w := range q.waiting {
-		lowest = min(lowest, q.aged(w, now))
+		lowest = min(lowest, q.agedPriority(w, now))
 	}
 	length := map[string]float64{}
 	for _, w := range q.waiting {
@@ -281,7 +279,7 @@
 	}
 	worst := -1
 	for i, w := range q.waiting {
-		if q.aged(w, now) != lowest {
+		if q.agedPriority(w, now) != lowest {
 			continue
 		}
 		if worst < 0 || length[w.Customer] >= length[q.waiting[worst].Customer] {
@@ -291,24 +289,24 @@
 	return worst
 }
 
-// take removes and returns the waiting request at i.
-func (q *Queue) take(i int) Request {
+// remove removes and returns the waiting request at index i.
+func (q *Queue) remove(i int) Request {
 	r := q.waiting[i]
 	q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 	return r
 }
 
-// fill starts waiting requests while the limit allows.
-func (q *Queue) fill(a *Actions, now time.Time) {
+// startWaiting starts waiting requests as far as the limit allows.
+func (q *Queue) startWaiting(a *Actions, now time.Time) {
 	for len(q.waiting) > 0 && len(q.running) < int(q.limit) {
-		r := q.take(q.first(now))
-		q.floor = q.service(r.Customer)
-		q.served[r.Customer] = q.floor + 1/r.Weight
+		r := q.remove(q.nextIndex(now))
+		q.minService = q.serviceOf(r.Customer)
+		q.normalizedService[r.Customer] = q.minService + 1/r.Weight
 		q.running[r.ID] = now
 		a.Start = append(a.Start, r)
 	}
-	if len(q.waiting) == 0 && len(q.served) > 4*q.cfg.Capacity {
-		q.served = map[string]float64{} // Nobody waits: all start level again.
-		q.floor = 0
+	if len(q.waiting) == 0 && len(q.normalizedService) > 4*q.cfg.Capacity {
+		q.normalizedService = map[string]float64{} // No request is waiting: all customers start from zero again.
+		q.minService = 0
 	}
 }
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -23,16 +23,16 @@
 	return names
 }
 
-// full returns a queue of one place, which "runs" holds.
-func full(cfg Config) *Queue {
+// fullQueue returns a queue with a limit of one running request, which "runs" takes up.
+func fullQueue(cfg Config) *Queue {
 	cfg.MinLimit, cfg.MaxLimit = 1, 1
 	q := New(cfg)
 	q.Offer(request("runs", "other"), start)
 	return q
 }
 
-// order empties the queue and returns the ids in the order of their starts.
-func order(q *Queue, now time.Time) (list []string) {
+// startOrder empties the queue and returns the ids in the order in which they start.
+func startOrder(q *Queue, now time.Time) (list []string) {
 	last := "runs"
 	for q.Waiting() > 0 {
 		started := ids(q.Done(last, now).Start)
@@ -45,9 +45,9 @@
 func TestOrder(t *testing.T) {
 	check := func(name string, want []string, offer func(q *Queue)) {
 		t.Run(name, func(t *testing.T) {
-			q := full(Config{Capacity: 100, AgePerStep: time.Second})
+			q := fullQueue(Config{Capacity: 100, AgingInterval: time.Second})
 			offer(q)
-			gomega.NewWithT(t).Expect(order(q, start.Add(10*time.Millisecond))).To(gomega.Equal(want))
+			gomega.NewWithT(t).Expect(startOrder(q, start.Add(10*time.Millisecond))).To(gomega.Equal(want))
 		})
 	}
 	check("priority first", []string{"kiosk", "batch"}, func(q *Queue) {
@@ -74,22 +74,22 @@
 	})
 }
 
-func TestBatchEndsAtLast(t *testing.T) {
+func TestAgingLetsBatchRequestsRun(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := full(Config{Capacity: 100, AgePerStep: time.Second})
+	q := fullQueue(Config{Capacity: 100, AgingInterval: time.Second})
 	q.Offer(request("batch", "a"), start)
 	now := start.Add(10 * time.Second)
 	r := request("kiosk", "b")
 	r.Priority, r.Arrived = 9, now
 	q.Offer(r, now)
-	g.Expect(order(q, now)[0]).To(gomega.Equal("batch"))
+	g.Expect(startOrder(q, now)[0]).To(gomega.Equal("batch"))
 }
 
-func TestNobodyIsForgotten(t *testing.T) {
+func TestEachRequestIsStartedOrRefusedOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := New(Config{Capacity: 5, MinLimit: 2, MaxLimit: 2})
 	seen := map[string]int{}
-	note := func(a Actions) {
+	record := func(a Actions) {
 		for _, r := range a.Start {
 			seen[r.ID]++
 		}
@@ -98,31 +98,31 @@
 		}
 	}
 	for i := range 50 {
-		note(q.Offer(request(fmt.Sprint(i), fmt.Sprint(i%3)), start))
+		record(q.Offer(request(fmt.Sprint(i), fmt.Sprint(i%3)), start))
 	}
-	note(q.Leave())
-	note(q.Offer(request("late", "a"), start))
+	record(q.Leave())
+	record(q.Offer(request("late", "a"), start))
 	g.Expect(seen).To(gomega.HaveLen(51))
-	g.Expect(seen).To(gomega.HaveEach(1), "each is started or refused, once")
+	g.Expect(seen).To(gomega.HaveEach(1), "each is started or refused exactly once")
 }
 
-func TestFullQueueGivesUpTheLargestCustomersNewest(t *testing.T) {
+func TestFullQueueEvictsTheLargestCustomersNewest(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := full(Config{Capacity: 3})
+	q := fullQueue(Config{Capacity: 3})
 	for _, id := range []string{"a1", "a2", "a3"} {
 		q.Offer(request(id, "a"), start)
 	}
 	a := q.Offer(request("b1", "b"), start)
 	g.Expect(a.Refuse).To(gomega.HaveLen(1))
 	g.Expect(a.Refuse[0].Request.ID).To(gomega.Equal("a3"))
-	g.Expect(a.Refuse[0].After).To(gomega.BeNumerically(">", 0), "told when to come back")
+	g.Expect(a.Refuse[0].RetryAfter).To(gomega.BeNumerically(">", 0), "with the time after which to retry")
 }
 
 func TestDeadlineThatCannotBeMetIsRefusedAtOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := full(Config{Capacity: 100})
+	q := fullQueue(Config{Capacity: 100})
 	q.Offer(request("next", "a"), start)
-	q.Done("runs", start.Add(time.Second)) // Holding takes a second.
+	q.Done("runs", start.Add(time.Second)) // A request runs for a second.
 	for i := range 5 {
 		q.Offer(request(fmt.Sprint(i), "a"), start.Add(time.Second))
 	}
@@ -143,7 +143,7 @@
 	// Each sequence adds a millisecond to the step: 44 fit.
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
-		q.Observe(time.Duration(q.Running())*time.Millisecond, now)
+		q.ObserveStep(time.Duration(q.Running())*time.Millisecond, now)
 		for q.Running() > q.Limit() {
 			for id := range q.running {
 				q.Done(id, now)
@@ -154,7 +154,7 @@
 	g.Expect(q.Running()).To(gomega.BeNumerically("~", 42, 6))
 }
 
-func TestLowerLimitCutsNothing(t *testing.T) {
+func TestLowerLimitStopsNoRunningRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	q := New(Config{Capacity: 10, MinLimit: 1, MaxLimit: 8, StepTarget: 10 * time.Millisecond})
 	for i := range 8 {
@@ -163,7 +163,7 @@
 	now := start
 	for range 50 {
 		now = now.Add(time.Second)
-		g.Expect(q.Observe(time.Second, now).Refuse).To(gomega.BeEmpty())
+		g.Expect(q.ObserveStep(time.Second, now).Refuse).To(gomega.BeEmpty())
 	}
 	g.Expect(q.Limit()).To(gomega.BeNumerically("<", 8))
 	g.Expect(q.Running()).To(gomega.Equal(8))
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -1,132 +1,133 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package backoff keeps which endpoints have asked this gateway to send them nothing: for a
-// while, with a refusal, or for good, as they leave. An endpoint that turns requests away has
-// little at work and looks like the best choice; without this it draws more the more it
-// refuses. The package is a pure state machine: time comes in as an argument, and the caller
-// serialises access.
+// Package backoff tracks which endpoints have asked this gateway to send them no requests: for a
+// while, in a rejection, or permanently, because they are leaving. An endpoint that rejects requests
+// has little work and looks like the best choice; without backoff it would attract more requests the
+// more it rejects. The package is a pure state machine: time is passed in as an argument, and the
+// caller serialises access.
 package backoff
 
 import "time"
 
 const (
-	// longestRest is for how long an endpoint rests at most without a request that shows
-	// whether it still wants to.
-	longestRest = 5 * time.Minute
-	// trialTime is the time between two such requests while none is answered.
-	trialTime = 10 * time.Second
+	// maxBackoff is the longest time for which no request is sent to check whether an endpoint still
+	// asks for backoff.
+	maxBackoff = 5 * time.Minute
+	// trialInterval is the time between two such trial requests while none is answered.
+	trialInterval = 10 * time.Second
 )
 
-// Life is one run of an endpoint's process.
-type Life struct {
-	Name string
-	Born int64 // Unix milliseconds; 0 when not told.
+// Process identifies one process of an endpoint; a restarted endpoint is another process of the same
+// name.
+type Process struct {
+	Name  string
+	Start int64 // Start time, Unix milliseconds; 0 when unknown.
 }
 
-// said reports whether what the endpoint of the life's name said at a moment was said by that
-// life or a later one. An answer may come of a life that is not listed yet.
-func (l Life) said(at time.Time) bool {
-	return !at.IsZero() && (l.Born == 0 || at.UnixMilli() >= l.Born)
+// issued reports whether a statement that the endpoint of this name made at a given time was made by
+// this process or a later one. An answer may come from a process that is not listed yet.
+func (proc Process) issued(at time.Time) bool {
+	return !at.IsZero() && (proc.Start == 0 || at.UnixMilli() >= proc.Start)
 }
 
-// pause is what is known of the endpoint of one name.
-type pause struct {
-	leftAt   time.Time // When it said that it leaves; zero when it has not.
-	restedAt time.Time // When it last asked for rest.
-	until    time.Time // End of its rest.
-	// trial is set where a rest was cut to longestRest: one request at a time shows whether
-	// it is over.
+// endpointState is the state kept for the endpoint with one name.
+type endpointState struct {
+	leavingAt    time.Time // When it last announced that it is leaving; zero if it never has.
+	requestedAt  time.Time // When it last asked for backoff.
+	backoffUntil time.Time // End of its backoff.
+	// trial is set if a requested backoff was cut to maxBackoff: one request at a time then checks
+	// whether it is over.
 	trial bool
 }
 
-// Set holds what is known of all endpoints.
+// Set holds the state of all endpoints.
 type Set struct {
-	by map[string]*pause // By name.
+	endpoints map[string]*endpointState // By name.
 }
 
-// New returns a set that knows of no wish.
-func New() *Set { return &Set{by: map[string]*pause{}} }
+// New returns an empty set.
+func New() *Set { return &Set{endpoints: map[string]*endpointState{}} }
 
-func (s *Set) of(name string) *pause {
-	p := s.by[name]
+func (s *Set) getOrCreate(name string) *endpointState {
+	p := s.endpoints[name]
 	if p == nil {
-		p = &pause{}
-		s.by[name] = p
+		p = &endpointState{}
+		s.endpoints[name] = p
 	}
 	return p
 }
 
-// Rest takes in that an endpoint wants nothing for so long. It reports false where it rests
-// already.
-func (s *Set) Rest(l Life, d time.Duration, now time.Time) (news bool) {
-	_, resting := s.Resting(l, now)
-	p := s.of(l.Name)
-	if !l.said(p.restedAt) {
-		p.until, p.trial = time.Time{}, false // Of an earlier life.
+// Backoff records that an endpoint asks for backoff for the given time. It reports false if the
+// endpoint is already backing off.
+func (s *Set) Backoff(proc Process, d time.Duration, now time.Time) (changed bool) {
+	_, backingOff := s.BackingOff(proc, now)
+	p := s.getOrCreate(proc.Name)
+	if !proc.issued(p.requestedAt) {
+		p.backoffUntil, p.trial = time.Time{}, false // Requested by an earlier process.
 	}
-	p.restedAt = now
-	p.trial = p.trial || d > longestRest
-	if until := now.Add(min(d, longestRest)); until.After(p.until) {
-		p.until = until
+	p.requestedAt = now
+	p.trial = p.trial || d > maxBackoff
+	if until := now.Add(min(d, maxBackoff)); until.After(p.backoffUntil) {
+		p.backoffUntil = until
 	}
-	return !resting
+	return !backingOff
 }
 
-// Leave takes in that an endpoint leaves. It reports false where that is known.
-func (s *Set) Leave(l Life, now time.Time) (news bool) {
-	news = !s.Leaving(l)
-	s.of(l.Name).leftAt = now
-	return news
+// MarkLeaving records that an endpoint is leaving. It reports false if that is already known.
+func (s *Set) MarkLeaving(proc Process, now time.Time) (changed bool) {
+	changed = !s.Leaving(proc)
+	s.getOrCreate(proc.Name).leavingAt = now
+	return changed
 }
 
-// Sent notes that a request goes to an endpoint.
-func (s *Set) Sent(l Life, now time.Time) {
-	if p := s.by[l.Name]; p != nil && p.trial {
-		p.until = now.Add(trialTime)
+// RecordSent records that a request is sent to an endpoint.
+func (s *Set) RecordSent(proc Process, now time.Time) {
+	if p := s.endpoints[proc.Name]; p != nil && p.trial {
+		p.backoffUntil = now.Add(trialInterval)
 	}
 }
 
-// Answered takes in an answer that asks for no rest, to a request that was sent at a moment.
-func (s *Set) Answered(l Life, sentAt time.Time) {
-	// A trial ends trialTime after it was sent.
-	if p := s.by[l.Name]; p != nil && p.trial && !sentAt.Before(p.until.Add(-trialTime)) {
-		p.trial, p.until = false, sentAt
+// RecordAnswer records an answer without a request for backoff, to a request that was sent at sentAt.
+func (s *Set) RecordAnswer(proc Process, sentAt time.Time) {
+	// A trial's backoff ends trialInterval after its request was sent.
+	if p := s.endpoints[proc.Name]; p != nil && p.trial && !sentAt.Before(p.backoffUntil.Add(-trialInterval)) {
+		p.trial, p.backoffUntil = false, sentAt
 	}
 }
 
-// Leaving reports whether an endpoint has said that it leaves.
-func (s *Set) Leaving(l Life) bool {
-	p := s.by[l.Name]
-	return p != nil && l.said(p.leftAt)
+// Leaving reports whether an endpoint has announced that it is leaving.
+func (s *Set) Leaving(proc Process) bool {
+	p := s.endpoints[proc.Name]
+	return p != nil && proc.issued(p.leavingAt)
 }
 
-// Resting returns how much is left of an endpoint's rest; ok is false when it rests no more.
-func (s *Set) Resting(l Life, now time.Time) (left time.Duration, ok bool) {
-	p := s.by[l.Name]
-	if p == nil || !l.said(p.restedAt) || !now.Before(p.until) {
+// BackingOff returns the remaining time of an endpoint's backoff; ok is false if there is none.
+func (s *Set) BackingOff(proc Process, now time.Time) (remaining time.Duration, ok bool) {
+	p := s.endpoints[proc.Name]
+	if p == nil || !proc.issued(p.requestedAt) || !now.Before(p.backoffUntil) {
 		return 0, false
 	}
-	return p.until.Sub(now), true
+	return p.backoffUntil.Sub(now), true
 }
 
-// Counts returns how many endpoints rest and how many leave.
-func (s *Set) Counts(now time.Time) (resting, leaving int) {
-	for _, p := range s.by {
-		if !p.leftAt.IsZero() {
+// Counts returns the numbers of endpoints that are backing off and that are leaving.
+func (s *Set) Counts(now time.Time) (backingOff, leaving int) {
+	for _, p := range s.endpoints {
+		if !p.leavingAt.IsZero() {
 			leaving++
 		}
-		if now.Before(p.until) {
-			resting++
+		if now.Before(p.backoffUntil) {
+			backingOff++
 		}
 	}
-	return resting, leaving
+	return backingOff, leaving
 }
 
-// Forget drops endpoints whose names are not listed any more, and rests that have ended.
+// Forget removes endpoints whose names are no longer listed, and those whose backoff has ended.
 func (s *Set) Forget(listed func(name string) bool, now time.Time) {
-	for name, p := range s.by {
-		if !listed(name) || p.leftAt.IsZero() && !p.trial && !now.Before(p.until) {
-			delete(s.by, name)
+	for name, p := range s.endpoints {
+		if !listed(name) || p.leavingAt.IsZero() && !p.trial && !now.Before(p.backoffUntil) {
+			delete(s.endpoints, name)
 		}
 	}
 }
--- a/internal/decide/balance/outage.go
+++ b/internal/decide/balance/outage.go
@@ -37,7 +37,7 @@
 type outages struct {
 	down      map[string]outage    // By group.
 	openSince map[string]time.Time // By group, when it was first reported open or last reopened after an outage.
-	durations estimate.Time
+	durations estimate.Estimator
 }
 
 func newOutages() outages {
--- a/internal/decide/balance/outage_test.go
+++ b/internal/decide/balance/outage_test.go
@@ -22,7 +22,7 @@
 func TestExpectedOpen(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		tells func(t *Table)
+		setUp func(t *Table)
 		now   time.Duration
 		opens time.Duration
 	}{
@@ -52,7 +52,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			table := New()
-			tc.tells(table)
+			tc.setUp(table)
 			g.Expect(opensAfter(table, tc.now)).To(Equal(tc.opens))
 		})
 	}
@@ -61,7 +61,7 @@
 func TestJustOpened(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		tells func(t *Table)
+		setUp func(t *Table)
 		just  bool
 	}{
 		{"no reports", func(*Table) {}, false},
@@ -83,7 +83,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table := New()
-			tc.tells(table)
+			tc.setUp(table)
 			NewWithT(t).Expect(table.JustOpened("g", start.Add(time.Second))).To(Equal(tc.just))
 		})
 	}
--- a/internal/decide/cold/cold.go
+++ b/internal/decide/cold/cold.go
@@ -1,132 +1,131 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package cold paces what one gateway sends to endpoints that are cold. For some
-// seconds after a start under load an endpoint bears few requests a second, and falls
-// over well above that; as a rank it takes its whole group with it, which then starts
-// cold again. The load that this answers is that of the first seconds after an outage,
-// when the callers of all gateways come back at once.
+// Package cold limits the rate at which one gateway sends requests to cold endpoints. For some seconds
+// after a start under load, an endpoint can take only a few requests per second and fails well above
+// that; if it is a rank, it takes its whole group down with it, which then starts cold again. This
+// matters in the first seconds after an outage, when the callers of all gateways return at once.
 //
-// Gateways do not ask each other. Each keeps to an equal part of what an endpoint
-// bears, counted from a moment of its own, so that those that start together do not
-// send together. The package is a pure state machine: time and chance come in as
-// arguments, and the caller serialises access. Which endpoint a request goes to is
-// package balance's matter.
+// Gateways do not coordinate. Each sends an equal share of what an endpoint can take, starting at a
+// random point in time, so that gateways that start together do not send at the same times. The
+// package is a pure state machine: time and randomness are passed in as arguments, and the caller
+// serialises access. Package balance picks the endpoint of a request.
 package cold
 
 import "time"
 
-// Terms is what is published of the cold endpoints of a service.
-type Terms struct {
-	Time time.Duration // For which one is cold after a start.
-	Rate float64       // Requests a second that it bears meanwhile, from all gateways; 0 for no bound.
+// Params holds the published parameters of the cold endpoints of a service.
+type Params struct {
+	Period time.Duration // Time for which an endpoint is cold after a start.
+	Rate   float64       // Requests per second that it can take meanwhile, from all gateways together; 0 for no limit.
 }
 
-// fewestSenders is among how many gateways the rate is shared at least: one that has
-// just started has not heard of the others yet.
-const fewestSenders = 8
+// minSenders is the least number of gateways assumed to share the rate: a gateway that has just
+// started does not know the others yet.
+const minSenders = 8
 
-// Pacer follows which endpoints are cold and what was sent to them.
+// Pacer tracks which endpoints are cold and how many requests were sent to them.
 type Pacer struct {
-	until   map[string]time.Time // Until when an endpoint or a group is cold.
-	parts   map[string]*part     // By endpoint; of those that are cold.
-	epochs  map[string]uint64    // Newest by group.
-	senders int                  // Gateways that send to the same endpoints, this one among them.
+	coldUntil map[string]time.Time // By endpoint or group, until when it is cold.
+	budgets   map[string]*budget   // By cold endpoint.
+	epochs    map[string]uint64    // Newest epoch by group.
+	senders   int                  // Number of gateways that send to the same endpoints, including this one.
 }
 
-// part is what this gateway may still send to one cold endpoint.
-type part struct {
-	tokens float64 // Requests; at most one, and less than none after several at once.
-	at     time.Time
+// budget is the token bucket of this gateway for one cold endpoint.
+type budget struct {
+	tokens    float64 // Requests: at most one, and negative after several at once.
+	updatedAt time.Time
 }
 
-// New returns a pacer that takes every endpoint as warm.
+// New returns a pacer for which every endpoint is warm.
 func New() *Pacer {
-	return &Pacer{until: map[string]time.Time{}, parts: map[string]*part{}, epochs: map[string]uint64{}, senders: fewestSenders}
+	return &Pacer{coldUntil: map[string]time.Time{}, budgets: map[string]*budget{}, epochs: map[string]uint64{}, senders: minSenders}
 }
 
-// SetSenders tells among how many gateways, this one among them, endpoints share.
-func (p *Pacer) SetSenders(n int) { p.senders = max(n, fewestSenders) }
+// SetSenders sets the number of gateways, including this one, that share endpoints.
+func (p *Pacer) SetSenders(n int) { p.senders = max(n, minSenders) }
 
-// Told takes in that an endpoint said it stays cold for so long.
-func (p *Pacer) Told(id string, left time.Duration, now time.Time) {
-	if until := now.Add(left); left > 0 && until.After(p.until[id]) {
-		p.until[id] = until
+// MarkCold records an endpoint's report that it remains cold for the given time. It never shortens
+// the time that the endpoint is taken to be cold.
+func (p *Pacer) MarkCold(id string, remaining time.Duration, now time.Time) {
+	if until := now.Add(remaining); remaining > 0 && until.After(p.coldUntil[id]) {
+		p.coldUntil[id] = until
 	}
 }
 
-// Began takes in that an endpoint, or each rank of a group, may have started just now:
-// it is taken as cold for as long as a start makes it.
-func (p *Pacer) Began(name string, t Terms, now time.Time) { p.Told(name, t.Time, now) }
+// Started records that an endpoint, or each rank of a group, may have just started: it is taken to be
+// cold for the period after a start.
+func (p *Pacer) Started(name string, t Params, now time.Time) { p.MarkCold(name, t.Period, now) }
 
-// Opened takes in the epoch that a group says it is open in. In another one than before
-// the group has formed anew, which follows from the start of at least one of its ranks.
-func (p *Pacer) Opened(group string, epoch uint64, t Terms, now time.Time) {
+// RecordGroupOpen records the epoch in which a group reports to be open. A new epoch means that the
+// group has formed anew, and therefore that at least one of its ranks has started.
+func (p *Pacer) RecordGroupOpen(group string, epoch uint64, t Params, now time.Time) {
 	if group == "" || t.Rate <= 0 {
 		return
 	}
-	if had, ok := p.epochs[group]; !ok || had != epoch {
+	if known, ok := p.epochs[group]; !ok || known != epoch {
 		p.epochs[group] = epoch
-		p.Began(group, t, now)
+		p.Started(group, t, now)
 	}
 }
 
-// Cold reports whether an endpoint of a group, "" for none, is to be taken as cold.
+// Cold reports whether an endpoint of a group, "" for none, is taken to be cold.
 func (p *Pacer) Cold(id, group string, now time.Time) bool {
-	return now.Before(p.until[id]) || group != "" && now.Before(p.until[group])
+	return now.Before(p.coldUntil[id]) || group != "" && now.Before(p.coldUntil[group])
 }
 
-// Due reports whether this gateway may send one more request to a cold endpoint.
-// Random returns a number from 0 up to 1.
-func (p *Pacer) Due(id string, t Terms, random func() float64, now time.Time) bool {
-	return t.Rate <= 0 || p.part(id, t, random, now).tokens >= 1
+// MaySend reports whether this gateway may send one more request to a cold endpoint. random returns a
+// number in [0, 1).
+func (p *Pacer) MaySend(id string, t Params, random func() float64, now time.Time) bool {
+	return t.Rate <= 0 || p.updatedBudget(id, t, random, now).tokens >= 1
 }
 
-// Sent notes that a request goes to a cold endpoint.
-func (p *Pacer) Sent(id string, t Terms, random func() float64, now time.Time) {
+// RecordSent records that a request is sent to a cold endpoint.
+func (p *Pacer) RecordSent(id string, t Params, random func() float64, now time.Time) {
 	if t.Rate > 0 {
-		p.part(id, t, random, now).tokens--
+		p.updatedBudget(id, t, random, now).tokens--
 	}
 }
 
-// paceShare is the part of what a cold endpoint bears that all gateways together send
-// it: their parts fall due by chance, and of 150 that all send as much as they may, up
-// to twice the mean fall due in one second.
-const paceShare = 0.8
+// targetRateShare is the share of a cold endpoint's rate that all gateways together send: their
+// budgets refill at random times, and of 150 gateways that all send as much as they may, up to twice
+// the mean send within one second.
+const targetRateShare = 0.8
 
-// Rate returns how many requests a second this gateway may send to a cold endpoint.
-func (p *Pacer) Rate(t Terms) float64 { return paceShare * t.Rate / float64(p.senders) }
+// Rate returns the requests per second that this gateway may send to a cold endpoint.
+func (p *Pacer) Rate(t Params) float64 { return targetRateShare * t.Rate / float64(p.senders) }
 
-// part brings what may be sent to an endpoint up to date. It begins with a part of a
-// request that chance gives: with whole ones, as many requests as there are gateways
-// would come at once, which is more than an endpoint bears in a second.
-func (p *Pacer) part(id string, t Terms, random func() float64, now time.Time) *part {
-	at, ok := p.parts[id]
+// updatedBudget returns the up-to-date budget for an endpoint. A new budget starts with a random
+// fraction of a request: if all gateways started with a whole one, as many requests as there are
+// gateways would arrive at once, which is more than an endpoint can take in a second.
+func (p *Pacer) updatedBudget(id string, t Params, random func() float64, now time.Time) *budget {
+	at, ok := p.budgets[id]
 	if !ok {
-		at = &part{tokens: random(), at: now}
-		p.parts[id] = at
+		at = &budget{tokens: random(), updatedAt: now}
+		p.budgets[id] = at
 		return at
 	}
-	if passed := now.Sub(at.at); passed > 0 {
-		at.tokens = min(at.tokens+p.Rate(t)*passed.Seconds(), 1)
-		at.at = now
+	if elapsed := now.Sub(at.updatedAt); elapsed > 0 {
+		at.tokens = min(at.tokens+p.Rate(t)*elapsed.Seconds(), 1)
+		at.updatedAt = now
 	}
 	return at
 }
 
-// Forget drops what has passed.
+// Forget removes endpoints that are no longer cold and budgets that are no longer used.
 func (p *Pacer) Forget(now time.Time) {
-	for name, until := range p.until {
+	for name, until := range p.coldUntil {
 		if !now.Before(until) {
-			delete(p.until, name)
+			delete(p.coldUntil, name)
 		}
 	}
-	for id, at := range p.parts {
-		if now.Sub(at.at) > forgetAfter {
-			delete(p.parts, id)
+	for id, at := range p.budgets {
+		if now.Sub(at.updatedAt) > budgetRetention {
+			delete(p.budgets, id)
 		}
 	}
 }
 
-// forgetAfter is how long after the last request an endpoint is forgotten: some times as
-// long as one is cold.
-const forgetAfter = 10 * time.Second
+// budgetRetention is the time after its last update for which a budget is kept: a few times as long as
+// an endpoint is cold.
+const budgetRetention = 10 * time.Second
--- a/internal/decide/estimate/estimate.go
+++ b/internal/decide/estimate/estimate.go
@@ -1,44 +1,43 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package estimate says how long something takes, by how long it took: in the mean,
-// and for nearly all. It is pure, and the caller serialises access.
+// Package estimate estimates the duration of an operation from earlier ones: the mean, and an upper
+// bound for nearly all. It is pure, and the caller serialises access.
 package estimate
 
 import "time"
 
-// offs is how many deviations above the mean nearly all lie, as in the usual
-// estimate of round trips.
-const offs = 2
-
-// Time is a smoothed time and its smoothed deviation. The zero value is of no use;
-// New makes one.
-type Time struct {
-	weight float64 // Of the newest one.
-	known  bool
-	mean   time.Duration
-	off    time.Duration
+// deviationFactor is the number of deviations above the mean below which nearly all durations lie,
+// similar to the usual estimate of round-trip times.
+const deviationFactor = 2
+
+// Estimator holds a smoothed duration and its smoothed mean deviation. Use New to make one.
+type Estimator struct {
+	weight    float64 // Weight of the newest duration.
+	known     bool
+	mean      time.Duration
+	deviation time.Duration
 }
 
-// New returns an estimate that knows nothing yet, in which the newest time has a
-// weight above 0 and up to 1.
-func New(weight float64) Time { return Time{weight: weight} }
+// New returns an estimate without samples, in which the newest duration has the given weight, above 0
+// and at most 1.
+func New(weight float64) Estimator { return Estimator{weight: weight} }
 
-// Add takes in one more time.
-func (t *Time) Add(d time.Duration) {
+// Add adds a measured duration.
+func (t *Estimator) Add(d time.Duration) {
 	if !t.known {
 		t.known, t.mean = true, d
 		return
 	}
 	off := d - t.mean
 	t.mean += time.Duration(t.weight * float64(off))
-	t.off += time.Duration(t.weight * float64(off.Abs()-t.off))
+	t.deviation += time.Duration(t.weight * float64(off.Abs()-t.deviation))
 }
 
-// Known reports whether any time was taken in.
-func (t *Time) Known() bool { return t.known }
+// Known reports whether any duration was added.
+func (t *Estimator) Known() bool { return t.known }
 
-// Mean returns the smoothed time, 0 when nothing is known.
-func (t *Time) Mean() time.Duration { return t.mean }
+// Mean returns the smoothed duration, 0 if none was added.
+func (t *Estimator) Mean() time.Duration { return t.mean }
 
-// Most returns the time within which nearly all lie.
-func (t *Time) Most() time.Duration { return t.mean + offs*t.off }
+// UpperBound returns the duration below which nearly all lie.
+func (t *Estimator) UpperBound() time.Duration { return t.mean + deviationFactor*t.deviation }
--- a/internal/decide/estimate/estimate_test.go
+++ b/internal/decide/estimate/estimate_test.go
@@ -9,16 +9,16 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestTimesThatVaryAreGivenMore(t *testing.T) {
+func TestUpperBoundGrowsWithVariance(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		times      []time.Duration
-		mean, most time.Duration
+		name             string
+		times            []time.Duration
+		mean, upperBound time.Duration
 	}{
-		{"nothing known", nil, 0, 0},
+		{"no duration", nil, 0, 0},
 		{"one", []time.Duration{40}, 40, 40},
 		{"all alike", []time.Duration{40, 40, 40}, 40, 40},
-		{"one takes longer", []time.Duration{40, 140}, 90, 190},
+		{"one is longer", []time.Duration{40, 140}, 90, 190},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -28,7 +28,7 @@
 			}
 			g.Expect(e.Known()).To(Equal(len(tc.times) > 0))
 			g.Expect(e.Mean()).To(Equal(tc.mean * time.Millisecond))
-			g.Expect(e.Most()).To(Equal(tc.most * time.Millisecond))
+			g.Expect(e.UpperBound()).To(Equal(tc.upperBound * time.Millisecond))
 		})
 	}
 }
--- a/internal/decide/hold/hold.go
+++ b/internal/decide/hold/hold.go
@@ -1,35 +1,35 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package hold says until when a request is kept that nothing can serve yet, in place of
-// a refusal: while what it waits for is expected so soon that its caller is still there.
-// It answers the load of a start of the whole system, when all callers come at once to
-// gateways that know nothing and to groups of ranks that form. It is pure.
+// Package hold decides until when a request is held that nothing can serve yet, instead of being
+// rejected: as long as what it waits for is expected so soon that its caller will not have left. It
+// handles the load when the whole system starts, as all callers arrive at once at gateways without a
+// configuration and at groups of ranks that are still forming. It is pure.
 package hold
 
 import "time"
 
 const (
-	// startTime is for how long a gateway that has just started waits for the first
-	// configuration: a start takes some hundred milliseconds, and reading it some round
-	// trips. After that the store is away, and that takes seconds.
-	startTime = 1500 * time.Millisecond
-	// startShare is the part of a caller's patience that goes to it at most: a caller
-	// that is refused after it still has the time to come back once.
-	startShare = 1.0 / 3
-	// silentShare is the part of the time after which callers leave that is used: the
-	// rest is for the way back.
-	silentShare = 0.95
+	// maxConfigWait is the longest time for which a gateway that has just started waits for its first
+	// configuration: a start takes some hundred milliseconds, and reading the configuration some round
+	// trips. If it takes longer, the store is unreachable, which lasts for seconds.
+	maxConfigWait = 1500 * time.Millisecond
+	// maxConfigWaitShare is the largest share of a caller's timeout that may be spent on this wait: a
+	// caller that is rejected after it still has time for one retry.
+	maxConfigWaitShare = 1.0 / 3
+	// usableSilenceShare is the share of the time after which callers leave that is used; the rest is
+	// for the answer to reach the caller.
+	usableSilenceShare = 0.95
 )
 
-// ForStart returns until when a request that came at a moment waits for the first
+// UntilConfig returns until when a request that arrived at the given time waits for the first
 // configuration.
-func ForStart(arrived time.Time, patience time.Duration) time.Time {
-	return arrived.Add(min(startTime, time.Duration(startShare*float64(patience))))
+func UntilConfig(arrived time.Time, callerTimeout time.Duration) time.Time {
+	return arrived.Add(min(maxConfigWait, time.Duration(maxConfigWaitShare*float64(callerTimeout))))
 }
 
-// ForGroup returns until when a request waits for a group of ranks to open, whose caller
-// last heard something at a moment and leaves after so long a silence; first is how long
-// a first event takes.
-func ForGroup(heard time.Time, leaves, first time.Duration) time.Time {
-	return heard.Add(time.Duration(silentShare*float64(leaves)) - first)
+// UntilGroupOpen returns until when a request waits for a group of ranks to open. Its caller last
+// received an event at lastEvent and leaves after a silence of silenceTimeout; firstEventTime is the
+// time that the group takes to send a first event.
+func UntilGroupOpen(lastEvent time.Time, silenceTimeout, firstEventTime time.Duration) time.Time {
+	return lastEvent.Add(time.Duration(usableSilenceShare*float64(silenceTimeout)) - firstEventTime)
 }
--- a/internal/decide/hold/hold_test.go
+++ b/internal/decide/hold/hold_test.go
@@ -9,22 +9,22 @@
 	. "github.com/onsi/gomega"
 )
 
-var arrived = time.Unix(1000, 0)
+var arrivedAt = time.Unix(1000, 0)
 
-func TestForStartLeavesTimeToComeBack(t *testing.T) {
-	for _, tc := range []struct{ patience, kept time.Duration }{
-		{8 * time.Second, startTime},
+func TestUntilConfigLeavesTimeToRetry(t *testing.T) {
+	for _, tc := range []struct{ callerTimeout, held time.Duration }{
+		{8 * time.Second, maxConfigWait},
 		{1200 * time.Millisecond, 400 * time.Millisecond},
 		{0, 0},
 	} {
 		g := NewWithT(t)
-		g.Expect(ForStart(arrived, tc.patience).Sub(arrived)).To(Equal(tc.kept))
+		g.Expect(UntilConfig(arrivedAt, tc.callerTimeout).Sub(arrivedAt)).To(Equal(tc.held))
 	}
 }
 
-func TestForGroupEndsBeforeTheCallerLeaves(t *testing.T) {
+func TestUntilGroupOpenEndsBeforeTheCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
-	until := ForGroup(arrived, 2*time.Second, 300*time.Millisecond)
-	g.Expect(until.Add(300*time.Millisecond).Sub(arrived)).To(BeNumerically("<", 2*time.Second), "its first event still comes in time")
-	g.Expect(until.Sub(arrived)).To(BeNumerically(">", 1500*time.Millisecond))
+	until := UntilGroupOpen(arrivedAt, 2*time.Second, 300*time.Millisecond)
+	g.Expect(until.Add(300*time.Millisecond).Sub(arrivedAt)).To(BeNumerically("<", 2*time.Second), "its first event still arrives in time")
+	g.Expect(until.Sub(arrivedAt)).To(BeNumerically(">", 1500*time.Millisecond))
 }
--- a/internal/decide/idle/idle.go
+++ b/internal/decide/idle/idle.go
@@ -1,14 +1,14 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package idle decides how long a server keeps a connection that is idle between two requests.
-// A caller may go by the timeout that its last answer advertised, or by the limit of any version
-// of the configuration that may be in force. The connection is kept for the longest of these.
+// Package idle decides how long a server keeps a connection that is idle between two requests. A
+// caller may go by the timeout that its last answer advertised, or by the limit of any version of the
+// configuration that may be in effect. The connection is kept for the longest of these.
 package idle
 
 import "time"
 
-// TransitMargin extends the time for which a connection may be idle, because a request that was
-// sent at the end of that time may still be on its way.
+// TransitMargin extends the time for which a connection may be idle, because a request that was sent
+// at the end of that time may still be in transit.
 const TransitMargin = time.Second
 
 // Limit is the idle timeout that a version of the configuration sets.
@@ -26,16 +26,16 @@
 
 type replacedLimit struct {
 	Limit
-	at time.Time
+	replacedAt time.Time
 }
 
-// New returns the limits of a server to which no version has been published. Until then, initial
-// is in force. Callers may go by a replaced limit for the propagation delay.
+// New returns the limits of a server to which no version has been published. Until then, initial is in
+// effect. Callers may go by a replaced limit for the propagation delay.
 func New(initial, propagation time.Duration) *Limits {
 	return &Limits{propagation: propagation, current: Limit{Idle: initial}}
 }
 
-// Publish puts a limit in force.
+// Publish puts a limit into effect.
 func (l *Limits) Publish(next Limit, now time.Time) {
 	if next.Version == l.current.Version && next.Idle == l.current.Idle {
 		return
@@ -43,7 +43,7 @@
 	remaining := l.replaced[:0]
 	for _, r := range append(l.replaced, replacedLimit{l.current, now}) {
 		// A connection that became idle while r was valid has been kept for as long as r asks.
-		expired := now.Sub(r.at) > l.propagation+r.Idle+TransitMargin
+		expired := now.Sub(r.replacedAt) > l.propagation+r.Idle+TransitMargin
 		if r.Idle > next.Idle && !expired {
 			remaining = append(remaining, r)
 		}
@@ -51,14 +51,14 @@
 	l.replaced, l.current = remaining, next
 }
 
-// Current returns the limit in force.
+// Current returns the limit in effect.
 func (l *Limits) Current() Limit { return l.current }
 
 // Longest returns the longest limit that the caller of a connection may go by. The connection
 // has been idle since the given time.
 func (l *Limits) Longest(since time.Time) Limit {
 	for _, r := range l.replaced {
-		if !r.at.Add(l.propagation).Before(since) {
+		if !r.replacedAt.Add(l.propagation).Before(since) {
 			return r.Limit
 		}
 	}
--- a/internal/decide/idle/idle_test.go
+++ b/internal/decide/idle/idle_test.go
@@ -18,10 +18,10 @@
 
 var start = time.Unix(1000, 0)
 
-// at returns a moment of the tests.
+// at returns the time that is the given duration after start.
 func at(after time.Duration) time.Time { return start.Add(after) }
 
-func TestTheLimitInForce(t *testing.T) {
+func TestCurrentLimit(t *testing.T) {
 	g := NewWithT(t)
 	l := New(initial, propagation)
 	g.Expect(l.Current()).To(Equal(Limit{Idle: initial}))
@@ -30,7 +30,7 @@
 	g.Expect(l.Current()).To(Equal(Limit{Version: 1, Idle: 80 * time.Second}))
 	l.Publish(Limit{Version: 2, Idle: 80 * time.Second}, at(time.Second))
 	g.Expect(l.Current().Version).To(BeEquivalentTo(2))
-	g.Expect(l.replaced).To(BeEmpty(), "what is no longer than the one in force says nothing")
+	g.Expect(l.replaced).To(BeEmpty(), "limits that are no longer than the current one are dropped")
 }
 
 func TestAReplacedLimitStaysValid(t *testing.T) {
@@ -71,7 +71,7 @@
 		g.Expect(l.Longest(at(replacedAt + propagation))).To(Equal(long))
 		g.Expect(l.Longest(at(replacedAt + propagation + 1))).To(Equal(middle))
 	})
-	t.Run("until a request that was sent at its end has come", func(t *testing.T) {
+	t.Run("until a request that was sent at its end has arrived", func(t *testing.T) {
 		g := NewWithT(t)
 		l := shrunk()
 		last := replacedAt + propagation + long.Idle + TransitMargin
@@ -91,7 +91,7 @@
 	})
 }
 
-func TestTheListOfLimitsStaysBounded(t *testing.T) {
+func TestReplacedLimitsStayBounded(t *testing.T) {
 	for name, next := range map[string]func(i int) time.Duration{
 		"limits that shrink": func(i int) time.Duration { return 20*time.Second - time.Duration(i)*time.Millisecond },
 		"limits that grow":   func(i int) time.Duration { return time.Second + time.Duration(i)*time.Millisecond },
@@ -112,41 +112,42 @@
 	}
 }
 
-// naive keeps all versions.
-type naive struct {
-	limits []Limit
-	until  []time.Time // When each was replaced; one fewer.
+// naiveLimits keeps all versions.
+type naiveLimits struct {
+	limits     []Limit
+	replacedAt []time.Time // When each limit was replaced; shorter by one, since the last is current.
 }
 
-// longest returns the longest limit that was in force until a moment, or so shortly before
-// that callers may go by it, and of those the newest.
-func (n naive) longest(since time.Time) (most Limit) {
+// longest returns the longest of the limits that a caller may go by that has been idle since the given
+// time, that is, those in effect then or replaced at most the propagation delay before; of equally
+// long ones, the newest.
+func (n naiveLimits) longest(since time.Time) (best Limit) {
 	for i, l := range n.limits {
-		holding := i == len(n.until) || !n.until[i].Add(propagation).Before(since)
-		if holding && l.Idle >= most.Idle {
-			most = l
+		holding := i == len(n.replacedAt) || !n.replacedAt[i].Add(propagation).Before(since)
+		if holding && l.Idle >= best.Idle {
+			best = l
 		}
 	}
-	return most
+	return best
 }
 
-func TestLimitsAreThoseOfAModelThatForgetsNothing(t *testing.T) {
+func TestLimitsMatchAModelThatKeepsAllVersions(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 0))
 		upTo := func(d time.Duration) time.Duration { return time.Duration(rng.Int64N(int64(d))) }
-		l, model := New(initial, propagation), naive{limits: []Limit{{Idle: initial}}}
+		l, model := New(initial, propagation), naiveLimits{limits: []Limit{{Idle: initial}}}
 		now := at(0)
-		storm := 1 + upTo(5*time.Second) // Longest time between two versions.
+		maxGap := 1 + upTo(5*time.Second) // Longest time between two versions.
 		for version := range uint64(100) {
-			now = now.Add(upTo(storm))
+			now = now.Add(upTo(maxGap))
 			next := Limit{Version: version + 1, Idle: 1 + upTo(initial)}
 			l.Publish(next, now)
-			model.limits, model.until = append(model.limits, next), append(model.until, now)
+			model.limits, model.replacedAt = append(model.limits, next), append(model.replacedAt, now)
 			for range 20 {
-				since, asked := now.Add(-upTo(2*initial)), now.Add(upTo(storm))
+				since, asked := now.Add(-upTo(2*initial)), now.Add(upTo(maxGap))
 				got, want := l.Longest(since), model.longest(since)
 				if asked.Sub(since) > want.Idle+TransitMargin {
-					continue // It has expired by either.
+					continue // The connection has expired by either limit.
 				}
 				if got.Idle != want.Idle {
 					t.Fatalf("seed %d, version %d, idle for %v: %v, not %v", seed, next.Version, now.Sub(since), got, want)
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -11,12 +11,12 @@
 	"pgregory.net/rapid"
 )
 
-func init() { _ = flag.Set("rapid.seed", "1") } // The same verdict every time.
+func init() { _ = flag.Set("rapid.seed", "1") } // Makes runs reproducible.
 
 var start = time.Unix(1_800_000_000, 0)
 
-// TestSharesNeverExceedTheLimit lets entries demand, lend and borrow at random,
-// with messages lost and late, and adds their rates up after each event.
+// TestSharesNeverExceedTheLimit has entries receive requests, lend and borrow at random, with lost and
+// late messages, and checks the sum of their rates after each event.
 func TestSharesNeverExceedTheLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const entries, rate = 5, 100.0
@@ -37,11 +37,11 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				for range rapid.IntRange(0, 60).Draw(t, "requests") {
-					shares[a].Count()
+					shares[a].CountRequest()
 				}
 			case 1, 2:
 				b := rapid.IntRange(0, entries-1).Draw(t, "lender")
-				want := shares[a].Want(now)
+				want := shares[a].Shortfall(now)
 				if want == 0 || a == b {
 					continue
 				}
@@ -69,27 +69,27 @@
 	})
 }
 
-func TestBorrowFromTheBorrowersClockWouldExceed(t *testing.T) {
+func TestLeaseCountedFromReceiptWouldExceedTheLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	lender, borrower := NewShare(50, start), NewShare(50, start)
 	now := start.Add(time.Second)
-	given := lender.Lend(30, now)
-	heard := now.Add(2 * time.Second) // The answer was late.
-	borrower.Borrow(given, heard)     // The mutation: the time of hearing instead of asking.
+	granted := lender.Lend(30, now)
+	receivedAt := now.Add(2 * time.Second) // The answer arrived late.
+	borrower.Borrow(granted, receivedAt)   // The mutation: the time of receipt instead of the time of the request.
 	end := now.Add(Lease)
 	g.Expect(lender.Rate(end)+borrower.Rate(end)).To(gomega.BeNumerically(">", 100), "the rule is needed")
 }
 
-func TestQuietShareMovesToABusyEntry(t *testing.T) {
+func TestUnusedShareMovesToABusyEntry(t *testing.T) {
 	g := gomega.NewWithT(t)
 	quiet, busy := NewShare(50, start), NewShare(50, start)
 	now := start
 	for range 20 {
 		now = now.Add(200 * time.Millisecond)
 		for range 18 {
-			busy.Count()
+			busy.CountRequest()
 		}
-		if w := busy.Want(now); w > 0 {
+		if w := busy.Shortfall(now); w > 0 {
 			busy.Borrow(quiet.Lend(w, now), now)
 		}
 	}
--- a/internal/decide/limit/share.go
+++ b/internal/decide/limit/share.go
@@ -7,119 +7,119 @@
 	"time"
 )
 
-// Lease times of borrowed shares.
+// Durations and thresholds of lending.
 const (
-	// Lease is how long a lent part is the borrower's.
+	// Lease is the duration for which a lent rate belongs to the borrower.
 	Lease = 3 * time.Second
-	// demandTime is the time over which demand is averaged.
-	demandTime = time.Second
-	// headroom is how much more than its demand an entry wants, or keeps.
-	headroom = 1.2
-	// quantum is the least part of an entitlement that is worth a message.
-	quantum = 0.02
+	// demandSmoothingTime is the time constant over which demand is averaged.
+	demandSmoothingTime = time.Second
+	// demandHeadroom is the rate that an entry asks for, or keeps when it lends, as a multiple of its
+	// demand.
+	demandHeadroom = 1.2
+	// minTransferShare is the smallest share of an entitlement that is worth a message.
+	minTransferShare = 0.02
 )
 
-// lease is a part of a limit that is somebody's for a while.
+// lease is a rate that is lent or borrowed until it expires.
 type lease struct {
-	rate  float64 // Requests a second.
-	until time.Time
+	rate      float64 // Requests per second.
+	expiresAt time.Time
 }
 
-// Share is the part of one customer's limit that one entry may let in. Every
-// entry is entitled to an equal part, which it always has, cut off or not. An
-// entry that needs more borrows from others what they do not use. A lender
-// gives up what it lent until the lease is over, by its own clock from before
-// the borrower's; so, whatever is lost, late or cut, the parts never add up to
-// more than the limit.
+// Share is the part of one customer's limit that one entry may admit. Every entry is entitled to an
+// equal part, which it always has, even when it is cut off. An entry that needs more borrows from
+// others what they do not use. A lender forgoes what it lent until the lease expires, which happens
+// later at the lender than at the borrower, each by its own clock, since the borrower's lease is
+// counted from before its request was sent. The parts therefore never add up to more than the limit,
+// whatever messages are lost or late and whichever entries are cut off.
 type Share struct {
-	entitled float64 // Requests a second.
-	lent     []lease
-	borrowed []lease
-	demand   float64 // Running mean of requests a second, refused ones included.
-	counted  float64 // Requests since at.
-	at       time.Time
+	entitlement float64 // Requests per second.
+	lent        []lease
+	borrowed    []lease
+	demand      float64 // Running mean of requests per second, including rejected ones.
+	requests    float64 // Requests since updatedAt.
+	updatedAt   time.Time
 }
 
-// NewShare returns the share of an entry that is entitled to so many requests
-// a second.
-func NewShare(entitled float64, now time.Time) *Share {
-	return &Share{entitled: entitled, at: now}
+// NewShare returns the share of an entry with an entitlement in requests per second.
+func NewShare(entitlement float64, now time.Time) *Share {
+	return &Share{entitlement: entitlement, updatedAt: now}
 }
 
-// Entitle changes the entitlement, when a new configuration is in force.
-func (s *Share) Entitle(rate float64) { s.entitled = rate }
+// SetEntitlement changes the entitlement when a new configuration takes effect.
+func (s *Share) SetEntitlement(rate float64) { s.entitlement = rate }
 
-// Count takes note of a request, let in or not.
-func (s *Share) Count() { s.counted++ }
+// CountRequest counts a request, whether admitted or not.
+func (s *Share) CountRequest() { s.requests++ }
 
-// refresh drops leases that are over and folds the count into the demand.
+// refresh drops expired leases and adds the counted requests to the demand.
 func (s *Share) refresh(now time.Time) {
-	s.lent, s.borrowed = valid(s.lent, now), valid(s.borrowed, now)
-	d := now.Sub(s.at)
-	if d < demandTime/10 {
+	s.lent, s.borrowed = unexpired(s.lent, now), unexpired(s.borrowed, now)
+	d := now.Sub(s.updatedAt)
+	if d < demandSmoothingTime/10 {
 		return
 	}
-	weight := 1 - math.Exp(-float64(d)/float64(demandTime))
-	s.demand += weight * (s.counted/d.Seconds() - s.demand)
-	s.counted, s.at = 0, now
+	weight := 1 - math.Exp(-float64(d)/float64(demandSmoothingTime))
+	s.demand += weight * (s.requests/d.Seconds() - s.demand)
+	s.requests, s.updatedAt = 0, now
 }
 
-func valid(list []lease, now time.Time) []lease {
-	kept := list[:0]
+func unexpired(list []lease, now time.Time) []lease {
+	remaining := list[:0]
 	for _, l := range list {
-		if now.Before(l.until) {
-			kept = append(kept, l)
+		if now.Before(l.expiresAt) {
+			remaining = append(remaining, l)
 		}
 	}
-	return kept
+	return remaining
 }
 
-func sum(list []lease) (rate float64) {
+func totalRate(list []lease) (rate float64) {
 	for _, l := range list {
 		rate += l.rate
 	}
 	return rate
 }
 
-// Rate returns the requests a second that the entry may let in now.
+// Rate returns the requests per second that the entry may admit now.
 func (s *Share) Rate(now time.Time) float64 {
 	s.refresh(now)
-	return max(0, s.entitled-sum(s.lent)+sum(s.borrowed))
+	return max(0, s.entitlement-totalRate(s.lent)+totalRate(s.borrowed))
 }
 
-// Want returns how much the entry should borrow, 0 when it has enough. What it
-// holds for less than half a lease more is asked for again in time.
-func (s *Share) Want(now time.Time) float64 {
+// Shortfall returns the rate that the entry should borrow, 0 when it has enough. Leases that expire
+// within half a lease count as gone, so that they are replaced in time.
+func (s *Share) Shortfall(now time.Time) float64 {
 	s.refresh(now)
 	lasting := 0.0
 	for _, l := range s.borrowed {
-		if l.until.Sub(now) > Lease/2 {
+		if l.expiresAt.Sub(now) > Lease/2 {
 			lasting += l.rate
 		}
 	}
-	want := s.demand*headroom - (s.entitled - sum(s.lent) + lasting)
-	if want < quantum*s.entitled {
+	want := s.demand*demandHeadroom - (s.entitlement - totalRate(s.lent) + lasting)
+	if want < minTransferShare*s.entitlement {
 		return 0
 	}
 	return want
 }
 
-// Lend gives up to rate of what the entry does not use, for a Lease from now.
-func (s *Share) Lend(rate float64, now time.Time) (given float64) {
+// Lend lends up to rate of what the entry does not use, for a Lease from now.
+func (s *Share) Lend(rate float64, now time.Time) (granted float64) {
 	s.refresh(now)
-	spare := s.entitled - sum(s.lent) - s.demand*headroom
-	given = min(rate, spare)
-	if given < quantum*s.entitled {
+	unused := s.entitlement - totalRate(s.lent) - s.demand*demandHeadroom
+	granted = min(rate, unused)
+	if granted < minTransferShare*s.entitlement {
 		return 0
 	}
-	s.lent = append(s.lent, lease{given, now.Add(Lease)})
-	return given
+	s.lent = append(s.lent, lease{granted, now.Add(Lease)})
+	return granted
 }
 
-// Borrow takes in what a peer gave. asked is the time before the request was
-// sent, so that the borrower's lease is over before the lender's.
-func (s *Share) Borrow(given float64, asked time.Time) {
-	if given > 0 {
-		s.borrowed = append(s.borrowed, lease{given, asked.Add(Lease)})
+// Borrow adds a rate that a peer lent. requestedAt is a time before the request was sent, so that the
+// borrower's lease expires before the lender's.
+func (s *Share) Borrow(granted float64, requestedAt time.Time) {
+	if granted > 0 {
+		s.borrowed = append(s.borrowed, lease{granted, requestedAt.Add(Lease)})
 	}
 }
--- a/internal/decide/line/line.go
+++ b/internal/decide/line/line.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package line keeps the requests of one process that wait for room at a service,
-// for a short time and only as long as they will be served in time. It is a pure
-// state machine: time comes in as an argument, and the caller serialises access.
-// Whether there is room is package passes' matter.
+// Package line queues the requests of one process that wait for capacity at a service, for a short
+// time and only if they are expected to be served in time. It is a pure state machine: time is passed
+// in as an argument, and the caller serialises access. Package passes decides whether there is
+// capacity.
 package line
 
 import (
@@ -12,111 +12,113 @@
 	"time"
 )
 
-// Waiter is one request that waits.
+// Waiter is a queued request.
 type Waiter struct {
 	ID       uint64
-	Class    int       // Those of a lower one go first.
-	Customer string    // Whose request it is; "" for nobody's.
-	Until    time.Time // When it must be served or refused.
+	Class    int       // Lower classes go first.
+	Customer string    // Customer of the request; "" for none.
+	Deadline time.Time // Time by which it must be served or rejected.
 }
 
-// meanTime is the time over which the length of a line is smoothed: some times the
-// longest that a request waits, a few tenths of a second.
-const meanTime = time.Second
+// lengthSmoothingTime is the time constant over which the queue length is smoothed: a few times the
+// longest wait of a request, which is some tenths of a second.
+const lengthSmoothingTime = time.Second
 
-// shareTime is the time constant with which it is forgotten what a customer got from
-// the line: a burst lasts some seconds.
-const shareTime = 4 * time.Second
+// serviceDecayTime is the time constant with which the service that a customer received decays: a
+// burst lasts some seconds.
+const serviceDecayTime = 4 * time.Second
 
-// Line is the requests that wait. They go by their class; within one the customer that
-// lately got the least goes first, so that a customer's burst is paid by that customer;
-// then who came first.
-type Line struct {
-	waiting []Waiter            // In the order in which they came.
-	mean    float64             // Smoothed length.
-	at      time.Time           // Up to when mean counts; zero before the first request.
-	got     map[string]received // By customer; of those that got anything lately.
+// Queue holds the waiting requests. Lower classes go first; within a class, the customer that has
+// recently received the least service goes first, so that a customer's burst delays only that
+// customer; then the request that joined first.
+type Queue struct {
+	waiting       []Waiter                 // In the order in which they joined.
+	meanLength    float64                  // Smoothed queue length.
+	updatedAt     time.Time                // Time of the last update of meanLength; zero before the first request.
+	recentService map[string]decayingCount // By customer, the decayed number of requests served recently.
 }
 
-// received is what a customer got from the line, halved and halved again.
-type received struct {
-	n  float64
-	at time.Time
+// decayingCount is a count that decays exponentially with serviceDecayTime.
+type decayingCount struct {
+	count     float64
+	updatedAt time.Time
 }
 
-func (r received) now(now time.Time) float64 {
-	return r.n * math.Exp(-max(now.Sub(r.at), 0).Seconds()/shareTime.Seconds())
+func (r decayingCount) valueAt(now time.Time) float64 {
+	return r.count * math.Exp(-max(now.Sub(r.updatedAt), 0).Seconds()/serviceDecayTime.Seconds())
 }
 
-// pass brings the smoothed length up to date.
-func (l *Line) pass(now time.Time) {
-	if passed := now.Sub(l.at); !l.at.IsZero() && passed > 0 {
-		l.mean += (1 - math.Exp(-passed.Seconds()/meanTime.Seconds())) * (float64(len(l.waiting)) - l.mean)
+// updateMeanLength updates the smoothed queue length.
+func (q *Queue) updateMeanLength(now time.Time) {
+	if elapsed := now.Sub(q.updatedAt); !q.updatedAt.IsZero() && elapsed > 0 {
+		q.meanLength += (1 - math.Exp(-elapsed.Seconds()/lengthSmoothingTime.Seconds())) * (float64(len(q.waiting)) - q.meanLength)
 	}
-	l.at = now
+	q.updatedAt = now
 }
 
-// Join takes a request in, if at a rate of so many requests a second it is served in
-// time; it reports whether it does. So many other processes have lines for the same
-// room, which are taken to be as long as this one is in the mean. While the rate is not
-// known, only those wait for it who would not come again: anyway is set.
-func (l *Line) Join(w Waiter, rate float64, others int, anyway bool, now time.Time) bool {
-	l.pass(now)
-	before := 0
-	for _, o := range l.waiting {
+// Join queues a request if it would be served in time at the given rate, in requests per second, and
+// reports whether it does. The number otherQueues of other processes with queues for the same capacity
+// is given; each is assumed to be as long as this queue is on average. While the rate is unknown,
+// being 0, only requests with whenRateUnknown set are queued: those that would not be retried
+// otherwise.
+func (q *Queue) Join(w Waiter, rate float64, otherQueues int, whenRateUnknown bool, now time.Time) bool {
+	q.updateMeanLength(now)
+	ahead := 0
+	for _, o := range q.waiting {
 		if o.Class <= w.Class {
-			before++
+			ahead++
 		}
 	}
-	if rate <= 0 && !anyway || rate > 0 && (float64(before+1)+float64(others)*l.mean)/rate > w.Until.Sub(now).Seconds() {
+	if rate <= 0 && !whenRateUnknown || rate > 0 && (float64(ahead+1)+float64(otherQueues)*q.meanLength)/rate > w.Deadline.Sub(now).Seconds() {
 		return false
 	}
-	l.waiting = append(l.waiting, w)
+	q.waiting = append(q.waiting, w)
 	return true
 }
 
-// First reports whether a request is the next one.
-func (l *Line) First(id uint64, now time.Time) bool {
-	if len(l.waiting) == 0 {
+// IsNext reports whether a request is the next one to be served.
+func (q *Queue) IsNext(id uint64, now time.Time) bool {
+	if len(q.waiting) == 0 {
 		return false
 	}
-	best := l.waiting[0]
-	for _, w := range l.waiting[1:] {
-		if w.Class < best.Class || w.Class == best.Class && l.got[w.Customer].now(now) < l.got[best.Customer].now(now) {
+	best := q.waiting[0]
+	for _, w := range q.waiting[1:] {
+		if w.Class < best.Class || w.Class == best.Class && q.recentService[w.Customer].valueAt(now) < q.recentService[best.Customer].valueAt(now) {
 			best = w
 		}
 	}
 	return best.ID == id
 }
 
-// Leave takes a request out; served is set when it has got its room.
-func (l *Line) Leave(id uint64, served bool, now time.Time) {
-	l.pass(now)
-	i := slices.IndexFunc(l.waiting, func(w Waiter) bool { return w.ID == id })
+// Leave removes a request; served says whether it received capacity.
+func (q *Queue) Leave(id uint64, served bool, now time.Time) {
+	q.updateMeanLength(now)
+	i := slices.IndexFunc(q.waiting, func(w Waiter) bool { return w.ID == id })
 	if i < 0 {
 		return
 	}
 	if served {
-		l.note(l.waiting[i].Customer, now)
+		q.recordService(q.waiting[i].Customer, now)
 	}
-	l.waiting = slices.Delete(l.waiting, i, i+1)
+	q.waiting = slices.Delete(q.waiting, i, i+1)
 }
 
-// note takes in that a customer got room, and forgets those to whom that was long ago.
-func (l *Line) note(customer string, now time.Time) {
-	if l.got == nil {
-		l.got = map[string]received{}
+// recordService counts a request served for a customer, and removes customers whose last one was long
+// ago.
+func (q *Queue) recordService(customer string, now time.Time) {
+	if q.recentService == nil {
+		q.recentService = map[string]decayingCount{}
 	}
-	for c, r := range l.got {
-		if now.Sub(r.at) > forgetAfter {
-			delete(l.got, c)
+	for c, r := range q.recentService {
+		if now.Sub(r.updatedAt) > forgetAfter {
+			delete(q.recentService, c)
 		}
 	}
-	l.got[customer] = received{n: l.got[customer].now(now) + 1, at: now}
+	q.recentService[customer] = decayingCount{count: q.recentService[customer].valueAt(now) + 1, updatedAt: now}
 }
 
-// forgetAfter is when next to nothing is left of what a customer got.
-const forgetAfter = 5 * shareTime
+// forgetAfter is the time after which next to nothing is left of a customer's decayed count.
+const forgetAfter = 5 * serviceDecayTime
 
-// Len returns how many requests wait.
-func (l *Line) Len() int { return len(l.waiting) }
+// Len returns the number of waiting requests.
+func (q *Queue) Len() int { return len(q.waiting) }
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -87,7 +87,7 @@
 	round time.Time     // When as many words as there are ranks had last come.
 	gap   time.Duration // Smoothed pause between events of streams here; 0 before the first.
 	gapAt time.Time
-	first estimate.Time // From sending a request to its first event.
+	first estimate.Estimator // From sending a request to its first event.
 	told  toldLimit
 }
 
@@ -152,7 +152,7 @@
 		return 0, 0
 	}
 	if g.first.Known() {
-		first = g.first.Most()
+		first = g.first.UpperBound()
 	}
 	return first, g.gap
 }
@@ -175,7 +175,7 @@
 		return v, false
 	}
 	pass := work * (g.shape.Base + perRank)
-	return Turnover{Rate: perRank / (g.shape.Passes * pass), First: g.first.Most()}, true
+	return Turnover{Rate: perRank / (g.shape.Passes * pass), First: g.first.UpperBound()}, true
 }
 
 // Forget drops what is known of endpoints that are no longer listed.
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -114,7 +114,7 @@
 	}
 	switch {
 	case e.bucket != nil:
-		e.bucket.Set(n*e.part.Rate, n*e.part.Burst, at)
+		e.bucket.SetRate(n*e.part.Rate, n*e.part.Burst, at)
 	case n > 0:
 		e.bucket = limit.NewBucketWith(n*e.part.Rate, n*e.part.Burst, 0, at)
 	}
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -146,7 +146,7 @@
 		return true
 	}
 	b := l.share(id, e, now)
-	due := b != nil && b.Holds(now)
+	due := b != nil && b.HasToken(now)
 	e.loans.use(due, now)
 	return due
 }
@@ -163,7 +163,7 @@
 // GiveBack takes back a Take of a request that was not sent.
 func (l *Limits) GiveBack(id string) {
 	if e := l.by[id]; e != nil && e.bucket != nil {
-		e.bucket.GiveBack()
+		e.bucket.ReturnToken()
 	}
 }
 
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -23,9 +23,9 @@
 const sendersAge = 2 * time.Second
 
 // coldTerms returns what is published of the cold endpoints of a service.
-func coldTerms(c *fleet.Config, service string) (t cold.Terms) {
+func coldTerms(c *fleet.Config, service string) (t cold.Params) {
 	if svc := c.Service(service); svc != nil {
-		t = cold.Terms{Time: svc.ColdTime, Rate: svc.ColdRate}
+		t = cold.Params{Period: svc.ColdTime, Rate: svc.ColdRate}
 	}
 	return t
 }
@@ -64,11 +64,11 @@
 	for id, e := range s.Endpoints {
 		if e.ColdLeft > 0 && g.coldTold[id] != e.Revision {
 			g.coldTold[id] = e.Revision
-			g.cold.Told(id, e.ColdLeft, now)
+			g.cold.MarkCold(id, e.ColdLeft, now)
 		}
 		for _, domain := range ended {
 			if e.Domain == domain {
-				g.cold.Began(id, coldTerms(s.Config, e.Service), now) // It may have got cold meanwhile.
+				g.cold.Started(id, coldTerms(s.Config, e.Service), now) // It may have got cold meanwhile.
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 
 // markCold notes on the candidates which of them are cold, and which of those have got
 // all that this gateway may send them for now. The caller holds mu.
-func (q *request) markCold(list []balance.Candidate, t cold.Terms, now time.Time) {
+func (q *request) markCold(list []balance.Candidate, t cold.Params, now time.Time) {
 	if t.Rate <= 0 {
 		return
 	}
@@ -131,7 +131,7 @@
 			continue
 		}
 		list[i].ColdLimited = true
-		list[i].BudgetSpent = !q.g.cold.Due(c.ID, t, rand.Float64, now)
+		list[i].BudgetSpent = !q.g.cold.MaySend(c.ID, t, rand.Float64, now)
 	}
 }
 
@@ -143,7 +143,7 @@
 
 // paceTurnover has the request wait for one of so many cold endpoints as for room that
 // is taken by turns: each gateway has its own part of it. The caller holds mu.
-func (q *request) paceTurnover(endpoints int, t cold.Terms) {
+func (q *request) paceTurnover(endpoints int, t cold.Params) {
 	q.turnover.Rate = q.g.cold.Rate(t) * float64(endpoints*(q.g.sharers()+1))
 }
 
@@ -179,7 +179,7 @@
 // connection has ended, and is cold when it is back. The caller holds mu.
 func (q *request) noteUnreached(id string, err error, now time.Time) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		q.g.cold.Began(id, coldTerms(q.config, q.service), now)
+		q.g.cold.Started(id, coldTerms(q.config, q.service), now)
 	}
 }
 
@@ -187,7 +187,7 @@
 // caller holds mu.
 func (q *request) sendsTo(id string, now time.Time) {
 	if q.toCold {
-		q.g.cold.Sent(id, coldTerms(q.config, q.service), rand.Float64, now)
+		q.g.cold.RecordSent(id, coldTerms(q.config, q.service), rand.Float64, now)
 		q.g.figures.toCold.Inc(1)
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,13 +87,13 @@
 	mu      sync.Mutex // Guards what follows.
 	table   *balance.Table
 	passes  *passes.Tracker
-	windows map[string]*retry.Window      // By service.
-	lines   map[string]*line.Line         // By service.
-	shares  map[string]*room.Share        // By group.
-	took    map[string]*estimate.Time     // Of answers in one piece, by service.
-	at      map[string]map[*request]place // Requests that may be moved, by endpoint.
-	others  int                           // Gateways that are known besides this one.
-	heardAt time.Time                     // When one of them was last heard.
+	windows map[string]*retry.Window       // By service.
+	lines   map[string]*line.Queue         // By service.
+	shares  map[string]*room.Share         // By group.
+	took    map[string]*estimate.Estimator // Of answers in one piece, by service.
+	at      map[string]map[*request]place  // Requests that may be moved, by endpoint.
+	others  int                            // Gateways that are known besides this one.
+	heardAt time.Time                      // When one of them was last heard.
 
 	started       time.Time
 	cold          *cold.Pacer
@@ -149,9 +149,9 @@
 		table:      balance.New(),
 		passes:     passes.New(),
 		windows:    map[string]*retry.Window{},
-		lines:      map[string]*line.Line{},
+		lines:      map[string]*line.Queue{},
 		shares:     map[string]*room.Share{},
-		took:       map[string]*estimate.Time{},
+		took:       map[string]*estimate.Estimator{},
 		at:         map[string]map[*request]place{},
 
 		started:   time.Now(),
@@ -242,7 +242,7 @@
 	defer g.mu.Unlock()
 	if ranked = g.table.Report(e.ID, l) && ranked; ranked {
 		if !l.Closed {
-			g.cold.Opened(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
+			g.cold.RecordGroupOpen(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
 		}
 		g.passes.Report(e.ID, l.Group, shape, passes.Rank{Running: l.Running, Pass: l.PassTime, Pace: l.Slowdown, Closed: l.Closed, At: l.At})
 	}
@@ -312,7 +312,7 @@
 const tookWeight = 0.125
 
 // tookOf returns how long answers of a service in one piece take. The caller holds mu.
-func (g *Gateway) tookOf(service string) *estimate.Time {
+func (g *Gateway) tookOf(service string) *estimate.Estimator {
 	t := g.took[service]
 	if t == nil {
 		fresh := estimate.New(tookWeight)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -52,7 +52,7 @@
 	defer q.g.mu.Unlock()
 	a.First, a.Pass = q.g.passes.Usual(e.ID)
 	if took := q.g.took[q.service]; took != nil && a.First == 0 {
-		a.First = took.Most()
+		a.First = took.UpperBound()
 	}
 	return a
 }
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -100,7 +100,7 @@
 	if !s.orderTook.Known() {
 		return orderTimeout
 	}
-	return min(max(orderPatience*s.orderTook.Most(), leastOrderTimeout), orderTimeout)
+	return min(max(orderPatience*s.orderTook.UpperBound(), leastOrderTimeout), orderTimeout)
 }
 
 func (s *Sidecar) carryOutOnce(ctx context.Context, o rank.Order) (a answer) {
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -148,7 +148,7 @@
 	return remap.Effort{
 		Copy:  l.copyTime(1),
 		Rest:  noticeLooks*l.lookPause() + l.handing + l.arming.Mean(),
-		Still: max(l.arming.Most()-mostAhead*l.planner.pass, 0),
+		Still: max(l.arming.UpperBound()-mostAhead*l.planner.pass, 0),
 		Pass:  l.planner.pass,
 	}
 }
@@ -322,7 +322,7 @@
 	if pass <= 0 {
 		return leastAhead
 	}
-	return max(leastAhead, int(l.arming.Most()/pass)+leastAhead)
+	return max(leastAhead, int(l.arming.UpperBound()/pass)+leastAhead)
 }
 
 // copyTime returns how long a rank takes for so many copies.
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -79,9 +79,9 @@
 	born       []int64 // Of the ranks, when machine was made.
 	fence      uint64
 	planner    planner
-	arming     estimate.Time // That the orders of a switch took.
-	handing    time.Duration // Smoothed time by which changes took longer than their copies: to hand out the map, and to see the copies.
-	switched   time.Time     // When the last switch was brought about.
+	arming     estimate.Estimator // That the orders of a switch took.
+	handing    time.Duration      // Smoothed time by which changes took longer than their copies: to hand out the map, and to see the copies.
+	switched   time.Time          // When the last switch was brought about.
 	limiter    passes.Limiter
 	toldAt     time.Time // When gateways were last told the loads of all ranks.
 	whole      mapText   // The map of the change under way.
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -105,10 +105,10 @@
 	lead      leadership
 	turned    chan struct{} // Holds one when the group has opened or closed and that is to be told.
 	own       ownArming
-	orderTook estimate.Time    // Until the own engine answered an order.
-	leading   peers.Lead       // What this sidecar announces.
-	tellTo    []netip.AddrPort // Whom; nil while it does not lead.
-	toldAllAt time.Time        // When this sidecar, as the leader, last told gateways the loads of all ranks.
+	orderTook estimate.Estimator // Until the own engine answered an order.
+	leading   peers.Lead         // What this sidecar announces.
+	tellTo    []netip.AddrPort   // Whom; nil while it does not lead.
+	toldAllAt time.Time          // When this sidecar, as the leader, last told gateways the loads of all ranks.
 
 	suspects *suspects.Set // Only kept for gateways that start anew.
 	figures  figures
