--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -209,14 +209,14 @@
 
 func (a *Agent) load() wire.Load {
 	return wire.Load{
-		Running: a.queue.Running(),
-		Queued:  a.queue.Waiting(),
-		Limit:   a.queue.Limit(),
-		StepMS:  float64(a.queue.StepTime()) / float64(time.Millisecond),
-		Step:    a.step,
-		Stalled: a.stalled,
-		RestMS:  a.restLeft().Milliseconds(),
-		Leaving: a.node.State() == node.Draining || a.node.State() == node.Stopped,
+		Running:          a.queue.Running(),
+		Queued:           a.queue.Waiting(),
+		ConcurrencyLimit: a.queue.Limit(),
+		MeanStepMS:       float64(a.queue.StepTime()) / float64(time.Millisecond),
+		StepNumber:       a.step,
+		Stalled:          a.stalled,
+		BackoffMS:        a.restLeft().Milliseconds(),
+		Leaving:          a.node.State() == node.Draining || a.node.State() == node.Stopped,
 	}
 }
 
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -151,7 +151,7 @@
 	case Clearing:
 		o.Op, o.Version = rank.Disarm, m.toDisarm.Version
 	case Releasing:
-		o.Op, o.Step = rank.Go, m.holds[r]
+		o.Op, o.Step = rank.Release, m.holds[r]
 	case Preparing:
 		o.Op, o.Version, o.Map = rank.Prepare, m.Version, m.layout
 	case Holding:
@@ -161,7 +161,7 @@
 	case Undoing:
 		o.Op, o.Version = rank.Disarm, m.Version
 	case Going, Freeing:
-		o.Op, o.Step = rank.Go, m.Step
+		o.Op, o.Step = rank.Release, m.Step
 	}
 	return o
 }
@@ -299,8 +299,8 @@
 			expected--
 			continue
 		}
-		m.holds[r] = rep.Held
-		if rep.Held != 0 {
+		m.holds[r] = rep.HeldPass
+		if rep.HeldPass != 0 {
 			holding++
 		}
 		if rep.Armed.Version != 0 {
--- a/internal/decide/cutover/search_test.go
+++ b/internal/decide/cutover/search_test.go
@@ -93,7 +93,7 @@
 		return false
 	}
 	for _, e := range w.ranks {
-		if e.Held == w.step+1 {
+		if e.HeldPass == w.step+1 {
 			return false
 		}
 	}
@@ -116,7 +116,7 @@
 func (w *world) reports() []rank.Report {
 	list := make([]rank.Report, len(w.ranks))
 	for r, e := range w.ranks {
-		list[r] = rank.Report{Open: true, Epoch: w.epoch, Step: w.step, Map: e.Map, Prepared: e.Prepared, Armed: e.Armed, Held: e.Held}
+		list[r] = rank.Report{Open: true, Epoch: w.epoch, Step: w.step, Map: e.Map, Prepared: e.Prepared, Armed: e.Armed, HeldPass: e.HeldPass}
 	}
 	return list
 }
@@ -381,7 +381,7 @@
 		})},
 		{"released before all are armed", eachOrder(func(m *Machine, o *rank.Order) {
 			if m.Phase == Arming && m.confirmed[1] {
-				o.Op = rank.Go
+				o.Op = rank.Release
 			}
 		})},
 		{"the fence is not raised to abort", eachOrder(func(m *Machine, o *rank.Order) {
@@ -419,7 +419,7 @@
 	g := NewWithT(t)
 	m := New(searchRanks, 1, NoAbsence, 1, 20)
 	w := &world{ranks: make([]ranktest.State, searchRanks), epoch: 1, leaders: []*Machine{m}}
-	w.ranks[0].Held = 3 // Left by a failed leader, after two of three ranks were armed.
+	w.ranks[0].HeldPass = 3 // Left by a failed leader, after two of three ranks were armed.
 	w.ranks[0].Prepared, w.ranks[1].Prepared, w.ranks[2].Prepared = 7, 7, 7
 	w.ranks[0].Armed = rank.Arming{Version: 7, Step: 3}
 	w.ranks[1].Armed = rank.Arming{Version: 7, Step: 3}
@@ -462,7 +462,7 @@
 			g := NewWithT(t)
 			m := New(searchRanks, successorRank, tc.absent, 1, 20)
 			w := &world{ranks: make([]ranktest.State, searchRanks), epoch: 1, leaders: []*Machine{m}, step: 2, leaderFrozen: true}
-			w.ranks[Holder(0)].Held = 3
+			w.ranks[Holder(0)].HeldPass = 3
 			for _, r := range tc.armed {
 				w.ranks[r].Prepared, w.ranks[r].Armed = 7, rank.Arming{Version: 7, Step: 3}
 			}
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -87,7 +87,7 @@
 	h := t.get(slot)
 	h.load = l
 	h.sent = 0
-	h.rests = time.Now().Add(time.Duration(l.RestMS) * time.Millisecond)
+	h.rests = time.Now().Add(time.Duration(l.BackoffMS) * time.Millisecond)
 	if l.Stalled {
 		h.blocked = time.Now().Add(blockStalled)
 	}
@@ -131,8 +131,8 @@
 				member: m,
 				Candidate: route.Candidate{
 					Endpoint: ep.Name, Group: s.Name, Local: m.Domain == e.node.Settings().Domain,
-					Running: h.load.Running, Queued: h.load.Queued, Limit: h.load.Limit,
-					StepMS: h.load.StepMS, Sent: h.sent, Stalled: h.load.Stalled,
+					Running: h.load.Running, Queued: h.load.Queued, Limit: h.load.ConcurrencyLimit,
+					StepMS: h.load.MeanStepMS, Sent: h.sent, Stalled: h.load.Stalled,
 				},
 			})
 		}
--- a/internal/gateway/known.go
+++ b/internal/gateway/known.go
@@ -14,7 +14,7 @@
 // inPackets splits a list so that each part fits into one hello; it returns one part at
 // least.
 func inPackets(list []roster.Seen) (parts [][]roster.Seen) {
-	parts = slices.Collect(slices.Chunk(list, peers.MostKnown))
+	parts = slices.Collect(slices.Chunk(list, peers.MaxKnownGateways))
 	if len(parts) == 0 {
 		return [][]roster.Seen{nil}
 	}
@@ -23,10 +23,10 @@
 
 // knownOf returns gateways as a hello names them. One whose address is no IP number and port
 // cannot be named.
-func knownOf(list []roster.Seen) (known []peers.Known) {
+func knownOf(list []roster.Seen) (known []peers.DomainGateways) {
 	at := map[string]int{} // Places in known, by failure domain.
 	for _, s := range list {
-		raw, err := peers.Packed(s.Address)
+		raw, err := peers.PackAddress(s.Address)
 		if err != nil {
 			continue
 		}
@@ -34,25 +34,25 @@
 		if !ok {
 			i = len(known)
 			at[s.Domain] = i
-			known = append(known, peers.Known{Domain: s.Domain})
+			known = append(known, peers.DomainGateways{Domain: s.Domain})
 		}
-		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), Blind: s.Blind, Left: s.Left})
+		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), StoreUnreachable: s.Blind, Leaving: s.Left})
 	}
 	return known
 }
 
 // seenOf returns the gateways that a hello names. Those that cannot be read are left out; the
 // error tells of the last one.
-func seenOf(known []peers.Known) (list []roster.Seen, err error) {
+func seenOf(known []peers.DomainGateways) (list []roster.Seen, err error) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
-			a, bad := g.Peer()
+			a, bad := g.PeerAddress()
 			if bad != nil {
 				err = errors.Wrap(bad, k.Domain)
 				continue
 			}
 			s := roster.Seen{Age: g.Age()}
-			s.Address, s.Domain, s.Blind, s.Left = a.String(), k.Domain, g.Blind, g.Left
+			s.Address, s.Domain, s.Blind, s.Left = a.String(), k.Domain, g.StoreUnreachable, g.Leaving
 			list = append(list, s)
 		}
 	}
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -25,7 +25,7 @@
 	timer := time.NewTimer(time.Until(hold.UntilConfig(q.arrived, patience)))
 	defer timer.Stop()
 	for {
-		moved := q.g.view.Moved()
+		moved := q.g.view.Updated()
 		if s := q.g.view.State(); s.Config != nil {
 			return s
 		}
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -178,7 +178,7 @@
 		q.bad(e, 1, fmt.Sprintf("status %d without signature", resp.StatusCode))
 		return unknown
 	}
-	q.g.suspects.Alive(e.ID, q.wentAt)
+	q.g.suspects.RecordAlive(e.ID, q.wentAt)
 	q.lastRun = endpointRun{endpoint: e.ID, status: resp.StatusCode, framed: x.Framed()}
 	if q.reply.begun() {
 		if err := q.fits(resp, answer); err != nil {
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -49,7 +49,7 @@
 // outgoing returns the next message to a peer; the name may be "" when it is
 // not known.
 func (n *Node) outgoing(name string) message {
-	ends := n.suspects.Tell(clock.Now())
+	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return message{Version: n.spread.Current(), Rows: n.table.OutgoingTo(name), Ends: ends}
@@ -219,7 +219,7 @@
 
 // receive merges a peer's message.
 func (n *Node) receive(m message) {
-	n.suspects.Hear(m.Ends, clock.Now())
+	n.suspects.MergeEnds(m.Ends, clock.Now())
 	if len(m.Rows) == 0 {
 		return
 	}
@@ -329,7 +329,7 @@
 // ReadJSON decodes a bounded message from a peer; on a fault it answers and
 // reports false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxMessage))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxMessageBytes))
 	if err == nil {
 		err = json.Unmarshal(raw, v)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -237,7 +237,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.suspects.News():
+		case <-n.suspects.Pending():
 		}
 		n.pushSome()
 		wait.For(ctx, newsPause)
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -101,7 +101,7 @@
 func (l *leader) learn() {
 	p := &l.planner
 	duty.Locked(&l.s.mu, func() { p.pass = l.s.passes.pass })
-	if l.shape == nil || l.shape.Sets == 0 || l.newest.Summed == 0 || l.newest.Epoch != l.epoch || l.newest.Window == p.taken {
+	if l.shape == nil || l.shape.Sets == 0 || l.newest.SummedRanks == 0 || l.newest.Epoch != l.epoch || l.newest.Window == p.taken {
 		return
 	}
 	if p.follower == nil {
@@ -111,10 +111,10 @@
 	now := time.Now()
 	flat, err := unpackCounts(l.newest.Counts)
 	if err != nil || len(flat) != l.shape.Sets*l.shape.Experts {
-		l.s.log.Warn("counts left out", zap.Int("ranks", l.newest.Summed), zap.Int("numbers", len(flat)), zap.Error(err))
+		l.s.log.Warn("counts left out", zap.Int("ranks", l.newest.SummedRanks), zap.Int("numbers", len(flat)), zap.Error(err))
 		return
 	}
-	if p.follower.Update(flat, l.newest.Summed, now) {
+	if p.follower.Update(flat, l.newest.SummedRanks, now) {
 		l.s.log.Info("demand has shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.ExpectedRemaining(now)))
 	}
 }
@@ -222,10 +222,10 @@
 func (l *leader) writeMap(next layout) {
 	base := rows(l.planner.current, len(l.byRank))
 	experts := l.shape.Experts
-	l.whole = mapText{Experts: experts, Text: packMap(next)}
-	l.changed = mapText{Base: fingerprint(base), Experts: experts, Text: packChange(base, next)}
+	l.whole = mapText{Experts: experts, Data: packMap(next)}
+	l.changed = mapText{Base: fingerprint(base), Experts: experts, Data: packChange(base, next)}
 	l.s.maps.put(next) // Its own orders do not come as text.
-	l.s.log.Debug("map written", zap.Int("whole", len(l.whole.Text)), zap.Int("change", len(l.changed.Text)))
+	l.s.log.Debug("map written", zap.Int("whole", len(l.whole.Data)), zap.Int("change", len(l.changed.Data)))
 }
 
 // abandon drops the change that is under way.
@@ -348,7 +348,7 @@
 	alike := true
 	for r, m := range l.byRank {
 		speed[r] = 1
-		if pace := m.report.Pace; pace > 1 {
+		if pace := m.report.Slowdown; pace > 1 {
 			speed[r] = 1 / pace
 			alike = false
 		}
