--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -161,12 +161,12 @@
 		},
 		{
 			name:  "endpoints that ask for rest get none",
-			edits: []edit{{"../decide/backoff/backoff.go", "if p == nil || !l.said(p.restedAt) || !now.Before(p.until) {", "if p == nil || p != nil {"}},
+			edits: []edit{{"../decide/backoff/backoff.go", "if p == nil || !proc.issued(p.requestedAt) || !now.Before(p.backoffUntil) {", "if p == nil || p != nil {"}},
 			finds: `of rest at \S+ and got`, seed: 6014, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
 			name:  "endpoints whose answers say that they leave get more",
-			edits: []edit{{"../decide/backoff/backoff.go", "return p != nil && l.said(p.leftAt)", "return p != nil && false"}},
+			edits: []edit{{"../decide/backoff/backoff.go", "return p != nil && proc.issued(p.leavingAt)", "return p != nil && false"}},
 			finds: `after it said in an answer that it leaves`, seed: 6004, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
