--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -105,12 +105,12 @@
 		}
 		return true
 	}
-	if g.limits.Due(e.ID, now) {
+	if g.limits.MaySend(e.ID, now) {
 		return false
 	}
 	perSecond, _, _ := g.limits.Limited(e.ID)
-	b.rate += throttle.RateOf(perSecond)
-	b.localRate += g.limits.Held(e.ID, now)
+	b.rate += throttle.TotalRate(perSecond)
+	b.localRate += g.limits.AvailableRate(e.ID, now)
 	g.signalPartsWanted()
 	return true
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -244,9 +244,9 @@
 		if !l.Closed {
 			g.cold.RecordGroupOpen(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
 		}
-		g.passes.Report(e.ID, l.Group, shape, passes.Rank{Running: l.Running, Pass: l.PassTime, Pace: l.Slowdown, Closed: l.Closed, At: l.At})
+		g.passes.Report(e.ID, l.Group, shape, passes.RankReport{Running: l.Running, PassTime: l.PassTime, Slowdown: l.Slowdown, Closed: l.Closed, At: l.At})
 	}
-	return ranked && g.passes.Vacate(e.ID, l.At)
+	return ranked && g.passes.ShouldMoveRequests(e.ID, l.At)
 }
 
 // setGroupLimit records the limit of a group in requests per rank, as announced by the group's
@@ -254,7 +254,7 @@
 func (g *Gateway) setGroupLimit(group string, perRank float64, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.passes.Told(group, perRank, at)
+	g.passes.RecordAnnouncedLimit(group, perRank, at)
 	if perRank > 0 {
 		g.stats.limitPerRank.Update(perRank)
 	}
@@ -278,7 +278,7 @@
 	defer g.mu.Unlock()
 	g.otherGateways, g.lastHelloAt = n, lastHello
 	for _, w := range g.retryWindows {
-		w.SetSpare(g.retryFloor())
+		w.SetFloor(g.retryFloor())
 	}
 }
 
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -48,7 +48,7 @@
 	if !q.wontReturn() || !q.mayAttemptMore() || q.fallback != nil {
 		return e, false
 	}
-	until := q.holdUntil(max(q.turnover.First, q.route.Target/2))
+	until := q.holdUntil(max(q.turnover.FirstEvent, q.route.Target/2))
 	if q.allGroupsDown && q.groupOpensAt.After(until) {
 		return e, false // The caller would have left by then.
 	}
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -32,7 +32,7 @@
 func (q *request) silenceLimit(e fleet.Endpoint, x *upstream.Exchange) time.Duration {
 	a := q.answerTiming(e)
 	if x.Progress() == upstream.Answered && q.lastResponse.events > 0 {
-		return a.Midway()
+		return a.MidStream()
 	}
 	return max(a.BeforeFirst()-time.Since(q.sentAt), 0)
 }
@@ -47,12 +47,12 @@
 
 // answerTiming returns what is known of the timing of the current attempt's answer.
 func (q *request) answerTiming(e fleet.Endpoint) silence.Answer {
-	a := silence.Answer{Target: q.route.Target, Leaves: q.callerLeavesAfter()}
+	a := silence.Answer{Target: q.route.Target, CallerTimeout: q.callerLeavesAfter()}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	a.First, a.Pass = q.g.passes.Usual(e.ID)
-	if took := q.g.responseTimes[q.service]; took != nil && a.First == 0 {
-		a.First = took.UpperBound()
+	a.FirstEvent, a.PassTime = q.g.passes.TypicalTimes(e.ID)
+	if took := q.g.responseTimes[q.service]; took != nil && a.FirstEvent == 0 {
+		a.FirstEvent = took.UpperBound()
 	}
 	return a
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -137,11 +137,11 @@
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if q.events == 0 {
-		q.g.passes.First(e.ID, now.Sub(q.sentAt))
+		q.g.passes.RecordFirstEvent(e.ID, now.Sub(q.sentAt))
 		return
 	}
 	q.maxEventGap = max(q.maxEventGap, now.Sub(q.lastEventAt))
-	q.g.passes.Gap(e.ID, now.Sub(q.lastEventAt), now)
+	q.g.passes.RecordGap(e.ID, now.Sub(q.lastEventAt), now)
 }
 
 // endStream ends a stream that its endpoint ended as complete.
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -69,7 +69,7 @@
 		return unreached
 	}
 	if len(q.attempted) == 0 {
-		duty.Locked(&g.mu, func() { g.retryWindow(q.service).Request(g.cfg.Now()) })
+		duty.Locked(&g.mu, func() { g.retryWindow(q.service).RecordRequest(g.cfg.Now()) })
 	}
 	return q.exchange(e, conn)
 }
@@ -254,7 +254,7 @@
 		q.g.table.MarkMisplaced(e.ID, time.Now())
 	}
 	if a.AtFault != "" {
-		q.rejectingGroup, q.groupRejected, q.groupRejectedAt = q.g.passes.Group(e.ID), true, time.Now()
+		q.rejectingGroup, q.groupRejected, q.groupRejectedAt = q.g.passes.GroupOf(e.ID), true, time.Now()
 	}
 }
 
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -22,9 +22,9 @@
 // served in time. It reports whether an endpoint is available now.
 func (q *request) awaitCapacity(now time.Time) (e fleet.Endpoint, ok bool) {
 	g := q.g
-	until := q.arrived.Add(q.route.Target - q.turnover.First)
+	until := q.arrived.Add(q.route.Target - q.turnover.FirstEvent)
 	if q.wontReturn() {
-		until = q.holdUntil(q.turnover.First)
+		until = q.holdUntil(q.turnover.FirstEvent)
 	}
 	if until.After(q.deadline) {
 		until = q.deadline
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -136,20 +136,20 @@
 		share = defaultExpertShare
 	}
 	return remap.Group{
-		Shape:       rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.Experts, Slots: l.shape.Places},
-		Spare:       l.shape.Spare,
-		ExpertShare: share,
-		Speed:       l.speeds(),
+		Shape:          rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.Experts, Slots: l.shape.Places},
+		MaxNewPerLayer: l.shape.Spare,
+		ExpertShare:    share,
+		Speed:          l.speeds(),
 	}
 }
 
 // effort returns the time that a change takes in this group.
 func (l *leader) effort() remap.Effort {
 	return remap.Effort{
-		Copy:  l.copyTime(1),
-		Rest:  pollsPerShift*l.pollInterval() + l.copyOverrun + l.switchTime.Mean(),
-		Still: max(l.switchTime.UpperBound()-maxPassesAhead*l.planner.passTime, 0),
-		Pass:  l.planner.passTime,
+		CopyTime:    l.copyTime(1),
+		Overhead:    pollsPerShift*l.pollInterval() + l.copyOverrun + l.switchTime.Mean(),
+		StallTime:   max(l.switchTime.UpperBound()-maxPassesAhead*l.planner.passTime, 0),
+		CurrentPass: l.planner.passTime,
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 	price := l.price(l.demandHorizon(time.Now()))
 	plan := l.plan(price)
-	if !plan.Pays(l.effort(), price) {
+	if !plan.IsWorthwhile(l.effort(), price) {
 		return
 	}
 	l.beginChange(ctx, plan)
@@ -177,15 +177,15 @@
 		return f.ExpectedRemaining(now)
 	}
 	e := l.effort()
-	return max(f.ExpectedRemaining(now), initialHorizonChanges*(e.Copy+e.Rest))
+	return max(f.ExpectedRemaining(now), initialHorizonChanges*(e.CopyTime+e.Overhead))
 }
 
 // price returns the prices by which changes are valued if demand stays as it is for the given time.
 func (l *leader) price(horizon time.Duration) remap.Price {
 	return remap.Price{
-		Second: l.s.cfg.SkewPrice * l.passTimeWeight(),
-		Copy:   minGainRatio * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
-		Left:   horizon,
+		PerSecond: l.s.cfg.SkewPrice * l.passTimeWeight(),
+		PerCopy:   minGainRatio * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
+		Horizon:   horizon,
 	}
 }
 
@@ -200,7 +200,7 @@
 	version := (m.HighestVersion/versionStride+1)*versionStride + uint64(m.Self)
 	layout := layoutOf(plan.Map, len(l.byRank))
 	now := time.Now()
-	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.Most)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
+	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.MaxPerRank)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
 	m.StartPreparing(version, layout)
 	l.encodeMaps(layout)
 	l.sendUntilSettled(ctx, maxPrepareTries*l.orderDeadline(&l.fullMap, len(l.byRank)-1))
@@ -260,7 +260,7 @@
 	plan := l.plan(price)
 	pendingPassTime := g.PassTime(p.pending.plan.Map, p.follower.Smoothed())
 	remaining := max(p.pending.copiesDueAt.Sub(now), 0)
-	if !plan.Pays(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, pendingPassTime) {
+	if !plan.IsWorthwhile(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, pendingPassTime) {
 		p.pending.shiftsSeen, p.pending.speeds = p.follower.Shifts(), l.speeds()
 		return
 	}
@@ -291,7 +291,7 @@
 	} else {
 		l.s.stats.abandoned.Inc(1)
 	}
-	l.s.log.Info("map switch ended", zap.Bool("in-force", inForce), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.Most),
+	l.s.log.Info("map switch ended", zap.Bool("in-force", inForce), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.MaxPerRank),
 		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.passTime), zap.Ints("running", l.running()), zap.Float64s("speed", l.speeds()),
 		zap.Duration("copying", copiedAt.Sub(change.startedAt)), zap.Duration("switching", took))
 }
