--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -11,166 +11,169 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/own"
 )
 
-// Times of parts that are lent.
+// Timing of the lending of shares.
 const (
-	// lease is for how long a part is lent. What a borrower has no use for it gives back, so
-	// this is only how long a part lies unused of which a message was lost.
-	lease = time.Second
-	// quiet is after how long without a request a gateway has no use for its parts. It is above
-	// the time between the callers of a gateway that could use half of a small limit.
-	quiet = 200 * time.Millisecond
-	// askEvery is the least time between two asks to the same gateway.
-	askEvery = 100 * time.Millisecond
-	// The time between asks grows by lentGrowth up to longestLentWait where another gateway has
-	// the part, which may return it any moment, and by usedGrowth where the asked one uses it.
-	lentGrowth      = 2
-	longestLentWait = lease
-	usedGrowth      = 4
-	longestUsedWait = turnTime
+	// leaseTime is how long a share is lent. A borrower returns an unused share early, so a share
+	// stays unused for this long only if a message was lost.
+	leaseTime = time.Second
+	// idleAfter is the time without a request after which a gateway no longer needs its shares. It
+	// is longer than the time between callers at a gateway that could use half of a small limit.
+	idleAfter = 200 * time.Millisecond
+	// minBorrowInterval is the minimum time between two borrow requests to the same gateway.
+	minBorrowInterval = 100 * time.Millisecond
+	// The time between borrow requests grows by lentBackoffFactor up to maxLentBackoff if the share
+	// is lent to another gateway, which may return it at any time, and by inUseBackoffFactor up to
+	// maxInUseBackoff if its owner uses it.
+	lentBackoffFactor  = 2
+	maxLentBackoff     = leaseTime
+	inUseBackoffFactor = 4
+	maxInUseBackoff    = rotationPeriod
 )
 
-// Kind is what a message says of a part.
+// Kind is the kind of a ShareMessage.
 type Kind int
 
-// The kinds.
+// The kinds of messages.
 const (
-	Ask    Kind = iota + 1 // For the part of the receiver.
-	Grant                  // Of what was asked for.
-	Lent                   // Refusal: another gateway has it.
-	Used                   // Refusal: the asked one has use for it, or has none.
-	Return                 // Of what was granted.
+	Borrow       Kind = iota + 1 // Request for the share of the receiver.
+	Grant                        // Lends the requested share.
+	RefusedLent                  // Refusal: the share is lent to another gateway.
+	RefusedInUse                 // Refusal: the receiver of the request uses its share, or has none.
+	Return                       // Returns a granted share.
 )
 
-// Part is a message on one gateway's part of an endpoint's limit.
-type Part struct {
-	Kind     Kind
-	Endpoint string
-	Number   int64         // Of the ask.
-	Tokens   float64       // Of a grant or return.
-	Lasts    time.Duration // Of a grant.
+// ShareMessage is a message about one gateway's share of an endpoint's limit.
+type ShareMessage struct {
+	Kind          Kind
+	Endpoint      string
+	RequestNumber int64         // Number of the borrow request.
+	Tokens        float64       // Tokens that move with the share; of a grant or return.
+	LeaseTime     time.Duration // Remaining time of the lease; of a grant.
 }
 
-// Letter is a part and the gateway that is to be told.
-type Letter struct {
+// Outgoing is a message and the name of the gateway that it is for.
+type Outgoing struct {
 	To string
-	Part
+	ShareMessage
 }
 
-// holder is another gateway that has a part in this turn.
+// holder is another gateway that owns a share in this rotation period.
 type holder struct {
-	name    string
-	number  int64 // Of the ask under way; 0 without one.
-	askedAt time.Time
-	wait    time.Duration // Until it may be asked again.
-	granted int64         // Number of the ask by which its part is here; 0 while it is not.
-	until   time.Time     // Its part is here.
+	name         string
+	pending      int64 // Number of the borrow request in flight; 0 without one.
+	askedAt      time.Time
+	backoff      time.Duration // Time after askedAt before the next borrow request.
+	grantNumber  int64         // Number of the borrow request by which its share was lent to this gateway; 0 while it is not.
+	grantedUntil time.Time     // End of the lease of its share.
 }
 
-// loans is what is lent and borrowed of one endpoint's limit. Invariant: each part is at one
-// gateway at a time, as a borrower counts its lease from before the lender does.
+// loans is the state of the shares of one endpoint's limit that are lent and borrowed. Invariant:
+// each share is held by one gateway at a time, as a borrower counts its lease from an earlier
+// time than the lender does.
 type loans struct {
-	usedAt   time.Time // Last request that could go there.
-	wantedAt time.Time // Last request that found no token.
-	missedAt time.Time // Last one that found none while this gateway's part was lent.
-	holders  []holder  // In the turn, by the gateways that are known; nil before it is asked for.
-	to       string    // Who has this gateway's part.
-	number   int64     // Of its ask; 0 while nobody has it.
-	until    time.Time
+	lastUseAt    time.Time // Last request that could have been sent to the endpoint.
+	lastDeniedAt time.Time // Last request that found no token.
+	lastMissAt   time.Time // Last request that found no token while this gateway's own share was lent.
+	holders      []holder  // In this period, among the known gateways; nil until the first borrow request.
+	borrower     string    // Gateway to which this gateway's share is lent.
+	lentNumber   int64     // Number of its borrow request; 0 while the share is not lent.
+	lentUntil    time.Time // End of that lease.
 }
 
-// use notes that a request could go to the endpoint.
-func (s *loans) use(due bool, now time.Time) {
-	s.usedAt = now
-	if due {
+// recordUse records that a request could have been sent to the endpoint, and whether it was allowed.
+func (s *loans) recordUse(allowed bool, now time.Time) {
+	s.lastUseAt = now
+	if allowed {
 		return
 	}
-	s.wantedAt = now
-	if s.away(now) {
-		s.missedAt = now
+	s.lastDeniedAt = now
+	if s.lentOut(now) {
+		s.lastMissAt = now
 	}
 }
 
-// away reports whether this gateway's part is lent.
-func (s *loans) away(now time.Time) bool { return s.number != 0 && now.Before(s.until) }
+// lentOut reports whether this gateway's own share is lent.
+func (s *loans) lentOut(now time.Time) bool { return s.lentNumber != 0 && now.Before(s.lentUntil) }
 
-// renew drops what is borrowed: the parts are others' in a new turn, or for other gateways.
-func (s *loans) renew() { s.holders = nil }
+// dropBorrowed drops all borrowed shares: in a new rotation period, or after a change of the set
+// of gateways, the shares have other owners.
+func (s *loans) dropBorrowed() { s.holders = nil }
 
-// here returns how many borrowed parts are here.
-func (s *loans) here() (n int) {
+// borrowedCount returns the number of borrowed shares that this gateway holds.
+func (s *loans) borrowedCount() (n int) {
 	for _, h := range s.holders {
-		if h.granted != 0 {
+		if h.grantNumber != 0 {
 			n++
 		}
 	}
 	return n
 }
 
-// fit gives the bucket the size of the parts that are here from a moment on.
-func (e *endpoint) fit(at time.Time) {
-	n := float64(e.loans.here())
-	if e.owns && !e.loans.away(at) {
+// resizeBucket sets the rate and burst of the bucket to those of the shares held from time at on.
+func (e *endpoint) resizeBucket(at time.Time) {
+	n := float64(e.loans.borrowedCount())
+	if e.ownsShare && !e.loans.lentOut(at) {
 		n++
 	}
 	switch {
 	case e.bucket != nil:
-		e.bucket.Set(n*e.part.Rate, n*e.part.Burst, at)
+		e.bucket.Set(n*e.share.Rate, n*e.share.Burst, at)
 	case n > 0:
-		e.bucket = limit.NewBucketWith(n*e.part.Rate, n*e.part.Burst, 0, at)
+		e.bucket = limit.NewBucketWith(n*e.share.Rate, n*e.share.Burst, 0, at)
 	}
 }
 
-// add puts in the tokens that came with a part.
-func (e *endpoint) add(tokens float64, now time.Time) {
+// addTokens adds the tokens that came with a share.
+func (e *endpoint) addTokens(tokens float64, now time.Time) {
 	if e.bucket != nil {
-		e.bucket.Add(min(max(tokens, 0), e.part.Burst), now)
+		e.bucket.Add(min(max(tokens, 0), e.share.Burst), now)
 	}
 }
 
-// settle ends the leases that are over, each at its time.
-func (e *endpoint) settle(now time.Time) {
+// expireLeases ends the leases that have expired, in the order and at the time of their expiry.
+func (e *endpoint) expireLeases(now time.Time) {
 	for {
 		var first *holder
 		at := now
 		for i := range e.loans.holders {
-			if h := &e.loans.holders[i]; h.granted != 0 && !h.until.After(at) {
-				first, at = h, h.until
+			if h := &e.loans.holders[i]; h.grantNumber != 0 && !h.grantedUntil.After(at) {
+				first, at = h, h.grantedUntil
 			}
 		}
 		switch {
-		case e.loans.number != 0 && !e.loans.until.After(at):
-			at = e.loans.until
-			e.loans.number = 0
+		case e.loans.lentNumber != 0 && !e.loans.lentUntil.After(at):
+			at = e.loans.lentUntil
+			e.loans.lentNumber = 0
 		case first != nil:
-			first.granted = 0
+			first.grantNumber = 0
 		default:
 			return
 		}
-		e.fit(at)
+		e.resizeBucket(at)
 	}
 }
 
-// holdersOf returns the other gateways that have a part of an endpoint's limit in a turn.
-func holdersOf(id string, turn int64, limit float64, self string, all []string) (list []holder) {
+// holdersOf returns the other gateways that own a share of an endpoint's limit in a rotation period.
+func holdersOf(id string, period int64, limit float64, self string, all []string) (list []holder) {
 	type scored struct {
 		name  string
 		score uint64
 	}
-	key := turnKey(id, turn)
+	key := periodKey(id, period)
 	n := min(len(all), int(math.Floor(min(limit, float64(len(all)))))+1)
-	by := make([]scored, 0, n+1) // The highest so far; all is sorted, so names decide between equals.
+	best := make([]scored, 0, n+1) // The highest scores so far; all is sorted, so ties go to the smaller name.
 	for _, name := range all {
 		next := scored{name, own.Score(key, name)}
-		at := len(by)
-		for at > 0 && next.score > by[at-1].score {
+		at := len(best)
+		for at > 0 && next.score > best[at-1].score {
 			at--
 		}
 		if at < n {
-			by = slices.Insert(by, at, next)
-			by = by[:min(len(by), n)]
+			best = slices.Insert(best, at, next)
+			best = best[:min(len(best), n)]
 		}
 	}
-	for _, s := range by {
+	for _, s := range best {
 		if s.name != self {
 			list = append(list, holder{name: s.name})
 		}
@@ -178,132 +181,134 @@
 	return list
 }
 
-// Letters returns the asks and returns that are due.
-func (l *Limits) Letters(now time.Time) (list []Letter) {
-	for id, e := range l.by {
-		if !e.word.Limited || len(l.gateways) < 2 {
+// OutgoingMessages returns the borrow requests and returns that are due.
+func (l *Limits) OutgoingMessages(now time.Time) (messages []Outgoing) {
+	for id, e := range l.endpoints {
+		if !e.report.Limited || len(l.gateways) < 2 {
 			continue
 		}
-		l.share(id, e, now)
-		if now.Sub(e.loans.usedAt) >= quiet {
-			list = append(list, e.returns(id, now)...)
+		l.bucketOf(id, e, now)
+		if now.Sub(e.loans.lastUseAt) >= idleAfter {
+			messages = append(messages, e.returnBorrowed(id, now)...)
 			continue
 		}
-		wants := now.Sub(e.loans.wantedAt) < quiet
-		if wants && e.loans.holders == nil {
-			e.loans.holders = holdersOf(id, e.turn, e.word.Limit, l.self, l.gateways)
+		wantsShares := now.Sub(e.loans.lastDeniedAt) < idleAfter
+		if wantsShares && e.loans.holders == nil {
+			e.loans.holders = holdersOf(id, e.period, e.report.Limit, l.self, l.gateways)
 		}
 		for i := range e.loans.holders {
 			h := &e.loans.holders[i]
-			if h.granted != 0 && h.until.Sub(now) > lease/2 || h.granted == 0 && !wants || now.Sub(h.askedAt) < max(h.wait, askEvery) {
+			if h.grantNumber != 0 && h.grantedUntil.Sub(now) > leaseTime/2 || h.grantNumber == 0 && !wantsShares || now.Sub(h.askedAt) < max(h.backoff, minBorrowInterval) {
 				continue
 			}
-			if h.number != 0 { // No answer came.
-				h.wait = min(max(lentGrowth*h.wait, askEvery), longestLentWait)
+			if h.pending != 0 { // The last request was not answered.
+				h.backoff = min(max(lentBackoffFactor*h.backoff, minBorrowInterval), maxLentBackoff)
 			}
-			l.asked = max(l.asked+1, now.UnixNano()) // Above those of a former life.
-			h.number, h.askedAt = l.asked, now
-			list = append(list, Letter{h.name, Part{Kind: Ask, Endpoint: id, Number: h.number}})
+			l.lastRequestNumber = max(l.lastRequestNumber+1, now.UnixNano()) // Higher than those of an earlier process of this gateway.
+			h.pending, h.askedAt = l.lastRequestNumber, now
+			messages = append(messages, Outgoing{h.name, ShareMessage{Kind: Borrow, Endpoint: id, RequestNumber: h.pending}})
 		}
 	}
-	return list
+	return messages
 }
 
-// returns gives back what is borrowed.
-func (e *endpoint) returns(id string, now time.Time) (list []Letter) {
+// returnBorrowed returns all borrowed shares to their owners.
+func (e *endpoint) returnBorrowed(id string, now time.Time) (list []Outgoing) {
 	for i := range e.loans.holders {
 		h := &e.loans.holders[i]
-		h.number, h.wait = 0, 0
-		if h.granted == 0 {
+		h.pending, h.backoff = 0, 0
+		if h.grantNumber == 0 {
 			continue
 		}
-		tokens := min(e.bucket.Tokens(now), e.part.Burst)
-		list = append(list, Letter{h.name, Part{Kind: Return, Endpoint: id, Number: h.granted, Tokens: tokens}})
-		h.granted = 0
+		tokens := min(e.bucket.Tokens(now), e.share.Burst)
+		list = append(list, Outgoing{h.name, ShareMessage{Kind: Return, Endpoint: id, RequestNumber: h.grantNumber, Tokens: tokens}})
+		h.grantNumber = 0
 		e.bucket.Add(-tokens, now)
-		e.fit(now)
+		e.resizeBucket(now)
 	}
 	return list
 }
 
-// Lending reports whether letters may fall due without another request.
-func (l *Limits) Lending(now time.Time) bool {
-	for _, e := range l.by {
-		if e.word.Limited && (now.Sub(e.loans.wantedAt) < quiet || e.loans.here() > 0) {
+// HasOpenLoans reports whether messages may fall due without another request: a request was
+// recently denied, or shares are borrowed.
+func (l *Limits) HasOpenLoans(now time.Time) bool {
+	for _, e := range l.endpoints {
+		if e.report.Limited && (now.Sub(e.loans.lastDeniedAt) < idleAfter || e.loans.borrowedCount() > 0) {
 			return true
 		}
 	}
 	return false
 }
 
-// Held returns the requests a second to an endpoint for which parts are here.
-func (l *Limits) Held(id string, now time.Time) (rate float64) {
-	e := l.by[id]
-	if e == nil || !e.word.Limited {
+// AvailableRate returns the rate, in requests per second, of the shares of an endpoint's limit
+// that this gateway holds.
+func (l *Limits) AvailableRate(id string, now time.Time) (rate float64) {
+	e := l.endpoints[id]
+	if e == nil || !e.report.Limited {
 		return 0
 	}
-	l.share(id, e, now)
-	n := e.loans.here()
-	if e.owns && !e.loans.away(now) {
+	l.bucketOf(id, e, now)
+	n := e.loans.borrowedCount()
+	if e.ownsShare && !e.loans.lentOut(now) {
 		n++
 	}
-	return float64(n) * e.part.Rate
+	return float64(n) * e.share.Rate
 }
 
-// Receive takes in what another gateway says of a part, and returns what is answered.
-func (l *Limits) Receive(from string, p Part, now time.Time) (answer Part, ok bool) {
-	e := l.by[p.Endpoint]
-	if p.Kind == Ask && (e == nil || !e.word.Limited) {
-		return Part{Kind: Used, Endpoint: p.Endpoint, Number: p.Number}, true
+// ReceiveMessage handles a message of another gateway, and returns the answer, if there is one.
+func (l *Limits) ReceiveMessage(from string, m ShareMessage, now time.Time) (answer ShareMessage, ok bool) {
+	e := l.endpoints[m.Endpoint]
+	if m.Kind == Borrow && (e == nil || !e.report.Limited) {
+		return ShareMessage{Kind: RefusedInUse, Endpoint: m.Endpoint, RequestNumber: m.RequestNumber}, true
 	}
-	if e == nil || !e.word.Limited {
-		return Part{}, false
+	if e == nil || !e.report.Limited {
+		return ShareMessage{}, false
 	}
-	l.share(p.Endpoint, e, now)
-	if p.Kind == Ask {
-		if !l.Knows(from) {
-			return Part{}, false
+	l.bucketOf(m.Endpoint, e, now)
+	if m.Kind == Borrow {
+		if !l.HasPeer(from) {
+			return ShareMessage{}, false
 		}
-		answer = e.lend(from, p.Number, now)
-		answer.Endpoint, answer.Number = p.Endpoint, p.Number
+		answer = e.lend(from, m.RequestNumber, now)
+		answer.Endpoint, answer.RequestNumber = m.Endpoint, m.RequestNumber
 		return answer, true
 	}
-	if p.Kind == Return {
-		if s := &e.loans; s.away(now) && s.to == from && s.number == p.Number {
-			s.number = 0
-			e.fit(now)
-			e.add(p.Tokens, now)
+	if m.Kind == Return {
+		if s := &e.loans; s.lentOut(now) && s.borrower == from && s.lentNumber == m.RequestNumber {
+			s.lentNumber = 0
+			e.resizeBucket(now)
+			e.addTokens(m.Tokens, now)
 		}
-		return Part{}, false
+		return ShareMessage{}, false
 	}
-	i := slices.IndexFunc(e.loans.holders, func(h holder) bool { return h.name == from && h.number == p.Number && h.number != 0 })
+	i := slices.IndexFunc(e.loans.holders, func(h holder) bool { return h.name == from && h.pending == m.RequestNumber && h.pending != 0 })
 	if i >= 0 {
-		e.answered(&e.loans.holders[i], p, now)
+		e.handleReply(&e.loans.holders[i], m, now)
 	}
-	return Part{}, false
+	return ShareMessage{}, false
 }
 
-// lend answers an ask.
-func (e *endpoint) lend(to string, number int64, now time.Time) Part {
+// lend answers a borrow request.
+func (e *endpoint) lend(to string, number int64, now time.Time) ShareMessage {
 	s := &e.loans
 	switch {
-	case !e.owns, now.Sub(s.usedAt) < quiet, now.Sub(s.missedAt) < lease:
-		return Part{Kind: Used}
-	case s.away(now) && s.to != to:
-		return Part{Kind: Lent}
-	case s.away(now) && number <= s.number:
-		return Part{Kind: Used} // An ask that was overtaken.
+	case !e.ownsShare, now.Sub(s.lastUseAt) < idleAfter, now.Sub(s.lastMissAt) < leaseTime:
+		return ShareMessage{Kind: RefusedInUse}
+	case s.lentOut(now) && s.borrower != to:
+		return ShareMessage{Kind: RefusedLent}
+	case s.lentOut(now) && number <= s.lentNumber:
+		return ShareMessage{Kind: RefusedInUse} // A later request has overtaken this one.
 	}
-	p := Part{Kind: Grant}
-	if !s.away(now) {
-		p.Tokens = min(e.bucket.Tokens(now), e.part.Burst)
-		e.bucket.Add(-p.Tokens, now)
+	m := ShareMessage{Kind: Grant}
+	if !s.lentOut(now) {
+		m.Tokens = min(e.bucket.Tokens(now), e.share.Burst)
+		e.bucket.Add(-m.Tokens, now)
 	}
-	// The next turn has other parts.
-	s.to, s.number, s.until = to, number, earlier(now.Add(lease), time.Unix(0, (turnOf(now)+1)*int64(turnTime)))
-	p.Lasts = s.until.Sub(now)
-	e.fit(now)
-	return p
+	// The lease ends with the period, as the shares have other owners in the next one.
+	s.borrower, s.lentNumber, s.lentUntil = to, number, earlier(now.Add(leaseTime), time.Unix(0, (periodOf(now)+1)*int64(rotationPeriod)))
+	m.LeaseTime = s.lentUntil.Sub(now)
+	e.resizeBucket(now)
+	return m
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -313,22 +318,22 @@
 	return b
 }
 
-// answered takes in the answer of a holder.
-func (e *endpoint) answered(h *holder, p Part, now time.Time) {
-	h.number = 0
-	switch p.Kind {
+// handleReply handles the answer of a holder to a borrow request.
+func (e *endpoint) handleReply(h *holder, m ShareMessage, now time.Time) {
+	h.pending = 0
+	switch m.Kind {
 	case Grant:
-		h.wait = 0
-		until := h.askedAt.Add(min(p.Lasts, lease))
+		h.backoff = 0
+		until := h.askedAt.Add(min(m.LeaseTime, leaseTime))
 		if !until.After(now) {
-			return // It was under way for too long.
+			return // The lease expired while the grant was in flight.
 		}
-		h.granted, h.until = p.Number, until
-		e.fit(now)
-		e.add(p.Tokens, now)
-	case Lent:
-		h.wait = min(max(lentGrowth*h.wait, askEvery), longestLentWait)
+		h.grantNumber, h.grantedUntil = m.RequestNumber, until
+		e.resizeBucket(now)
+		e.addTokens(m.Tokens, now)
+	case RefusedLent:
+		h.backoff = min(max(lentBackoffFactor*h.backoff, minBorrowInterval), maxLentBackoff)
 	default:
-		h.wait = min(max(usedGrowth*h.wait, quiet), longestUsedWait)
+		h.backoff = min(max(inUseBackoffFactor*h.backoff, idleAfter), maxInUseBackoff)
 	}
 }
--- a/internal/decide/throttle/share.go
+++ b/internal/decide/throttle/share.go
@@ -11,87 +11,89 @@
 )
 
 const (
-	// used is the part of a limit that all gateways send together. The rest is for those
-	// that do not know of each other yet.
-	used = 0.8
-	// leastRate is sent, in requests a second from all gateways, whatever the limit is:
-	// only an answer shows that it has ended.
-	leastRate = 0.5
-	// turnTime is for how long the same gateways send to an endpoint. They change so that
-	// one which has no callers holds up nothing for long. It is longer than the seconds
-	// over which an endpoint counts what it gets, so these see two sets of senders at most.
-	turnTime = 10 * time.Second
+	// usedFraction is the fraction of a limit that all gateways use together. The remainder is
+	// headroom for gateways that do not know of each other yet.
+	usedFraction = 0.8
+	// minTotalRate is the minimum rate, in requests per second from all gateways together, that is
+	// sent whatever the limit is: only an answer shows that the limit has ended.
+	minTotalRate = 0.5
+	// rotationPeriod is how long the same gateways own the shares of an endpoint's limit. Ownership
+	// rotates so that a share owned by a gateway without callers is not unused for long. The period
+	// is longer than the few seconds over which an endpoint counts its requests, so that such a
+	// window sees at most two sets of senders.
+	rotationPeriod = 10 * time.Second
 )
 
-// Share is one gateway's part of a rate limit, as a token bucket.
+// Share is one gateway's share of a rate limit, as parameters of a token bucket.
 type Share struct {
-	Rate  float64 // Requests a second; 0 for a gateway without a part.
-	Burst float64 // Requests at once.
-	First float64 // Tokens that it begins with.
+	Rate          float64 // Requests per second; 0 for a gateway without a share.
+	Burst         float64 // Maximum number of requests at once.
+	InitialTokens float64 // Tokens at the start.
 }
 
-// ShareOf returns the part that the gateway at a place, counted from 0, has of a limit, in
-// requests a second. One request a second more than the limit, rounded down, is the number
-// of gateways that have a part, and of requests that can come at once: in any window that
-// sum does not depend on the number of gateways, which may be far larger than the limit.
-// Their first requests are spread over the time in which each gets a token.
-func ShareOf(limit float64, place, gateways int) (s Share) {
+// ShareOf returns the share of a limit, in requests per second, of the gateway at a position,
+// counted from 0. At most floor(limit)+1 gateways have a share, and as many requests can be sent
+// at once: the total in any window does not depend on the number of gateways, which may be far
+// larger than the limit. The first requests of the gateways are spread over the time in which each
+// gains a token.
+func ShareOf(limit float64, position, gateways int) (s Share) {
 	burst := math.Floor(limit) + 1
 	senders := min(burst, float64(max(gateways, 1)))
-	if float64(place) >= senders {
+	if float64(position) >= senders {
 		return Share{}
 	}
-	s.Rate = RateOf(limit) / senders
+	s.Rate = TotalRate(limit) / senders
 	s.Burst = burst / senders
-	s.First = s.Burst * (1 - float64(place)/senders)
+	s.InitialTokens = s.Burst * (1 - float64(position)/senders)
 	return s
 }
 
-// RateOf returns the requests a second that all gateways together send at most where a
-// limit is named.
-func RateOf(limit float64) float64 { return max(used*limit, leastRate) }
+// TotalRate returns the maximum rate, in requests per second, that all gateways together send to
+// an endpoint that reports a limit.
+func TotalRate(limit float64) float64 { return max(usedFraction*limit, minTotalRate) }
 
-// turnOf numbers the turns; gateways agree on it as far as their clocks do.
-func turnOf(now time.Time) int64 { return now.UnixNano() / int64(turnTime) }
+// periodOf returns the number of the rotation period at a time; gateways agree on it as far as
+// their clocks do.
+func periodOf(now time.Time) int64 { return now.UnixNano() / int64(rotationPeriod) }
 
-// turnKey names an endpoint in a turn.
-func turnKey(id string, turn int64) string { return strconv.FormatInt(turn, 10) + "\x00" + id }
+// periodKey returns the hash key of an endpoint in a rotation period.
+func periodKey(id string, period int64) string { return strconv.FormatInt(period, 10) + "\x00" + id }
 
-// placeOf returns the place of a gateway among all for an endpoint in a turn, by rendezvous
-// hashing: gateways that know of each other agree on it without a word.
-func placeOf(id string, turn int64, self string, all []string) (place int) {
-	key := turnKey(id, turn)
+// positionOf returns the position of a gateway among all gateways for an endpoint in a rotation
+// period, by rendezvous hashing: gateways that know the same set agree on it without communication.
+func positionOf(id string, period int64, self string, all []string) (position int) {
+	key := periodKey(id, period)
 	mine := own.Score(key, self)
 	for _, name := range all {
 		if s := own.Score(key, name); name != self && (s > mine || s == mine && name < self) {
-			place++
+			position++
 		}
 	}
-	return place
+	return position
 }
 
-// Backlog tells those who are refused at one gateway when to come back, each in a place of
-// its own, so that what they come back to has room for all of them.
+// Backlog assigns a retry time to each caller that one gateway rejects. The times are spaced so
+// that there is capacity for all of them when they retry.
 type Backlog struct {
-	next time.Time // The last place given.
+	next time.Time // The last retry time assigned.
 }
 
-// longestBacklog bounds how far ahead a place is given: what is known of the limits does
-// not hold for longer.
-const longestBacklog = 10 * time.Second
+// maxBacklog bounds how far ahead a retry time is assigned: what is known of the limits is not
+// valid for longer.
+const maxBacklog = 10 * time.Second
 
-// Next returns after how long one more caller has room, where rate is the requests a second
-// for which there is room at this gateway.
+// Next assigns a retry time to one more caller and returns the time until then. The rate is the
+// capacity of this gateway in requests per second.
 func (b *Backlog) Next(rate float64, now time.Time) time.Duration {
 	if b.next.Before(now) {
 		b.next = now
 	}
-	step := longestBacklog
+	step := maxBacklog
 	if rate > 0 {
-		step = time.Duration(min(1/rate, longestBacklog.Seconds()) * float64(time.Second))
+		step = time.Duration(min(1/rate, maxBacklog.Seconds()) * float64(time.Second))
 	}
-	if last := now.Add(longestBacklog); b.next.Add(step).After(last) {
-		return longestBacklog
+	if last := now.Add(maxBacklog); b.next.Add(step).After(last) {
+		return maxBacklog
 	}
 	b.next = b.next.Add(step)
 	return b.next.Sub(now)
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package throttle keeps what gateways send to endpoints within the rate limits that these
-// name in their answers. A limit counts for all gateways together; each takes a part of it
-// by the gateways that it knows, and tells the others what endpoints say. It is a pure state
-// machine: time comes in as an argument, and the caller serialises access and carries the
-// messages.
+// Package throttle keeps the requests that gateways send to endpoints within the rate limits
+// that the endpoints report in their answers. A limit applies to all gateways together; each
+// derives its share from the gateways that it knows, and forwards the reported limits to the
+// others. It is a pure state machine: time is passed as an argument, and the caller serialises
+// access and transports the messages.
 package throttle
 
 import (
@@ -14,61 +14,61 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/limit"
 )
 
-// Word is what an answer of an endpoint said of its rate limit.
-type Word struct {
+// Report is the rate limit that an answer of an endpoint stated, or that it stated none.
+type Report struct {
 	Limited bool
-	Limit   float64   // Requests a second from all gateways together; where it is limited.
-	At      time.Time // Of the answer.
+	Limit   float64   // Requests per second from all gateways together; valid if Limited.
+	At      time.Time // Time of the answer.
 }
 
-// same reports whether two words say the same.
-func (w Word) same(v Word) bool {
-	return w.Limited == v.Limited && (!w.Limited || w.Limit == v.Limit)
+// sameLimit reports whether two reports state the same limit, or both none.
+func (r Report) sameLimit(other Report) bool {
+	return r.Limited == other.Limited && (!r.Limited || r.Limit == other.Limit)
 }
 
-// Told is a word and the endpoint that it is of.
-type Told struct {
+// Update is a report and the id of its endpoint, as gateways exchange them.
+type Update struct {
 	Endpoint string
-	Word
+	Report
 }
 
 const (
-	// tellTimes is how often a change is told, since messages may be lost.
-	tellTimes = 3
-	// tellAgain is after how long a limit that still holds is told again, for gateways that
-	// were cut off as it changed.
-	tellAgain = 30 * time.Second
-	// lapseAfter is how long a limit holds of which nothing is heard.
-	lapseAfter = 3 * tellAgain
+	// maxSends is how many times a change is sent to other gateways, since messages may be lost.
+	maxSends = 3
+	// resendInterval is the time after which a limit still in effect is sent again, for gateways
+	// that were partitioned off when it changed.
+	resendInterval = 30 * time.Second
+	// expireAfter is how long a limit stays in effect without a new report.
+	expireAfter = 3 * resendInterval
 )
 
-// endpoint is what is known of one endpoint's limit.
+// endpoint is the state of one endpoint's limit.
 type endpoint struct {
-	word    Word          // The newest.
-	since   time.Time     // When the first answer said the same as word.
-	told    int           // How often word was told to others.
-	toldAt  time.Time     // The word's time when it was last told or heard.
-	bucket  *limit.Bucket // Of all parts that are here; nil while there are none.
-	owns    bool          // This gateway has a part in the turn.
-	part    Share         // What each gateway has that has a part.
-	turn    int64         // For which the bucket was made.
-	version int           // Of the gateways by which it was made.
-	loans   loans
-}
-
-// Limits holds what is known of all endpoints.
+	report    Report        // The newest report.
+	since     time.Time     // Time of the first answer that stated the limit of report.
+	sends     int           // Number of times that report was sent to other gateways.
+	sharedAt  time.Time     // Report time of the last report sent to or received from other gateways.
+	bucket    *limit.Bucket // For all shares held by this gateway; nil until it first holds one.
+	ownsShare bool          // This gateway has a share of its own in the period.
+	share     Share         // The share of each gateway that has one.
+	period    int64         // Rotation period for which the bucket was sized.
+	version   int           // Limits.version for which the bucket was sized.
+	loans     loans
+}
+
+// Limits holds the rate limits of all endpoints.
 type Limits struct {
-	by       map[string]*endpoint
-	self     string
-	gateways []string // All that are known, this one among them; sorted.
-	version  int      // Changes with gateways.
-	asked    int64    // Number of the last ask for a part.
+	endpoints         map[string]*endpoint
+	self              string
+	gateways          []string // All known gateways, including this one; sorted.
+	version           int      // Incremented when gateways changes.
+	lastRequestNumber int64    // Number of the last borrow request.
 }
 
-// New returns limits that know of none, at a gateway that knows of no other.
-func New() *Limits { return &Limits{by: map[string]*endpoint{}, gateways: []string{""}} }
+// New returns an empty set of limits, for a gateway that knows of no other gateway.
+func New() *Limits { return &Limits{endpoints: map[string]*endpoint{}, gateways: []string{""}} }
 
-// SetGateways tells the name of this gateway and those of all that are there.
+// SetGateways sets the name of this gateway and the names of all known gateways, including this one.
 func (l *Limits) SetGateways(self string, all []string) {
 	all = slices.Clone(all)
 	slices.Sort(all)
@@ -79,166 +79,168 @@
 	l.version++
 }
 
-// Gateways returns among how many gateways limits are shared.
-func (l *Limits) Gateways() int { return len(l.gateways) }
+// GatewayCount returns the number of gateways that share the limits.
+func (l *Limits) GatewayCount() int { return len(l.gateways) }
 
-// Knows reports whether another gateway of this name is there.
-func (l *Limits) Knows(name string) bool {
+// HasPeer reports whether name is a known gateway other than this one.
+func (l *Limits) HasPeer(name string) bool {
 	_, known := slices.BinarySearch(l.gateways, name)
 	return known && name != l.self
 }
 
-// Answered takes in what an answer to this gateway said. It reports whether that is news,
-// which others are to be told.
-func (l *Limits) Answered(id string, w Word) (news bool) { return l.hear(id, w, 0) }
+// RecordAnswer records the report of an answer to this gateway. It reports whether the limit
+// changed, in which case the change is to be sent to the other gateways.
+func (l *Limits) RecordAnswer(id string, r Report) (changed bool) { return l.record(id, r, 0) }
 
-// Hear takes in what another gateway told. It reports whether that is news here.
-func (l *Limits) Hear(t Told) (news bool) { return l.hear(t.Endpoint, t.Word, tellTimes) }
+// Merge records an update sent by another gateway. It reports whether the limit
+// changed for this gateway.
+func (l *Limits) Merge(r Update) (changed bool) { return l.record(r.Endpoint, r.Report, maxSends) }
 
-func (l *Limits) hear(id string, w Word, told int) (news bool) {
-	e, known := l.by[id]
+func (l *Limits) record(id string, r Report, sends int) (changed bool) {
+	e, known := l.endpoints[id]
 	if !known {
-		if !w.Limited {
+		if !r.Limited {
 			return false
 		}
-		e = &endpoint{since: w.At}
-		l.by[id] = e
+		e = &endpoint{since: r.At}
+		l.endpoints[id] = e
 	}
-	if w.At.Before(e.word.At) {
+	if r.At.Before(e.report.At) {
 		return false
 	}
-	news = !w.same(e.word)
-	e.word = w
+	changed = !r.sameLimit(e.report)
+	e.report = r
 	switch {
-	case news:
-		e.since, e.told, e.toldAt, e.version = w.At, told, w.At, l.version-1
-	case told == tellTimes:
-		e.toldAt = w.At
-	case w.Limited && w.At.Sub(e.toldAt) > tellAgain:
-		e.told = min(e.told, tellTimes-1)
+	case changed:
+		e.since, e.sends, e.sharedAt, e.version = r.At, sends, r.At, l.version-1
+	case sends == maxSends:
+		e.sharedAt = r.At
+	case r.Limited && r.At.Sub(e.sharedAt) > resendInterval:
+		e.sends = min(e.sends, maxSends-1)
 	}
-	return news
+	return changed
 }
 
-// Limited returns the limit that an endpoint names, and since when.
+// Limited returns the limit that an endpoint reports, and the time since which it has reported it.
 func (l *Limits) Limited(id string) (limit float64, since time.Time, ok bool) {
-	e := l.by[id]
-	if e == nil || !e.word.Limited {
+	e := l.endpoints[id]
+	if e == nil || !e.report.Limited {
 		return 0, time.Time{}, false
 	}
-	return e.word.Limit, e.since, true
+	return e.report.Limit, e.since, true
 }
 
-// Count returns how many endpoints name a limit.
+// Count returns the number of endpoints that report a limit.
 func (l *Limits) Count() (n int) {
-	for _, e := range l.by {
-		if e.word.Limited {
+	for _, e := range l.endpoints {
+		if e.report.Limited {
 			n++
 		}
 	}
 	return n
 }
 
-// Due reports whether this gateway may send a request to an endpoint now.
-func (l *Limits) Due(id string, now time.Time) bool {
-	e := l.by[id]
-	if e == nil || !e.word.Limited {
+// MaySend reports whether this gateway may send a request to an endpoint now.
+func (l *Limits) MaySend(id string, now time.Time) bool {
+	e := l.endpoints[id]
+	if e == nil || !e.report.Limited {
 		return true
 	}
-	b := l.share(id, e, now)
-	due := b != nil && b.Holds(now)
-	e.loans.use(due, now)
-	return due
+	b := l.bucketOf(id, e, now)
+	allowed := b != nil && b.Holds(now)
+	e.loans.recordUse(allowed, now)
+	return allowed
 }
 
-// Take notes that a request goes to an endpoint for which one is due.
+// Take consumes a token for a request to an endpoint for which MaySend returned true.
 func (l *Limits) Take(id string, now time.Time) {
-	if e := l.by[id]; e != nil && e.word.Limited {
-		if b := l.share(id, e, now); b != nil {
+	if e := l.endpoints[id]; e != nil && e.report.Limited {
+		if b := l.bucketOf(id, e, now); b != nil {
 			b.Take(now)
 		}
 	}
 }
 
-// GiveBack takes back a Take of a request that was not sent.
+// GiveBack returns the token that Take consumed for a request that was not sent.
 func (l *Limits) GiveBack(id string) {
-	if e := l.by[id]; e != nil && e.bucket != nil {
+	if e := l.endpoints[id]; e != nil && e.bucket != nil {
 		e.bucket.GiveBack()
 	}
 }
 
-// share returns the parts of an endpoint's limit that are at this gateway, nil where there are
-// none.
-func (l *Limits) share(id string, e *endpoint, now time.Time) *limit.Bucket {
-	e.settle(now)
-	turn := turnOf(now)
-	if e.turn == turn && e.version == l.version {
+// bucketOf returns the token bucket for the shares of an endpoint's limit that this gateway
+// holds, or nil if it never held one. It first expires leases, and resizes the bucket when the
+// rotation period or the set of gateways has changed.
+func (l *Limits) bucketOf(id string, e *endpoint, now time.Time) *limit.Bucket {
+	e.expireLeases(now)
+	period := periodOf(now)
+	if e.period == period && e.version == l.version {
 		return e.bucket
 	}
-	e.turn, e.version = turn, l.version
-	e.loans.renew()
-	place := placeOf(id, turn, l.self, l.gateways)
-	e.part = ShareOf(e.word.Limit, 0, len(l.gateways))
-	owned := e.owns
-	s := ShareOf(e.word.Limit, place, len(l.gateways))
-	e.owns = s.Rate > 0
-	e.fit(now)
-	if e.owns && !owned && !e.loans.away(now) {
-		e.bucket.Add(s.First, now)
+	e.period, e.version = period, l.version
+	e.loans.dropBorrowed()
+	position := positionOf(id, period, l.self, l.gateways)
+	e.share = ShareOf(e.report.Limit, 0, len(l.gateways))
+	ownedBefore := e.ownsShare
+	s := ShareOf(e.report.Limit, position, len(l.gateways))
+	e.ownsShare = s.Rate > 0
+	e.resizeBucket(now)
+	if e.ownsShare && !ownedBefore && !e.loans.lentOut(now) {
+		e.bucket.Add(s.InitialTokens, now)
 	}
 	return e.bucket
 }
 
-// Tell returns changes that are to be told to others, at most so many.
-func (l *Limits) Tell(most int) (list []Told) {
-	for id, e := range l.by {
-		if len(list) == most {
+// NextUpdates returns up to limit updates that are due to be sent to the other gateways, and
+// counts them as sent.
+func (l *Limits) NextUpdates(limit int) (list []Update) {
+	for id, e := range l.endpoints {
+		if len(list) == limit {
 			break
 		}
-		if e.told < tellTimes {
-			e.told++
-			e.toldAt = e.word.At
-			list = append(list, Told{id, e.word})
+		if e.sends < maxSends {
+			e.sends++
+			e.sharedAt = e.report.At
+			list = append(list, Update{id, e.report})
 		}
 	}
 	return list
 }
 
-// Untold reports whether there is a change that was never told.
-func (l *Limits) Untold() bool {
-	for _, e := range l.by {
-		if e.told == 0 {
+// HasUnsent reports whether there is a change that was never sent.
+func (l *Limits) HasUnsent() bool {
+	for _, e := range l.endpoints {
+		if e.sends == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Named returns the limits that are known, at most so many, for a gateway that may know
-// none.
-func (l *Limits) Named(most int) (list []Told) {
-	for id, e := range l.by {
-		if len(list) == most {
+// ActiveLimits returns up to limit updates for limits in effect, for a gateway that may know none.
+func (l *Limits) ActiveLimits(limit int) (list []Update) {
+	for id, e := range l.endpoints {
+		if len(list) == limit {
 			break
 		}
-		if e.word.Limited {
-			list = append(list, Told{id, e.word})
+		if e.report.Limited {
+			list = append(list, Update{id, e.report})
 		}
 	}
 	return list
 }
 
-// endedAge is for how long an endpoint is remembered that names no limit any more: older
-// words of other gateways arrive within it.
-const endedAge = 10 * time.Second
+// endedRetention is how long an endpoint that no longer reports a limit is remembered: older
+// reports from other gateways arrive within this time.
+const endedRetention = 10 * time.Second
 
-// Forget drops endpoints that are not listed any more, and limits that ended long ago or of
-// which nothing was heard for long.
+// Forget removes endpoints that are no longer listed, limits that ended more than endedRetention
+// ago, and limits without a report for expireAfter.
 func (l *Limits) Forget(listed func(id string) bool, now time.Time) {
-	for id, e := range l.by {
-		age := now.Sub(e.word.At)
-		if !listed(id) || age > lapseAfter || !e.word.Limited && age > endedAge {
-			delete(l.by, id)
+	for id, e := range l.endpoints {
+		age := now.Sub(e.report.At)
+		if !listed(id) || age > expireAfter || !e.report.Limited && age > endedRetention {
+			delete(l.endpoints, id)
 		}
 	}
 }
--- a/internal/decide/throttle/throttle_test.go
+++ b/internal/decide/throttle/throttle_test.go
@@ -13,21 +13,22 @@
 
 var start = time.Unix(1000, 0)
 
-// The rule for what an endpoint gets that names a limit.
+// The maximum number of requests in any window that an endpoint with a limit may receive:
+// maxLimitFactor times the limit, and maxExtraRequests more.
 const (
-	window     = 4 * time.Second
-	ruleShare  = 1.5
-	ruleSlack  = 5.0 // Requests.
-	step       = 100 * time.Millisecond
-	endpointID = "i-1"
+	window           = 4 * time.Second
+	maxLimitFactor   = 1.5
+	maxExtraRequests = 5.0 // Requests.
+	step             = 100 * time.Millisecond
+	endpointID       = "i-1"
 )
 
-// fleet is gateways that all have more requests for an endpoint than they may send.
+// fleet is a set of gateways that all have more requests for an endpoint than they may send.
 type fleet struct {
 	gateways []*Limits
 	names    []string
-	skew     []time.Duration // Of their clocks.
-	sent     []time.Duration // Since the start, of all.
+	skew     []time.Duration // Clock offset of each gateway.
+	sent     []time.Duration // Times of all requests, since the start.
 	now      time.Duration
 }
 
@@ -38,37 +39,38 @@
 		f.gateways = append(f.gateways, New())
 	}
 	f.skew = make([]time.Duration, n)
-	f.know(f.names)
+	f.setGateways(f.names)
 	return f
 }
 
-// know tells all gateways which there are.
-func (f *fleet) know(names []string) {
+// setGateways sets the known gateways at every gateway.
+func (f *fleet) setGateways(names []string) {
 	for i, l := range f.gateways {
 		l.SetGateways(f.names[i], names)
 	}
 }
 
-// name tells all gateways what the endpoint says.
-func (f *fleet) name(limited bool, limit float64) {
+// reportLimit delivers a report of the endpoint to every gateway.
+func (f *fleet) reportLimit(limited bool, limit float64) {
 	for i, l := range f.gateways {
-		l.Hear(Told{endpointID, Word{Limited: limited, Limit: limit, At: start.Add(f.now + f.skew[i])}})
+		l.Merge(Update{endpointID, Report{Limited: limited, Limit: limit, At: start.Add(f.now + f.skew[i])}})
 	}
 }
 
-// run lets gateways, from one to before another, send whenever they may.
+// run lets the gateways with index from <= i < to send whenever they may.
 func (f *fleet) run(from, to int, lasts time.Duration) {
 	for end := f.now + lasts; f.now < end; f.now += step {
 		for i := from; i < to; i++ {
-			for at := start.Add(f.now + f.skew[i]); f.gateways[i].Due(endpointID, at); f.sent = append(f.sent, f.now) {
+			for at := start.Add(f.now + f.skew[i]); f.gateways[i].MaySend(endpointID, at); f.sent = append(f.sent, f.now) {
 				f.gateways[i].Take(endpointID, at)
 			}
 		}
 	}
 }
 
-// most returns the most requests in any window, and the longest time without any.
-func (f *fleet) most() (n int, gap time.Duration) {
+// peakAndGap returns the maximum number of requests in any window, and the longest time without
+// a request.
+func (f *fleet) peakAndGap() (n int, gap time.Duration) {
 	from := 0
 	for i, at := range f.sent {
 		for at-f.sent[from] > window {
@@ -84,8 +86,8 @@
 
 func assertWithin(t *testing.T, f *fleet, limit float64) {
 	t.Helper()
-	n, _ := f.most()
-	NewWithT(t).Expect(float64(n)).To(BeNumerically("<=", ruleShare*limit*window.Seconds()+ruleSlack), "requests in %v", window)
+	n, _ := f.peakAndGap()
+	NewWithT(t).Expect(float64(n)).To(BeNumerically("<=", maxLimitFactor*limit*window.Seconds()+maxExtraRequests), "requests in %v", window)
 }
 
 var limits = []float64{0, 0.1, 0.5, 1, 2, 3.9, 6, 50}
@@ -96,20 +98,20 @@
 			t.Run(fmt.Sprintf("%d gateways, %v a second", gateways, limit), func(t *testing.T) {
 				g := NewWithT(t)
 				f := newFleet(gateways)
-				f.name(true, limit)
+				f.reportLimit(true, limit)
 				f.run(0, gateways, lasts)
 				assertWithin(t, f, limit)
 				mean := float64(len(f.sent)) / lasts.Seconds()
 				g.Expect(mean).To(BeNumerically(">=", limit/2), "half of the limit is used")
-				g.Expect(mean).To(BeNumerically("<=", max(limit, leastRate)*1.25), "in the mean hardly more than the limit")
-				_, gap := f.most()
-				g.Expect(gap).To(BeNumerically("<", 3*time.Second), "an answer shows in time that the limit has ended")
+				g.Expect(mean).To(BeNumerically("<=", max(limit, minTotalRate)*1.25), "on average at most 25% above the limit")
+				_, gap := f.peakAndGap()
+				g.Expect(gap).To(BeNumerically("<", 3*time.Second), "requests are frequent enough for an answer to show that the limit has ended")
 			})
 		}
 	}
 }
 
-// checkLimits has a fleet play with each limit, which must hold.
+// checkLimits runs play on a fleet for each limit, and checks that the limit holds.
 func checkLimits(t *testing.T, gateways int, play func(t *testing.T, f *fleet, limit float64)) {
 	for _, limit := range limits {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
@@ -120,10 +122,10 @@
 	}
 }
 
-// Gateways that all hold back for long, as without callers, do not send together then.
-func TestALimitHoldsAfterASilence(t *testing.T) {
+// Gateways that all had no callers for a long time do not exceed the limit when callers return.
+func TestALimitHoldsAfterAPauseWithoutRequests(t *testing.T) {
 	checkLimits(t, 531, func(_ *testing.T, f *fleet, limit float64) {
-		f.name(true, limit)
+		f.reportLimit(true, limit)
 		f.run(0, 531, step)
 		f.now += time.Minute
 		f.run(0, 531, window+time.Second)
@@ -135,35 +137,36 @@
 		for i := range f.skew {
 			f.skew[i] = time.Duration(i%3-1) * time.Second
 		}
-		f.name(true, limit)
+		f.reportLimit(true, limit)
 		f.run(0, 30, time.Minute)
 	})
 }
 
 func TestALimitHoldsWhileGatewaysStartAndEnd(t *testing.T) {
 	checkLimits(t, 30, func(_ *testing.T, f *fleet, limit float64) {
-		f.name(true, limit)
-		f.know(f.names[:20]) // The last ten are not heard of yet, and have no callers.
+		f.reportLimit(true, limit)
+		f.setGateways(f.names[:20]) // The last ten are not known yet, and have no callers.
 		f.run(0, 20, 7*time.Second)
-		f.know(f.names)
+		f.setGateways(f.names)
 		f.run(0, 30, 7*time.Second)
-		f.run(0, 10, 4*time.Second) // Two thirds have ended, which is not known yet.
-		f.know(f.names[:10])
+		f.run(0, 10, 4*time.Second) // Two thirds have ended, which the others do not know yet.
+		f.setGateways(f.names[:10])
 		f.run(0, 10, 7*time.Second)
 	})
 }
 
-// assertBounded checks what so many sets of gateways send that do not know of each other.
+// assertBounded checks the bound on the requests of several sets of gateways that do not know of
+// each other.
 func assertBounded(t *testing.T, f *fleet, sets int, limit float64) {
 	t.Helper()
 	senders := math.Floor(limit) + 1
-	n, _ := f.most()
-	NewWithT(t).Expect(float64(n)).To(BeNumerically("<=", float64(sets)*(senders+(senders+1)/2+RateOf(limit)*window.Seconds())), "requests in %v", window)
+	n, _ := f.peakAndGap()
+	NewWithT(t).Expect(float64(n)).To(BeNumerically("<=", float64(sets)*(senders+(senders+1)/2+TotalRate(limit)*window.Seconds())), "requests in %v", window)
 }
 
-func TestTheSidesOfACutAreBoundedEach(t *testing.T) {
+func TestEachSideOfAPartitionIsBounded(t *testing.T) {
 	checkLimits(t, 30, func(t *testing.T, f *fleet, limit float64) {
-		f.name(true, limit)
+		f.reportLimit(true, limit)
 		f.run(0, 30, 7*time.Second)
 		assertBounded(t, f, 1, limit)
 		for i, l := range f.gateways {
@@ -171,17 +174,17 @@
 		}
 		f.run(0, 30, 25*time.Second)
 		assertBounded(t, f, 2, limit)
-		f.know(f.names)
+		f.setGateways(f.names)
 		f.now += window
 		f.sent = nil
 		f.run(0, 30, 25*time.Second)
 	})
 }
 
-// Gateways that are suspended one after the other send no more than their part as they wake.
+// Gateways that are suspended one after the other send no more than their share when they resume.
 func TestALimitHoldsWhileGatewaysAreSuspended(t *testing.T) {
 	checkLimits(t, 7, func(_ *testing.T, f *fleet, limit float64) {
-		f.name(true, limit)
+		f.reportLimit(true, limit)
 		for awake := range 14 {
 			f.run(awake%7, 7, 3*time.Second)
 		}
@@ -189,75 +192,75 @@
 	})
 }
 
-func TestALimitThatFallsHoldsAtOnce(t *testing.T) {
+func TestALoweredLimitHoldsAtOnce(t *testing.T) {
 	f := newFleet(7)
-	f.name(true, 50)
+	f.reportLimit(true, 50)
 	f.run(0, 7, 10*time.Second)
 	f.sent = nil
-	f.name(true, 1)
+	f.reportLimit(true, 1)
 	f.run(0, 7, 10*time.Second)
 	assertWithin(t, f, 1)
 }
 
-func TestALimitThatIsNotNamedAnyMoreIsOver(t *testing.T) {
+func TestALimitThatIsNoLongerReportedEnds(t *testing.T) {
 	g := NewWithT(t)
 	l := New()
-	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	g.Expect(l.Answered(endpointID, Word{At: at(0)})).To(BeFalse(), "nothing is known of it")
-	g.Expect(l.Answered(endpointID, Word{Limited: true, Limit: 0, At: at(1)})).To(BeTrue())
-	l.Due(endpointID, at(1))
-	l.Take(endpointID, at(1))
-	g.Expect(l.Due(endpointID, at(1))).To(BeFalse())
-	g.Expect(l.Untold()).To(BeTrue())
-	g.Expect(l.Tell(9)).To(HaveLen(1))
-	g.Expect(l.Untold()).To(BeFalse())
-	g.Expect(l.Hear(Told{endpointID, Word{At: at(0.5)}})).To(BeFalse(), "older than what is known")
-	g.Expect(l.Due(endpointID, at(1))).To(BeFalse())
+	after := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
+	g.Expect(l.RecordAnswer(endpointID, Report{At: after(0)})).To(BeFalse(), "no limit is known")
+	g.Expect(l.RecordAnswer(endpointID, Report{Limited: true, Limit: 0, At: after(1)})).To(BeTrue())
+	l.MaySend(endpointID, after(1))
+	l.Take(endpointID, after(1))
+	g.Expect(l.MaySend(endpointID, after(1))).To(BeFalse())
+	g.Expect(l.HasUnsent()).To(BeTrue())
+	g.Expect(l.NextUpdates(9)).To(HaveLen(1))
+	g.Expect(l.HasUnsent()).To(BeFalse())
+	g.Expect(l.Merge(Update{endpointID, Report{At: after(0.5)}})).To(BeFalse(), "older than the known report")
+	g.Expect(l.MaySend(endpointID, after(1))).To(BeFalse())
 	l.GiveBack(endpointID)
-	g.Expect(l.Due(endpointID, at(1))).To(BeTrue(), "it was not sent")
-	l.Take(endpointID, at(1))
-	g.Expect(l.Hear(Told{endpointID, Word{At: at(1.5)}})).To(BeTrue())
-	g.Expect(l.Due(endpointID, at(1.5))).To(BeTrue())
+	g.Expect(l.MaySend(endpointID, after(1))).To(BeTrue(), "it was not sent")
+	l.Take(endpointID, after(1))
+	g.Expect(l.Merge(Update{endpointID, Report{At: after(1.5)}})).To(BeTrue())
+	g.Expect(l.MaySend(endpointID, after(1.5))).To(BeTrue())
 	g.Expect(l.Count()).To(BeZero())
-	l.Forget(func(string) bool { return true }, at(1.5+endedAge.Seconds()+0.1))
-	g.Expect(l.by).To(BeEmpty())
+	l.Forget(func(string) bool { return true }, after(1.5+endedRetention.Seconds()+0.1))
+	g.Expect(l.endpoints).To(BeEmpty())
 }
 
-// Guards against a gateway that was cut off as a limit ended and keeps to it for good.
-func TestALimitThatHoldsIsToldAgainAndOneThatIsNotHeardOfLapses(t *testing.T) {
+// Guards against a gateway that was partitioned off when a limit ended and applies it forever.
+func TestAnActiveLimitIsResentAndOneWithoutReportsExpires(t *testing.T) {
 	g := NewWithT(t)
-	teller, other := New(), New()
+	sender, receiver := New(), New()
 	listed := func(string) bool { return true }
-	tell := func() {
-		for _, told := range teller.Tell(9) {
-			other.Hear(told)
+	send := func() {
+		for _, report := range sender.NextUpdates(9) {
+			receiver.Merge(report)
 		}
 	}
-	word := func(after time.Duration) Word { return Word{Limited: true, Limit: 1, At: start.Add(after)} }
-	teller.Answered(endpointID, word(0))
-	for range tellTimes {
-		tell()
+	reportAfter := func(after time.Duration) Report { return Report{Limited: true, Limit: 1, At: start.Add(after)} }
+	sender.RecordAnswer(endpointID, reportAfter(0))
+	for range maxSends {
+		send()
 	}
-	teller.Answered(endpointID, word(tellAgain))
-	g.Expect(teller.Tell(9)).To(BeEmpty(), "nothing has changed")
-	teller.Answered(endpointID, word(tellAgain+time.Second))
-	g.Expect(teller.Untold()).To(BeFalse(), "it is no news")
-	tell()
-	g.Expect(teller.Tell(9)).To(BeEmpty())
-	other.Forget(listed, start.Add(tellAgain+time.Second+lapseAfter))
-	g.Expect(other.Count()).To(Equal(1))
-	other.Forget(listed, start.Add(tellAgain+2*time.Second+lapseAfter))
-	g.Expect(other.Count()).To(BeZero())
+	sender.RecordAnswer(endpointID, reportAfter(resendInterval))
+	g.Expect(sender.NextUpdates(9)).To(BeEmpty(), "nothing has changed")
+	sender.RecordAnswer(endpointID, reportAfter(resendInterval+time.Second))
+	g.Expect(sender.HasUnsent()).To(BeFalse(), "the limit has not changed")
+	send()
+	g.Expect(sender.NextUpdates(9)).To(BeEmpty())
+	receiver.Forget(listed, start.Add(resendInterval+time.Second+expireAfter))
+	g.Expect(receiver.Count()).To(Equal(1))
+	receiver.Forget(listed, start.Add(resendInterval+2*time.Second+expireAfter))
+	g.Expect(receiver.Count()).To(BeZero())
 }
 
-func TestABacklogGivesEachCallerAPlace(t *testing.T) {
+func TestABacklogGivesEachCallerItsOwnRetryTime(t *testing.T) {
 	g := NewWithT(t)
 	b := &Backlog{}
 	g.Expect(b.Next(2, start)).To(Equal(500 * time.Millisecond))
 	g.Expect(b.Next(2, start)).To(Equal(time.Second))
 	g.Expect(b.Next(2, start.Add(time.Second))).To(Equal(500 * time.Millisecond))
 	for range 100 {
-		g.Expect(b.Next(2, start.Add(time.Second))).To(BeNumerically("<=", longestBacklog))
+		g.Expect(b.Next(2, start.Add(time.Second))).To(BeNumerically("<=", maxBacklog))
 	}
-	g.Expect(b.Next(0, start.Add(time.Minute))).To(Equal(longestBacklog))
+	g.Expect(b.Next(0, start.Add(time.Minute))).To(Equal(maxBacklog))
 }
--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -103,12 +103,12 @@
 		}
 		return true
 	}
-	if g.limits.Due(e.ID, now) {
+	if g.limits.MaySend(e.ID, now) {
 		return false
 	}
 	perSecond, _, _ := g.limits.Limited(e.ID)
-	b.rate += throttle.RateOf(perSecond)
-	b.held += g.limits.Held(e.ID, now)
+	b.rate += throttle.TotalRate(perSecond)
+	b.held += g.limits.AvailableRate(e.ID, now)
 	g.wantParts()
 	return true
 }
--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -22,7 +22,7 @@
 var bars = map[string]bar{
 	"rests": func(s site, id string) { s.backoffs.Rest(backoff.Life{Name: id}, time.Minute, s.cfg.Now()) },
 	"is at its limit": func(s site, id string) {
-		s.limits.Answered(id, throttle.Word{Limited: true, At: s.cfg.Now()})
+		s.limits.RecordAnswer(id, throttle.Report{Limited: true, At: s.cfg.Now()})
 		s.limits.Take(id, s.cfg.Now())
 	},
 }
@@ -80,7 +80,7 @@
 func TestAPermitThatIsNotUsedIsGivenBack(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t, newStreamer(0))
-	s.limits.Answered("0", throttle.Word{Limited: true, Limit: 0, At: s.cfg.Now()})
+	s.limits.RecordAnswer("0", throttle.Report{Limited: true, Limit: 0, At: s.cfg.Now()})
 	q := &request{g: s.Gateway, service: "s", config: s.view.State().Config, route: s.view.State().Config.Route("caller.test", "/")}
 	for range 3 {
 		_, ok := q.choose(time.Now())
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -52,17 +52,17 @@
 // sendParts sends what is due; it reports whether more may fall due without another request.
 func (n *Neighbours) sendParts() (more bool) {
 	now := n.g.cfg.Now()
-	var letters []throttle.Letter
+	var letters []throttle.Outgoing
 	duty.Locked(&n.g.mu, func() {
-		letters = n.g.limits.Letters(now)
-		more = n.g.limits.Lending(now)
+		letters = n.g.limits.OutgoingMessages(now)
+		more = n.g.limits.HasOpenLoans(now)
 	})
 	by := map[string][]peers.Part{}
 	for _, l := range letters {
-		if l.Kind == throttle.Ask {
+		if l.Kind == throttle.Borrow {
 			n.g.figures.asked.Inc(1)
 		}
-		by[l.To] = append(by[l.To], partOf(l.Part))
+		by[l.To] = append(by[l.To], partOf(l.ShareMessage))
 	}
 	for to, parts := range by {
 		n.tellParts(to, parts)
@@ -91,8 +91,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range m.Parts {
-		part := throttle.Part{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, Number: p.Number, Tokens: p.Tokens, Lasts: p.Lasts()}
-		answer, ok := g.limits.Receive(m.Address, part, now)
+		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.Number, Tokens: p.Tokens, LeaseTime: p.Lasts()}
+		answer, ok := g.limits.ReceiveMessage(m.Address, part, now)
 		if ok {
 			answers = append(answers, partOf(answer))
 		}
@@ -106,8 +106,8 @@
 	return answers
 }
 
-func partOf(p throttle.Part) peers.Part {
-	return peers.Part{Kind: int(p.Kind), Endpoint: p.Endpoint, Number: p.Number, Tokens: p.Tokens, LastsMs: p.Lasts.Milliseconds()}
+func partOf(p throttle.ShareMessage) peers.Part {
+	return peers.Part{Kind: int(p.Kind), Endpoint: p.Endpoint, Number: p.RequestNumber, Tokens: p.Tokens, LastsMs: p.LeaseTime.Milliseconds()}
 }
 
 // badParts says what is not valid in a message, "" where all is.
@@ -116,7 +116,7 @@
 		return "too many parts"
 	}
 	var known bool
-	duty.Locked(&g.mu, func() { known = g.limits.Knows(m.Address) })
+	duty.Locked(&g.mu, func() { known = g.limits.HasPeer(m.Address) })
 	if !known {
 		return "of a gateway that is not heard"
 	}
@@ -129,7 +129,7 @@
 }
 
 func validPart(p peers.Part) bool {
-	return p.Kind >= int(throttle.Ask) && p.Kind <= int(throttle.Return) &&
+	return p.Kind >= int(throttle.Borrow) && p.Kind <= int(throttle.Return) &&
 		p.Endpoint != "" && len(p.Endpoint) <= longestID && p.Number > 0 &&
 		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // No NaN either.
 		p.LastsMs >= 0 && p.LastsMs <= longestLent.Milliseconds()
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -52,7 +52,7 @@
 
 // tellLimits tells all other gateways of rate limits that have changed.
 func (n *Neighbours) tellLimits() {
-	list := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MostLimits) })
+	list := n.g.toldLimits(func(l *throttle.Limits) []throttle.Update { return l.NextUpdates(peers.MostLimits) })
 	if len(list) > 0 {
 		n.socket.SendAll(addresses(n.others()), peers.Message{Limits: list})
 	}
@@ -60,7 +60,7 @@
 
 // tellNewcomer tells a gateway that has just started, or was away, of ends and rate limits.
 func (n *Neighbours) tellNewcomer(to netip.AddrPort) {
-	limits := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Named(mostNamed) })
+	limits := n.g.toldLimits(func(l *throttle.Limits) []throttle.Update { return l.ActiveLimits(mostNamed) })
 	for part := range slices.Chunk(limits, peers.MostLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
