--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -116,7 +116,7 @@
 	version, ok := m.drive(ctx, s, plan.Map)
 	if ok {
 		m.maps = map[uint64]rebalance.Map{version: plan.Map}
-		m.planner.Switched()
+		m.planner.MapSwitched()
 		m.agent.node.Trail().Add(audit.MapSwitch, s.Name,
 			fmt.Sprintf("version %d decided: %d experts moved, %.1f%% of the step time expected", version, plan.Transfers, 100*plan.Gain))
 	}
--- a/internal/decide/rebalance/improve.go
+++ b/internal/decide/rebalance/improve.go
@@ -6,40 +6,40 @@
 
 // Bounds limit what one improvement may change.
 type Bounds struct {
-	Spare   int // Experts that a rank may take on in a layer, 0 for no bound.
-	PerRank int // Experts that a rank may take on in all layers, 0 for no bound.
+	PerLayer int // New experts that a rank may load in one layer; 0 for no bound.
+	PerRank  int // New experts that a rank may load in all layers together; 0 for no bound.
 }
 
-// Improvement is a changed map. Skews are loads of the slowest rank to the mean,
-// as means over the layers.
+// Improvement is a changed map. Before and After are the skew of the maps: the
+// load of the slowest rank divided by the mean load, averaged over the layers.
 type Improvement struct {
-	Map    Map
-	Copies int // Expert copies to be loaded.
-	Most   int // Of them, those of the rank that loads most.
-	Before float64
-	After  float64
+	Map        Map
+	Copies     int // Expert copies to be loaded.
+	MaxPerRank int // Copies to be loaded by the rank that loads the most.
+	Before     float64
+	After      float64
 }
 
-// Improver edits the layers of a map, starting from the one in force, until the
-// next copy does not gain enough or no rank may take on more. It works in small
-// steps, so that a small processor can do other things between two of them.
+// Improver edits the layers of a map, starting from the active one, until no
+// change gains enough or no rank may load more experts. It works in small steps,
+// so that a small processor can do other work between them.
 type Improver struct {
 	bounds  Bounds
 	current Map
 	editors []*editor
 	means   []float64
-	best    []change // By layer; a gain of 0 means that none is left.
-	taken   []int    // Copies by rank.
+	best    []change // Best change by layer; a gain of 0 means that none is left.
+	loaded  []int    // Copies to be loaded, by rank.
 	result  Improvement
 }
 
-// NewImprover returns an improver that has changed nothing.
+// NewImprover returns an improver that starts from the map current.
 func NewImprover(s Shape, current Map, tokens [][]float64, speed []float64, b Bounds) *Improver {
-	i := &Improver{bounds: b, current: current, taken: make([]int, s.Ranks)}
+	i := &Improver{bounds: b, current: current, loaded: make([]int, s.Ranks)}
 	for l, layer := range current {
 		e := newEditor(s, append(Layer(nil), layer...), tokens[l], speed)
-		e.spare = b.Spare
-		e.full = func(r int) bool { return i.bounds.PerRank > 0 && i.taken[r] >= i.bounds.PerRank }
+		e.maxAdded = b.PerLayer
+		e.full = func(r int) bool { return i.bounds.PerRank > 0 && i.loaded[r] >= i.bounds.PerRank }
 		mean := 0.0
 		for _, v := range e.loads {
 			mean += v / float64(s.Ranks)
@@ -50,16 +50,16 @@
 		i.result.Before += i.skew(l) / float64(len(current))
 	}
 	for l := range current {
-		i.look(l)
+		i.findBest(l)
 	}
 	return i
 }
 
-// Allow sets how many experts a rank may take on in all layers, 0 for no bound.
-func (i *Improver) Allow(perRank int) {
+// SetPerRank sets how many new experts a rank may load in all layers together, 0 for no bound.
+func (i *Improver) SetPerRank(perRank int) {
 	i.bounds.PerRank = perRank
 	for l := range i.best {
-		i.look(l)
+		i.findBest(l)
 	}
 }
 
@@ -70,8 +70,8 @@
 	return i.editors[l].slowest() / i.means[l]
 }
 
-// look finds the best change of a layer.
-func (i *Improver) look(l int) {
+// findBest finds the best change of layer l and keeps it in best.
+func (i *Improver) findBest(l int) {
 	i.best[l] = change{}
 	if i.means[l] <= 0 {
 		return
@@ -81,13 +81,13 @@
 	}
 }
 
-// Step makes the change that gains most a copy; it reports whether there was
-// one.
+// Step applies the change with the highest gain per copy; it reports whether
+// there was one.
 func (i *Improver) Step() bool {
 	for {
 		l := -1
 		for k, c := range i.best {
-			if c.gain > 0 && (l < 0 || i.worth(k) > i.worth(l)) {
+			if c.gain > 0 && (l < 0 || i.gainPerCopy(k) > i.gainPerCopy(l)) {
 				l = k
 			}
 		}
@@ -95,45 +95,46 @@
 			return false
 		}
 		if e := i.editors[l]; !e.fits(i.best[l]) {
-			i.look(l) // A rank is full since it was found.
+			i.findBest(l) // A rank has become full since the change was found.
 			continue
 		}
 		i.editors[l].apply(i.best[l])
-		i.count()
-		i.look(l)
+		i.countLoaded()
+		i.findBest(l)
 		return true
 	}
 }
 
-// worth is a layer's best gain a copy, as a share of its mean load.
-func (i *Improver) worth(l int) float64 {
+// gainPerCopy returns the gain per copy of a layer's best change, as a fraction
+// of the layer's mean load.
+func (i *Improver) gainPerCopy(l int) float64 {
 	c := i.best[l]
 	return c.gain / i.means[l] / float64(max(c.cost, 1))
 }
 
-// count sums the copies that each rank takes on.
-func (i *Improver) count() {
-	clear(i.taken)
+// countLoaded sums the copies that each rank has to load over all layers.
+func (i *Improver) countLoaded() {
+	clear(i.loaded)
 	for _, e := range i.editors {
-		for r, n := range e.fresh {
-			i.taken[r] += n
+		for r, n := range e.added {
+			i.loaded[r] += n
 		}
 	}
 }
 
-// Result returns what has been reached.
+// Result returns the improvement that the steps so far have reached.
 func (i *Improver) Result() Improvement {
 	r := i.result
 	for l, e := range i.editors {
-		r.Map = append(r.Map, slices.Clone(e.layer)) // Steps that follow do not change it: rows are replaced.
+		r.Map = append(r.Map, slices.Clone(e.layer)) // Later steps do not change the clone: they replace rows.
 		r.After += i.skew(l) / float64(len(i.editors))
 	}
 	r.Copies = Transfers(i.current, r.Map)
-	r.Most = slices.Max(i.taken)
+	r.MaxPerRank = slices.Max(i.loaded)
 	return r
 }
 
-// Improve makes all steps at once.
+// Improve runs all steps of an Improver.
 func Improve(s Shape, current Map, tokens [][]float64, speed []float64, b Bounds) Improvement {
 	i := NewImprover(s, current, tokens, speed, b)
 	for i.Step() {
@@ -145,7 +146,7 @@
 func (l Layer) Rows(ranks int) [][]int {
 	rows := make([][]int, ranks)
 	for r := range rows {
-		rows[r] = []int{} // A rank without experts is told so, not left out.
+		rows[r] = []int{} // A rank without experts has an empty row, not a nil one.
 	}
 	for x, holders := range l {
 		for _, r := range holders {
@@ -155,8 +156,8 @@
 	return rows
 }
 
-// FromRows makes a layer of the experts of each rank; ok is false when an
-// expert is nowhere, or unknown.
+// FromRows returns the layer for the experts of each rank; ok is false when an
+// expert has no replica or is unknown.
 func FromRows(rows [][]int, experts int) (l Layer, ok bool) {
 	l = make(Layer, experts)
 	for r, row := range rows {
--- a/internal/decide/rebalance/improve_test.go
+++ b/internal/decide/rebalance/improve_test.go
@@ -10,8 +10,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// skewed returns loads of experts that fall with their rank in a drawn order.
-func skewed(r *rand.Rand, experts int) []float64 {
+// zipfTokens returns token counts that follow a power law over the experts in random order.
+func zipfTokens(r *rand.Rand, experts int) []float64 {
 	tokens := make([]float64, experts)
 	for i, x := range r.Perm(experts) {
 		tokens[x] = 1000 / math.Pow(float64(i+1), 1.1)
@@ -19,8 +19,8 @@
 	return tokens
 }
 
-// dealt returns the layer in which experts are dealt out in turn.
-func dealt(s Shape) Layer {
+// roundRobin returns the layer in which experts are placed round-robin over the ranks.
+func roundRobin(s Shape) Layer {
 	l := make(Layer, s.Experts)
 	for x := range l {
 		l[x] = []int{x % s.Ranks}
@@ -28,7 +28,7 @@
 	return l
 }
 
-func TestImproveKeepsToSpare(t *testing.T) {
+func TestImproveKeepsToTheBoundPerLayer(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		shape Shape
@@ -41,12 +41,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			r := rand.New(rand.NewPCG(1, 2))
-			tokens := skewed(r, tc.shape.Experts)
-			layer := dealt(tc.shape)
+			tokens := zipfTokens(r, tc.shape.Experts)
+			layer := roundRobin(tc.shape)
 			after := 0.0
 			for range 3 {
-				i := Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{Spare: tc.spare})
-				assertFresh(g, layer, i.Map[0], tc.shape, tc.spare)
+				i := Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{PerLayer: tc.spare})
+				assertAdded(g, layer, i.Map[0], tc.shape, tc.spare)
 				g.Expect(i.Map.Valid(tc.shape)).To(BeTrue())
 				g.Expect(i.After).To(BeNumerically("<=", i.Before))
 				t.Logf("skew %.3f to %.3f with %d copies", i.Before, i.After, i.Copies)
@@ -57,16 +57,16 @@
 	}
 }
 
-// assertFresh checks that no rank takes on more than spare experts.
-func assertFresh(g *WithT, from, to Layer, s Shape, spare int) {
+// assertAdded checks that no rank gains more than maxAdded experts.
+func assertAdded(g *WithT, from, to Layer, s Shape, maxAdded int) {
 	for r, row := range to.Rows(s.Ranks) {
-		fresh := 0
+		added := 0
 		for _, x := range row {
 			if !contains(from[x], r) {
-				fresh++
+				added++
 			}
 		}
-		g.Expect(fresh).To(BeNumerically("<=", spare))
+		g.Expect(added).To(BeNumerically("<=", maxAdded))
 	}
 }
 
@@ -86,15 +86,15 @@
 	var current Map
 	var tokens [][]float64
 	for range 4 {
-		current = append(current, dealt(shape))
-		tokens = append(tokens, skewed(r, shape.Experts))
+		current = append(current, roundRobin(shape))
+		tokens = append(tokens, zipfTokens(r, shape.Experts))
 	}
-	all := Improve(shape, current, tokens, nil, Bounds{Spare: 3})
-	few := Improve(shape, current, tokens, nil, Bounds{Spare: 3, PerRank: 2})
-	t.Logf("skew %.3f to %.3f with %d copies, %d at most a rank; at most 2 a rank: %.3f with %d", all.Before, all.After, all.Copies, all.Most, few.After, few.Copies)
-	g.Expect(few.Most).To(BeNumerically("<=", 2))
+	all := Improve(shape, current, tokens, nil, Bounds{PerLayer: 3})
+	few := Improve(shape, current, tokens, nil, Bounds{PerLayer: 3, PerRank: 2})
+	t.Logf("skew %.3f to %.3f with %d copies, %d at most a rank; at most 2 a rank: %.3f with %d", all.Before, all.After, all.Copies, all.MaxPerRank, few.After, few.Copies)
+	g.Expect(few.MaxPerRank).To(BeNumerically("<=", 2))
 	g.Expect(few.Copies).To(BeNumerically("<=", 24))
-	g.Expect(few.After).To(BeNumerically("<", (few.Before+all.After)/2), "the copies that gain most come first")
+	g.Expect(few.After).To(BeNumerically("<", (few.Before+all.After)/2), "the copies with the highest gain come first")
 }
 
 func TestRowsAndBack(t *testing.T) {
@@ -105,7 +105,7 @@
 	g.Expect(ok).To(BeTrue())
 	g.Expect(back).To(Equal(l))
 	_, ok = FromRows([][]int{{0}, {2}}, 3)
-	g.Expect(ok).To(BeFalse(), "expert 1 is nowhere")
+	g.Expect(ok).To(BeFalse(), "expert 1 has no replica")
 }
 
 func BenchmarkImprove(b *testing.B) {
@@ -117,10 +117,10 @@
 		{"63x252", Shape{Ranks: 63, Experts: 252, Slots: 5}},
 	} {
 		b.Run(tc.name, func(b *testing.B) {
-			tokens := skewed(rand.New(rand.NewPCG(1, 2)), tc.shape.Experts)
-			layer := dealt(tc.shape)
+			tokens := zipfTokens(rand.New(rand.NewPCG(1, 2)), tc.shape.Experts)
+			layer := roundRobin(tc.shape)
 			for b.Loop() {
-				Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{Spare: 3})
+				Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{PerLayer: 3})
 			}
 		})
 	}
--- a/internal/decide/rebalance/layer.go
+++ b/internal/decide/rebalance/layer.go
@@ -4,55 +4,55 @@
 
 import "slices"
 
-// change is one edit of a layer: expert add gets a replica at rank to; what is
-// given up is the replica of drop at rank from, if drop is an expert.
+// change is one edit of a layer: expert add gets a replica at rank to, and the
+// replica of drop at rank from is removed, if drop is an expert.
 type change struct {
 	add, to    int
 	drop, from int // drop is -1 for none.
 	cost       int // Expert copies to be loaded.
 	gain       float64
-	back       int // For a swap: the expert that goes to rank from; else -1.
+	swapped    int // For a swap: the expert that moves to rank from; otherwise -1.
 }
 
 // editor improves one layer step by step.
 type editor struct {
-	shape  Shape
-	layer  Layer
-	tokens []float64
-	speed  []float64
-	loads  []float64
-	rows   [][]int          // Experts by rank.
-	order  []int            // Ranks by load, the lightest first.
-	trial  []float64        // Loads after the change that is being tried.
-	tried  []bool           // Which of trial count.
-	marked []int            // The ranks of tried.
-	first  Layer            // As it was given.
-	spare  int              // Experts that a rank may take on that it had not; 0 for no bound.
-	fresh  []int            // Those it has taken on, by rank.
-	full   func(r int) bool // Reports whether a rank may take on nothing more; nil for never.
+	shape      Shape
+	layer      Layer
+	tokens     []float64
+	speed      []float64
+	loads      []float64
+	rows       [][]int          // Experts by rank.
+	byLoad     []int            // Ranks in ascending order of load.
+	trialLoads []float64        // Loads after the change being evaluated, by rank.
+	inTrial    []bool           // Whether the entry of trialLoads is valid, by rank.
+	trialRanks []int            // The ranks for which inTrial is true.
+	initial    Layer            // The layer before all edits.
+	maxAdded   int              // Experts that a rank may gain compared to initial; 0 for no bound.
+	added      []int            // Experts gained compared to initial, by rank.
+	full       func(r int) bool // Reports whether a rank may gain no more experts; nil for never.
 }
 
 func newEditor(s Shape, l Layer, tokens, speed []float64) *editor {
-	e := &editor{shape: s, layer: l, tokens: tokens, speed: speed, trial: make([]float64, s.Ranks), tried: make([]bool, s.Ranks)}
+	e := &editor{shape: s, layer: l, tokens: tokens, speed: speed, trialLoads: make([]float64, s.Ranks), inTrial: make([]bool, s.Ranks)}
 	e.loads = l.Loads(tokens, s.Ranks, speed)
-	e.first = slices.Clone(l) // Rows are replaced, never changed.
-	e.fresh = make([]int, s.Ranks)
+	e.initial = slices.Clone(l) // Rows are replaced, never changed.
+	e.added = make([]int, s.Ranks)
 	e.rows = make([][]int, s.Ranks)
 	for x, ranks := range l {
 		for _, r := range ranks {
 			e.rows[r] = append(e.rows[r], x)
 		}
 	}
-	e.order = make([]int, s.Ranks)
-	for r := range e.order {
-		e.order[r] = r
+	e.byLoad = make([]int, s.Ranks)
+	for r := range e.byLoad {
+		e.byLoad[r] = r
 	}
 	e.sort()
 	return e
 }
 
 func (e *editor) sort() {
-	slices.SortFunc(e.order, func(a, b int) int {
+	slices.SortFunc(e.byLoad, func(a, b int) int {
 		switch {
 		case e.loads[a] < e.loads[b]:
 			return -1
@@ -64,44 +64,44 @@
 	})
 }
 
-// slowest returns the slowest rank's load.
-func (e *editor) slowest() float64 { return e.loads[e.order[len(e.order)-1]] }
+// slowest returns the load of the slowest rank.
+func (e *editor) slowest() float64 { return e.loads[e.byLoad[len(e.byLoad)-1]] }
 
-// lightest is how many of the least loaded ranks are looked at as targets.
-const lightest = 8
+// maxTargets is how many of the least loaded ranks are considered as targets of a change.
+const maxTargets = 8
 
-// best returns the change that gains most a copy, ok false when none gains.
+// best returns the change with the highest gain per copy; ok is false when none gains.
 func (e *editor) best() (c change, ok bool) {
-	hot := e.order[len(e.order)-1]
+	hot := e.byLoad[len(e.byLoad)-1]
 	for _, x := range e.rows[hot] {
-		for _, to := range e.order[:min(lightest, len(e.order)-1)] {
+		for _, to := range e.byLoad[:min(maxTargets, len(e.byLoad)-1)] {
 			if to == hot || slices.Contains(e.layer[x], to) {
 				continue
 			}
-			e.consider(&c, change{add: x, to: to, drop: x, from: hot, cost: 1, back: -1}) // Move.
-			e.consider(&c, change{add: x, to: to, drop: -1, cost: 1, back: -1})           // Another replica.
+			e.consider(&c, change{add: x, to: to, drop: x, from: hot, cost: 1, swapped: -1}) // Move.
+			e.consider(&c, change{add: x, to: to, drop: -1, cost: 1, swapped: -1})           // Another replica.
 			for _, y := range e.rows[to] {
-				if len(e.layer[y]) > 1 { // In place of a replica that can be spared.
-					e.consider(&c, change{add: x, to: to, drop: y, from: to, cost: 1, back: -1})
+				if len(e.layer[y]) > 1 { // Replaces a redundant replica.
+					e.consider(&c, change{add: x, to: to, drop: y, from: to, cost: 1, swapped: -1})
 				}
 				if !slices.Contains(e.layer[y], hot) { // Swap.
-					e.consider(&c, change{add: x, to: to, drop: x, from: hot, cost: 2, back: y})
+					e.consider(&c, change{add: x, to: to, drop: x, from: hot, cost: 2, swapped: y})
 				}
 			}
 		}
-		if len(e.layer[x]) > 1 { // Fewer replicas, where that helps: nothing is loaded.
-			e.consider(&c, change{add: -1, drop: x, from: hot, back: -1})
+		if len(e.layer[x]) > 1 { // Removal of a replica, which loads nothing.
+			e.consider(&c, change{add: -1, drop: x, from: hot, swapped: -1})
 		}
 	}
 	return c, c.gain > 0
 }
 
-// consider keeps c in best if it is possible and gains more a copy.
+// consider stores c in best if it is possible and has a higher gain per copy.
 func (e *editor) consider(best *change, c change) {
 	if !e.fits(c) {
 		return
 	}
-	c.gain = e.slowest() - e.after(c)
+	c.gain = e.slowest() - e.slowestAfter(c)
 	if c.gain <= 1e-9*e.slowest() {
 		return
 	}
@@ -111,85 +111,87 @@
 }
 
 func (e *editor) fits(c change) bool {
-	if !e.room(c.add, c.to) || !e.room(c.back, c.from) {
+	if !e.canAdd(c.add, c.to) || !e.canAdd(c.swapped, c.from) {
 		return false
 	}
-	if c.add < 0 || c.back >= 0 || c.drop >= 0 && c.from == c.to {
+	if c.add < 0 || c.swapped >= 0 || c.drop >= 0 && c.from == c.to {
 		return true
 	}
 	return len(e.rows[c.to]) < e.shape.Slots
 }
 
 // isNew reports whether rank r would have to load expert x.
-func (e *editor) isNew(x, r int) bool { return !slices.Contains(e.first[x], r) }
+func (e *editor) isNew(x, r int) bool { return !slices.Contains(e.initial[x], r) }
 
-// room reports whether rank r may still take on expert x, if it is one.
-func (e *editor) room(x, r int) bool {
-	if x < 0 || e.spare == 0 && e.full == nil || !e.isNew(x, r) {
+// canAdd reports whether rank r may still load expert x; a negative x is no expert
+// and always fits.
+func (e *editor) canAdd(x, r int) bool {
+	if x < 0 || e.maxAdded == 0 && e.full == nil || !e.isNew(x, r) {
 		return true
 	}
-	return (e.spare == 0 || e.fresh[r] < e.spare) && (e.full == nil || !e.full(r))
+	return (e.maxAdded == 0 || e.added[r] < e.maxAdded) && (e.full == nil || !e.full(r))
 }
 
-// countFresh counts what each rank has taken on.
-func (e *editor) countFresh() {
+// countAdded counts the experts that each rank has gained compared to initial.
+func (e *editor) countAdded() {
 	for r, row := range e.rows {
-		e.fresh[r] = 0
+		e.added[r] = 0
 		for _, x := range row {
 			if e.isNew(x, r) {
-				e.fresh[r]++
+				e.added[r]++
 			}
 		}
 	}
 }
 
-// bump adds work to a rank's trial load.
-func (e *editor) bump(r int, work float64) {
-	if !e.tried[r] {
-		e.tried[r] = true
-		e.trial[r] = e.loads[r]
-		e.marked = append(e.marked, r)
+// addTrialLoad adds work to a rank's trial load.
+func (e *editor) addTrialLoad(r int, work float64) {
+	if !e.inTrial[r] {
+		e.inTrial[r] = true
+		e.trialLoads[r] = e.loads[r]
+		e.trialRanks = append(e.trialRanks, r)
 	}
-	e.trial[r] += work / speedOf(e.speed, r)
+	e.trialLoads[r] += work / speedOf(e.speed, r)
 }
 
-// resize changes the trial loads of the holders of x as if it had so many
-// replicas.
-func (e *editor) resize(x, replicas int) {
+// setTrialReplicas changes the trial loads of the ranks that hold x as if x had the
+// given number of replicas.
+func (e *editor) setTrialReplicas(x, replicas int) {
 	n := len(e.layer[x])
 	delta := e.tokens[x]/float64(replicas) - e.tokens[x]/float64(n)
 	for _, r := range e.layer[x] {
-		e.bump(r, delta)
+		e.addTrialLoad(r, delta)
 	}
 }
 
-// try sets the trial loads to those after c.
-func (e *editor) try(c change) {
+// setTrialLoads sets the trial loads to the loads after c.
+func (e *editor) setTrialLoads(c change) {
 	if c.add >= 0 && c.drop == c.add { // A move, or one half of a swap.
 		part := e.tokens[c.add] / float64(len(e.layer[c.add]))
-		e.bump(c.from, -part)
-		e.bump(c.to, part)
+		e.addTrialLoad(c.from, -part)
+		e.addTrialLoad(c.to, part)
 	} else {
 		if c.add >= 0 {
 			n := len(e.layer[c.add]) + 1
-			e.resize(c.add, n)
-			e.bump(c.to, e.tokens[c.add]/float64(n))
+			e.setTrialReplicas(c.add, n)
+			e.addTrialLoad(c.to, e.tokens[c.add]/float64(n))
 		}
 		if c.drop >= 0 {
 			n := len(e.layer[c.drop]) - 1
-			e.resize(c.drop, n)
-			e.bump(c.from, -e.tokens[c.drop]/float64(n))
+			e.setTrialReplicas(c.drop, n)
+			e.addTrialLoad(c.from, -e.tokens[c.drop]/float64(n))
 		}
 	}
-	if c.back >= 0 {
-		part := e.tokens[c.back] / float64(len(e.layer[c.back]))
-		e.bump(c.to, -part)
-		e.bump(c.from, part)
+	if c.swapped >= 0 {
+		part := e.tokens[c.swapped] / float64(len(e.layer[c.swapped]))
+		e.addTrialLoad(c.to, -part)
+		e.addTrialLoad(c.from, part)
 	}
 }
 
-// edits returns the replicas of the experts that c touches, after it.
-func (e *editor) edits(c change) (experts []int, ranks [][]int) {
+// replicasAfter returns the experts that c changes, and the ranks of their replicas
+// after c.
+func (e *editor) replicasAfter(c change) (experts []int, ranks [][]int) {
 	if c.add >= 0 {
 		after := insert(slices.Clone(e.layer[c.add]), c.to)
 		if c.drop == c.add {
@@ -200,36 +202,36 @@
 	if c.drop >= 0 && c.drop != c.add {
 		experts, ranks = append(experts, c.drop), append(ranks, remove(e.layer[c.drop], c.from))
 	}
-	if c.back >= 0 {
-		after := insert(remove(e.layer[c.back], c.to), c.from)
-		experts, ranks = append(experts, c.back), append(ranks, after)
+	if c.swapped >= 0 {
+		after := insert(remove(e.layer[c.swapped], c.to), c.from)
+		experts, ranks = append(experts, c.swapped), append(ranks, after)
 	}
 	return experts, ranks
 }
 
-// after returns the slowest rank's load after c.
-func (e *editor) after(c change) float64 {
-	e.try(c)
-	top := 0.0
-	for _, r := range e.marked {
-		top = max(top, e.trial[r])
+// slowestAfter returns the load of the slowest rank after c.
+func (e *editor) slowestAfter(c change) float64 {
+	e.setTrialLoads(c)
+	slowest := 0.0
+	for _, r := range e.trialRanks {
+		slowest = max(slowest, e.trialLoads[r])
 	}
-	for i := len(e.order) - 1; i >= 0; i-- {
-		if r := e.order[i]; !e.tried[r] {
-			top = max(top, e.loads[r])
+	for i := len(e.byLoad) - 1; i >= 0; i-- {
+		if r := e.byLoad[i]; !e.inTrial[r] {
+			slowest = max(slowest, e.loads[r])
 			break
 		}
 	}
-	for _, r := range e.marked {
-		e.tried[r] = false
+	for _, r := range e.trialRanks {
+		e.inTrial[r] = false
 	}
-	e.marked = e.marked[:0]
-	return top
+	e.trialRanks = e.trialRanks[:0]
+	return slowest
 }
 
-// apply makes c.
+// apply applies c to the layer.
 func (e *editor) apply(c change) {
-	experts, ranks := e.edits(c)
+	experts, ranks := e.replicasAfter(c)
 	for i, x := range experts {
 		for _, r := range e.layer[x] {
 			e.rows[r] = slices.DeleteFunc(e.rows[r], func(y int) bool { return y == x })
@@ -239,8 +241,8 @@
 			e.rows[r] = append(e.rows[r], x)
 		}
 	}
-	if e.spare > 0 || e.full != nil {
-		e.countFresh()
+	if e.maxAdded > 0 || e.full != nil {
+		e.countAdded()
 	}
 	e.loads = e.layer.Loads(e.tokens, e.shape.Ranks, e.speed)
 	e.sort()
--- a/internal/decide/rebalance/map.go
+++ b/internal/decide/rebalance/map.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package rebalance decides which experts of a group should move, and when
-// moving pays. It starts from the map in force and makes the changes that gain
-// most step time for the bytes they transfer, until the next one costs more
-// than it brings. It is pure: reports, time and prices come in as arguments.
-// How a new map comes into force is the matter of the package mapswitch.
+// Package rebalance decides which experts of a group should move between ranks,
+// and when a move is worth its cost. It starts from the active map and makes the
+// changes that save the most step time per byte transferred, until the next one
+// costs more than it saves. It is pure: reports, time and prices are passed as
+// arguments. Package mapswitch decides how a new map is activated.
 package rebalance
 
 import "slices"
 
-// Layer is where the experts of one layer are: the ranks of each expert's
-// replicas, in ascending order, at least one each.
+// Layer is the placement of the experts of one layer: by expert, the ranks of its
+// replicas in ascending order, at least one each.
 type Layer [][]int
 
-// Map is the layers of one expert map. Tokens of an expert are split evenly
-// over its replicas.
+// Map is an expert map, by layer. The tokens of an expert are split evenly over
+// its replicas.
 type Map []Layer
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (m Map) Clone() Map {
 	c := make(Map, len(m))
 	for l, layer := range m {
@@ -32,22 +32,22 @@
 // Shape is the size of a group.
 type Shape struct {
 	Ranks   int
-	Experts int // A layer.
-	Slots   int // Experts that a rank can hold, a layer; Ranks*Slots >= Experts.
+	Experts int // Per layer.
+	Slots   int // Experts that a rank can hold per layer; Ranks*Slots >= Experts.
 }
 
-// Even returns the map that a group starts with: experts in turn over the
-// ranks, and then replicas in turn over what is left.
+// Even returns the map that a group starts with: experts are placed round-robin
+// over the ranks, and further replicas round-robin in the remaining slots.
 func Even(s Shape, layers int) Map {
 	m := make(Map, layers)
 	for l := range m {
 		m[l] = make(Layer, s.Experts)
 		for i := range s.Ranks * s.Slots {
 			e, r := i%s.Experts, i%s.Ranks
-			if i >= s.Experts { // Further replicas go to ranks that lack the expert.
+			if i >= s.Experts { // Further replicas are shifted to ranks that lack the expert.
 				r = (i + i/s.Experts) % s.Ranks
 			}
-			if i >= s.Experts && (slices.Contains(m[l][e], r) || m[l].held(r) >= s.Slots) {
+			if i >= s.Experts && (slices.Contains(m[l][e], r) || m[l].expertCount(r) >= s.Slots) {
 				continue
 			}
 			m[l][e] = insert(m[l][e], r)
@@ -56,8 +56,8 @@
 	return m
 }
 
-// held counts the experts of a rank.
-func (l Layer) held(rank int) (n int) {
+// expertCount returns the number of experts that a rank holds.
+func (l Layer) expertCount(rank int) (n int) {
 	for _, ranks := range l {
 		if slices.Contains(ranks, rank) {
 			n++
@@ -79,8 +79,8 @@
 	return slices.Delete(slices.Clone(ranks), at, at+1)
 }
 
-// Loads returns the work of each rank in one layer: tokens by the rank's
-// speed. A nil speed means that all are alike.
+// Loads returns the work of each rank in one layer: its tokens divided by its
+// speed. A nil speed means that all ranks have the same speed.
 func (l Layer) Loads(tokens []float64, ranks int, speed []float64) []float64 {
 	loads := make([]float64, ranks)
 	for e, holders := range l {
@@ -99,8 +99,8 @@
 	return speed[r]
 }
 
-// Transfers counts the expert copies that must be loaded to come from one map
-// to the other.
+// Transfers returns the number of expert copies that must be loaded to change from
+// one map to the other.
 func Transfers(from, to Map) (n int) {
 	for l := range to {
 		for e, ranks := range to[l] {
@@ -115,7 +115,7 @@
 }
 
 // StepTime returns the sum over the layers of the slowest rank's work, and the
-// sum of the mean, under tokens by layer and expert.
+// sum of the mean work, for the given tokens by layer and expert.
 func (m Map) StepTime(tokens [][]float64, ranks int, speed []float64) (slowest, mean float64) {
 	for l, layer := range m {
 		loads := layer.Loads(tokens[l], ranks, speed)
@@ -129,8 +129,8 @@
 	return slowest, mean
 }
 
-// Valid reports whether m fits the shape: each expert somewhere, no rank twice
-// and none above its slots.
+// Valid reports whether m fits the shape: each expert has a replica, none has two
+// on the same rank, and no rank holds more experts than it has slots.
 func (m Map) Valid(s Shape) bool {
 	for _, layer := range m {
 		held := make([]int, s.Ranks)
--- a/internal/decide/rebalance/planner.go
+++ b/internal/decide/rebalance/planner.go
@@ -4,48 +4,49 @@
 
 import "math"
 
-// Prices weigh the two things that users measure against each other.
+// Prices weigh saved step time against bytes transferred. Both are in the same
+// arbitrary unit.
 type Prices struct {
-	Skew float64 // Value of one percent of step time, for an hour.
-	Move float64 // Price of a gigabyte of moved experts.
+	Skew float64 // Value of saving one percent of step time for an hour.
+	Move float64 // Cost of moving a gigabyte of experts.
 }
 
-// Config is the setting of a Planner.
+// Config configures a Planner.
 type Config struct {
 	Shape       Shape
 	Layers      int
 	Prices      Prices
 	ExpertBytes float64
-	StoreRate   float64   // Bytes a second that the weight store gives the group.
-	HourlyBytes float64   // Byte budget an hour; 0 means none.
+	StoreRate   float64   // Bytes per second that the group can read from the weight store; 0 for no bound.
+	HourlyBytes float64   // Bytes that may be moved per hour; 0 for no bound.
 	SampleTime  float64   // Seconds from one report to the next.
-	Speed       []float64 // Of the ranks; nil when all are alike.
-	MaxAge      int       // Samples after which a report is too old to decide on.
+	Speed       []float64 // By rank; nil when all ranks have the same speed.
+	MaxAge      int       // Age in samples above which the newest report is too old to plan from.
 }
 
-// Smoothing of reports, in samples.
+// Smoothing of reports, in samples, and limits of planning.
 const (
-	fastSamples = 12  // Of the demand that is planned for.
-	slowSamples = 60  // Of the demand against which drift is seen.
-	warmup      = 12  // Reports before the first decision, and after a switch.
-	maxHorizon  = 4.0 // Hours; no gain is reckoned for longer.
-	gigabyte    = 1e9
+	fastSamples   = 12  // Time constant of the demand that is planned for.
+	slowSamples   = 60  // Time constant of the demand against which drift is measured.
+	warmupReports = 12  // Reports needed before the first decision, and again after each switch.
+	maxHorizon    = 4.0 // Longest time, in hours, for which a gain is counted.
+	gigabyte      = 1e9
 )
 
-// Planner decides for one group. It is a pure state machine.
+// Planner plans map switches for one group. It is a pure state machine.
 type Planner struct {
-	cfg    Config
-	fast   [][]float64 // Smoothed tokens by layer and expert.
-	slow   [][]float64
-	seen   int     // Reports since the start or the last switch.
-	newest int     // Sample of the newest report.
-	drift  float64 // Share of the tokens that change experts, a sample.
-	budget float64 // Bytes that may be moved now.
-	at     int     // Sample up to which budget is reckoned.
-	span   float64 // Hours for which the gain of the present decision is reckoned.
+	cfg          Config
+	fast         [][]float64 // Smoothed tokens by layer and expert.
+	slow         [][]float64
+	reports      int     // Number of reports since the start or the last switch.
+	newest       int     // Sample number of the newest report; -1 before the first.
+	drift        float64 // Fraction of the tokens that change experts per sample.
+	budget       float64 // Bytes that may be moved now.
+	budgetSample int     // Sample up to which budget has been refilled.
+	horizonHours float64 // Hours for which the gain of the current decision is counted.
 }
 
-// New returns a planner that has heard nothing.
+// New returns a planner without reports.
 func New(cfg Config) *Planner {
 	p := &Planner{cfg: cfg, budget: cfg.HourlyBytes, newest: -1}
 	for range cfg.Layers {
@@ -55,8 +56,8 @@
 	return p
 }
 
-// Observe takes in the report of a sample: tokens by layer and expert. Reports
-// that are older than one already heard are left out.
+// Observe processes the report of a sample: tokens by layer and expert. Reports
+// that are not newer than the newest one are ignored.
 func (p *Planner) Observe(sample int, tokens [][]float64) {
 	if sample <= p.newest {
 		return
@@ -64,7 +65,7 @@
 	first := p.newest < 0
 	gap := float64(sample - p.newest)
 	p.newest = sample
-	p.seen++
+	p.reports++
 	fast, slow := 1-math.Exp(-gap/fastSamples), 1-math.Exp(-gap/slowSamples)
 	if first {
 		fast, slow = 1, 1
@@ -79,18 +80,19 @@
 		}
 	}
 	if total > 0 {
-		// The two means lag by their times: what lies between them drifted in
-		// the difference.
+		// The two means lag by their time constants, so the distance between
+		// them is the drift during the difference of the two.
 		p.drift += slow * (moved/(2*total)/(slowSamples-fastSamples) - p.drift)
 	}
 }
 
-// Switched takes note that a new map is in force: what was heard before is not
-// decided on again until enough new reports have come.
-func (p *Planner) Switched() { p.seen = 0 }
+// MapSwitched records that a new map is active: the planner makes no further
+// decision until warmupReports new reports have come.
+func (p *Planner) MapSwitched() { p.reports = 0 }
 
-// horizon is how long, in hours, a gain of today is expected to last: until
-// drift has moved as much of the tokens as the skew that is to be mended.
+// horizon returns how long, in hours, a gain reached now is expected to last: until
+// drift has moved as large a fraction of the tokens as the skew that the switch is
+// to correct.
 func (p *Planner) horizon(skew float64) float64 {
 	if p.drift <= 0 {
 		return maxHorizon
@@ -103,23 +105,23 @@
 type Plan struct {
 	Map       Map
 	Transfers int     // Expert copies to be loaded.
-	Bytes     float64 // Of all of them.
-	Gain      float64 // Share of the step time that is expected to be saved.
+	Bytes     float64 // Size of these copies.
+	Gain      float64 // Expected fraction of the step time saved.
 }
 
-// Decide returns a plan for the map in force, ok false when moving does not pay
-// or nothing reliable is known.
+// Decide returns a plan that replaces the active map; ok is false when no switch is
+// worth its cost, or when there are too few or too old reports.
 func (p *Planner) Decide(sample int, current Map) (plan Plan, ok bool) {
-	p.refill(sample)
-	if p.seen < warmup || sample-p.newest > p.cfg.MaxAge {
+	p.refillBudget(sample)
+	if p.reports < warmupReports || sample-p.newest > p.cfg.MaxAge {
 		return plan, false
 	}
 	slowest, mean := current.StepTime(p.fast, p.cfg.Shape.Ranks, p.cfg.Speed)
 	if mean <= 0 || slowest <= mean {
 		return plan, false
 	}
-	p.span = p.horizon(slowest/mean - 1)
-	value := p.cfg.Prices.Skew * p.span // Of one percent of step time, for as long as it lasts.
+	p.horizonHours = p.horizon(slowest/mean - 1)
+	value := p.cfg.Prices.Skew * p.horizonHours // Value of saving one percent of step time over the horizon.
 	next, copies := p.improve(current, slowest, value)
 	if copies < 0 {
 		return plan, false
@@ -134,42 +136,42 @@
 	return plan, true
 }
 
-// minGain is the least share of the step time for which a switch is made.
+// minGain is the minimum fraction of step time saved for which a switch is made.
 const minGain = 0.005
 
-// pays weighs the whole plan. The weights must be there before the gain is
-// gone.
+// pays reports whether a plan is within the byte budget and worth its cost. Only the
+// part of the horizon after the weights have been loaded counts.
 func (p *Planner) pays(plan Plan, value float64) bool {
 	if p.cfg.HourlyBytes > 0 && plan.Bytes > p.budget {
 		return false
 	}
-	return value*100*plan.Gain*p.lasting(plan) > p.cfg.Prices.Move*plan.Bytes/gigabyte
+	return value*100*plan.Gain*p.remainingHorizon(plan) > p.cfg.Prices.Move*plan.Bytes/gigabyte
 }
 
-// lasting is the share of the horizon that is left once the store has given
-// the weights.
-func (p *Planner) lasting(plan Plan) float64 {
+// remainingHorizon returns the fraction of the horizon that remains once the weights
+// have been read from the store.
+func (p *Planner) remainingHorizon(plan Plan) float64 {
 	if p.cfg.StoreRate <= 0 {
 		return 1
 	}
-	return max(0, 1-plan.Bytes/p.cfg.StoreRate/3600/p.span)
+	return max(0, 1-plan.Bytes/p.cfg.StoreRate/3600/p.horizonHours)
 }
 
-func (p *Planner) refill(sample int) {
-	hours := float64(sample-p.at) * p.cfg.SampleTime / 3600
-	p.at = sample
+func (p *Planner) refillBudget(sample int) {
+	hours := float64(sample-p.budgetSample) * p.cfg.SampleTime / 3600
+	p.budgetSample = sample
 	p.budget = min(p.cfg.HourlyBytes, p.budget+hours*p.cfg.HourlyBytes)
 }
 
-// improve edits every layer until the next change does not pay for its bytes.
-// It returns the copies to be loaded, or -1 when nothing was changed.
+// improve edits every layer until the next change is not worth its transfer.
+// It returns the number of copies to be loaded, or -1 when nothing was changed.
 func (p *Planner) improve(current Map, slowest, value float64) (next Map, copies int) {
 	next = current.Clone()
 	copies = -1
 	price := p.cfg.Prices.Move * p.cfg.ExpertBytes / gigabyte
-	room := math.Inf(1)
+	available := math.Inf(1)
 	if p.cfg.HourlyBytes > 0 {
-		room = p.budget
+		available = p.budget
 	}
 	for l := range next {
 		e := newEditor(p.cfg.Shape, next[l], p.fast[l], p.cfg.Speed)
@@ -178,7 +180,7 @@
 			if !ok || value*100*c.gain/slowest <= price*float64(c.cost) {
 				break
 			}
-			if float64(max(copies, 0)+c.cost)*p.cfg.ExpertBytes > room {
+			if float64(max(copies, 0)+c.cost)*p.cfg.ExpertBytes > available {
 				break
 			}
 			e.apply(c)
--- a/internal/decide/rebalance/rebalance_test.go
+++ b/internal/decide/rebalance/rebalance_test.go
@@ -12,8 +12,8 @@
 	"github.com/onsi/gomega"
 )
 
-// heavy draws token counts of which a few are much larger.
-func heavy(rnd *rand.Rand, n int) []float64 {
+// skewedTokens draws token counts of which a few are much larger than the others.
+func skewedTokens(rnd *rand.Rand, n int) []float64 {
 	tokens := make([]float64, n)
 	for i := range tokens {
 		tokens[i] = math.Ceil(1000 / math.Pow(1+rnd.Float64()*float64(n), 0.8))
@@ -21,9 +21,9 @@
 	return tokens
 }
 
-// settled runs the editor on a layer until nothing gains any more, which it
-// does when moving is free.
-func settled(s Shape, l Layer, tokens []float64) Layer {
+// converged runs the editor on a layer until no change gains any more, as if moves
+// were free.
+func converged(s Shape, l Layer, tokens []float64) Layer {
 	e := newEditor(s, slices.Clone(l), tokens, nil)
 	for {
 		c, ok := e.best()
@@ -34,7 +34,8 @@
 	}
 }
 
-// optimum searches all maps of one layer.
+// optimum returns the lowest load of the slowest rank, by a search of all maps of
+// one layer.
 func optimum(s Shape, tokens []float64) float64 {
 	best := math.Inf(1)
 	layer := make(Layer, s.Experts)
@@ -73,8 +74,8 @@
 	worst, sum, n := 1.0, 0.0, 0
 	for _, s := range []Shape{{2, 4, 3}, {3, 4, 2}, {3, 5, 2}, {3, 5, 3}} {
 		for range 25 {
-			tokens := heavy(rnd, s.Experts)
-			l := settled(s, Even(s, 1)[0], tokens)
+			tokens := skewedTokens(rnd, s.Experts)
+			l := converged(s, Even(s, 1)[0], tokens)
 			g.Expect(Map{l}.Valid(s)).To(gomega.BeTrue())
 			ratio := slices.Max(l.Loads(tokens, s.Ranks, nil)) / optimum(s, tokens)
 			worst, sum, n = max(worst, ratio), sum+ratio, n+1
@@ -85,12 +86,12 @@
 	g.Expect(worst).To(gomega.BeNumerically("<", 1.6))
 }
 
-func TestEditsAreWhatTheTrialSaid(t *testing.T) {
+func TestEditsReachThePredictedLoad(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rnd := rand.New(rand.NewPCG(2, 2))
 	for _, s := range []Shape{{4, 16, 5}, {8, 8, 2}, {3, 9, 4}} {
 		for range 30 {
-			tokens := heavy(rnd, s.Experts)
+			tokens := skewedTokens(rnd, s.Experts)
 			e := newEditor(s, Even(s, 1)[0].clone(), tokens, nil)
 			for {
 				c, ok := e.best()
@@ -118,10 +119,10 @@
 
 var small = Shape{Ranks: 4, Experts: 16, Slots: 5}
 
-// planner returns a planner that has heard a steady, skewed load.
+// planner returns a planner that has observed a steady, skewed load.
 func planner(prices Prices, samples int) (*Planner, [][]float64) {
 	p := New(Config{Shape: small, Layers: 1, Prices: prices, ExpertBytes: 50e6, SampleTime: 60, MaxAge: 5})
-	tokens := [][]float64{heavy(rand.New(rand.NewPCG(3, 3)), small.Experts)}
+	tokens := [][]float64{skewedTokens(rand.New(rand.NewPCG(3, 3)), small.Experts)}
 	for i := range samples {
 		p.Observe(i, tokens)
 	}
@@ -138,12 +139,12 @@
 		})
 	}
 	check("pays", Prices{Skew: 10, Move: 1}, 30, 30, true)
-	check("too dear", Prices{Skew: 0.0001, Move: 1000}, 30, 30, false)
-	check("too little heard", Prices{Skew: 10, Move: 1}, 5, 5, false)
+	check("too expensive", Prices{Skew: 0.0001, Move: 1000}, 30, 30, false)
+	check("too few reports", Prices{Skew: 10, Move: 1}, 5, 5, false)
 	check("reports too old", Prices{Skew: 10, Move: 1}, 30, 60, false)
 }
 
-func TestDearerMovesMoveLess(t *testing.T) {
+func TestHigherMovePricesMoveLess(t *testing.T) {
 	g := gomega.NewWithT(t)
 	last := math.MaxInt
 	for _, price := range []float64{0.1, 10, 100, 1000} {
@@ -155,21 +156,21 @@
 	g.Expect(last).To(gomega.BeNumerically("<", 3))
 }
 
-func TestNothingIsDecidedOnReportsFromBeforeASwitch(t *testing.T) {
+func TestNothingIsPlannedFromReportsBeforeASwitch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p, _ := planner(Prices{Skew: 10, Move: 1}, 30)
 	_, ok := p.Decide(30, Even(small, 1))
 	g.Expect(ok).To(gomega.BeTrue())
-	p.Switched()
+	p.MapSwitched()
 	_, ok = p.Decide(31, Even(small, 1))
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
-func TestASlowStoreIsNotWorthIt(t *testing.T) {
+func TestNoPlanWhenTheWeightStoreIsTooSlow(t *testing.T) {
 	decide := func(rate float64) bool {
 		p := New(Config{Shape: small, Layers: 1, Prices: Prices{Skew: 10, Move: 1}, ExpertBytes: 50e6,
 			StoreRate: rate, SampleTime: 60, MaxAge: 5})
-		tokens := [][]float64{heavy(rand.New(rand.NewPCG(3, 3)), small.Experts)}
+		tokens := [][]float64{skewedTokens(rand.New(rand.NewPCG(3, 3)), small.Experts)}
 		for i := range 30 {
 			p.Observe(i, tokens)
 		}
@@ -178,12 +179,12 @@
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(decide(1e9)).To(gomega.BeTrue())
-	g.Expect(decide(1e3)).To(gomega.BeFalse(), "the gain is over before the weights are there")
+	g.Expect(decide(1e3)).To(gomega.BeFalse(), "the gain has ended before the weights are loaded")
 }
 
-func TestSlowRankIsGivenLess(t *testing.T) {
+func TestSlowRankGetsLessWork(t *testing.T) {
 	g := gomega.NewWithT(t)
-	tokens := heavy(rand.New(rand.NewPCG(4, 4)), small.Experts)
+	tokens := skewedTokens(rand.New(rand.NewPCG(4, 4)), small.Experts)
 	speed := []float64{1, 1, 1, 0.5}
 	e := newEditor(small, Even(small, 1)[0], tokens, speed)
 	before := e.slowest()
@@ -206,18 +207,18 @@
 	rnd := rand.New(rand.NewPCG(5, 5))
 	m, moved := Even(small, 1), 0.0
 	for i := range 240 {
-		p.Observe(i, [][]float64{heavy(rnd, small.Experts)})
+		p.Observe(i, [][]float64{skewedTokens(rnd, small.Experts)})
 		if plan, ok := p.Decide(i, m); ok {
 			m, moved = plan.Map, moved+plan.Bytes
-			p.Switched()
+			p.MapSwitched()
 		}
 	}
 	g.Expect(moved).To(gomega.BeNumerically(">", 0))
-	g.Expect(moved).To(gomega.BeNumerically("<=", 500e6), "four hours and what was saved up at the start")
+	g.Expect(moved).To(gomega.BeNumerically("<=", 500e6), "four hours and the initial budget")
 }
 
-// BenchmarkPlan plans for a group of the design size after its load has
-// shifted; the sub-benchmarks give the slopes.
+// BenchmarkPlan plans for a group of the design size after a shift of its load;
+// the sub-benchmarks show how the time scales with ranks, experts, slots and layers.
 func BenchmarkPlan(b *testing.B) {
 	for _, one := range []struct{ ranks, experts, slots, layers int }{
 		{256, 64, 1, 60}, {256, 64, 2, 60}, {128, 64, 2, 60}, {64, 64, 2, 60},
@@ -227,22 +228,22 @@
 		b.Run(fmt.Sprintf("ranks=%d/experts=%d/slots=%d/layers=%d", one.ranks, one.experts, one.slots, one.layers), func(b *testing.B) {
 			rnd := rand.New(rand.NewPCG(6, 6))
 			m := Even(s, one.layers)
-			was, now := make([][]float64, one.layers), make([][]float64, one.layers)
-			for l := range was {
-				was[l] = heavy(rnd, one.experts)
-				now[l] = slices.Clone(was[l])
-				for range 4 { // A few experts change places in popularity.
+			before, now := make([][]float64, one.layers), make([][]float64, one.layers)
+			for l := range before {
+				before[l] = skewedTokens(rnd, one.experts)
+				now[l] = slices.Clone(before[l])
+				for range 4 { // A few experts swap their popularity.
 					i, j := rnd.IntN(one.experts), rnd.IntN(one.experts)
 					now[l][i], now[l][j] = now[l][j], now[l][i]
 				}
-				m[l] = settled(s, m[l], was[l])
+				m[l] = converged(s, m[l], before[l])
 			}
 			for b.Loop() {
 				p := New(Config{Shape: s, Layers: one.layers, Prices: Prices{Skew: 10, Move: 1}, ExpertBytes: 50e6, SampleTime: 60, MaxAge: 5})
-				for i := range warmup {
+				for i := range warmupReports {
 					p.Observe(i, now)
 				}
-				if _, ok := p.Decide(warmup, m); !ok {
+				if _, ok := p.Decide(warmupReports, m); !ok {
 					b.Fatal("no plan")
 				}
 			}
--- a/internal/decide/remap/remap.go
+++ b/internal/decide/remap/remap.go
@@ -81,16 +81,16 @@
 // copy that unloads only one of them gains nothing by itself. Yield is called now
 // and then, as planning is long work.
 func Make(g Group, current rebalance.Map, demand [][]float64, e Effort, price Price, yield func()) (best Plan) {
-	i := rebalance.NewImprover(g.Shape, current, demand, g.Speed, rebalance.Bounds{Spare: g.Spare, PerRank: 1})
+	i := rebalance.NewImprover(g.Shape, current, demand, g.Speed, rebalance.Bounds{PerLayer: g.Spare, PerRank: 1})
 	for k := 1; ; k++ {
-		i.Allow(k)
+		i.SetPerRank(k)
 		for n := 1; i.Step(); n++ {
 			if n%stepsAtOnce == 0 {
 				yield()
 			}
 		}
 		r := i.Result()
-		p := Plan{Map: r.Map, Copies: r.Copies, Most: r.Most, Before: g.passTime(r.Before), After: g.passTime(r.After)}
+		p := Plan{Map: r.Map, Copies: r.Copies, Most: r.MaxPerRank, Before: g.passTime(r.Before), After: g.passTime(r.After)}
 		if k > 1 && (p.rate(e) <= best.rate(e) || p.Net(e, price) <= best.Net(e, price)) {
 			return best
 		}
