--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -1,17 +1,19 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package roster decides which gateways are there, whom a gateway greets, and what it
-// tells of others, so that what each one sends stays the same however many there are.
+// Package roster decides which gateways are alive, to which of them a gateway sends hellos,
+// and which others it reports to them, so that the number of messages that each one sends does
+// not grow with the number of gateways.
 //
-// In each failure domain the first few gateways by address are its hubs. All others of
-// the domain greet them and ask them in turn whom they hear; hubs of different domains
-// greet and ask each other. Nothing depends on all agreeing who the hubs are: whoever
-// is greeted answers, and whoever is asked tells what it knows. Each gateway greets two
-// others by chance besides, so that it is not left alone when the hubs end together.
+// In each failure domain the first few gateways by address are its hubs. All others of the
+// domain send hellos to the hubs, and query one hub after the other for the gateways that it
+// knows; hubs of different domains send hellos to and query each other. Nothing depends on an
+// agreement on who the hubs are: every gateway answers a hello, and answers a query with what
+// it knows. Each gateway also sends hellos to two other gateways at random, so that it is not
+// isolated when the hubs end together.
 //
-// A Roster is the view of one gateway. It is a pure state machine: time and chance come in
-// as arguments, and the caller serialises access and sends the messages. It is not for
-// processes that must agree (package member).
+// A Roster is the view of one gateway. It is a pure state machine: time and randomness are
+// passed as arguments, and the caller serialises access and sends the messages. It is not for
+// processes that must agree on a view (see package member).
 package roster
 
 import (
@@ -20,211 +22,213 @@
 	"time"
 )
 
-// Times of greeting.
+// Timing of hellos.
 const (
-	// Every is the time between two rounds of hellos.
-	Every = 700 * time.Millisecond
-	// HeardFor is how long a gateway of the own failure domain counts as there after
-	// its last word.
-	HeardFor = 5 * time.Second
-	// FreshFor is how long it counts as one to rely on: three hellos.
-	FreshFor = 3 * Every
-	// rememberFor is how long one that fell silent is greeted now and then: whoever was
-	// cut off for that long is found again without its seeds.
-	rememberFor = time.Minute
+	// HelloInterval is the time between two rounds of hellos.
+	HelloInterval = 700 * time.Millisecond
+	// ExpireAfter is how long a gateway of the own failure domain counts as alive after its last
+	// message.
+	ExpireAfter = 5 * time.Second
+	// RecentFor is how long after its last message a gateway is relied on: three hellos.
+	RecentFor = 3 * HelloInterval
+	// forgetAfter is how long a gateway without messages is remembered and occasionally sent a
+	// hello: one that was partitioned off for up to that long is found again without its seeds.
+	forgetAfter = time.Minute
 )
 
 const (
-	// Hubs is how many gateways of a failure domain all others of it greet: one more
-	// than are listened to, so that the next one is known when one of these ends.
+	// Hubs is the number of gateways of a failure domain to which all others of it send hellos:
+	// one more than they read from, so that the next one is known when one of these ends.
 	Hubs = 3
-	// farHubs is how many of another failure domain a hub greets: bytes between
-	// domains are dear, and one of two may be lost.
-	farHubs = 2
-	// farEvery is how many rounds come to one in which hubs greet other domains.
-	farEvery = 2
-	// farFreshFor is FreshFor for gateways of other failure domains.
-	farFreshFor = FreshFor + farEvery*Every
-	// sampleNear and sampleFar are how many gateways of the own and of each other
-	// failure domain a sample names.
-	sampleNear = 8
-	sampleFar  = 2
+	// remoteHubs is the number of gateways of another failure domain to which a hub sends hellos:
+	// traffic between domains is expensive, and one of two messages may be lost.
+	remoteHubs = 2
+	// remoteEveryRounds is the number of rounds per round in which hubs send hellos to other domains.
+	remoteEveryRounds = 2
+	// remoteRecentFor is RecentFor for gateways of other failure domains.
+	remoteRecentFor = RecentFor + remoteEveryRounds*HelloInterval
+	// sampleOwnDomain and sampleOtherDomain are the numbers of gateways of the own and of each
+	// other failure domain in a sample.
+	sampleOwnDomain   = 8
+	sampleOtherDomain = 2
 )
 
-// Gateway is a gateway as it tells of itself.
+// Gateway is a gateway as it describes itself.
 type Gateway struct {
-	Address string // Peer listener.
-	Domain  string // Failure domain.
-	Life    int64  // Start of its process, Unix milliseconds; 0 while it is known by hearsay only.
-	Blind   bool   // The store does not answer it.
-	Left    bool   // It is in its planned stop.
+	Address          string // Address of its peer listener.
+	Domain           string // Failure domain.
+	StartedAt        int64  // Start of its process, Unix milliseconds; 0 while only other gateways have reported it.
+	StoreUnreachable bool   // It gets no answer from the store.
+	Stopping         bool   // Its planned stop has begun.
 }
 
-// Seen is a gateway and how long ago its last word was.
-type Seen struct {
+// Member is a gateway and the time since its last message.
+type Member struct {
 	Gateway
 	Age time.Duration
 }
 
-// Greeting is a hello to be sent.
-type Greeting struct {
-	Address string
-	Asks    string // The failure domain whose gateways are asked for; "" for none.
+// Hello is a hello message to be sent.
+type Hello struct {
+	Address     string
+	QueryDomain string // Failure domain whose gateways are queried; "" for no query.
 }
 
-// entry is what is known of another gateway.
+// entry is the state of another gateway.
 type entry struct {
 	Gateway
-	at     time.Time // Of its last word, to whomever that was.
-	lapsed bool      // It was reported as one that is not heard any more.
-	spoke  time.Time // When it last spoke to this gateway, in the life that is known.
-	stops  bool      // That life was in its planned stop; what others tell later may be of the next one.
+	seenAt      time.Time // Time of its last known message, to any gateway.
+	expired     bool      // Expire has returned it.
+	lastDirect  time.Time // Time of the last message to this gateway, of the process that StartedAt names.
+	wasStopping bool      // The planned stop of that process had begun; later reports of others may be of the next process.
 }
 
 // Roster is the view of one gateway.
 type Roster struct {
-	self    Gateway
-	seeds   []string
-	started time.Time
-	by      map[string]*entry // By address; never the gateway itself.
-	order   []*entry          // The same, in the order of their addresses.
-	domains []string          // Of the gateway and of all in by, in order.
-	round   int
-	heard   time.Time // When another gateway last spoke to this one; zero when none did.
-}
-
-// New returns a view that holds nobody but the gateway itself, whose Life and flags do not
-// matter. Seeds are addresses of gateways that may be there.
+	self         Gateway
+	seeds        []string
+	started      time.Time
+	entries      map[string]*entry // By address; never the gateway itself.
+	sorted       []*entry          // The same entries, in the order of their addresses.
+	domains      []string          // Failure domains of this gateway and of all entries, sorted.
+	round        int
+	lastReceived time.Time // Time of the last message from another gateway; zero before the first.
+}
+
+// New returns a view that holds only the gateway itself, whose StartedAt and flags are not
+// used. Seeds are addresses at which other gateways may be reachable.
 func New(self Gateway, seeds []string, now time.Time) *Roster {
-	return &Roster{self: self, seeds: seeds, started: now, by: map[string]*entry{}, domains: []string{self.Domain}}
+	return &Roster{self: self, seeds: seeds, started: now, entries: map[string]*entry{}, domains: []string{self.Domain}}
 }
 
-// Hear takes in a gateway's own word. It reports whether its process has not spoken to this
-// gateway before.
-func (r *Roster) Hear(g Gateway, now time.Time) (fresh bool) {
+// Receive records a message of another gateway. It reports whether it is the first one from
+// that gateway's process.
+func (r *Roster) Receive(g Gateway, now time.Time) (isNew bool) {
 	if g.Address == r.self.Address {
 		return false
 	}
 	e, known := r.entry(g.Address)
-	fresh = !known || e.Life != g.Life
-	*e = entry{Gateway: g, at: now, spoke: now, stops: g.Left || !fresh && e.stops}
-	r.heard = now
-	r.noteDomain(g.Domain)
-	return fresh
-}
-
-// Last returns the life of a gateway that last spoke to this one, how long ago, and whether it
-// was in its planned stop by all that was told since; ok is false where none has spoken.
-func (r *Roster) Last(address string, now time.Time) (s Seen, ok bool) {
-	e, ok := r.by[address]
-	if !ok || e.spoke.IsZero() {
-		return Seen{}, false
+	isNew = !known || e.StartedAt != g.StartedAt
+	*e = entry{Gateway: g, seenAt: now, lastDirect: now, wasStopping: g.Stopping || !isNew && e.wasStopping}
+	r.lastReceived = now
+	r.addDomain(g.Domain)
+	return isNew
+}
+
+// LastDirect returns the process of a gateway that last sent a message to this one, the time
+// since then, and whether its planned stop had begun by all reports since; ok is false if the
+// gateway never sent one.
+func (r *Roster) LastDirect(address string, now time.Time) (m Member, ok bool) {
+	e, ok := r.entries[address]
+	if !ok || e.lastDirect.IsZero() {
+		return Member{}, false
 	}
-	s = Seen{e.Gateway, now.Sub(e.spoke)}
-	s.Left = e.stops
-	return s, true
+	m = Member{e.Gateway, now.Sub(e.lastDirect)}
+	m.Stopping = e.wasStopping
+	return m, true
 }
 
-// entry returns what is known of a gateway, which is nothing where it was not known.
+// entry returns the entry of a gateway, and adds an empty one if it was not known.
 func (r *Roster) entry(address string) (e *entry, known bool) {
-	e, known = r.by[address]
+	e, known = r.entries[address]
 	if !known {
 		e = &entry{Gateway: Gateway{Address: address}}
-		r.by[address] = e
-		i, _ := slices.BinarySearchFunc(r.order, address, func(e *entry, a string) int { return strings.Compare(e.Address, a) })
-		r.order = slices.Insert(r.order, i, e)
+		r.entries[address] = e
+		i, _ := slices.BinarySearchFunc(r.sorted, address, func(e *entry, a string) int { return strings.Compare(e.Address, a) })
+		r.sorted = slices.Insert(r.sorted, i, e)
 	}
 	return e, known
 }
 
-func (r *Roster) noteDomain(domain string) {
+func (r *Roster) addDomain(domain string) {
 	if i, ok := slices.BinarySearch(r.domains, domain); !ok {
 		r.domains = slices.Insert(r.domains, i, domain)
 	}
 }
 
-// HearOf takes in what another gateway tells of others. Only what is newer than all that is
-// known of a gateway counts.
-func (r *Roster) HearOf(list []Seen, now time.Time) {
-	for _, s := range list {
-		if s.Address == r.self.Address || s.Age < 0 || s.Age > r.lapseAfter(s.Domain) {
+// MergeMembers records what another gateway reports of others. A report counts only if it is
+// newer than all that is known of its gateway.
+func (r *Roster) MergeMembers(list []Member, now time.Time) {
+	for _, m := range list {
+		if m.Address == r.self.Address || m.Age < 0 || m.Age > r.expiryTime(m.Domain) {
 			continue
 		}
-		e, _ := r.entry(s.Address)
-		if at := now.Add(-s.Age); at.After(e.at) {
-			s.Life = e.Life
-			e.Gateway, e.at, e.lapsed = s.Gateway, at, false
-			e.stops = e.stops || s.Left
-			r.noteDomain(s.Domain)
+		e, _ := r.entry(m.Address)
+		if seenAt := now.Add(-m.Age); seenAt.After(e.seenAt) {
+			m.StartedAt = e.StartedAt
+			e.Gateway, e.seenAt, e.expired = m.Gateway, seenAt, false
+			e.wasStopping = e.wasStopping || m.Stopping
+			r.addDomain(m.Domain)
 		}
 	}
 }
 
-// LastHeard returns when another gateway last spoke to this one, zero when none did.
-func (r *Roster) LastHeard() time.Time { return r.heard }
+// LastReceived returns the time of the last message from another gateway, zero before the first.
+func (r *Roster) LastReceived() time.Time { return r.lastReceived }
 
-// lapseAfter is how long a gateway of a failure domain counts as there after its last word.
-// Those of other domains are told of one domain a round, and an answer may be lost.
-func (r *Roster) lapseAfter(domain string) time.Duration {
+// expiryTime returns how long a gateway of a failure domain counts as alive after its last
+// message. It is longer for other domains: they are queried one domain per round, and an answer
+// may be lost.
+func (r *Roster) expiryTime(domain string) time.Duration {
 	if domain == r.self.Domain {
-		return HeardFor
+		return ExpireAfter
 	}
-	return HeardFor + 2*time.Duration(len(r.domains))*Every
+	return ExpireAfter + 2*time.Duration(len(r.domains))*HelloInterval
 }
 
-// isThere reports whether a gateway counts as there but for a planned stop of it.
-func (r *Roster) isThere(e *entry, now time.Time) bool {
-	return now.Sub(e.at) <= r.lapseAfter(e.Domain)
+// isAlive reports whether a gateway counts as alive, regardless of a planned stop.
+func (r *Roster) isAlive(e *entry, now time.Time) bool {
+	return now.Sub(e.seenAt) <= r.expiryTime(e.Domain)
 }
 
-// Lapse forgets whoever was not heard for long, and returns the addresses of those that
-// have just ceased to count as there.
-func (r *Roster) Lapse(now time.Time) (lapsed []string) {
-	known := len(r.order)
-	r.order = slices.DeleteFunc(r.order, func(e *entry) bool { return now.Sub(e.at) > rememberFor })
-	if len(r.order) < known {
-		r.index()
+// Expire removes the gateways without a message for forgetAfter, and returns the addresses of
+// those that have just ceased to count as alive.
+func (r *Roster) Expire(now time.Time) (expired []string) {
+	known := len(r.sorted)
+	r.sorted = slices.DeleteFunc(r.sorted, func(e *entry) bool { return now.Sub(e.seenAt) > forgetAfter })
+	if len(r.sorted) < known {
+		r.rebuildIndex()
 	}
-	for _, e := range r.order {
-		if !e.lapsed && !r.isThere(e, now) {
-			e.lapsed = true
-			lapsed = append(lapsed, e.Address)
+	for _, e := range r.sorted {
+		if !e.expired && !r.isAlive(e, now) {
+			e.expired = true
+			expired = append(expired, e.Address)
 		}
 	}
-	return lapsed
+	return expired
 }
 
-// index makes what follows from order anew.
-func (r *Roster) index() {
-	clear(r.by)
+// rebuildIndex rebuilds entries and domains from sorted.
+func (r *Roster) rebuildIndex() {
+	clear(r.entries)
 	r.domains = []string{r.self.Domain}
-	for _, e := range r.order {
-		r.by[e.Address] = e
-		r.noteDomain(e.Domain)
+	for _, e := range r.sorted {
+		r.entries[e.Address] = e
+		r.addDomain(e.Domain)
 	}
 }
 
-// There returns the other gateways that are there, in the order of their addresses.
-func (r *Roster) There(now time.Time) (list []Gateway) {
-	for _, e := range r.there(now) {
+// Alive returns the other gateways that are alive and not stopping, in the order of their addresses.
+func (r *Roster) Alive(now time.Time) (list []Gateway) {
+	for _, e := range r.alive(now) {
 		list = append(list, e.Gateway)
 	}
 	return list
 }
 
-// there returns the entries of the other gateways that are there.
-func (r *Roster) there(now time.Time) []*entry {
-	return r.those(func(e *entry) bool { return !e.Left && r.isThere(e, now) })
+// alive returns the entries of the other gateways that are alive and not stopping.
+func (r *Roster) alive(now time.Time) []*entry {
+	return r.filter(func(e *entry) bool { return !e.Stopping && r.isAlive(e, now) })
 }
 
-// lost returns the entries of those that are remembered and not there.
-func (r *Roster) lost(now time.Time) []*entry {
-	return r.those(func(e *entry) bool { return !r.isThere(e, now) })
+// unreachable returns the entries that are remembered and not alive.
+func (r *Roster) unreachable(now time.Time) []*entry {
+	return r.filter(func(e *entry) bool { return !r.isAlive(e, now) })
 }
 
-// those returns the entries of some of the other gateways, in the order of their addresses.
-func (r *Roster) those(keep func(e *entry) bool) (list []*entry) {
-	for _, e := range r.order {
+// filter returns the entries for which keep returns true, in the order of their addresses.
+func (r *Roster) filter(keep func(e *entry) bool) (list []*entry) {
+	for _, e := range r.sorted {
 		if keep(e) {
 			list = append(list, e)
 		}
@@ -232,17 +236,17 @@
 	return list
 }
 
-// Near returns the other gateways of the own failure domain that were heard lately, in the
-// order of their addresses.
-func (r *Roster) Near(now time.Time) (list []Gateway) {
-	for _, e := range fresh(within(r.there(now), r.self.Domain), FreshFor, now) {
+// SameDomain returns the other gateways of the own failure domain whose last message is at most
+// RecentFor ago, in the order of their addresses.
+func (r *Roster) SameDomain(now time.Time) (list []Gateway) {
+	for _, e := range seenWithin(inDomain(r.alive(now), r.self.Domain), RecentFor, now) {
 		list = append(list, e.Gateway)
 	}
 	return list
 }
 
-// within returns the entries of one failure domain.
-func within(list []*entry, domain string) (in []*entry) {
+// inDomain returns the entries of one failure domain.
+func inDomain(list []*entry, domain string) (in []*entry) {
 	for _, e := range list {
 		if e.Domain == domain {
 			in = append(in, e)
@@ -251,20 +255,20 @@
 	return in
 }
 
-// fresh returns the entries that were heard within a time.
-func fresh(list []*entry, within time.Duration, now time.Time) (lately []*entry) {
+// seenWithin returns the entries whose last message is at most the given time ago.
+func seenWithin(list []*entry, within time.Duration, now time.Time) (recent []*entry) {
 	for _, e := range list {
-		if now.Sub(e.at) <= within {
-			lately = append(lately, e)
+		if now.Sub(e.seenAt) <= within {
+			recent = append(recent, e)
 		}
 	}
-	return lately
+	return recent
 }
 
 // IsHub reports whether this gateway is one of the hubs of its failure domain.
 func (r *Roster) IsHub(now time.Time) bool {
 	before := 0
-	for _, g := range r.Near(now) {
+	for _, g := range r.SameDomain(now) {
 		if g.Address < r.self.Address {
 			before++
 		}
@@ -272,41 +276,41 @@
 	return before < Hubs
 }
 
-// Greet returns whom to greet in the next round. Random returns a number from 0 up to its
-// argument.
-func (r *Roster) Greet(now time.Time, random func(n int) int) []Greeting {
+// NextHellos starts the next round and returns its hellos. The function random returns a number
+// from 0 up to, but not including, its argument.
+func (r *Roster) NextHellos(now time.Time, random func(n int) int) []Hello {
 	r.round++
-	there := r.there(now)
-	list := r.greetNear(within(there, r.self.Domain), now, random)
+	alive := r.alive(now)
+	list := r.hellosToOwnDomain(inDomain(alive, r.self.Domain), now, random)
 	if r.IsHub(now) {
-		list = append(list, r.greetDomains(there, now, random)...)
+		list = append(list, r.hellosToOtherDomains(alive, now, random)...)
 	} else {
-		list = append(list, drawn(there, 1, random)...)
+		list = append(list, randomHellos(alive, 1, random)...)
 	}
-	list = append(list, drawn(r.lost(now), 1, random)...)
-	return r.withSeeds(once(list), len(there) == 0 || now.Sub(r.started) < HeardFor)
+	list = append(list, randomHellos(r.unreachable(now), 1, random)...)
+	return r.addSeeds(mergeDuplicates(list), len(alive) == 0 || now.Sub(r.started) < ExpireAfter)
 }
 
-// greetNear returns the greetings to hubs of the own failure domain, one of which is
-// asked, and to one other gateway of it.
-func (r *Roster) greetNear(near []*entry, now time.Time, random func(n int) int) (list []Greeting) {
-	hubs := first(Hubs, fresh(near, FreshFor, now))
+// hellosToOwnDomain returns the hellos to the hubs of the own failure domain, one of which is
+// queried, and to one other gateway of it; random gateways take the place of missing hubs.
+func (r *Roster) hellosToOwnDomain(peers []*entry, now time.Time, random func(n int) int) (list []Hello) {
+	hubs := firstN(Hubs, seenWithin(peers, RecentFor, now))
 	for i, e := range hubs {
-		g := Greeting{Address: e.Address}
+		g := Hello{Address: e.Address}
 		if i == r.round%len(hubs) {
-			g.Asks = r.asked()
+			g.QueryDomain = r.queryDomain()
 		}
 		list = append(list, g)
 	}
-	return append(list, drawn(near, 1+Hubs-len(hubs), random)...)
+	return append(list, randomHellos(peers, 1+Hubs-len(hubs), random)...)
 }
 
-// first returns the first so many of a list.
-func first[T any](n int, list []T) []T { return list[:min(n, len(list))] }
+// firstN returns the first n elements of a list, or all if there are fewer.
+func firstN[T any](n int, list []T) []T { return list[:min(n, len(list))] }
 
-// asked returns the failure domain that is asked for in this round besides the own one: each
-// other one in turn.
-func (r *Roster) asked() string {
+// queryDomain returns the failure domain that is queried in this round in addition to the own
+// one: each other one in turn.
+func (r *Roster) queryDomain() string {
 	others := slices.DeleteFunc(slices.Clone(r.domains), func(d string) bool { return d == r.self.Domain })
 	if len(others) == 0 {
 		return r.self.Domain
@@ -314,64 +318,64 @@
 	return others[r.round%len(others)]
 }
 
-// greetDomains returns a hub's greetings to the hubs of the other failure domains: to
-// some that were there before where none is now.
-func (r *Roster) greetDomains(there []*entry, now time.Time, random func(n int) int) (list []Greeting) {
-	if r.round%farEvery != 1 {
+// hellosToOtherDomains returns a hub's hellos to the hubs of the other failure domains. In a
+// domain without a gateway that is alive, the hello goes to one that was alive before.
+func (r *Roster) hellosToOtherDomains(alive []*entry, now time.Time, random func(n int) int) (list []Hello) {
+	if r.round%remoteEveryRounds != 1 {
 		return nil
 	}
 	for _, domain := range r.domains {
 		if domain == r.self.Domain {
 			continue
 		}
-		greetings := r.greetFar(within(there, domain), now, random)
-		if len(greetings) == 0 {
-			greetings = drawn(within(r.lost(now), domain), 1, random)
+		hellos := r.hellosToDomain(inDomain(alive, domain), now, random)
+		if len(hellos) == 0 {
+			hellos = randomHellos(inDomain(r.unreachable(now), domain), 1, random)
 		}
-		if n := len(greetings); n > 0 {
-			greetings[r.round/farEvery%n].Asks = domain
+		if n := len(hellos); n > 0 {
+			hellos[r.round/remoteEveryRounds%n].QueryDomain = domain
 		}
-		list = append(list, greetings...)
+		list = append(list, hellos...)
 	}
 	return list
 }
 
-// greetFar returns the greetings to some gateways of another failure domain: its first ones,
-// or any where these have not been heard lately.
-func (r *Roster) greetFar(far []*entry, now time.Time, random func(n int) int) (list []Greeting) {
-	for _, e := range first(farHubs, fresh(far, farFreshFor, now)) {
-		list = append(list, Greeting{Address: e.Address})
+// hellosToDomain returns the hellos to some gateways of another failure domain: its first ones,
+// or any if there are no recent messages of these.
+func (r *Roster) hellosToDomain(peers []*entry, now time.Time, random func(n int) int) (list []Hello) {
+	for _, e := range firstN(remoteHubs, seenWithin(peers, remoteRecentFor, now)) {
+		list = append(list, Hello{Address: e.Address})
 	}
-	return once(append(list, drawn(far, farHubs-len(list), random)...))
+	return mergeDuplicates(append(list, randomHellos(peers, remoteHubs-len(list), random)...))
 }
 
-// withSeeds adds greetings to the seeds where those are needed, and asks one of them.
-func (r *Roster) withSeeds(list []Greeting, needed bool) []Greeting {
+// addSeeds adds hellos to the seeds if they are needed, and queries one of them.
+func (r *Roster) addSeeds(list []Hello, needed bool) []Hello {
 	if !needed {
 		return list
 	}
 	for i, s := range r.seeds {
-		g := Greeting{Address: s}
+		g := Hello{Address: s}
 		if i == r.round%len(r.seeds) {
-			g.Asks = r.self.Domain
+			g.QueryDomain = r.self.Domain
 		}
 		if s != r.self.Address {
 			list = append(list, g)
 		}
 	}
-	return once(list)
+	return mergeDuplicates(list)
 }
 
-// drawn returns greetings to so many of a list, drawn anew each time.
-func drawn(list []*entry, n int, random func(n int) int) (greetings []Greeting) {
-	for _, e := range Some(list, n, random) {
-		greetings = append(greetings, Greeting{Address: e.Address})
+// randomHellos returns hellos to n random entries of a list, or to all if there are fewer.
+func randomHellos(list []*entry, n int, random func(n int) int) (hellos []Hello) {
+	for _, e := range RandomSubset(list, n, random) {
+		hellos = append(hellos, Hello{Address: e.Address})
 	}
-	return greetings
+	return hellos
 }
 
-// Some returns so many of a list, drawn anew each time.
-func Some[T any](list []T, n int, random func(n int) int) []T {
+// RandomSubset returns n random elements of a list, or all if there are fewer.
+func RandomSubset[T any](list []T, n int, random func(n int) int) []T {
 	list = slices.Clone(list)
 	n = min(n, len(list))
 	for i := range n {
@@ -381,53 +385,55 @@
 	return list[:n]
 }
 
-// once returns the greetings with one for each address, which asks if any of them does.
-func once(list []Greeting) (single []Greeting) {
-	at := map[string]int{}
+// mergeDuplicates returns one hello for each address, with the query of the first one that has any.
+func mergeDuplicates(list []Hello) (merged []Hello) {
+	index := map[string]int{}
 	for _, g := range list {
-		i, ok := at[g.Address]
+		i, ok := index[g.Address]
 		switch {
 		case !ok:
-			at[g.Address] = len(single)
-			single = append(single, g)
-		case single[i].Asks == "":
-			single[i].Asks = g.Asks
+			index[g.Address] = len(merged)
+			merged = append(merged, g)
+		case merged[i].QueryDomain == "":
+			merged[i].QueryDomain = g.QueryDomain
 		}
 	}
-	return single
-}
-
-// Answer returns what to tell a gateway of a failure domain that asks for another one: all
-// of that, all of the own one if it is of it, and the first of each other one.
-func (r *Roster) Answer(domain, asks string, now time.Time) (list []Seen) {
-	heads := map[string]int{}
-	for _, e := range r.tellable(now) {
-		whole := e.Domain == asks || e.Domain == domain && domain == r.self.Domain
-		if heads[e.Domain]++; whole || heads[e.Domain] <= Hubs {
-			list = append(list, e.seen(now))
+	return merged
+}
+
+// AnswerQuery returns the answer to a gateway of a failure domain that queries another one: all
+// gateways of the queried domain, all of the own domain if the gateway belongs to it, and the
+// first ones of each other domain.
+func (r *Roster) AnswerQuery(domain, queried string, now time.Time) (list []Member) {
+	perDomain := map[string]int{}
+	for _, e := range r.reportable(now) {
+		include := e.Domain == queried || e.Domain == domain && domain == r.self.Domain
+		if perDomain[e.Domain]++; include || perDomain[e.Domain] <= Hubs {
+			list = append(list, e.info(now))
 		}
 	}
 	return list
 }
 
-// tellable returns those that are there or have just left, in the order of their addresses.
-func (r *Roster) tellable(now time.Time) []*entry {
-	return r.those(func(e *entry) bool { return r.isThere(e, now) })
+// reportable returns the entries that are alive, including stopping ones, in the order of their
+// addresses.
+func (r *Roster) reportable(now time.Time) []*entry {
+	return r.filter(func(e *entry) bool { return r.isAlive(e, now) })
 }
 
-func (e *entry) seen(now time.Time) Seen { return Seen{Gateway: e.Gateway, Age: now.Sub(e.at)} }
+func (e *entry) info(now time.Time) Member { return Member{Gateway: e.Gateway, Age: now.Sub(e.seenAt)} }
 
-// Sample returns some gateways of each failure domain, drawn anew each time: the more of the
-// own one, whose other processes are told by this gateway.
-func (r *Roster) Sample(now time.Time, random func(n int) int) (list []Seen) {
-	there := r.there(now)
+// Sample returns some random gateways of each failure domain: more of the own one, whose other
+// processes learn of gateways from this one.
+func (r *Roster) Sample(now time.Time, random func(n int) int) (list []Member) {
+	alive := r.alive(now)
 	for _, domain := range r.domains {
-		n := sampleFar
+		n := sampleOtherDomain
 		if domain == r.self.Domain {
-			n = sampleNear
+			n = sampleOwnDomain
 		}
-		for _, e := range Some(within(there, domain), n, random) {
-			list = append(list, e.seen(now))
+		for _, e := range RandomSubset(inDomain(alive, domain), n, random) {
+			list = append(list, e.info(now))
 		}
 	}
 	return list
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -14,34 +14,34 @@
 
 var origin = time.Unix(1_800_000_000, 0)
 
-// process is a gateway of a played fleet.
+// process is a gateway of a simulated fleet.
 type process struct {
 	*Roster
-	dead bool
-	sent int // Messages, greetings and answers.
-	told int // Gateways named in them.
+	stopped  bool
+	sent     int // Messages: hellos and answers.
+	reported int // Gateways reported in the answers.
 }
 
-// played is a fleet in scripted time. Messages arrive at once or are lost.
-type played struct {
-	random *rand.Rand
-	list   []*process
-	by     map[string]*process
-	seeds  []string
-	now    time.Time
-	loss   float64
-	cut    string // A failure domain that is cut off; "" for none.
+// simulation is a fleet in simulated time. Messages arrive at once or are lost.
+type simulation struct {
+	random      *rand.Rand
+	list        []*process
+	byAddress   map[string]*process
+	seeds       []string
+	now         time.Time
+	loss        float64
+	partitioned string // Failure domain that is partitioned off; "" for none.
 }
 
-func play(gateways, domains int) *played {
-	p := &played{random: rand.New(rand.NewPCG(1, uint64(gateways))), by: map[string]*process{}, now: origin}
+func newSimulation(gateways, domains int) *simulation {
+	p := &simulation{random: rand.New(rand.NewPCG(1, uint64(gateways))), byAddress: map[string]*process{}, now: origin}
 	for i := range gateways {
 		g := Gateway{Address: fmt.Sprintf("10.%d.0.%d:7000", i%domains, i/domains), Domain: fmt.Sprintf("domain-%02d", i%domains)}
 		if i < domains {
 			p.seeds = append(p.seeds, g.Address)
 		}
 		proc := &process{Roster: New(g, nil, p.now)}
-		p.list, p.by[g.Address] = append(p.list, proc), proc
+		p.list, p.byAddress[g.Address] = append(p.list, proc), proc
 	}
 	for _, proc := range p.list {
 		proc.seeds = p.seeds
@@ -49,79 +49,79 @@
 	return p
 }
 
-// run plays so many rounds, in each of which the gateways greet in an order drawn anew.
-func (p *played) run(rounds int) {
+// run simulates rounds in each of which the gateways send hellos in random order.
+func (p *simulation) run(rounds int) {
 	for range rounds {
 		p.random.Shuffle(len(p.list), func(i, j int) { p.list[i], p.list[j] = p.list[j], p.list[i] })
 		for _, from := range p.list {
-			p.now = p.now.Add(Every / time.Duration(len(p.list)))
-			if !from.dead {
-				p.greet(from)
+			p.now = p.now.Add(HelloInterval / time.Duration(len(p.list)))
+			if !from.stopped {
+				p.sendHellos(from)
 			}
 		}
 	}
 }
 
-func (p *played) greet(from *process) {
-	from.Lapse(p.now)
-	for _, greeting := range from.Greet(p.now, p.random.IntN) {
+func (p *simulation) sendHellos(from *process) {
+	from.Expire(p.now)
+	for _, hello := range from.NextHellos(p.now, p.random.IntN) {
 		from.sent++
-		to := p.by[greeting.Address]
+		to := p.byAddress[hello.Address]
 		if !p.arrives(from, to) {
 			continue
 		}
-		to.Hear(from.self, p.now)
+		to.Receive(from.self, p.now)
 		to.sent++
-		var told []Seen
-		if greeting.Asks != "" {
-			told = to.Answer(from.self.Domain, greeting.Asks, p.now)
-			to.told += len(told)
+		var reported []Member
+		if hello.QueryDomain != "" {
+			reported = to.AnswerQuery(from.self.Domain, hello.QueryDomain, p.now)
+			to.reported += len(reported)
 		}
 		if p.arrives(to, from) {
-			from.Hear(to.self, p.now)
-			from.HearOf(told, p.now)
+			from.Receive(to.self, p.now)
+			from.MergeMembers(reported, p.now)
 		}
 	}
 }
 
-func (p *played) arrives(from, to *process) bool {
-	apart := p.cut != "" && (from.self.Domain == p.cut) != (to.self.Domain == p.cut)
-	return !to.dead && !apart && p.random.Float64() >= p.loss
+func (p *simulation) arrives(from, to *process) bool {
+	separated := p.partitioned != "" && (from.self.Domain == p.partitioned) != (to.self.Domain == p.partitioned)
+	return !to.stopped && !separated && p.random.Float64() >= p.loss
 }
 
-// known returns the least and the greatest number of other gateways that a living one of
-// some has as there.
-func (p *played) known(some func(*process) bool) (least, most int) {
-	least = len(p.list)
+// aliveRange returns the minimum and maximum number of other gateways that count as alive, over
+// the selected gateways that run.
+func (p *simulation) aliveRange(selected func(*process) bool) (fewest, most int) {
+	fewest = len(p.list)
 	for _, proc := range p.list {
-		if proc.dead || !some(proc) {
+		if proc.stopped || !selected(proc) {
 			continue
 		}
-		n := len(proc.There(p.now))
-		least, most = min(least, n), max(most, n)
+		n := len(proc.Alive(p.now))
+		fewest, most = min(fewest, n), max(most, n)
 	}
-	return least, most
+	return fewest, most
 }
 
 func all(*process) bool { return true }
 
-// expectKnown expects that each living gateway has so many others as there.
-func (p *played) expectKnown(g *WithT, n int) {
+// expectAlive expects that n other gateways count as alive at each gateway that runs.
+func (p *simulation) expectAlive(g *WithT, n int) {
 	g.THelper()
-	least, most := p.known(all)
-	g.Expect([]int{least, most}).To(Equal([]int{n, n}))
+	fewest, most := p.aliveRange(all)
+	g.Expect([]int{fewest, most}).To(Equal([]int{n, n}))
 }
 
 // rounds returns how many rounds fit into a time.
-func rounds(d time.Duration) int { return int(d / Every) }
+func rounds(d time.Duration) int { return int(d / HelloInterval) }
 
-// What a gateway sends must not grow with the number of gateways: greeting all others made
-// four fifths of the messages of a fleet of five hundred.
-func TestTheTalkOfAGatewayDoesNotGrowWithTheFleet(t *testing.T) {
+// The messages of a gateway must not grow with the number of gateways: when each sent hellos to
+// all others, these were four fifths of the messages of a fleet of five hundred.
+func TestMessagesPerGatewayDoNotGrowWithTheFleet(t *testing.T) {
 	const watched = 8
 	perRound := func(gateways int) (mean float64) {
-		p := play(gateways, 5)
-		p.run(rounds(HeardFor) + 8)
+		p := newSimulation(gateways, 5)
+		p.run(rounds(ExpireAfter) + 8)
 		for _, proc := range p.list {
 			proc.sent = 0
 		}
@@ -138,73 +138,73 @@
 	g.Expect(large).To(BeNumerically("<", 15))
 }
 
-// The busiest gateway is a hub: it hears each gateway of its failure domain once a round
-// and names all of them to a third of these.
-func TestAHubBearsItsFailureDomain(t *testing.T) {
+// The busiest gateway is a hub: it receives a hello from each gateway of its failure domain once
+// per round, and reports all of them to a third of these.
+func TestLoadOfAHubIsBounded(t *testing.T) {
 	const watched = 8
 	g := NewWithT(t)
-	p := play(400, 2)
-	p.run(rounds(HeardFor) + 2)
+	p := newSimulation(400, 2)
+	p.run(rounds(ExpireAfter) + 2)
 	for _, proc := range p.list {
-		proc.sent, proc.told = 0, 0
+		proc.sent, proc.reported = 0, 0
 	}
 	p.run(watched)
-	sent, told := 0, 0
+	sent, reported := 0, 0
 	for _, proc := range p.list {
-		sent, told = max(sent, proc.sent), max(told, proc.told)
+		sent, reported = max(sent, proc.sent), max(reported, proc.reported)
 	}
 	t.Logf("the busiest of 400 in 2 domains: %.0f messages and %.0f gateways named a second",
-		float64(sent)/watched/Every.Seconds(), float64(told)/watched/Every.Seconds())
+		float64(sent)/watched/HelloInterval.Seconds(), float64(reported)/watched/HelloInterval.Seconds())
 	g.Expect(float64(sent) / watched).To(BeNumerically("<", 1.5*200))
-	g.Expect(float64(told) / watched).To(BeNumerically("<", 200/Hubs*2*2*200))
+	g.Expect(float64(reported) / watched).To(BeNumerically("<", 200/Hubs*2*2*200))
 }
 
-func TestAllKnowAllSoonAfterAStart(t *testing.T) {
+func TestAllGatewaysKnowEachOtherSoonAfterAStart(t *testing.T) {
 	for _, tc := range []struct{ gateways, domains int }{{2, 1}, {7, 3}, {32, 4}, {100, 5}, {126, 21}} {
 		t.Run(fmt.Sprintf("%d in %d domains", tc.gateways, tc.domains), func(t *testing.T) {
-			p := play(tc.gateways, tc.domains)
+			p := newSimulation(tc.gateways, tc.domains)
 			p.run(4 + tc.domains)
-			p.expectKnown(NewWithT(t), tc.gateways-1)
+			p.expectAlive(NewWithT(t), tc.gateways-1)
 		})
 	}
 }
 
-func TestNobodyIsForgottenWhereMessagesAreLost(t *testing.T) {
+func TestNoGatewayExpiresWhileSomeMessagesAreLost(t *testing.T) {
 	g := NewWithT(t)
-	p := play(100, 5)
+	p := newSimulation(100, 5)
 	p.run(15)
 	p.loss = 0.02
 	for range 40 {
 		p.run(1)
-		p.expectKnown(g, 99)
+		p.expectAlive(g, 99)
 	}
 }
 
-// Half of all gateways end at one moment, hubs and seeds among them.
-func TestThoseThatEndTogetherAreForgotten(t *testing.T) {
+// Half of all gateways end at the same time, including hubs and seeds.
+func TestGatewaysThatEndTogetherExpire(t *testing.T) {
 	g := NewWithT(t)
-	p := play(100, 5)
+	p := newSimulation(100, 5)
 	p.run(15)
 	left := 0
 	for _, proc := range p.list {
-		proc.dead = slices.Contains(p.seeds, proc.self.Address) || p.random.IntN(2) == 0 || isFirst(p, proc)
-		if !proc.dead {
+		proc.stopped = slices.Contains(p.seeds, proc.self.Address) || p.random.IntN(2) == 0 || isLowest(p, proc)
+		if !proc.stopped {
 			left++
 		}
 	}
-	p.run(rounds(HeardFor) + 2)
-	near := func(proc *process) (n int) { return len(within(proc.there(p.now), proc.self.Domain)) }
+	p.run(rounds(ExpireAfter) + 2)
+	aliveInOwnDomain := func(proc *process) (n int) { return len(inDomain(proc.alive(p.now), proc.self.Domain)) }
 	for _, proc := range p.list {
-		if !proc.dead {
-			g.Expect(near(proc)).To(Equal(p.living(proc.self.Domain)-1), "of the own failure domain")
+		if !proc.stopped {
+			g.Expect(aliveInOwnDomain(proc)).To(Equal(p.aliveIn(proc.self.Domain)-1), "of the own failure domain")
 		}
 	}
-	p.run(2*5 + 3) // Those of other domains are told of in turn.
-	p.expectKnown(g, left-1)
+	p.run(2*5 + 3) // Other domains are queried in turn.
+	p.expectAlive(g, left-1)
 }
 
-// isFirst reports whether a gateway is one of the first of its failure domain.
-func isFirst(p *played, proc *process) bool {
+// isLowest reports whether a gateway is one of the first Hubs of its failure domain by address.
+func isLowest(p *simulation, proc *process) bool {
 	before := 0
 	for _, other := range p.list {
 		if other.self.Domain == proc.self.Domain && other.self.Address < proc.self.Address {
@@ -214,135 +214,135 @@
 	return before < Hubs
 }
 
-func (p *played) living(domain string) (n int) {
+func (p *simulation) aliveIn(domain string) (n int) {
 	for _, proc := range p.list {
-		if !proc.dead && proc.self.Domain == domain {
+		if !proc.stopped && proc.self.Domain == domain {
 			n++
 		}
 	}
 	return n
 }
 
-func TestAFailureDomainThatWasCutOffIsFoundAgain(t *testing.T) {
+func TestAPartitionedFailureDomainRejoins(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		cut   time.Duration
 		seeds bool
 	}{
-		{"for less than it counts as there", 4 * time.Second, true},
+		{"for less than the expiry time", 4 * time.Second, true},
 		{"for longer", 20 * time.Second, true},
 		{"for longer, and the seeds have ended", 20 * time.Second, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			p := play(60, 5)
+			p := newSimulation(60, 5)
 			p.run(20)
 			left := len(p.list)
 			for _, proc := range p.list {
 				if !tc.seeds && slices.Contains(p.seeds, proc.self.Address) {
-					proc.dead = true
+					proc.stopped = true
 					left--
 				}
 			}
 			p.run(30)
-			p.cut = "domain-02"
+			p.partitioned = "domain-02"
 			p.run(rounds(tc.cut))
-			inside := func(proc *process) bool { return proc.self.Domain == p.cut }
-			if least, _ := p.known(inside); tc.cut > HeardFor+2*5*Every+3*Every {
-				g.Expect(least).To(Equal(p.living(p.cut) - 1))
+			inside := func(proc *process) bool { return proc.self.Domain == p.partitioned }
+			if fewest, _ := p.aliveRange(inside); tc.cut > ExpireAfter+2*5*HelloInterval+3*HelloInterval {
+				g.Expect(fewest).To(Equal(p.aliveIn(p.partitioned) - 1))
 			}
-			p.cut = ""
-			p.run(2*farEvery + 5)
-			p.expectKnown(g, left-1)
+			p.partitioned = ""
+			p.run(2*remoteEveryRounds + 5)
+			p.expectAlive(g, left-1)
 		})
 	}
 }
 
-// While all hubs of a failure domain have just ended, the others still hear of somebody:
-// one that hears nobody takes itself for cut off and turns callers away.
-func TestNobodyIsAloneWhenTheHubsEnd(t *testing.T) {
+// When all hubs of a failure domain have just ended, the others must still receive messages: a
+// gateway without any assumes that it is partitioned off and rejects callers.
+func TestNoGatewayIsIsolatedWhenTheHubsEnd(t *testing.T) {
 	g := NewWithT(t)
-	p := play(60, 5)
+	p := newSimulation(60, 5)
 	p.run(20)
 	for _, proc := range p.list {
-		proc.dead = isFirst(p, proc)
+		proc.stopped = isLowest(p, proc)
 	}
-	for range rounds(HeardFor) {
+	for range rounds(ExpireAfter) {
 		p.run(1)
 		for _, proc := range p.list {
-			if !proc.dead {
-				g.Expect(p.now.Sub(proc.LastHeard())).To(BeNumerically("<", FreshFor))
+			if !proc.stopped {
+				g.Expect(p.now.Sub(proc.LastReceived())).To(BeNumerically("<", RecentFor))
 			}
 		}
 	}
 }
 
-func TestOneThatStartsAnewIsNew(t *testing.T) {
+func TestARestartedGatewayIsNew(t *testing.T) {
 	g := NewWithT(t)
 	r := New(Gateway{Address: "a", Domain: "d"}, nil, origin)
-	b := Gateway{Address: "b", Domain: "d", Life: 1}
-	g.Expect(r.Hear(b, origin)).To(BeTrue())
-	g.Expect(r.Hear(b, origin)).To(BeFalse())
-	r.HearOf([]Seen{{Gateway: Gateway{Address: "b", Domain: "d"}}}, origin.Add(time.Second))
-	g.Expect(r.Hear(b, origin.Add(time.Second))).To(BeFalse(), "hearsay tells no life")
-	b.Life = 2
-	g.Expect(r.Hear(b, origin.Add(2*time.Second))).To(BeTrue())
+	b := Gateway{Address: "b", Domain: "d", StartedAt: 1}
+	g.Expect(r.Receive(b, origin)).To(BeTrue())
+	g.Expect(r.Receive(b, origin)).To(BeFalse())
+	r.MergeMembers([]Member{{Gateway: Gateway{Address: "b", Domain: "d"}}}, origin.Add(time.Second))
+	g.Expect(r.Receive(b, origin.Add(time.Second))).To(BeFalse(), "reports of others do not change StartedAt")
+	b.StartedAt = 2
+	g.Expect(r.Receive(b, origin.Add(2*time.Second))).To(BeTrue())
 }
 
-func TestTheNewestWordOnAGatewayCounts(t *testing.T) {
+func TestTheNewestReportOnAGatewayCounts(t *testing.T) {
 	g := NewWithT(t)
 	r := New(Gateway{Address: "a", Domain: "d"}, nil, origin)
 	now := origin.Add(3 * time.Second)
-	r.Hear(Gateway{Address: "b", Domain: "d", Left: true}, now)
-	told := func(age time.Duration) []Seen {
-		return []Seen{{Gateway: Gateway{Address: "b", Domain: "d"}, Age: age}}
+	r.Receive(Gateway{Address: "b", Domain: "d", Stopping: true}, now)
+	reported := func(age time.Duration) []Member {
+		return []Member{{Gateway: Gateway{Address: "b", Domain: "d"}, Age: age}}
 	}
-	r.HearOf(told(time.Second), now)
-	g.Expect(r.There(now)).To(BeEmpty(), "an older word than that it leaves")
-	r.HearOf(told(time.Second), now.Add(2*time.Second))
-	g.Expect(r.There(now.Add(2*time.Second))).To(HaveLen(1), "it is back")
-	r.HearOf([]Seen{{Gateway: Gateway{Address: "a", Domain: "d"}}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: HeardFor + 1}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: -1}}, now)
-	g.Expect(r.There(now.Add(2*time.Second))).To(HaveLen(1), "not itself, and nobody on a word that is too old or of the future")
+	r.MergeMembers(reported(time.Second), now)
+	g.Expect(r.Alive(now)).To(BeEmpty(), "the report is older than the message that it stops")
+	r.MergeMembers(reported(time.Second), now.Add(2*time.Second))
+	g.Expect(r.Alive(now.Add(2*time.Second))).To(HaveLen(1), "it is back")
+	r.MergeMembers([]Member{{Gateway: Gateway{Address: "a", Domain: "d"}}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: ExpireAfter + 1}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: -1}}, now)
+	g.Expect(r.Alive(now.Add(2*time.Second))).To(HaveLen(1), "neither itself, nor a gateway by a report that is too old or from the future")
 }
 
 func TestASampleNamesEachFailureDomain(t *testing.T) {
 	g := NewWithT(t)
-	p := play(100, 4)
+	p := newSimulation(100, 4)
 	p.run(20)
 	count := map[string]int{}
-	drawn := map[string]bool{}
+	sampled := map[string]bool{}
 	for range 100 {
 		clear(count)
 		for _, s := range p.list[0].Sample(p.now, p.random.IntN) {
 			count[s.Domain]++
-			drawn[s.Address] = true
+			sampled[s.Address] = true
 		}
 		g.Expect(count).To(HaveLen(4))
 		for domain, n := range count {
-			want := sampleFar
+			want := sampleOtherDomain
 			if domain == p.list[0].self.Domain {
-				want = sampleNear
+				want = sampleOwnDomain
 			}
 			g.Expect(n).To(Equal(want))
 		}
 	}
-	g.Expect(drawn).To(HaveLen(99), "drawn anew each time")
+	g.Expect(sampled).To(HaveLen(99), "each sample is random")
 }
 
-func TestSomeAreDrawnAnew(t *testing.T) {
+func TestRandomSubset(t *testing.T) {
 	g := NewWithT(t)
 	list := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
 	seen := map[string]bool{}
 	for range 200 {
-		drawn := Some(list, 3, rand.IntN)
-		g.Expect(drawn).To(HaveLen(3))
-		for _, a := range drawn {
+		subset := RandomSubset(list, 3, rand.IntN)
+		g.Expect(subset).To(HaveLen(3))
+		for _, a := range subset {
 			seen[a] = true
 			g.Expect(list).To(ContainElement(a))
 		}
-		g.Expect(drawn[0]).NotTo(Equal(drawn[1]))
+		g.Expect(subset[0]).NotTo(Equal(subset[1]))
 	}
 	g.Expect(seen).To(HaveLen(len(list)))
-	g.Expect(Some(list[:2], 3, rand.IntN)).To(ConsistOf("a", "b"))
-	g.Expect(Some([]string(nil), 3, rand.IntN)).To(BeEmpty())
+	g.Expect(RandomSubset(list[:2], 3, rand.IntN)).To(ConsistOf("a", "b"))
+	g.Expect(RandomSubset([]string(nil), 3, rand.IntN)).To(BeEmpty())
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -21,7 +21,7 @@
 const (
 	// deafFor is how long a gateway that did not answer is asked after all others: whoever
 	// died is not known by then.
-	deafFor = roster.FreshFor
+	deafFor = roster.RecentFor
 	// firstAnswers is how long a process that has just started waits at most to hear of
 	// others of its failure domain, so that not all listen to the seeds: some round trips
 	// to these, looked at each firstLook.
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -49,7 +49,7 @@
 func (n *Neighbours) passOn(m peers.Message) {
 	var to []string
 	duty.Locked(&n.mu, func() {
-		for _, g := range n.roster.There(time.Now()) {
+		for _, g := range n.roster.Alive(time.Now()) {
 			if g.Domain == n.domain {
 				to = append(to, g.Address)
 			}
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -21,9 +21,9 @@
 // Times of the talk with other processes.
 const (
 	// helloEvery is the time between two rounds of hellos.
-	helloEvery = roster.Every
+	helloEvery = roster.HelloInterval
 	// heardFor is how long a gateway counts as there after its last hello.
-	heardFor = roster.HeardFor
+	heardFor = roster.ExpireAfter
 	// unheardEvery is the time between two hellos to sidecars while none is heard: gateways
 	// and sidecars that lost power together were up within a second of each other, and
 	// each hello that is missed keeps the callers of a gateway waiting.
@@ -176,14 +176,14 @@
 }
 
 // enroll takes a hello into the roster.
-func (n *Neighbours) enroll(h peers.Hello, known []roster.Seen, now time.Time) (fresh bool, before *peers.Before) {
+func (n *Neighbours) enroll(h peers.Hello, known []roster.Member, now time.Time) (fresh bool, before *peers.Before) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Life {
-		before = &peers.Before{Life: last.Life, AgeMs: last.Age.Milliseconds(), Left: last.Left}
+	if last, ok := n.roster.LastDirect(h.Address, now); ok && last.StartedAt < h.Life {
+		before = &peers.Before{Life: last.StartedAt, AgeMs: last.Age.Milliseconds(), Left: last.Stopping}
 	}
-	fresh = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Life, Blind: h.Blind, Left: h.Leaving}, now)
-	n.roster.HearOf(known, now)
+	fresh = n.roster.Receive(roster.Gateway{Address: h.Address, Domain: h.Domain, StartedAt: h.Life, StoreUnreachable: h.Blind, Stopping: h.Leaving}, now)
+	n.roster.MergeMembers(known, now)
 	return fresh, before
 }
 
@@ -201,20 +201,20 @@
 }
 
 // asked returns the gateways that a hello asks for.
-func (n *Neighbours) asked(h peers.Hello, now time.Time) []roster.Seen {
+func (n *Neighbours) asked(h peers.Hello, now time.Time) []roster.Member {
 	if h.Asks == "" {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.Answer(h.Domain, h.Asks, now)
+	return n.roster.AnswerQuery(h.Domain, h.Asks, now)
 }
 
 // others returns the gateways that are there.
 func (n *Neighbours) others() (list []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, g := range n.roster.There(time.Now()) {
+	for _, g := range n.roster.Alive(time.Now()) {
 		list = append(list, g.Address)
 	}
 	return list
@@ -282,7 +282,7 @@
 	if leaving, _ := n.g.leaving(time.Now()); leaving || n.g.hearsRanks(time.Now()) {
 		return
 	}
-	n.socket.SendAll(addressesOf(roster.Some(n.sidecars(), unheardSidecars, random)), peers.Message{Hello: n.helloToSidecars()})
+	n.socket.SendAll(addressesOf(roster.RandomSubset(n.sidecars(), unheardSidecars, random)), peers.Message{Hello: n.helloToSidecars()})
 }
 
 // hello returns what this gateway tells of itself.
@@ -300,7 +300,7 @@
 	h := n.hello(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.Gateways = len(n.roster.There(now)) + 1
+	h.Gateways = len(n.roster.Alive(now)) + 1
 	h.Known = knownOf(first(peers.MostKnown, n.roster.Sample(now, random)))
 	return h
 }
@@ -318,7 +318,7 @@
 	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All are told the same.
 	h := n.hello(now)
 	for _, greeting := range greetings {
-		h.Asks = greeting.Asks
+		h.Asks = greeting.QueryDomain
 		n.socket.SendAll(addresses([]string{greeting.Address}), peers.Message{Hello: h, Ends: ends})
 	}
 	n.greeted++
@@ -331,12 +331,12 @@
 }
 
 // round begins a round of hellos.
-func (n *Neighbours) round(now time.Time) (lapsed []string, greetings []roster.Greeting, others int, heard time.Time) {
+func (n *Neighbours) round(now time.Time) (lapsed []string, greetings []roster.Hello, others int, heard time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lapsed = n.roster.Lapse(now)
-	greetings = n.roster.Greet(now, random)
-	return lapsed, greetings, len(n.roster.There(now)), n.roster.LastHeard()
+	lapsed = n.roster.Expire(now)
+	greetings = n.roster.NextHellos(now, random)
+	return lapsed, greetings, len(n.roster.Alive(now)), n.roster.LastReceived()
 }
 
 // greetSidecars says hello to some of the sidecars, and, where this gateway is a hub, to
@@ -344,7 +344,7 @@
 func (n *Neighbours) greetSidecars(all []sidecar) {
 	var hub bool
 	duty.Locked(&n.mu, func() { hub = n.roster.IsHub(time.Now()) })
-	to := roster.Some(all, someSidecars, random)
+	to := roster.RandomSubset(all, someSidecars, random)
 	if hub {
 		to = append(to, keep(all, func(s sidecar) bool { return s.domain == n.domain })...)
 	}
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -67,9 +67,9 @@
 func (n *Neighbours) readersThat(able bool) (list []string, seeing bool) {
 	var blind []string
 	var near []roster.Gateway
-	duty.Locked(&n.mu, func() { near = n.roster.Near(time.Now()) })
+	duty.Locked(&n.mu, func() { near = n.roster.SameDomain(time.Now()) })
 	for _, g := range near {
-		if g.Blind {
+		if g.StoreUnreachable {
 			blind = append(blind, g.Address)
 		} else {
 			list = append(list, g.Address)
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -72,7 +72,7 @@
 // entrust tells some sidecars of ends: they tell gateways that have just started.
 func (n *Neighbours) entrust(sidecars []sidecar) {
 	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
-		n.socket.SendAll(addressesOf(roster.Some(sidecars, entrusted, random)), peers.Message{Ends: list})
+		n.socket.SendAll(addressesOf(roster.RandomSubset(sidecars, entrusted, random)), peers.Message{Ends: list})
 	}
 }
 
