--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package passes judges how many requests a group of ranks may hold so that its
-// passes stay within the pause that callers allow between two events. All ranks
-// of a group make each pass together, so a group is judged as a whole; which rank
-// takes a request is package balance's matter. It is a pure state machine: time
-// and chance come in as arguments, and the caller serialises access.
+// Package passes limits the number of requests that a group of ranks may hold so that
+// its passes through the model stay within the pause that callers allow between two
+// events of a stream. All ranks of a group make each pass together, so the limit
+// applies to a group as a whole; package balance chooses the rank for a request. It
+// is a pure state machine: time and randomness are passed as arguments, and the
+// caller serialises access.
 package passes
 
 import (
@@ -15,94 +16,96 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// Shape is what is published of the engines of a group and of what their callers
-// want.
+// Shape holds the published properties of the engines of a group, and the
+// requirements of their callers.
 type Shape struct {
-	Base   float64       // Requests whose work equals that of a pass without any.
-	Slots  int           // Requests that a rank runs at once.
-	Empty  time.Duration // Pass without any request, at an even load.
-	Pause  time.Duration // Longest pause between two events that is in time; 0 for none.
-	Passes float64       // That a usual answer takes.
+	FixedCost       float64       // Cost of a pass without requests, as the number of requests that add the same cost.
+	Slots           int           // Requests that a rank runs concurrently.
+	EmptyPass       time.Duration // Duration of a pass without requests, at an even load.
+	MaxPause        time.Duration // Maximum pause between two events for a stream to be in time; 0 for no limit.
+	PassesPerAnswer float64       // Number of passes that an average answer takes.
 }
 
 // NewShape returns the shape of engines whose callers allow a pause between two events.
 func NewShape(e *fleet.Engine, pause time.Duration) Shape {
 	return Shape{
-		Base:   max(float64(e.StepTime)/float64(e.WriterTime), 1),
-		Slots:  e.Slots,
-		Empty:  e.StepTime * time.Duration(e.StepsInPass),
-		Pause:  pause,
-		Passes: e.UsualAnswer / float64(max(e.StepsInPass, 1)),
+		FixedCost:       max(float64(e.StepTime)/float64(e.WriterTime), 1),
+		Slots:           e.Slots,
+		EmptyPass:       e.StepTime * time.Duration(e.StepsInPass),
+		MaxPause:        pause,
+		PassesPerAnswer: e.UsualAnswer / float64(max(e.StepsInPass, 1)),
 	}
 }
 
-// Rank is what a rank tells.
-type Rank struct {
-	Running int
-	Pass    time.Duration // Time of a pass; 0 when not known.
-	Pace    float64       // Above 1 when it is slow.
-	Closed  bool          // Its group serves nothing now.
-	At      time.Time
+// RankReport is the load of a rank as it reports it.
+type RankReport struct {
+	Running  int
+	PassTime time.Duration // Duration of a pass; 0 if unknown.
+	Slowdown float64       // Factor by which the rank is slower than normal, above 1 if it is slow.
+	Closed   bool          // Its group serves no requests now.
+	At       time.Time     // Time of the report.
 }
 
 const (
-	// rankAge is how long a rank's word counts: ranks tell several times a second.
-	rankAge = 1500 * time.Millisecond
-	// gapAge is how long pauses that were seen count, in the longest one that is in
-	// time: they come with each pass while a stream is under way here.
-	gapAge = 3
-	// gapWeight is the weight of the newest pause: a pass is seen in those of all
-	// streams here, one after the other.
+	// maxReportAge is how long a rank's report is valid: ranks report several times a second.
+	maxReportAge = 1500 * time.Millisecond
+	// gapValidity is how long observed pauses are valid, in multiples of MaxPause: each pass
+	// produces one while this process has a stream.
+	gapValidity = 3
+	// gapWeight is the weight of the newest pause in the moving average: one pass appears in the
+	// pauses of all streams of this process, one after the other.
 	gapWeight = 0.4
-	// firstWeight is the weight of the newest time to a first event: as in the usual
-	// estimate of round trips.
+	// firstWeight is the weight of the newest time to a first event, as in the standard
+	// round-trip time estimation.
 	firstWeight = 0.125
-	// hopelessShare is the part of that pause from which on a slow rank's empty
-	// pass leaves no answer in time.
-	hopelessShare = 0.95
-	// guessedFill is the part of the longest pause that a pass may last by what a process
-	// knows that sees a group by its own streams and by late reports: the rest is for
-	// prompts that come together and for requests that other gateways let in meanwhile.
-	guessedFill = 0.85
-	// slowShare is the part of what a slow rank's empty pass leaves of that pause
-	// that passes may fill; guessedFill of the whole may be out of reach then.
-	slowShare = 0.5
-	// leastLet is how many requests a rank gets however long its passes are: with
-	// fewer, a pass is mostly work that it makes without any.
-	leastLet = 4
-	// vacateShare is the part of the longest pause from which on a rank is cleared if
-	// its slowness makes a pass so long with a single request: then nothing that its
-	// group answers is in time until it holds none.
-	vacateShare = 0.5
-	// vacateFill is the part of the slots of the other ranks that may be taken when
-	// the requests of slow ranks are moved to them.
-	vacateFill = 0.9
+	// hopelessFraction is the fraction of MaxPause above which the empty pass of a slow rank
+	// leaves no answer in time.
+	hopelessFraction = 0.95
+	// estimateFill is the fraction of MaxPause that a pass may last if the limit is estimated by a
+	// process that knows a group only by its own streams and by delayed reports. The remainder is
+	// headroom for prompts that arrive together and for requests that other gateways admit in the
+	// meantime.
+	estimateFill = 0.85
+	// slowFill is the fraction of the time between a slow rank's empty pass and MaxPause that
+	// passes may fill: estimateFill of MaxPause may be unreachable with a slow rank.
+	slowFill = 0.5
+	// minEstimate is the minimum number of requests per rank, however long passes are: with fewer,
+	// most of a pass is its fixed cost.
+	minEstimate = 4
+	// moveThreshold is the fraction of MaxPause that the empty pass of a slow rank must exceed for
+	// its requests to be moved to other ranks: a single request makes a pass of the whole group
+	// last so long that its answers are late until the rank holds no request.
+	moveThreshold = 0.5
+	// moveFill is the maximum fraction of the slots of the other ranks in use for the requests of
+	// slow ranks to be moved to them.
+	moveFill = 0.9
 )
 
-// group is what is known of one group.
+// group is the state of one group.
 type group struct {
-	shape Shape
-	ranks map[string]Rank
-	words int           // Of ranks since round.
-	round time.Time     // When as many words as there are ranks had last come.
-	gap   time.Duration // Smoothed pause between events of streams here; 0 before the first.
-	gapAt time.Time
-	first estimate.Time // From sending a request to its first event.
-	told  toldLimit
+	shape          Shape
+	ranks          map[string]RankReport
+	reportsInRound int           // Number of reports since lastRound.
+	lastRound      time.Time     // Time of the last report that completed a round: as many reports as there are ranks.
+	gap            time.Duration // Moving average of pauses between stream events of this process; 0 before the first.
+	gapAt          time.Time
+	firstEvent     estimate.Time // Time from sending a request to its first event.
+	announced      leaderLimit
 }
 
-// Tracker follows the passes of groups.
+// Tracker tracks the passes of groups.
 type Tracker struct {
-	groups map[string]*group
-	member map[string]string // Group by endpoint.
+	groups  map[string]*group
+	groupOf map[string]string // Name of the group by endpoint.
 }
 
-// New returns a tracker that knows no group.
-func New() *Tracker { return &Tracker{groups: map[string]*group{}, member: map[string]string{}} }
+// New returns a tracker without groups.
+func New() *Tracker { return &Tracker{groups: map[string]*group{}, groupOf: map[string]string{}} }
 
-// Report takes in what a rank tells of itself and its group.
-func (t *Tracker) Report(id, name string, s Shape, r Rank) {
-	if before, ok := t.member[id]; ok && before != name {
+// Report records the report of a rank, the endpoint id, with the name and shape of its group; an
+// empty name is a rank without a group.
+func (t *Tracker) Report(id, name string, s Shape, r RankReport) {
+	if before, ok := t.groupOf[id]; ok && before != name {
 		t.forget(id)
 	}
 	if name == "" {
@@ -110,77 +113,77 @@
 	}
 	g := t.groups[name]
 	if g == nil {
-		g = &group{ranks: map[string]Rank{}, first: estimate.New(firstWeight)}
+		g = &group{ranks: map[string]RankReport{}, firstEvent: estimate.New(firstWeight)}
 		t.groups[name] = g
 	}
-	t.member[id] = name
+	t.groupOf[id] = name
 	g.shape = s
 	g.ranks[id] = r
-	if g.words++; g.words >= len(g.ranks) {
-		g.words, g.round = 0, r.At
+	if g.reportsInRound++; g.reportsInRound >= len(g.ranks) {
+		g.reportsInRound, g.lastRound = 0, r.At
 	}
 }
 
-// Gap takes in the pause before an event of a stream here: it is a pass, seen
-// sooner than ranks can tell of it.
-func (t *Tracker) Gap(id string, d time.Duration, now time.Time) {
-	g := t.groups[t.member[id]]
+// RecordGap records the pause before an event of a stream of this process. It is the duration of
+// a pass, observed before ranks can report it.
+func (t *Tracker) RecordGap(id string, d time.Duration, now time.Time) {
+	g := t.groups[t.groupOf[id]]
 	if g == nil {
 		return
 	}
-	if now.Sub(g.gapAt) > gapAge*g.shape.Pause {
+	if now.Sub(g.gapAt) > gapValidity*g.shape.MaxPause {
 		g.gap = d
 	}
 	g.gap += time.Duration(gapWeight * float64(d-g.gap))
 	g.gapAt = now
 }
 
-// First takes in how long a request took from being sent to its first event.
-func (t *Tracker) First(id string, d time.Duration) {
-	g := t.groups[t.member[id]]
+// RecordFirstEvent records the time from sending a request to its first event.
+func (t *Tracker) RecordFirstEvent(id string, d time.Duration) {
+	g := t.groups[t.groupOf[id]]
 	if g == nil {
 		return
 	}
-	g.first.Add(d)
+	g.firstEvent.Add(d)
 }
 
-// Usual returns the time until nearly all first events of an endpoint's group come and
-// that between two events of its streams, 0 where it is not known.
-func (t *Tracker) Usual(id string) (first, pass time.Duration) {
-	g := t.groups[t.member[id]]
+// TypicalTimes returns the time within which nearly all first events of an endpoint's group
+// arrive, and the time between two events of its streams; 0 if unknown.
+func (t *Tracker) TypicalTimes(id string) (first, pass time.Duration) {
+	g := t.groups[t.groupOf[id]]
 	if g == nil {
 		return 0, 0
 	}
-	if g.first.Known() {
-		first = g.first.Most()
+	if g.firstEvent.Known() {
+		first = g.firstEvent.Most()
 	}
 	return first, g.gap
 }
 
-// Turnover is how soon a group takes and answers requests.
+// Turnover is the rate at which a group completes requests, and its time to a first event.
 type Turnover struct {
-	Rate  float64       // Requests a second that end at one rank when it holds as many as it may.
-	First time.Duration // Until the first event of nearly all.
+	Rate       float64       // Requests per second that end at one rank when it holds as many as its limit.
+	FirstEvent time.Duration // Time within which nearly all first events arrive.
 }
 
-// Turnover returns that of a group which may hold so many requests a rank; ok is
-// false when it is not known.
+// Turnover returns the turnover of a group whose ranks may hold perRank requests each; ok is
+// false if it is not known.
 func (t *Tracker) Turnover(name string, perRank float64, now time.Time) (v Turnover, ok bool) {
 	g := t.groups[name]
-	if g == nil || g.shape.Passes <= 0 || !g.first.Known() {
+	if g == nil || g.shape.PassesPerAnswer <= 0 || !g.firstEvent.Known() {
 		return v, false
 	}
-	work, ok := g.work(now)
+	requestCost, ok := g.requestCost(now)
 	if !ok {
 		return v, false
 	}
-	pass := work * (g.shape.Base + perRank)
-	return Turnover{Rate: perRank / (g.shape.Passes * pass), First: g.first.Most()}, true
+	pass := requestCost * (g.shape.FixedCost + perRank)
+	return Turnover{Rate: perRank / (g.shape.PassesPerAnswer * pass), FirstEvent: g.firstEvent.Most()}, true
 }
 
-// Forget drops what is known of endpoints that are no longer listed.
+// Forget removes endpoints that are no longer listed.
 func (t *Tracker) Forget(listed func(id string) bool) {
-	for id := range t.member {
+	for id := range t.groupOf {
 		if !listed(id) {
 			t.forget(id)
 		}
@@ -188,8 +191,8 @@
 }
 
 func (t *Tracker) forget(id string) {
-	name := t.member[id]
-	delete(t.member, id)
+	name := t.groupOf[id]
+	delete(t.groupOf, id)
 	g := t.groups[name]
 	if g == nil {
 		return
@@ -199,161 +202,165 @@
 	}
 }
 
-// Group returns the group of an endpoint, "" when it is not known.
-func (t *Tracker) Group(id string) string { return t.member[id] }
+// GroupOf returns the name of an endpoint's group, "" if it is not known.
+func (t *Tracker) GroupOf(id string) string { return t.groupOf[id] }
 
-// Round returns the time by which as many words as a group has ranks had come once
-// more: what is known of it is no older than that, but for words that were lost.
-func (t *Tracker) Round(name string) (at time.Time) {
+// LastRound returns the time at which the last round of reports was complete, that is, as many
+// reports as the group has ranks. Except for lost reports, what is known of the group is no older
+// than a round before that.
+func (t *Tracker) LastRound(name string) (at time.Time) {
 	if g := t.groups[name]; g != nil {
-		at = g.round
+		at = g.lastRound
 	}
 	return at
 }
 
-// work returns how much a request adds to a pass, in seconds: the time of a pass
-// by the requests at a rank, with those that its empty part equals.
-func (g *group) work(now time.Time) (seconds float64, ok bool) {
+// requestCost returns the time, in seconds, that a request adds to a pass: the duration of a pass
+// divided by the requests per rank, including FixedCost.
+func (g *group) requestCost(now time.Time) (seconds float64, ok bool) {
 	n, pass, running := 0, time.Duration(0), 0
 	for _, r := range g.ranks {
-		if r.Closed || r.Pass <= 0 || now.Sub(r.At) > rankAge {
+		if r.Closed || r.PassTime <= 0 || now.Sub(r.At) > maxReportAge {
 			continue
 		}
 		n++
-		pass += r.Pass
+		pass += r.PassTime
 		running += min(r.Running, max(g.shape.Slots, 1))
 	}
 	if n == 0 {
 		return 0, false
 	}
 	mean := float64(running) / float64(n)
-	last := pass.Seconds() / float64(n)
-	if now.Sub(g.gapAt) <= gapAge*g.shape.Pause {
-		last = g.gap.Seconds()
+	passTime := pass.Seconds() / float64(n)
+	if now.Sub(g.gapAt) <= gapValidity*g.shape.MaxPause {
+		passTime = g.gap.Seconds()
 	}
-	return last / (g.shape.Base + mean), true
+	return passTime / (g.shape.FixedCost + mean), true
 }
 
-// Limit returns how many requests a rank of a group may hold in the mean: what was told
-// of it, or while that is old, what this process guesses. Ok is false when nothing is
-// known that limits it but its slots.
+// Limit returns how many requests a rank of a group may hold on average: the limit that the
+// group's leader announced, or this process's estimate if that is too old. The result ok is false
+// if only the slots are known to limit it.
 func (t *Tracker) Limit(name string, now time.Time) (perRank float64, ok bool) {
 	g := t.groups[name]
-	if g != nil && g.told.fresh(now) {
-		return g.told.perRank, true
+	if g != nil && g.announced.fresh(now) {
+		return g.announced.perRank, true
 	}
-	return t.Guess(name, now)
+	return t.Estimate(name, now)
 }
 
-// Guess is Limit by what this process knows itself.
-func (t *Tracker) Guess(name string, now time.Time) (perRank float64, ok bool) {
+// Estimate returns Limit as estimated by this process, without an announced limit.
+func (t *Tracker) Estimate(name string, now time.Time) (perRank float64, ok bool) {
 	g := t.groups[name]
-	if g == nil || g.shape.Pause <= 0 || g.shape.Slots <= 0 {
+	if g == nil || g.shape.MaxPause <= 0 || g.shape.Slots <= 0 {
 		return 0, false
 	}
-	work, ok := g.work(now)
+	requestCost, ok := g.requestCost(now)
 	if !ok {
 		return 0, false
 	}
-	return g.limit(work, guessedFill, leastLet, now), true
+	return g.limitFor(requestCost, estimateFill, minEstimate, now), true
 }
 
-// limit returns how many requests a rank may hold in the mean so that a pass to which each
-// adds so many seconds lasts a part of the longest pause, but no fewer than least.
-func (g *group) limit(work, fill, least float64, now time.Time) (perRank float64) {
-	pause, pace := g.shape.Pause.Seconds(), g.pace(now)
-	empty := pace * g.shape.Empty.Seconds()
-	if empty > hopelessShare*pause {
-		return float64(g.shape.Slots) // Nothing is in time: as many as possible are served.
+// limitFor returns how many requests a rank may hold on average so that a pass, to which each
+// request adds requestCost seconds, lasts at most the fraction fill of MaxPause; at least minPerRank.
+func (g *group) limitFor(requestCost, fill, minPerRank float64, now time.Time) (perRank float64) {
+	pause, slowdown := g.shape.MaxPause.Seconds(), g.slowdown(now)
+	empty := slowdown * g.shape.EmptyPass.Seconds()
+	if empty > hopelessFraction*pause {
+		return float64(g.shape.Slots) // No answer is in time: serve as many as possible.
 	}
-	most := fill * pause
-	if pace > 1 {
-		most = max(most, empty+slowShare*(pause-empty))
+	maxPass := fill * pause
+	if slowdown > 1 {
+		maxPass = max(maxPass, empty+slowFill*(pause-empty))
 	}
-	return min(max(most/work-g.shape.Base, least), float64(g.shape.Slots))
+	return min(max(maxPass/requestCost-g.shape.FixedCost, minPerRank), float64(g.shape.Slots))
 }
 
-// pace returns that of the slowest rank that holds requests, at least 1: one that
-// holds none makes no part of a pass but that of its experts.
-func (g *group) pace(now time.Time) float64 {
-	pace := 1.0
+// slowdown returns the slowdown of the slowest rank that holds requests, at least 1. A rank
+// without requests contributes only the work of its experts to a pass.
+func (g *group) slowdown(now time.Time) float64 {
+	slowest := 1.0
 	for _, r := range g.ranks {
-		if !r.Closed && r.Running > 0 && now.Sub(r.At) <= rankAge {
-			pace = max(pace, r.Pace)
+		if !r.Closed && r.Running > 0 && now.Sub(r.At) <= maxReportAge {
+			slowest = max(slowest, r.Slowdown)
 		}
 	}
-	return pace
+	return slowest
 }
 
-// Vacate reports whether the requests at an endpoint are to be moved to other
-// ranks of its group, since it is so slow that all passes take too long by it.
-func (t *Tracker) Vacate(id string, now time.Time) bool {
-	g := t.groups[t.member[id]]
-	if g == nil || !g.slow(g.ranks[id]) {
+// ShouldMoveRequests reports whether the requests at an endpoint are to be moved to other ranks of
+// its group, because it is so slow that it makes all passes too long. The other ranks must have
+// capacity for them.
+func (t *Tracker) ShouldMoveRequests(id string, now time.Time) bool {
+	g := t.groups[t.groupOf[id]]
+	if g == nil || !g.isSlow(g.ranks[id]) {
 		return false
 	}
-	running, room := 0, 0
+	running, capacity := 0, 0
 	for _, r := range g.ranks {
-		if r.Closed || now.Sub(r.At) > rankAge {
+		if r.Closed || now.Sub(r.At) > maxReportAge {
 			continue
 		}
 		running += r.Running
-		if !g.slow(r) {
-			room += g.shape.Slots
+		if !g.isSlow(r) {
+			capacity += g.shape.Slots
 		}
 	}
-	return float64(running) <= vacateFill*float64(room)
+	return float64(running) <= moveFill*float64(capacity)
 }
 
-func (g *group) slow(r Rank) bool {
-	return r.Pace > 1 && r.Pace*g.shape.Empty.Seconds() > vacateShare*g.shape.Pause.Seconds()
+func (g *group) isSlow(r RankReport) bool {
+	return r.Slowdown > 1 && r.Slowdown*g.shape.EmptyPass.Seconds() > moveThreshold*g.shape.MaxPause.Seconds()
 }
 
-// Offer is a group that could take a request.
-type Offer struct {
-	Ranks  int       // That may be chosen.
-	Busy   int       // Requests at them.
-	Limit  float64   // That one of them may hold in the mean.
-	Near   int       // Ranks in the failure domain of the process.
-	Heard  time.Time // When one of its ranks was last heard; zero when none ever was.
-	Silent bool      // It is passed over, since others are heard and it is not.
+// Option is a group that could take a request, as input to Choose.
+type Option struct {
+	Ranks      int       // Ranks that may be chosen.
+	Requests   int       // Requests that these ranks hold.
+	Limit      float64   // Requests that one of these ranks may hold on average.
+	SameDomain int       // Ranks in the failure domain of this process.
+	LastReport time.Time // Time of the last report of any of its ranks; zero before the first.
+	Silent     bool      // It is skipped, as other groups report and it does not.
 }
 
-// silentAfter is how long nothing is heard of a whole group that is cut off: each of its
-// ranks tells of itself at least every half second, a large group's leader ten times a
-// second, and messages are lost one by one. Connections to it say nothing for longer.
+// silentAfter is the time without any report after which a whole group counts as partitioned off:
+// each of its ranks reports at least every half second, the leader of a large group ten times a
+// second, and single lost messages do not silence a group. Connections to the group take longer
+// to show a partition.
 const silentAfter = 400 * time.Millisecond
 
-// LeaveSilent marks the groups of which nothing is heard any more while others are
-// heard. Where none is, the process itself is cut off, and all count.
-func LeaveSilent(offers []Offer, now time.Time) {
-	heard := func(o Offer) bool { return now.Sub(o.Heard) <= silentAfter }
-	if !slices.ContainsFunc(offers, heard) {
+// MarkSilent marks the groups without recent reports if other groups have recent ones. If none
+// has, this process itself is partitioned off, and no group is marked.
+func MarkSilent(options []Option, now time.Time) {
+	reported := func(o Option) bool { return now.Sub(o.LastReport) <= silentAfter }
+	if !slices.ContainsFunc(options, reported) {
 		return
 	}
-	for i, o := range offers {
-		offers[i].Silent = !o.Heard.IsZero() && !heard(o)
+	for i, o := range options {
+		options[i].Silent = !o.LastReport.IsZero() && !reported(o)
 	}
 }
 
-// Room is how many more requests the group may take.
-func (o Offer) Room() float64 { return o.Limit*float64(o.Ranks) - float64(o.Busy) }
+// FreeCapacity returns how many more requests the group may take.
+func (o Option) FreeCapacity() float64 { return o.Limit*float64(o.Ranks) - float64(o.Requests) }
 
-// nearWeight is how much more often a group is drawn if all its ranks are near:
-// bytes between failure domains are dear, yet groups must fill alike.
-const nearWeight = 2.0
+// sameDomainWeight is the factor by which a group is chosen more often if all its ranks are in the
+// failure domain of this process: traffic between failure domains is expensive, but all groups
+// must fill evenly.
+const sameDomainWeight = 2.0
 
-// Choose draws a group with the room that it has, so that gateways that see the
-// same do not all take the same one; ok is false when none has room for one more.
-func Choose(offers []Offer, random func(n int) int) (index int, ok bool) {
-	weights := make([]int, len(offers))
+// Choose chooses a random group, weighted by free capacity, so that gateways with the same view do
+// not all choose the same group; ok is false if no group has capacity for one more request.
+func Choose(options []Option, random func(n int) int) (index int, ok bool) {
+	weights := make([]int, len(options))
 	sum := 0
-	for i, o := range offers {
-		if o.Room() < 1 || o.Silent {
+	for i, o := range options {
+		if o.FreeCapacity() < 1 || o.Silent {
 			continue
 		}
-		near := 1 + (nearWeight-1)*float64(o.Near)/float64(max(o.Ranks, 1))
-		weights[i] = max(int(o.Room()*near*weightUnit), 1)
+		domainWeight := 1 + (sameDomainWeight-1)*float64(o.SameDomain)/float64(max(o.Ranks, 1))
+		weights[i] = max(int(o.FreeCapacity()*domainWeight*weightsPerRequest), 1)
 		sum += weights[i]
 	}
 	if sum == 0 {
@@ -365,8 +372,8 @@
 			return i, true
 		}
 	}
-	return len(offers) - 1, true
+	return len(options) - 1, true
 }
 
-// weightUnit is how many parts of a request's room a weight tells apart.
-const weightUnit = 8
+// weightsPerRequest is the resolution of weights: the weight of capacity for one request.
+const weightsPerRequest = 8
--- a/internal/decide/passes/told.go
+++ b/internal/decide/passes/told.go
@@ -8,76 +8,76 @@
 	"time"
 )
 
-// The limit of a large group is made in one place, its leader, which sees all ranks at
-// once and tells it with their loads. Gateways that each guessed it from the pauses of
-// their own few streams stood at 3.4 and 8.5 requests a rank at the same moment (a tenth
-// and nine tenths of them, 72 ranks): those that thought little let nobody in, while
-// the others filled the group beyond what any stream bears.
+// The limit of a large group is computed in one place, by its leader, which sees all ranks at
+// once and announces it with their loads. When each gateway estimated it from the pauses of its
+// own few streams, the estimates differed between 3.4 and 8.5 requests per rank at the same time
+// (10th and 90th percentile, 72 ranks): gateways with a low estimate admitted no requests, while
+// the others filled the group beyond what any stream tolerates.
 
-// toldAge is how long a limit that was told counts. It comes ten times a second; a
-// leader that fell silent is followed by another one within a second or so, and until
-// then each gateway goes by what it guesses.
-const toldAge = 1200 * time.Millisecond
+// maxLimitAge is how long an announced limit is valid. It is announced ten times a second; a
+// leader that stops reporting is replaced within about a second, and until then each gateway
+// uses its own estimate.
+const maxLimitAge = 1200 * time.Millisecond
 
-// toldLimit is the newest limit that was told of a group.
-type toldLimit struct {
-	perRank float64 // Requests; 0 when none was told.
+// leaderLimit is the newest limit that the leader of a group announced.
+type leaderLimit struct {
+	perRank float64 // Requests per rank; 0 if none was announced.
 	at      time.Time
 }
 
-func (l toldLimit) fresh(now time.Time) bool { return l.perRank > 0 && now.Sub(l.at) <= toldAge }
+func (l leaderLimit) fresh(now time.Time) bool { return l.perRank > 0 && now.Sub(l.at) <= maxLimitAge }
 
-// Told takes in the limit of a group that its leader tells, in requests a rank; 0 when it
-// does not know one.
-func (t *Tracker) Told(name string, perRank float64, at time.Time) {
-	if g := t.groups[name]; g != nil && !at.Before(g.told.at) {
-		g.told = toldLimit{perRank: perRank, at: at}
+// RecordAnnouncedLimit records the limit that the leader of a group announces, in requests per
+// rank; 0 if the leader does not know one.
+func (t *Tracker) RecordAnnouncedLimit(name string, perRank float64, at time.Time) {
+	if g := t.groups[name]; g != nil && !at.Before(g.announced.at) {
+		g.announced = leaderLimit{perRank: perRank, at: at}
 	}
 }
 
 const (
-	// toldFill is the part of the longest pause that a pass may last in the mean where the
-	// limit is made by who sees all ranks and all gateways keep to it: nothing has to be
-	// left for what others let in meanwhile. Of the passes of an answer the longest lasts a
-	// third longer than the mean, so some answers are late at the limit; a lower one turns
-	// more callers away than it brings in time.
-	toldFill = 0.95
-	// leastTold is the fewest requests a rank is let, however long its passes are: fewer
-	// leave most of a pass to work that it makes without any, and at the first map of a
-	// group, whose fullest rank has three times the mean, passes of three are just in time.
-	leastTold = 3
-	// smoothTime is the time constant with which the limit follows what it is computed to.
-	// After a shift of demand passes last twice as long for some tenths of a second, until
-	// a new map is in force: a limit that follows at once turns 260 of 620 callers away in
-	// that second, who would have been in time, and lets them all in a moment later.
-	smoothTime = time.Second
+	// leaderFill is the fraction of MaxPause that a pass may last on average if the leader, which
+	// sees all ranks, computes the limit and all gateways follow it: no headroom is needed for
+	// requests that others admit in the meantime. The longest pass of an answer lasts a third
+	// longer than the mean, so some answers are late at the limit; a lower limit would reject more
+	// callers than it would bring in time.
+	leaderFill = 0.95
+	// leaderMinimum is the minimum number of requests per rank, however long passes are: with
+	// fewer, most of a pass is its fixed cost, and under the first map of a group, whose most
+	// loaded rank has three times the mean load, passes with three requests are just in time.
+	leaderMinimum = 3
+	// smoothingTime is the time constant with which the limit follows its computed value. After a
+	// shift of demand, passes last twice as long for some tenths of a second, until a new map is
+	// active: a limit that follows at once rejects 260 of 620 callers in that second, who would
+	// have been served in time, and admits all callers again shortly after.
+	smoothingTime = time.Second
 )
 
-// Limiter makes the limit of one group from what all its ranks tell. The zero value knows
-// nothing yet.
+// Limiter computes the limit of one group from the reports of all its ranks. The zero value is
+// ready for use.
 type Limiter struct {
-	value float64 // Smoothed limit, requests a rank; 0 when none was made.
-	at    time.Time
+	smoothed float64   // Smoothed limit, requests per rank; 0 if there is none.
+	at       time.Time // Time of the last call of Next.
 }
 
-// Next takes in what the ranks tell and returns how many requests each may hold in the
-// mean; ok is false when nothing is known of passes, as when the group has just opened.
-func (l *Limiter) Next(s Shape, ranks []Rank, now time.Time) (perRank float64, ok bool) {
-	g := group{shape: s, ranks: make(map[string]Rank, len(ranks))}
+// Next processes the newest reports of all ranks and returns how many requests each may hold on
+// average; ok is false if no pass time is known, as when the group has just opened.
+func (l *Limiter) Next(s Shape, ranks []RankReport, now time.Time) (perRank float64, ok bool) {
+	g := group{shape: s, ranks: make(map[string]RankReport, len(ranks))}
 	for i, r := range ranks {
 		g.ranks[strconv.Itoa(i)] = r
 	}
-	work, ok := g.work(now)
-	if !ok || s.Pause <= 0 || s.Slots <= 0 {
+	requestCost, ok := g.requestCost(now)
+	if !ok || s.MaxPause <= 0 || s.Slots <= 0 {
 		*l = Limiter{}
 		return 0, false
 	}
-	passed := max(now.Sub(l.at), 0).Seconds()
-	limit := g.limit(work, toldFill, leastTold, now)
-	if l.value <= 0 {
-		l.value = limit
+	elapsed := max(now.Sub(l.at), 0).Seconds()
+	limit := g.limitFor(requestCost, leaderFill, leaderMinimum, now)
+	if l.smoothed <= 0 {
+		l.smoothed = limit
 	}
-	l.value += (1 - math.Exp(-passed/smoothTime.Seconds())) * (limit - l.value)
+	l.smoothed += (1 - math.Exp(-elapsed/smoothingTime.Seconds())) * (limit - l.smoothed)
 	l.at = now
-	return l.value, true
+	return l.smoothed, true
 }
--- a/internal/decide/passes/told_test.go
+++ b/internal/decide/passes/told_test.go
@@ -9,29 +9,29 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestWhatIsToldGoesBeforeWhatIsGuessedWhileItIsNew(t *testing.T) {
+func TestTheAnnouncedLimitTakesPrecedenceWhileItIsFresh(t *testing.T) {
 	at := time.Unix(1000, 0)
 	for _, tc := range []struct {
-		name  string
-		told  float64
-		after time.Duration
-		told6 bool // The limit is the one that was told.
+		name        string
+		announced   float64
+		after       time.Duration
+		isAnnounced bool // The limit is the announced one, 6.
 	}{
 		{"new", 6, 100 * time.Millisecond, true},
-		{"old", 6, toldAge + time.Millisecond, false},
+		{"old", 6, maxLimitAge + time.Millisecond, false},
 		{"the leader knows none", 0, 100 * time.Millisecond, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			tr := New()
 			now := at.Add(tc.after)
-			tr.Report("a", "g", Shape{Base: 4, Slots: 10, Empty: 24 * time.Millisecond, Pause: 120 * time.Millisecond}, Rank{Running: 8, Pass: 100 * time.Millisecond, At: now})
-			tr.Told("g", tc.told, at)
+			tr.Report("a", "g", Shape{FixedCost: 4, Slots: 10, EmptyPass: 24 * time.Millisecond, MaxPause: 120 * time.Millisecond}, RankReport{Running: 8, PassTime: 100 * time.Millisecond, At: now})
+			tr.RecordAnnouncedLimit("g", tc.announced, at)
 			limit, ok := tr.Limit("g", now)
 			g.Expect(ok).To(BeTrue())
-			guess, _ := tr.Guess("g", now)
+			guess, _ := tr.Estimate("g", now)
 			g.Expect(guess).To(BeNumerically("~", 8.2, 0.1))
-			if tc.told6 {
+			if tc.isAnnounced {
 				g.Expect(limit).To(Equal(6.0))
 			} else {
 				g.Expect(limit).To(Equal(guess))
@@ -40,20 +40,20 @@
 	}
 }
 
-// ranksAt returns ranks that each hold so many requests while a pass lasts so long.
-func ranksAt(running int, pass time.Duration, now time.Time) []Rank {
-	return []Rank{{Running: running, Pass: pass, At: now}, {Running: running, Pass: pass, At: now}}
+// ranksAt returns the reports of two ranks with the given requests and pass time.
+func ranksAt(running int, pass time.Duration, now time.Time) []RankReport {
+	return []RankReport{{Running: running, PassTime: pass, At: now}, {Running: running, PassTime: pass, At: now}}
 }
 
-var pauses = Shape{Base: 4, Slots: 10, Empty: 24 * time.Millisecond, Pause: 120 * time.Millisecond}
+var limiterShape = Shape{FixedCost: 4, Slots: 10, EmptyPass: 24 * time.Millisecond, MaxPause: 120 * time.Millisecond}
 
-// next has a limiter look ten times a second for a while at ranks that stay so.
-func next(g *WithT, l *Limiter, from time.Time, looks, running int, pass time.Duration) (perRank float64, until time.Time) {
+// runLimiter calls Next ten times per simulated second with unchanged reports.
+func runLimiter(g *WithT, l *Limiter, from time.Time, times, running int, pass time.Duration) (perRank float64, until time.Time) {
 	until = from
-	for range looks {
+	for range times {
 		until = until.Add(100 * time.Millisecond)
 		var ok bool
-		perRank, ok = l.Next(pauses, ranksAt(running, pass, until), until)
+		perRank, ok = l.Next(limiterShape, ranksAt(running, pass, until), until)
 		g.Expect(ok).To(BeTrue())
 	}
 	return perRank, until
@@ -62,24 +62,25 @@
 func TestAPassAtTheLimitFitsThePause(t *testing.T) {
 	g := NewWithT(t)
 	var l Limiter
-	limit, _ := next(g, &l, time.Unix(1000, 0), 20, 6, 100*time.Millisecond) // 10 ms a request.
-	g.Expect(10*(pauses.Base+limit)).To(BeNumerically("~", toldFill*120, 1), "what a pass lasts at the limit, ms")
+	limit, _ := runLimiter(g, &l, time.Unix(1000, 0), 20, 6, 100*time.Millisecond) // 10 ms per request.
+	g.Expect(10*(limiterShape.FixedCost+limit)).To(BeNumerically("~", leaderFill*120, 1), "duration of a pass at the limit, ms")
 }
 
-// A shift of demand makes passes last twice as long until a new map is in force, some
-// tenths of a second later. Who comes meanwhile is served under the new one.
-func TestALimitDoesNotFollowAShiftThatIsMendedAtOnce(t *testing.T) {
+// A shift of demand makes passes last twice as long until a new map is active, some tenths of a
+// second later. Callers that arrive in between are served under the new map and must not be
+// rejected.
+func TestALimitDoesNotFollowAShortShift(t *testing.T) {
 	g := NewWithT(t)
 	var l Limiter
-	calm, at := next(g, &l, time.Unix(1000, 0), 20, 6, 80*time.Millisecond)
-	shifted, at := next(g, &l, at, 4, 6, 150*time.Millisecond)
-	g.Expect(shifted).To(BeNumerically(">", 0.75*calm))
-	stays, _ := next(g, &l, at, 60, 6, 200*time.Millisecond)
-	g.Expect(stays).To(BeNumerically("~", leastTold, 0.2), "passes stay long")
+	before, at := runLimiter(g, &l, time.Unix(1000, 0), 20, 6, 80*time.Millisecond)
+	shifted, at := runLimiter(g, &l, at, 4, 6, 150*time.Millisecond)
+	g.Expect(shifted).To(BeNumerically(">", 0.75*before))
+	settled, _ := runLimiter(g, &l, at, 60, 6, 200*time.Millisecond)
+	g.Expect(settled).To(BeNumerically("~", leaderMinimum, 0.2), "passes remain long")
 }
 
-func TestALimitIsNotKnownWhileNoPassIs(t *testing.T) {
+func TestThereIsNoLimitWithoutAKnownPassTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	_, ok := new(Limiter).Next(pauses, ranksAt(3, 0, now), now)
+	_, ok := new(Limiter).Next(limiterShape, ranksAt(3, 0, now), now)
 	NewWithT(t).Expect(ok).To(BeFalse())
 }
--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -109,9 +109,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			gw := newStation(t, 1).g
-			tell := func(at time.Time) { gw.passes.Report("a", "g", passes.Shape{}, passes.Rank{At: at}) }
+			tell := func(at time.Time) { gw.passes.Report("a", "g", passes.Shape{}, passes.RankReport{At: at}) }
 			tell(time.Unix(1000, 0))
-			free, full := passes.Offer{Ranks: 1, Limit: 4}, passes.Offer{Ranks: 1, Limit: 4, Busy: 4}
+			free, full := passes.Option{Ranks: 1, Limit: 4}, passes.Option{Ranks: 1, Limit: 4, Requests: 4}
 			q := &request{g: gw, route: &fleet.Route{}}
 			g.Expect(q.takes(tc.group, full)).To(BeFalse(), "no place is free")
 			g.Expect(q.takes(tc.group, free)).To(BeFalse(), "nothing new was told since")
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -126,7 +126,7 @@
 	}
 	sole := q.soleGroup(list)
 	for i, c := range list {
-		group := cmp.Or(q.g.passes.Group(c.ID), sole)
+		group := cmp.Or(q.g.passes.GroupOf(c.ID), sole)
 		if !q.g.cold.Cold(c.ID, group, now) {
 			continue
 		}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -244,16 +244,16 @@
 		if !l.Closed {
 			g.cold.Opened(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
 		}
-		g.passes.Report(e.ID, l.Group, shape, passes.Rank{Running: l.Running, Pass: l.Pass, Pace: l.Pace, Closed: l.Closed, At: l.At})
+		g.passes.Report(e.ID, l.Group, shape, passes.RankReport{Running: l.Running, PassTime: l.Pass, Slowdown: l.Pace, Closed: l.Closed, At: l.At})
 	}
-	return ranked && g.passes.Vacate(e.ID, l.At)
+	return ranked && g.passes.ShouldMoveRequests(e.ID, l.At)
 }
 
 // hearLimit takes in the limit of a group, in requests a rank, that its leader tells.
 func (g *Gateway) hearLimit(group string, perRank float64, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.passes.Told(group, perRank, at)
+	g.passes.RecordAnnouncedLimit(group, perRank, at)
 	if perRank > 0 {
 		g.figures.limit.Update(perRank)
 	}
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -48,7 +48,7 @@
 	if !q.lastTry() || !q.mayTryOn() || q.kept != nil {
 		return e, false
 	}
-	until := q.keptUntil(max(q.turnover.First, q.route.Target/2))
+	until := q.keptUntil(max(q.turnover.FirstEvent, q.route.Target/2))
 	if q.allDown && q.opens.After(until) {
 		return e, false // It would wait in vain.
 	}
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -50,7 +50,7 @@
 	a := silence.Answer{Target: q.route.Target, Leaves: q.leavesAfter()}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	a.First, a.Pass = q.g.passes.Usual(e.ID)
+	a.First, a.Pass = q.g.passes.TypicalTimes(e.ID)
 	if took := q.g.took[q.service]; took != nil && a.First == 0 {
 		a.First = took.Most()
 	}
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -253,7 +253,7 @@
 		q.g.table.Misplaced(e.ID, time.Now())
 	}
 	if a.AtFault != "" {
-		q.downGroup, q.groupDown, q.downAt = q.g.passes.Group(e.ID), true, time.Now()
+		q.downGroup, q.groupDown, q.downAt = q.g.passes.GroupOf(e.ID), true, time.Now()
 	}
 }
 
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -136,10 +136,10 @@
 	if l.shape == nil || l.shape.WriterTime <= 0 {
 		return 0
 	}
-	ranks := make([]passes.Rank, 0, len(l.byRank))
+	ranks := make([]passes.RankReport, 0, len(l.byRank))
 	for _, m := range l.byRank {
 		if m != nil {
-			ranks = append(ranks, passes.Rank{Running: m.report.Running, Pass: pass, Pace: m.report.Pace, At: now})
+			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Pace, At: now})
 		}
 	}
 	perRank, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
