--- a/internal/decide/quarantine/key.go
+++ b/internal/decide/quarantine/key.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package quarantine decides which requests are not sent to endpoints any more since
-// endpoints ended under them. It is not for judging endpoints (package balance) or for
-// counting repeats (package retry).
+// Package quarantine decides which requests are no longer sent to endpoints because the processes
+// of endpoints ended while they ran these requests. Package balance judges endpoints, and package
+// retry counts retries.
 package quarantine
 
 import (
@@ -11,12 +11,12 @@
 	"encoding/hex"
 )
 
-// Key names all requests that are the same to an endpoint. A caller that comes again
-// uses a new id, and perhaps another of its keys or another gateway.
+// Key identifies all requests that are identical to an endpoint. A caller that retries uses a new
+// request id, and perhaps another of its API keys or another gateway.
 type Key [16]byte
 
-// KeyOf returns the key of a request: its method, host, target (path and query as the
-// caller sent them), customer ("" where none is needed) and body.
+// KeyOf returns the key of a request: a hash of its method, host, target (path and query as sent
+// by the caller), customer ("" if none is needed) and body.
 func KeyOf(method, host, target, customer string, body []byte) (k Key) {
 	h := sha256.New()
 	var length [8]byte
--- a/internal/decide/quarantine/key_test.go
+++ b/internal/decide/quarantine/key_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestKeysTellRequestsApart(t *testing.T) {
+func TestKeysDistinguishRequests(t *testing.T) {
 	base := KeyOf("POST", "h", "/a/b?c", "customer", []byte("body"))
 	for name, other := range map[string]Key{
 		"method":        KeyOf("PUT", "h", "/a/b?c", "customer", []byte("body")),
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -9,231 +9,231 @@
 	"time"
 )
 
-// The load that the package answers: a request ends the process of each endpoint that
-// begins to run it, and comes again, at any gateway. Each end costs a group of ranks some
-// seconds in which nobody is served, so two ends must do. But requests that were at an
-// endpoint by chance as it ended are no fault's, and among them are such as many callers
-// send alike; they must be let in again soon.
+// The failure that this package handles: a request ends the process of each endpoint that begins
+// to run it, and is retried at any gateway. Each end costs a group of ranks some seconds without
+// service, so the request must be held after at most two ends. But requests that were at an
+// endpoint when it ended for another reason are harmless, and some of them are sent identically by
+// many callers; they must be admitted again soon.
 
 const (
-	// firstHold is how long a request is held after it ended an endpoint once more: longer
-	// than any caller waits, so that trying it sooner would serve nobody who is there.
-	firstHold = time.Minute
-	// holdGrowth is by how much longer it is held after each trial that ended an endpoint:
-	// an end costs a group about five seconds, and so less than one second in a hundred
-	// from the second trial on.
+	// initialHold is how long a request is held after it ended another endpoint: longer than any
+	// caller waits, so that an earlier trial would serve no caller that still waits.
+	initialHold = time.Minute
+	// holdGrowth is the factor by which the hold grows after each trial that ended an endpoint: an
+	// end costs a group about five seconds, hence less than 1% of the time from the second trial on.
 	holdGrowth = 4
-	// longestHold bounds the growth: whoever mends the endpoints need not restart gateways.
-	longestHold = 6 * time.Hour
-	// keepFor is how long ends are remembered under which a request is not held.
-	keepFor = 15 * time.Minute
-	// oneCause is for how long ends may have one cause, such as a cut by resets: it showed
-	// for 0.6 s in requests that had been under way, and what depends on a rank that is gone
-	// stands for 1.5 s before it breaks off. A group of ranks takes longer to form again.
-	oneCause = 2 * time.Second
-	// trialEnds is how many ends that may have one cause make the request one that is tried
-	// at one place only. Fewer may be the loss of an instance or two; it is the number after
-	// which the users count what is sent.
-	trialEnds = 3
-	// mostKeys bounds what is remembered, and with it the memory: some 200 bytes an end.
-	mostKeys = 512
+	// maxHold bounds the growth, so that gateways need not be restarted after the endpoints are fixed.
+	maxHold = 6 * time.Hour
+	// retention is how long ends are remembered for a request that is not held.
+	retention = 15 * time.Minute
+	// sameCauseWindow is the time within which ends may have the same cause, such as a partition
+	// that resets connections: requests in flight failed over 0.6 s, and requests that depend on a
+	// lost rank stall for 1.5 s before they are aborted. A group of ranks takes longer to form again.
+	sameCauseWindow = 2 * time.Second
+	// minEndsForTrial is the number of ends that may have the same cause after which the request is
+	// only sent as a trial, by one gateway. Fewer ends may be the loss of one or two instances. It
+	// is also the number of ends after which the users' requirements count what is sent.
+	minEndsForTrial = 3
+	// maxKeys bounds the number of keys, and with it the memory: about 200 bytes per end.
+	maxKeys = 512
 )
 
-// Sending is what was known of a request when it was sent to an endpoint.
-type Sending int
+// Knowledge is what was known of earlier ends during a request when it was sent to an endpoint.
+type Knowledge int
 
-// The kinds of sending.
+// The kinds of knowledge, in ascending order of severity.
 const (
-	Unknowing Sending = iota // No end under the request was known but of late: its end may be one of several by one cause.
-	Knowing                  // An end was known, and this one has another cause.
-	OnTrial                  // The request was held, and was sent to see whether it still ends endpoints.
+	NoKnownEnd Knowledge = iota // No end, or only recent ones: an end may be one of several with the same cause.
+	KnownEnd                    // An earlier end was known; another one has a different cause.
+	OnTrial                     // The request was held, and was sent to test whether it still ends endpoints.
 )
 
-// End tells that an endpoint's process ended while it ran a request.
+// End records that an endpoint's process ended while it ran a request.
 type End struct {
-	Key      Key
-	Endpoint string // One life of it.
-	Sending  Sending
-	// Void is set once the end counts no more: the request ran to its end elsewhere, so it
-	// was there by chance, or the endpoint lives on and was only cut off.
+	Key       Key
+	Endpoint  string // Id of one process of the endpoint.
+	Knowledge Knowledge
+	// Void is set when the end no longer counts: the request completed elsewhere, so it did not
+	// cause the end, or the process still runs and was only partitioned off.
 	Void bool
 	At   time.Time
 }
 
-// Verdict says whether a request may be sent.
+// Verdict is the decision whether a request may be sent.
 type Verdict int
 
 // The verdicts.
 const (
 	Free  Verdict = iota
-	Trial         // One may be sent, by the gateway that owns its key.
+	Trial         // One request may be sent, by the gateway that owns its key.
 	Held
 )
 
-// record is an end and when it was last told to others; zero when that is due.
+// record is an end and the time when it was last sent to other processes; zero if it is yet to be
+// sent in its present state.
 type record struct {
 	End
-	told time.Time
+	lastSent time.Time
 }
 
-// entry is what is known of one key.
+// entry holds the ends and the trial of one key.
 type entry struct {
-	ends  map[string]*record // By endpoint.
-	trial time.Time          // Until when a trial is under way.
+	ends       map[string]*record // By endpoint.
+	trialUntil time.Time          // Time until which a trial runs at most; zero without one.
 }
 
-// Book is what one process knows of ends. It is not safe for concurrent use. What several
-// books know converges however they tell each other: an end is added, and may become
-// void, and neither is taken back before it lapses.
-type Book struct {
+// History holds the ends that one process knows. It is not safe for concurrent use. The histories
+// of several processes converge in whatever order they exchange ends: an end is added, and may
+// become void, and neither is undone before it expires.
+type History struct {
 	entries map[Key]*entry
 }
 
-// New returns an empty book.
-func New() *Book { return &Book{entries: map[Key]*entry{}} }
+// New returns an empty history.
+func New() *History { return &History{entries: map[Key]*entry{}} }
 
 // Empty reports whether no end is known.
-func (b *Book) Empty() bool { return len(b.entries) == 0 }
+func (b *History) Empty() bool { return len(b.entries) == 0 }
 
-// Add takes in an end, and when it was last told to others: zero for one that was seen here,
-// and now for one that another process told, which tells all others itself. It reports
-// whether it tells anything new.
-func (b *Book) Add(e End, told time.Time) bool {
+// Add records an end. The time lastSent is zero for an end that this process observed, and now for
+// one received from another process, which sends it to all others itself. Add reports whether
+// the end changed the history.
+func (b *History) Add(e End, lastSent time.Time) bool {
 	known, ok := b.entries[e.Key]
 	if !ok {
-		b.makeRoom()
+		b.evict()
 		known = &entry{ends: map[string]*record{}}
 		b.entries[e.Key] = known
 	}
 	r, ok := known.ends[e.Endpoint]
 	if !ok {
-		known.ends[e.Endpoint] = &record{End: e, told: told}
+		known.ends[e.Endpoint] = &record{End: e, lastSent: lastSent}
 		return true
 	}
-	if r.Void == (r.Void || e.Void) && r.Sending >= e.Sending {
+	if r.Void == (r.Void || e.Void) && r.Knowledge >= e.Knowledge {
 		return false
 	}
-	r.Void, r.Sending = r.Void || e.Void, max(r.Sending, e.Sending)
-	r.told = told
+	r.Void, r.Knowledge = r.Void || e.Void, max(r.Knowledge, e.Knowledge)
+	r.lastSent = lastSent
 	return true
 }
 
-// makeRoom forgets a key when there are too many: of those that are not held if there are
-// any, the one whose last end is the oldest.
-func (b *Book) makeRoom() {
-	if len(b.entries) < mostKeys {
+// evict removes a key if there are maxKeys: the one with the least severe knowledge, so that held
+// requests are kept if possible, and among those the one with the oldest last end.
+func (b *History) evict() {
+	if len(b.entries) < maxKeys {
 		return
 	}
 	keys := slices.Collect(maps.Keys(b.entries))
 	drop := slices.MinFunc(keys, func(x, y Key) int {
 		ex, ey := b.entries[x], b.entries[y]
-		return cmp.Or(cmp.Compare(ex.gravity(), ey.gravity()), ex.last().Compare(ey.last()))
+		return cmp.Or(cmp.Compare(ex.maxKnowledge(), ey.maxKnowledge()), ex.lastAt().Compare(ey.lastAt()))
 	})
 	delete(b.entries, drop)
 }
 
-// Sound takes in that a request ran to its end; it reports whether an end under it had
-// counted.
-func (b *Book) Sound(k Key) bool {
+// RecordCompletion records that a request completed, which makes its ends void. It reports whether
+// any of them had counted.
+func (b *History) RecordCompletion(k Key) bool {
 	e := b.entries[k]
 	if e == nil {
 		return false
 	}
-	e.trial = time.Time{}
+	e.trialUntil = time.Time{}
 	counted := false
 	for _, r := range e.ends {
 		if !r.Void {
-			r.Void, r.told, counted = true, time.Time{}, true
+			r.Void, r.lastSent, counted = true, time.Time{}, true
 		}
 	}
 	return counted
 }
 
-// Alive takes in that an endpoint answered what was sent to it at a moment: it had not ended
-// before. It reports whether an end of it had counted.
-func (b *Book) Alive(endpoint string, sentAt time.Time) bool {
+// RecordAnswer records that an endpoint answered a request sent at sentAt, which shows that its
+// process had not ended before. It reports whether an end of it had counted.
+func (b *History) RecordAnswer(endpoint string, sentAt time.Time) bool {
 	counted := false
 	for _, e := range b.entries {
 		if r := e.ends[endpoint]; r != nil && !r.Void && sentAt.After(r.At) {
-			r.Void, r.told, counted = true, time.Time{}, true
+			r.Void, r.lastSent, counted = true, time.Time{}, true
 		}
 	}
 	return counted
 }
 
-// Sending returns what is known of a request that is sent now.
-func (b *Book) Sending(k Key, now time.Time) Sending {
+// KnowledgeOf returns the knowledge of ends with which a request is sent now.
+func (b *History) KnowledgeOf(k Key, now time.Time) Knowledge {
 	if e := b.entries[k]; e != nil {
 		for _, r := range e.counted() {
-			if now.Sub(r.At) > oneCause {
-				return Knowing
+			if now.Sub(r.At) > sameCauseWindow {
+				return KnownEnd
 			}
 		}
 	}
-	return Unknowing
+	return NoKnownEnd
 }
 
-// Judge returns whether a request may be sent, and for how long it is still held.
-func (b *Book) Judge(k Key, now time.Time) (v Verdict, left time.Duration) {
+// Judge returns whether a request may be sent, and the remaining time of its hold.
+func (b *History) Judge(k Key, now time.Time) (v Verdict, left time.Duration) {
 	e := b.entries[k]
 	if e == nil {
 		return Free, 0
 	}
 	ends := e.counted()
-	gravity := e.gravity()
-	if gravity == Unknowing {
-		if len(ends) < trialEnds {
+	knowledge := e.maxKnowledge()
+	if knowledge == NoKnownEnd {
+		if len(ends) < minEndsForTrial {
 			return Free, 0
 		}
-		if left = e.lastCounted().Add(oneCause).Sub(now); left > 0 {
-			return Held, left // A trial would meet what ended them.
+		if left = e.lastCountedAt().Add(sameCauseWindow).Sub(now); left > 0 {
+			return Held, left // A trial could fail by the same cause.
 		}
 		return Trial, 0
 	}
-	if left = e.lastCounted().Add(holdAfter(e.trials())).Sub(now); left > 0 {
+	if left = e.lastCountedAt().Add(holdAfter(e.failedTrials())).Sub(now); left > 0 {
 		return Held, left
 	}
 	return Trial, 0
 }
 
-// holdAfter returns how long a request is held of which so many trials failed.
+// holdAfter returns how long a request is held after the given number of failed trials.
 func holdAfter(trials int) time.Duration {
-	hold := firstHold
+	hold := initialHold
 	for range trials {
-		hold = min(hold*holdGrowth, longestHold)
+		hold = min(hold*holdGrowth, maxHold)
 	}
 	return hold
 }
 
-// Begin begins a trial of a request, which lasts until a moment at most; it reports false
-// while another one is under way.
-func (b *Book) Begin(k Key, now, until time.Time) bool {
+// BeginTrial begins a trial of a request, which ends at the given time at the latest. It reports
+// false if another trial of the request has not ended, or if no end is known.
+func (b *History) BeginTrial(k Key, now, until time.Time) bool {
 	e := b.entries[k]
-	if e == nil || now.Before(e.trial) {
+	if e == nil || now.Before(e.trialUntil) {
 		return false
 	}
-	e.trial = until
+	e.trialUntil = until
 	return true
 }
 
-// EndTrial ends a trial of which nothing was learned.
-func (b *Book) EndTrial(k Key) {
+// EndTrial ends a trial without a result.
+func (b *History) EndTrial(k Key) {
 	if e := b.entries[k]; e != nil {
-		e.trial = time.Time{}
+		e.trialUntil = time.Time{}
 	}
 }
 
-// Forget drops what has lapsed.
-func (b *Book) Forget(now time.Time) {
+// Forget removes the keys whose ends have expired.
+func (b *History) Forget(now time.Time) {
 	for k, e := range b.entries {
-		if now.Sub(e.last()) > max(keepFor, holdGrowth*holdAfter(e.trials())) {
+		if now.Sub(e.lastAt()) > max(retention, holdGrowth*holdAfter(e.failedTrials())) {
 			delete(b.entries, k)
 		}
 	}
 }
 
-// Held returns how many requests are held.
-func (b *Book) Held(now time.Time) (n int) {
+// Held returns the number of requests that are held.
+func (b *History) Held(now time.Time) (n int) {
 	for k := range b.entries {
 		if v, _ := b.Judge(k, now); v == Held {
 			n++
@@ -242,32 +242,33 @@
 	return n
 }
 
-// Tell returns so many ends to tell all others: those first that were not told for longest.
-func (b *Book) Tell(most int, now time.Time) (list []End) {
+// NextToSend returns up to limit ends to send to all other processes, and marks them as sent: those
+// first that were sent least recently.
+func (b *History) NextToSend(limit int, now time.Time) (list []End) {
 	all := b.all()
-	slices.SortFunc(all, func(x, y *record) int { return cmp.Or(x.told.Compare(y.told), x.compareNewest(y)) })
-	for _, r := range all[:min(most, len(all))] {
-		r.told = now
+	slices.SortFunc(all, func(x, y *record) int { return cmp.Or(x.lastSent.Compare(y.lastSent), x.compareNewest(y)) })
+	for _, r := range all[:min(limit, len(all))] {
+		r.lastSent = now
 		list = append(list, r.End)
 	}
 	return list
 }
 
-// Gravest returns so many ends to tell one process that may know none: those first under
-// which requests are held.
-func (b *Book) Gravest(most int) (list []End) {
+// MostSevere returns up to limit ends to send to one process that may know none: those of held
+// requests first.
+func (b *History) MostSevere(limit int) (list []End) {
 	all := b.all()
 	slices.SortFunc(all, func(x, y *record) int {
-		return cmp.Or(cmp.Compare(b.entries[y.Key].gravity(), b.entries[x.Key].gravity()), x.compareNewest(y))
+		return cmp.Or(cmp.Compare(b.entries[y.Key].maxKnowledge(), b.entries[x.Key].maxKnowledge()), x.compareNewest(y))
 	})
-	for _, r := range all[:min(most, len(all))] {
+	for _, r := range all[:min(limit, len(all))] {
 		list = append(list, r.End)
 	}
 	return list
 }
 
-// all returns all ends, in no order.
-func (b *Book) all() (list []*record) {
+// all returns all ends, in unspecified order.
+func (b *History) all() (list []*record) {
 	for _, e := range b.entries {
 		for _, r := range e.ends {
 			list = append(list, r)
@@ -276,14 +277,14 @@
 	return list
 }
 
-// compareNewest puts newer ends first; the rest only makes the order certain.
+// compareNewest orders newer ends first, and by key and endpoint for a deterministic order.
 func (r *record) compareNewest(other *record) int {
 	return cmp.Or(other.At.Compare(r.At), slices.Compare(r.Key[:], other.Key[:]), cmp.Compare(r.Endpoint, other.Endpoint))
 }
 
-// Untold reports whether an end waits that was never told as it is now.
-func (b *Book) Untold() bool {
-	return slices.ContainsFunc(b.all(), func(r *record) bool { return r.told.IsZero() })
+// HasUnsent reports whether there is an end that was never sent in its present state.
+func (b *History) HasUnsent() bool {
+	return slices.ContainsFunc(b.all(), func(r *record) bool { return r.lastSent.IsZero() })
 }
 
 // counted returns the ends that count against the request.
@@ -296,26 +297,26 @@
 	return list
 }
 
-// gravity returns the gravest sending of those that count.
-func (e *entry) gravity() (s Sending) {
+// maxKnowledge returns the most severe knowledge among the ends that count.
+func (e *entry) maxKnowledge() (s Knowledge) {
 	for _, r := range e.counted() {
-		s = max(s, r.Sending)
+		s = max(s, r.Knowledge)
 	}
 	return s
 }
 
-// trials returns how many trials ended an endpoint.
-func (e *entry) trials() (n int) {
+// failedTrials returns the number of trials that ended an endpoint.
+func (e *entry) failedTrials() (n int) {
 	for _, r := range e.counted() {
-		if r.Sending == OnTrial {
+		if r.Knowledge == OnTrial {
 			n++
 		}
 	}
 	return n
 }
 
-// lastCounted returns when the last end was that counts.
-func (e *entry) lastCounted() (at time.Time) {
+// lastCountedAt returns the time of the last end that counts.
+func (e *entry) lastCountedAt() (at time.Time) {
 	for _, r := range e.counted() {
 		if r.At.After(at) {
 			at = r.At
@@ -324,8 +325,8 @@
 	return at
 }
 
-// last returns when the last end was.
-func (e *entry) last() (at time.Time) {
+// lastAt returns the time of the last end, whether it counts or not.
+func (e *entry) lastAt() (at time.Time) {
 	for _, r := range e.ends {
 		if r.At.After(at) {
 			at = r.At
@@ -334,11 +335,11 @@
 	return at
 }
 
-// Valid reports whether s is one of the kinds of sending.
-func (s Sending) Valid() bool { return s >= Unknowing && s <= OnTrial }
+// Valid reports whether s is one of the kinds of knowledge.
+func (s Knowledge) Valid() bool { return s >= NoKnownEnd && s <= OnTrial }
 
 // String returns the name for logs.
-func (s Sending) String() string { return [...]string{"unknowing", "knowing", "on trial"}[s] }
+func (s Knowledge) String() string { return [...]string{"unknowing", "knowing", "on trial"}[s] }
 
 // String returns the name for logs.
 func (v Verdict) String() string { return [...]string{"free", "trial", "held"}[v] }
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -15,17 +15,17 @@
 	start = time.Unix(1000, 0)
 )
 
-// bookOf returns a book with one end of a key for each sending, a second apart.
-func bookOf(sendings ...Sending) (b *Book, last time.Time) {
+// historyOf returns a history with one end of a key for each given knowledge, a second apart.
+func historyOf(list ...Knowledge) (b *History, last time.Time) {
 	b, last = New(), start
-	for i, s := range sendings {
+	for i, knowledge := range list {
 		last = start.Add(time.Duration(i) * time.Second)
-		b.Add(End{Key: key, Endpoint: fmt.Sprintf("e-%d", i), Sending: s, At: last}, time.Time{})
+		b.Add(End{Key: key, Endpoint: fmt.Sprintf("e-%d", i), Knowledge: knowledge, At: last}, time.Time{})
 	}
 	return b, last
 }
 
-func assertVerdict(g *WithT, b *Book, now time.Time, want Verdict, left time.Duration) {
+func assertVerdict(g *WithT, b *History, now time.Time, want Verdict, left time.Duration) {
 	v, d := b.Judge(key, now)
 	g.Expect(v).To(Equal(want))
 	if want == Held {
@@ -33,24 +33,24 @@
 	}
 }
 
-func TestWhatIsHeld(t *testing.T) {
+func TestVerdictsByKnownEnds(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		sendings []Sending
-		verdict  Verdict
-		left     time.Duration
+		name      string
+		knowledge []Knowledge
+		verdict   Verdict
+		left      time.Duration
 	}{
 		{"nothing known", nil, Free, 0},
-		{"at one endpoint that ended", []Sending{Unknowing}, Free, 0},
-		{"at two that ended together", []Sending{Unknowing, Unknowing}, Free, 0},
-		{"at three that ended together", []Sending{Unknowing, Unknowing, Unknowing}, Held, oneCause},
-		{"sent on and ended one more", []Sending{Unknowing, Knowing}, Held, firstHold},
-		{"tried and ended one more", []Sending{Unknowing, Knowing, OnTrial}, Held, holdGrowth * firstHold},
-		{"tried twice", []Sending{Unknowing, Knowing, OnTrial, OnTrial}, Held, holdGrowth * holdGrowth * firstHold},
+		{"one endpoint ended", []Knowledge{NoKnownEnd}, Free, 0},
+		{"two endpoints ended together", []Knowledge{NoKnownEnd, NoKnownEnd}, Free, 0},
+		{"three endpoints ended together", []Knowledge{NoKnownEnd, NoKnownEnd, NoKnownEnd}, Held, sameCauseWindow},
+		{"sent again and ended another one", []Knowledge{NoKnownEnd, KnownEnd}, Held, initialHold},
+		{"a trial ended another one", []Knowledge{NoKnownEnd, KnownEnd, OnTrial}, Held, holdGrowth * initialHold},
+		{"two trials ended one each", []Knowledge{NoKnownEnd, KnownEnd, OnTrial, OnTrial}, Held, holdGrowth * holdGrowth * initialHold},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			b, last := bookOf(tc.sendings...)
+			b, last := historyOf(tc.knowledge...)
 			assertVerdict(g, b, last, tc.verdict, tc.left)
 			if tc.verdict == Held {
 				assertVerdict(g, b, last.Add(tc.left), Trial, 0)
@@ -61,66 +61,66 @@
 
 func TestAHoldIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	sendings := []Sending{Unknowing, Knowing}
+	sendings := []Knowledge{NoKnownEnd, KnownEnd}
 	for range 20 {
 		sendings = append(sendings, OnTrial)
 	}
-	b, last := bookOf(sendings...)
-	assertVerdict(g, b, last, Held, longestHold)
+	b, last := historyOf(sendings...)
+	assertVerdict(g, b, last, Held, maxHold)
 }
 
-func TestARequestThatRanToItsEndIsFreeAgain(t *testing.T) {
+func TestACompletedRequestIsFreeAgain(t *testing.T) {
 	g := NewWithT(t)
-	b, last := bookOf(Unknowing, Knowing)
-	g.Expect(b.Sound(key)).To(BeTrue())
-	g.Expect(b.Sound(key)).To(BeFalse(), "it is known already")
+	b, last := historyOf(NoKnownEnd, KnownEnd)
+	g.Expect(b.RecordCompletion(key)).To(BeTrue())
+	g.Expect(b.RecordCompletion(key)).To(BeFalse(), "the completion is already known")
 	assertVerdict(g, b, last, Free, 0)
-	g.Expect(b.Sending(key, last.Add(time.Minute))).To(Equal(Unknowing))
+	g.Expect(b.KnowledgeOf(key, last.Add(time.Minute))).To(Equal(NoKnownEnd))
 	b.Add(End{Key: key, Endpoint: "e-0", At: start}, start)
 	assertVerdict(g, b, last, Free, 0)
 	b.Add(End{Key: key, Endpoint: "later", At: last}, start)
-	g.Expect(b.Sending(key, last.Add(time.Minute))).To(Equal(Knowing), "a new end counts")
+	g.Expect(b.KnowledgeOf(key, last.Add(time.Minute))).To(Equal(KnownEnd), "a new end counts")
 }
 
 func TestOneTrialAtATime(t *testing.T) {
 	g := NewWithT(t)
-	b, now := bookOf(Unknowing, Unknowing, Unknowing)
+	b, now := historyOf(NoKnownEnd, NoKnownEnd, NoKnownEnd)
 	until := now.Add(8 * time.Second)
-	g.Expect(b.Begin(key, now, until)).To(BeTrue())
-	g.Expect(b.Begin(key, now.Add(time.Second), until)).To(BeFalse())
+	g.Expect(b.BeginTrial(key, now, until)).To(BeTrue())
+	g.Expect(b.BeginTrial(key, now.Add(time.Second), until)).To(BeFalse())
 	b.EndTrial(key)
-	g.Expect(b.Begin(key, now.Add(time.Second), until)).To(BeTrue())
-	g.Expect(b.Begin(key, until, until)).To(BeTrue(), "the other one is over")
+	g.Expect(b.BeginTrial(key, now.Add(time.Second), until)).To(BeTrue())
+	g.Expect(b.BeginTrial(key, until, until)).To(BeTrue(), "the other trial has ended")
 }
 
-func TestEndsLapse(t *testing.T) {
+func TestEndsExpire(t *testing.T) {
 	g := NewWithT(t)
-	b, last := bookOf(Unknowing)
-	b.Forget(last.Add(keepFor))
+	b, last := historyOf(NoKnownEnd)
+	b.Forget(last.Add(retention))
 	g.Expect(b.Empty()).To(BeFalse())
-	b.Forget(last.Add(keepFor + 1))
+	b.Forget(last.Add(retention + 1))
 	g.Expect(b.Empty()).To(BeTrue())
-	b, last = bookOf(Unknowing, Knowing, OnTrial, OnTrial, OnTrial)
-	b.Forget(last.Add(holdGrowth * holdGrowth * holdGrowth * firstHold))
+	b, last = historyOf(NoKnownEnd, KnownEnd, OnTrial, OnTrial, OnTrial)
+	b.Forget(last.Add(holdGrowth * holdGrowth * holdGrowth * initialHold))
 	g.Expect(b.Empty()).To(BeFalse(), "its next trial must know of the ones before")
 }
 
-// Many who were at one endpoint that ended must not drive out a request that is held.
-func TestAFullBookKeepsWhatIsHeld(t *testing.T) {
+// The many requests that were at one endpoint when it ended must not evict a held request.
+func TestEvictionKeepsHeldRequests(t *testing.T) {
 	g := NewWithT(t)
-	b, last := bookOf(Unknowing, Knowing)
-	for i := range 2 * mostKeys {
+	b, last := historyOf(NoKnownEnd, KnownEnd)
+	for i := range 2 * maxKeys {
 		other := KeyOf("POST", "h", "/p", "c", fmt.Appendf(nil, "%d", i))
 		b.Add(End{Key: other, Endpoint: "e", At: last.Add(time.Minute)}, time.Time{})
 	}
-	g.Expect(b.entries).To(HaveLen(mostKeys))
-	assertVerdict(g, b, last, Held, firstHold)
+	g.Expect(b.entries).To(HaveLen(maxKeys))
+	assertVerdict(g, b, last, Held, initialHold)
 }
 
-func TestBooksConvergeInAnyOrder(t *testing.T) {
+func TestHistoriesConvergeInAnyOrder(t *testing.T) {
 	g := NewWithT(t)
 	list := []End{
-		{Key: key, Endpoint: "e-0", At: start}, {Key: key, Endpoint: "e-1", Sending: Knowing, At: start},
+		{Key: key, Endpoint: "e-0", At: start}, {Key: key, Endpoint: "e-1", Knowledge: KnownEnd, At: start},
 		{Key: key, Endpoint: "e-1", At: start}, {Key: key, Endpoint: "e-0", Void: true, At: start},
 	}
 	first, second := New(), New()
@@ -129,58 +129,58 @@
 		second.Add(list[len(list)-1-i], time.Time{})
 	}
 	g.Expect(first).To(Equal(second))
-	g.Expect(first.Add(list[2], start)).To(BeFalse(), "it tells nothing new")
+	g.Expect(first.Add(list[2], start)).To(BeFalse(), "it changes nothing")
 }
 
-func TestAllEndsAreToldInTurn(t *testing.T) {
+func TestAllEndsAreSentInTurn(t *testing.T) {
 	g := NewWithT(t)
-	b, now := bookOf(Unknowing, Unknowing, Unknowing)
+	b, now := historyOf(NoKnownEnd, NoKnownEnd, NoKnownEnd)
 	for round := range 4 {
-		told := map[string]bool{}
+		sent := map[string]bool{}
 		for half := range 2 {
-			for _, e := range b.Tell(2, now.Add(time.Duration(2*round+half)*time.Second)) {
-				told[e.Endpoint] = true
+			for _, e := range b.NextToSend(2, now.Add(time.Duration(2*round+half)*time.Second)) {
+				sent[e.Endpoint] = true
 			}
-			g.Expect(b.Untold()).To(Equal(round+half == 0))
+			g.Expect(b.HasUnsent()).To(Equal(round+half == 0))
 		}
-		g.Expect(told).To(HaveLen(3), "two messages of two name all three")
+		g.Expect(sent).To(HaveLen(3), "two messages with two ends each contain all three")
 	}
 	b.Add(End{Key: key, Endpoint: "heard", At: now}, now)
-	g.Expect(b.Untold()).To(BeFalse(), "whoever saw it tells all")
+	g.Expect(b.HasUnsent()).To(BeFalse(), "the process that observed it sends it to all")
 }
 
-// A cut by resets breaks off what is under way at all endpoints behind it, one after the
-// other as it is noticed.
-func TestEndsOfOneCauseAreNotKnown(t *testing.T) {
+// A partition that resets connections aborts the requests in flight at all endpoints behind it,
+// one after the other as it is detected.
+func TestRecentEndsMayHaveTheSameCause(t *testing.T) {
 	g := NewWithT(t)
-	b, last := bookOf(Unknowing)
-	g.Expect(b.Sending(key, last.Add(oneCause))).To(Equal(Unknowing))
-	g.Expect(b.Sending(key, last.Add(oneCause+1))).To(Equal(Knowing))
+	b, last := historyOf(NoKnownEnd)
+	g.Expect(b.KnowledgeOf(key, last.Add(sameCauseWindow))).To(Equal(NoKnownEnd))
+	g.Expect(b.KnowledgeOf(key, last.Add(sameCauseWindow+1))).To(Equal(KnownEnd))
 }
 
 func TestAnEndpointThatAnswersHasNotEnded(t *testing.T) {
 	g := NewWithT(t)
-	b, last := bookOf(Unknowing, Knowing)
-	g.Expect(b.Alive("e-1", last)).To(BeFalse(), "what was sent before the end may have been answered before it")
-	g.Expect(b.Alive("another", last.Add(1))).To(BeFalse())
-	assertVerdict(g, b, last, Held, firstHold)
-	g.Expect(b.Alive("e-1", last.Add(1))).To(BeTrue())
+	b, last := historyOf(NoKnownEnd, KnownEnd)
+	g.Expect(b.RecordAnswer("e-1", last)).To(BeFalse(), "what was sent before the end may have been answered before it")
+	g.Expect(b.RecordAnswer("another", last.Add(1))).To(BeFalse())
+	assertVerdict(g, b, last, Held, initialHold)
+	g.Expect(b.RecordAnswer("e-1", last.Add(1))).To(BeTrue())
 	assertVerdict(g, b, last, Free, 0)
-	g.Expect(b.Sending(key, last.Add(time.Minute))).To(Equal(Knowing), "the other end counts still")
-	b.Add(End{Key: key, Endpoint: "e-1", Sending: Knowing, At: last}, time.Time{})
+	g.Expect(b.KnowledgeOf(key, last.Add(time.Minute))).To(Equal(KnownEnd), "the other end still counts")
+	b.Add(End{Key: key, Endpoint: "e-1", Knowledge: KnownEnd, At: last}, time.Time{})
 	assertVerdict(g, b, last, Free, 0)
 }
 
-// A process that starts anew is told first of what must not be sent, however much else there is.
-func TestWhatIsHeldIsToldFirst(t *testing.T) {
+// A process that restarts first receives the ends of held requests, however many others there are.
+func TestEndsOfHeldRequestsAreSentFirst(t *testing.T) {
 	g := NewWithT(t)
-	b, last := bookOf(Unknowing, Knowing)
+	b, last := historyOf(NoKnownEnd, KnownEnd)
 	for i := range 20 {
 		other := KeyOf("POST", "h", "/p", "c", fmt.Appendf(nil, "%d", i))
 		b.Add(End{Key: other, Endpoint: "e", At: last.Add(time.Minute)}, time.Time{})
 	}
-	for _, e := range b.Gravest(2) {
+	for _, e := range b.MostSevere(2) {
 		g.Expect(e.Key).To(Equal(key))
 	}
-	g.Expect(b.Untold()).To(BeTrue(), "it was told to one only")
+	g.Expect(b.HasUnsent()).To(BeTrue(), "it was sent to one process only")
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -19,13 +19,13 @@
 // suspicion is what is known of a request as one that may end endpoints.
 type suspicion struct {
 	sameAs     quarantine.Key
-	hasKey     bool               // The key above was worked out.
-	sending    quarantine.Sending // What was known of the request when it was last sent.
-	wentAt     time.Time          // When that was, by the clock that counts suspensions.
-	finished   bool               // The try under way came to its end, or was turned away.
-	endedUnder int                // Endpoints that ended under its tries.
-	onTrial    bool               // It is sent to see whether it still ends endpoints.
-	heldFor    time.Duration      // It may not be sent for so long; 0 when it may.
+	hasKey     bool                 // The key above was worked out.
+	sending    quarantine.Knowledge // What was known of the request when it was last sent.
+	wentAt     time.Time            // When that was, by the clock that counts suspensions.
+	finished   bool                 // The try under way came to its end, or was turned away.
+	endedUnder int                  // Endpoints that ended under its tries.
+	onTrial    bool                 // It is sent to see whether it still ends endpoints.
+	heldFor    time.Duration        // It may not be sent for so long; 0 when it may.
 }
 
 // key returns what names the request and all that are the same.
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -24,7 +24,7 @@
 	news chan struct{} // Holds a value while an end waits to be told.
 
 	mu   sync.Mutex // Guards what follows.
-	book *quarantine.Book
+	book *quarantine.History
 }
 
 // New returns an empty set.
@@ -47,19 +47,19 @@
 func (s *Set) Tell(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Tell(peers.MostEnds, now), now)
+	return encode(s.book.NextToSend(peers.MostEnds, now), now)
 }
 
 // TellOne returns what to tell one process that may know nothing.
 func (s *Set) TellOne(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Gravest(peers.MostEnds), now)
+	return encode(s.book.MostSevere(peers.MostEnds), now)
 }
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
 	for _, e := range ends {
-		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Sending), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
+		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Knowledge), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
 	}
 	return list
 }
@@ -68,7 +68,7 @@
 func (s *Set) Untold() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Untold()
+	return s.book.HasUnsent()
 }
 
 // Hear takes in what another process told.
@@ -84,7 +84,7 @@
 			continue
 		}
 		s.add(quarantine.End{
-			Key: quarantine.Key(told.Key), Endpoint: told.Endpoint, Sending: quarantine.Sending(told.Sending), Void: told.Void,
+			Key: quarantine.Key(told.Key), Endpoint: told.Endpoint, Knowledge: quarantine.Knowledge(told.Sending), Void: told.Void,
 			At: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
 		}, now, now)
 	}
@@ -100,14 +100,14 @@
 // valid reports whether an end that another process tells can be one.
 func valid(e peers.End) bool {
 	return len(e.Key) == len(quarantine.Key{}) && e.Endpoint != "" && len(e.Endpoint) <= longestName &&
-		e.AgeMs >= 0 && e.AgeMs <= oldest.Milliseconds() && quarantine.Sending(e.Sending).Valid()
+		e.AgeMs >= 0 && e.AgeMs <= oldest.Milliseconds() && quarantine.Knowledge(e.Sending).Valid()
 }
 
 // Ended takes in that an endpoint ended under a request of this process.
-func (s *Set) Ended(k quarantine.Key, endpoint string, sending quarantine.Sending, now time.Time) {
+func (s *Set) Ended(k quarantine.Key, endpoint string, sending quarantine.Knowledge, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(quarantine.End{Key: k, Endpoint: endpoint, Sending: sending, At: now}, time.Time{}, now)
+	s.add(quarantine.End{Key: k, Endpoint: endpoint, Knowledge: sending, At: now}, time.Time{}, now)
 	s.tellSoon()
 }
 
@@ -119,7 +119,7 @@
 	}
 	after, left := s.book.Judge(e.Key, now)
 	s.held.Update(int64(s.book.Held(now)))
-	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", told.IsZero()), zap.Stringer("sending", e.Sending),
+	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", told.IsZero()), zap.Stringer("sending", e.Knowledge),
 		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", left)}
 	if after != before {
 		s.log.Warn("endpoint ended under a request", fields...)
@@ -132,7 +132,7 @@
 func (s *Set) Sound(key func() quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.Sound(key()) {
+	if s.book.Empty() || !s.book.RecordCompletion(key()) {
 		return
 	}
 	s.log.Info("request is sound although endpoints ended under it", zap.Stringer("key", key()))
@@ -143,7 +143,7 @@
 func (s *Set) Alive(endpoint string, sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.Alive(endpoint, sentAt) {
+	if s.book.Empty() || !s.book.RecordAnswer(endpoint, sentAt) {
 		return
 	}
 	s.log.Info("endpoint lives on although it was taken to have ended", zap.String("endpoint", endpoint))
@@ -152,13 +152,13 @@
 
 // Sending returns what is known of a request that is sent now. The key is worked out only
 // where any is known, as it costs a hash of the body.
-func (s *Set) Sending(key func() quarantine.Key, now time.Time) quarantine.Sending {
+func (s *Set) Sending(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
-		return quarantine.Unknowing
+		return quarantine.NoKnownEnd
 	}
-	return s.book.Sending(key(), now)
+	return s.book.KnowledgeOf(key(), now)
 }
 
 // Judge returns whether a request may be sent, and for how long it is still held.
@@ -175,7 +175,7 @@
 func (s *Set) Begin(k quarantine.Key, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Begin(k, now, until)
+	return s.book.BeginTrial(k, now, until)
 }
 
 // EndTrial ends a trial that showed nothing.
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -102,7 +102,7 @@
 	g := NewWithT(t)
 	s := newSet()
 	for _, e := range []string{"e-0", "e-1", "e-2"} { // All at once.
-		s.Ended(key, e, quarantine.Unknowing, now.Add(-time.Minute))
+		s.Ended(key, e, quarantine.NoKnownEnd, now.Add(-time.Minute))
 	}
 	assertVerdict(g, s, quarantine.Trial)
 	until := now.Add(time.Second)
