--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -81,11 +81,11 @@
 		}),
 		ids: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: idWindow, Capacity: idCapacity,
-			SentOnce: true,
+			NeverResent: true,
 		}),
 		keys: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyWindow,
-			Capacity: set.Keys, AnswerBytes: answerBytes,
+			Capacity: set.Keys, MaxAnswerBytes: answerBytes,
 		}),
 		waiting: map[string]chan ticket{},
 		moved:   n.Started(),
--- a/internal/decide/once/once.go
+++ b/internal/decide/once/once.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package once decides whether a request may start, so that nothing that must
+// Package once decides whether a request may start, so that no request that must
 // not be repeated runs twice. A Table belongs to one agent process; it holds
 // marks for request ids and idempotency keys. It is a pure state machine: time
-// comes in as an argument, and the caller serialises access.
+// is passed as an argument, and the caller serialises access.
 package once
 
 import "time"
 
-// State is what a Table knows of a name.
+// State is the state of a name, a request id or idempotency key, in a Table.
 type State int
 
 // The states of a mark.
 const (
-	None       State = iota // Never seen.
-	Tombstoned              // Promised never to run.
-	Running                 // Marked before the first byte was sent.
-	Finished                // Ran, with a known answer.
-	Lost                    // Ran or may have run; the answer is not known.
+	Unseen         State = iota // Never seen.
+	Tombstoned                  // Guaranteed never to run.
+	Running                     // Marked before the first byte was sent.
+	Finished                    // Ran, with a known answer.
+	OutcomeUnknown              // Ran or may have run; the answer is unknown.
 )
 
 // Verdict is the answer to Begin.
@@ -25,17 +25,17 @@
 
 // The verdicts.
 const (
-	Run        Verdict = iota // Marked; the caller must send it or call Release.
-	Busy                      // The same name is running now.
-	Repeat                    // It ran; Answer holds what was given.
-	Doubtful                  // It may have run, here or in an earlier life.
-	Refused                   // It was promised never to run.
-	Full                      // No room to remember it; nothing was marked.
-	FromFuture                // Minted later than the clocks allow.
+	Run        Verdict = iota // Marked; the caller must send the request or call Release.
+	InProgress                // A request with the same name is running.
+	Replay                    // It ran; Answer is its answer.
+	MayHaveRun                // It may have run, in this or an earlier process.
+	Refused                   // It is guaranteed never to run.
+	Full                      // The table is full; nothing was marked.
+	FromFuture                // Its key was created later than the clock skew allows.
 	Mismatch                  // The name was used for another request before.
 )
 
-// Answer is a finished answer that is kept for repeats.
+// Answer is the answer of a finished request, kept for replays.
 type Answer struct {
 	Status int
 	Type   string // Content type.
@@ -51,15 +51,15 @@
 
 // Config bounds a Table.
 type Config struct {
-	Started     time.Time     // When this process began; earlier keys may have run before.
-	Skew        time.Duration // Largest difference between two clocks.
-	Window      time.Duration // How long marks are kept; older keys are doubtful.
-	Capacity    int           // Marks held at most; when full, Begin refuses.
-	AnswerBytes int           // Bytes of answers kept at most.
-	SentOnce    bool          // Names are never sent again, so that an earlier life cannot have run one that comes now.
+	Started        time.Time     // Start of this process; requests with older keys may have run before.
+	Skew           time.Duration // Maximum difference between two clocks.
+	Window         time.Duration // How long marks are kept; requests with older keys may have run.
+	Capacity       int           // Maximum number of marks; Begin refuses new names when it is reached.
+	MaxAnswerBytes int           // Maximum total size of kept answer bodies.
+	NeverResent    bool          // Names are never sent again, so an earlier process cannot have run one that arrives now.
 }
 
-// Table remembers what was started.
+// Table records the requests that were started.
 type Table struct {
 	cfg   Config
 	marks map[string]*mark
@@ -75,8 +75,9 @@
 // Len returns the number of marks.
 func (t *Table) Len() int { return len(t.marks) }
 
-// Begin marks name as running if it may start. minted is the time in the key;
-// digest is of the request, so that one name cannot stand for two requests.
+// Begin marks name as running if it may start. The time minted is the creation
+// time in the key; digest is a hash of the request, which detects the use of one
+// name for two requests.
 func (t *Table) Begin(name string, digest uint64, minted, now time.Time) (v Verdict, a *Answer) {
 	t.expire(now)
 	if m, ok := t.marks[name]; ok {
@@ -88,45 +89,45 @@
 	switch {
 	case minted.After(now.Add(t.cfg.Skew)):
 		return FromFuture, nil
-	case !t.cfg.SentOnce && t.early(minted):
-		return Doubtful, nil // An earlier life of this endpoint may have run it.
+	case !t.cfg.NeverResent && t.fromEarlierProcess(minted):
+		return MayHaveRun, nil // An earlier process of this endpoint may have run it.
 	case minted.Before(now.Add(-t.cfg.Window + t.cfg.Skew)):
-		return Doubtful, nil // Its mark may have expired already.
+		return MayHaveRun, nil // Its mark may have expired already.
 	case len(t.marks) >= t.cfg.Capacity:
-		return Full, nil // Never forget early to make room.
+		return Full, nil // Marks are never evicted before they expire.
 	}
-	t.put(name, Running, digest, now)
+	t.add(name, Running, digest, now)
 	return Run, nil
 }
 
 func (m *mark) verdict() Verdict {
 	switch m.state {
 	case Running:
-		return Busy
+		return InProgress
 	case Tombstoned:
 		return Refused
 	case Finished:
 		if m.answer != nil {
-			return Repeat
+			return Replay
 		}
 	}
-	return Doubtful
+	return MayHaveRun
 }
 
-func (t *Table) put(name string, s State, digest uint64, now time.Time) {
+func (t *Table) add(name string, s State, digest uint64, now time.Time) {
 	t.marks[name] = &mark{state: s, digest: digest, at: now}
 	t.order = append(t.order, name)
 }
 
-// Release takes back a mark of which nothing was sent.
+// Release removes the mark of a request of which nothing was sent.
 func (t *Table) Release(name string) {
 	if m, ok := t.marks[name]; ok && m.state == Running {
-		delete(t.marks, name) // Its place in order is skipped by expire.
+		delete(t.marks, name) // Its entry in order is skipped by expire.
 	}
 }
 
-// Deny turns a mark of which nothing was sent into the promise that nothing
-// will be.
+// Deny turns the mark of a request of which nothing was sent into the guarantee
+// that it never runs.
 func (t *Table) Deny(name string) {
 	if m, ok := t.marks[name]; ok && m.state == Running {
 		m.state = Tombstoned
@@ -140,41 +141,41 @@
 		return
 	}
 	m.state = Finished
-	if t.bytes+len(a.Body) <= t.cfg.AnswerBytes {
+	if t.bytes+len(a.Body) <= t.cfg.MaxAnswerBytes {
 		m.answer = &a
 		t.bytes += len(a.Body)
 	}
 }
 
-// Lose records that a running name may have run without a known answer.
-func (t *Table) Lose(name string) {
+// SetOutcomeUnknown records that a running name may have run without a known answer.
+func (t *Table) SetOutcomeUnknown(name string) {
 	if m, ok := t.marks[name]; ok && m.state == Running {
-		m.state = Lost
+		m.state = OutcomeUnknown
 	}
 }
 
-// early reports whether an earlier life of the endpoint may have seen a name.
-func (t *Table) early(minted time.Time) bool {
+// fromEarlierProcess reports whether an earlier process of the endpoint may have received a name.
+func (t *Table) fromEarlierProcess(minted time.Time) bool {
 	return minted.Before(t.cfg.Started.Add(t.cfg.Skew))
 }
 
-// Tombstone promises that name never runs, if it was not seen before and this
-// process would have seen it. It returns the state of name afterwards.
+// Tombstone guarantees that name never runs, if it was not received before and this
+// process would have received it. It returns the state of name afterwards.
 func (t *Table) Tombstone(name string, minted, now time.Time) State {
 	t.expire(now)
 	if m, ok := t.marks[name]; ok {
 		return m.state
 	}
-	late := minted.Before(now.Add(-t.cfg.Window + t.cfg.Skew))
-	if t.early(minted) || late || len(t.marks) >= t.cfg.Capacity {
-		return Lost // Nobody can promise any more.
+	expired := minted.Before(now.Add(-t.cfg.Window + t.cfg.Skew))
+	if t.fromEarlierProcess(minted) || expired || len(t.marks) >= t.cfg.Capacity {
+		return OutcomeUnknown // No guarantee is possible.
 	}
-	t.put(name, Tombstoned, 0, now)
+	t.add(name, Tombstoned, 0, now)
 	return Tombstoned
 }
 
-// expire forgets marks that are older than the window. A name still running is
-// kept and looked at again a window later.
+// expire removes marks that are older than the window. The mark of a name that is
+// still running is kept for another window.
 func (t *Table) expire(now time.Time) {
 	n := 0
 	for n < len(t.order) {
--- a/internal/decide/once/once_test.go
+++ b/internal/decide/once/once_test.go
@@ -17,11 +17,11 @@
 var start = time.Unix(1_800_000_000, 0)
 
 func config(began time.Time) Config {
-	return Config{Started: began, Skew: time.Second, Window: time.Minute, Capacity: 8, AnswerBytes: 100}
+	return Config{Started: began, Skew: time.Second, Window: time.Minute, Capacity: 8, MaxAnswerBytes: 100}
 }
 
-// naive is a table that forgets the oldest name when it is full, and knows
-// nothing of earlier lives.
+// naive is a table that evicts the oldest name when it is full, and ignores
+// earlier processes.
 type naive struct {
 	seen  map[string]bool
 	order []string
@@ -40,10 +40,9 @@
 	return true
 }
 
-// schedule is a random history of one endpoint: copies of requests that come
-// late and doubled, and restarts of the process. It returns the runs by name,
-// and whether a name was promised never to run and ran after all.
-func schedule(t *rapid.T, begin func(name string, minted, now time.Time) bool, restart func(now time.Time)) (runs map[string]int) {
+// schedule runs a random history of one endpoint: late and duplicate copies of
+// requests, and restarts of the process. It returns the number of runs by name.
+func schedule(t *rapid.T, beginRequest func(name string, minted, now time.Time) bool, restart func(now time.Time)) (runs map[string]int) {
 	runs = map[string]int{}
 	now := start.Add(2 * time.Second)
 	type request struct {
@@ -65,7 +64,7 @@
 				continue
 			}
 			r := sent[rapid.IntRange(0, len(sent)-1).Draw(t, "copy")]
-			if begin(r.name, r.minted, now) {
+			if beginRequest(r.name, r.minted, now) {
 				runs[r.name]++
 			}
 		}
@@ -101,7 +100,7 @@
 			twice = twice || n > 1
 		}
 	})
-	gomega.NewWithT(t).Expect(twice).To(gomega.BeTrue(), "the schedule no longer bites")
+	gomega.NewWithT(t).Expect(twice).To(gomega.BeTrue(), "the schedule no longer exposes the fault")
 }
 
 func TestVerdicts(t *testing.T) {
@@ -116,18 +115,18 @@
 		})
 	}
 	check("new", Run, func(t *Table) Verdict { return begin(t, "a", now) })
-	check("running", Busy, func(t *Table) Verdict { begin(t, "a", now); return begin(t, "a", now) })
-	check("finished", Repeat, func(t *Table) Verdict {
+	check("running", InProgress, func(t *Table) Verdict { begin(t, "a", now); return begin(t, "a", now) })
+	check("finished", Replay, func(t *Table) Verdict {
 		begin(t, "a", now)
 		t.Finish("a", Answer{Status: 200, Body: []byte("x")})
 		return begin(t, "a", now)
 	})
-	check("finished with an answer too large to keep", Doubtful, func(t *Table) Verdict {
+	check("finished with an answer too large to keep", MayHaveRun, func(t *Table) Verdict {
 		begin(t, "a", now)
 		t.Finish("a", Answer{Body: make([]byte, 101)})
 		return begin(t, "a", now)
 	})
-	check("lost", Doubtful, func(t *Table) Verdict { begin(t, "a", now); t.Lose("a"); return begin(t, "a", now) })
+	check("lost", MayHaveRun, func(t *Table) Verdict { begin(t, "a", now); t.SetOutcomeUnknown("a"); return begin(t, "a", now) })
 	check("released", Run, func(t *Table) Verdict { begin(t, "a", now); t.Release("a"); return begin(t, "a", now) })
 	check("denied", Refused, func(t *Table) Verdict { begin(t, "a", now); t.Deny("a"); return begin(t, "a", now) })
 	check("another request", Mismatch, func(t *Table) Verdict {
@@ -135,7 +134,7 @@
 		v, _ := t.Begin("a", 2, now, now)
 		return v
 	})
-	check("from an earlier life", Doubtful, func(t *Table) Verdict { return begin(t, "a", start.Add(-time.Second)) })
+	check("from an earlier process", MayHaveRun, func(t *Table) Verdict { return begin(t, "a", start.Add(-time.Second)) })
 	check("from the future", FromFuture, func(t *Table) Verdict { return begin(t, "a", now.Add(2*time.Second)) })
 	check("full", Full, func(t *Table) Verdict {
 		for i := range 8 {
@@ -151,8 +150,8 @@
 	table := New(config(start))
 	g.Expect(table.Tombstone("unseen", now, now)).To(gomega.Equal(Tombstoned))
 	v, _ := table.Begin("unseen", 0, now, now)
-	g.Expect(v).To(gomega.Equal(Refused), "the promise is kept")
+	g.Expect(v).To(gomega.Equal(Refused), "the guarantee holds")
 	table.Begin("seen", 0, now, now)
 	g.Expect(table.Tombstone("seen", now, now)).To(gomega.Equal(Running))
-	g.Expect(table.Tombstone("early", start, now)).To(gomega.Equal(Lost), "an earlier life may have run it")
+	g.Expect(table.Tombstone("early", start, now)).To(gomega.Equal(OutcomeUnknown), "an earlier process may have run it")
 }
--- a/internal/decide/remap/remap.go
+++ b/internal/decide/remap/remap.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package remap decides whether the expert map of a group of ranks is worth
-// changing, into which map, and whether a change that is under way is to be
-// dropped for a better one. It is pure: what is observed comes in as arguments.
-// How a map is improved is package rebalance's matter, how it comes into force
-// that of cutover.
+// Package remap decides whether it is worthwhile to change the expert map of a
+// group of ranks, to which map, and whether a change in progress is to be
+// cancelled for a better one. It is pure: observations are passed as arguments.
+// Package rebalance improves a map, and package cutover activates it.
 package remap
 
 import (
@@ -13,51 +12,52 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/rebalance"
 )
 
-// Group is what a plan is made for.
+// Group describes the group of ranks for which a plan is made.
 type Group struct {
-	Shape       rebalance.Shape
-	Spare       int       // Experts that a rank may take on in one change, a set.
-	ExpertShare float64   // Part of the work that is done by experts, above 0.
-	Speed       []float64 // By rank; nil when all are alike.
+	Shape          rebalance.Shape
+	MaxNewPerLayer int       // New experts that a rank may load in one change, per set of layers.
+	ExpertShare    float64   // Fraction of the work that is done by experts, above 0.
+	Speed          []float64 // Relative speed by rank; nil if all ranks have the same speed.
 }
 
 // Effort is the time that a change takes.
 type Effort struct {
-	Copy time.Duration // Of one expert; a rank copies one after the other.
-	Rest time.Duration // Of all else: noticing, planning, orders.
-	// Still is how long the group stands still for the switch.
-	Still time.Duration
-	// Pass is how long a pass takes now; 0 when not known.
-	Pass time.Duration
+	CopyTime time.Duration // Time to copy one expert; a rank copies sequentially.
+	Overhead time.Duration // Time for all other work: detection, planning, orders.
+	// StallTime is how long the group stalls for the switch.
+	StallTime time.Duration
+	// CurrentPass is the present duration of a pass; 0 if unknown.
+	CurrentPass time.Duration
 }
 
-// Price says what changes are worth, in one unit.
+// Price weighs saved time against copies, in one arbitrary unit.
 type Price struct {
-	Second float64       // Of passes, as far as they are saved.
-	Copy   float64       // Of one expert.
-	Left   time.Duration // For which demand is expected to stay as it is.
+	PerSecond float64       // Value of a saved second of passes.
+	PerCopy   float64       // Cost of copying one expert.
+	Horizon   time.Duration // Time for which demand is expected to remain unchanged.
 }
 
-// copyDrag is the part by which passes take longer while experts are copied, as
-// the platform's pages give it.
-const copyDrag = 0.15
+// copySlowdown is the fraction by which passes take longer while experts are copied,
+// according to the platform's documentation.
+const copySlowdown = 0.15
 
-// takes returns how long a change takes in which a rank copies so many experts.
-func (e Effort) takes(copies int) time.Duration {
-	return time.Duration(copies)*e.Copy + e.Rest
+// duration returns the duration of a change in which one rank copies the given number
+// of experts.
+func (e Effort) duration(copies int) time.Duration {
+	return time.Duration(copies)*e.CopyTime + e.Overhead
 }
 
-// Plan is a map that could take the place of the one in force. Before and After
-// are times of a pass, in those under a map that loads all ranks alike.
+// Plan is a map that could replace the active one. Before and After are durations of
+// a pass, relative to a pass under a map that loads all ranks equally.
 type Plan struct {
-	Map    rebalance.Map
-	Copies int // Of experts, at all ranks together.
-	Most   int // Of them, those of the rank that copies most.
-	Before float64
-	After  float64
+	Map        rebalance.Map
+	Copies     int // Expert copies at all ranks together.
+	MaxPerRank int // Copies at the rank that copies the most.
+	Before     float64
+	After      float64
 }
 
-// Gain returns the part of a pass that the plan saves.
+// Gain returns the fraction of a pass that the plan saves.
 func (p Plan) Gain() float64 {
 	if p.Before <= 0 {
 		return 0
@@ -65,98 +65,100 @@
 	return (p.Before - p.After) / p.Before
 }
 
-// rate is what a plan gains a second of its effort.
-func (p Plan) rate(e Effort) float64 {
-	return (p.Before - p.After) / e.takes(p.Most).Seconds()
+// gainPerSecond returns the gain of a plan per second of the duration of the change.
+func (p Plan) gainPerSecond(e Effort) float64 {
+	return (p.Before - p.After) / e.duration(p.MaxPerRank).Seconds()
 }
 
-// passTime turns a skew into a pass's time, in that without any.
-func (g Group) passTime(skew float64) float64 { return 1 - g.ExpertShare + g.ExpertShare*skew }
+// passTimeAt returns the duration of a pass at a skew, relative to a pass without skew.
+func (g Group) passTimeAt(skew float64) float64 { return 1 - g.ExpertShare + g.ExpertShare*skew }
 
-// Make plans a map for a demand. A rank copies one expert more only as long as
-// what the plan gains a second rises by it, and what it is worth after its price:
-// where copies are slow, two small changes one after the other gain sooner than one
-// large; where they are quick, the effort of a change is mostly not in them. Copies
-// are judged all together: with many ranks, several are loaded nearly alike, and a
-// copy that unloads only one of them gains nothing by itself. Yield is called now
-// and then, as planning is long work.
+// Make plans a map for a demand. The number of copies per rank grows only as long as
+// both the gain per second of the change and its net value rise: with slow copies, two
+// small changes in sequence gain sooner than one large change; with fast copies, most
+// of the effort of a change is its overhead. All copies are evaluated together: among
+// many ranks, several have nearly the same load, and a copy that unloads only one of
+// them gains nothing by itself. The function yield is called from time to time, as
+// planning takes long.
 func Make(g Group, current rebalance.Map, demand [][]float64, e Effort, price Price, yield func()) (best Plan) {
-	i := rebalance.NewImprover(g.Shape, current, demand, g.Speed, rebalance.Bounds{PerLayer: g.Spare, PerRank: 1})
+	i := rebalance.NewImprover(g.Shape, current, demand, g.Speed, rebalance.Bounds{PerLayer: g.MaxNewPerLayer, PerRank: 1})
 	for k := 1; ; k++ {
 		i.SetPerRank(k)
 		for n := 1; i.Step(); n++ {
-			if n%stepsAtOnce == 0 {
+			if n%stepsPerYield == 0 {
 				yield()
 			}
 		}
 		r := i.Result()
-		p := Plan{Map: r.Map, Copies: r.Copies, Most: r.MaxPerRank, Before: g.passTime(r.Before), After: g.passTime(r.After)}
-		if k > 1 && (p.rate(e) <= best.rate(e) || p.Net(e, price) <= best.Net(e, price)) {
+		p := Plan{Map: r.Map, Copies: r.Copies, MaxPerRank: r.MaxPerRank, Before: g.passTimeAt(r.Before), After: g.passTimeAt(r.After)}
+		if k > 1 && (p.gainPerSecond(e) <= best.gainPerSecond(e) || p.NetValue(e, price) <= best.NetValue(e, price)) {
 			return best
 		}
 		best = p
-		if p.Most < k || !mayRise(p, e, k+1) {
+		if p.MaxPerRank < k || !canGainMore(p, e, k+1) {
 			return best
 		}
 	}
 }
 
-// stepsAtOnce is how many steps of planning are made before others run: one
+// stepsPerYield is the number of planning steps between two calls of yield: a step
 // takes some ten microseconds.
-const stepsAtOnce = 8
+const stepsPerYield = 8
 
-// mayRise reports whether so many copies a rank could gain more a second than p,
-// if they made the load even.
-func mayRise(p Plan, e Effort, copies int) bool {
-	perfect := Plan{Before: p.Before, After: 1, Most: copies}
-	return perfect.rate(e) > p.rate(e)
+// canGainMore reports whether the given number of copies per rank could gain more per
+// second than p, if they made the load perfectly even.
+func canGainMore(p Plan, e Effort, copies int) bool {
+	perfect := Plan{Before: p.Before, After: 1, MaxPerRank: copies}
+	return perfect.gainPerSecond(e) > p.gainPerSecond(e)
 }
 
-// Saves returns the time of passes, in seconds, that a plan saves until demand
-// shifts, less what copying costs meanwhile: below 0 when it does not pay.
-func (p Plan) Saves(e Effort, left time.Duration) float64 {
-	drag := copyDrag * (time.Duration(p.Most) * e.Copy).Seconds()
-	return p.Gain()*(left-e.takes(p.Most)).Seconds() - drag - e.Still.Seconds()
+// SavedSeconds returns the time, in seconds of passes, that a plan saves until demand
+// shifts, minus the slowdown by copying and the stall for the switch; negative if the
+// plan costs more than it saves.
+func (p Plan) SavedSeconds(e Effort, horizon time.Duration) float64 {
+	slowdown := copySlowdown * (time.Duration(p.MaxPerRank) * e.CopyTime).Seconds()
+	return p.Gain()*(horizon-e.duration(p.MaxPerRank)).Seconds() - slowdown - e.StallTime.Seconds()
 }
 
-// Net returns what a plan is worth after the price of its copies.
-func (p Plan) Net(e Effort, price Price) float64 {
-	return price.Second*p.Saves(e, price.Left) - price.Copy*float64(p.Copies)
+// NetValue returns the value of a plan minus the price of its copies.
+func (p Plan) NetValue(e Effort, price Price) float64 {
+	return price.PerSecond*p.SavedSeconds(e, price.Horizon) - price.PerCopy*float64(p.Copies)
 }
 
-// Pays reports whether a plan is worth its copies and the time that it takes, and a
-// pass is shorter by it than copying makes one longer meanwhile. Streams are late by
-// their longest pass, so what is saved later does not make up for one.
-func (p Plan) Pays(e Effort, price Price) bool {
-	return p.Gain() >= p.drag(e) && p.Saves(e, price.Left) > 0 && p.Net(e, price) > 0
+// IsWorthwhile reports whether a plan saves more than its copies and its duration cost,
+// and shortens a pass by at least as much as copying lengthens one in the meantime. A
+// stream is late by its longest pass, so later savings do not compensate for a longer pass.
+func (p Plan) IsWorthwhile(e Effort, price Price) bool {
+	return p.Gain() >= p.slowdown(e) && p.SavedSeconds(e, price.Horizon) > 0 && p.NetValue(e, price) > 0
 }
 
-// drag is the part by which copying makes the longest pass longer: a pass that is
-// longer than the copying is dragged for a part of it only.
-func (p Plan) drag(e Effort) float64 {
-	copying := time.Duration(p.Most) * e.Copy
-	if copying >= e.Pass {
-		return copyDrag
+// slowdown returns the fraction by which copying lengthens the longest pass: a pass that
+// lasts longer than the copying is slowed down for a part of its time only.
+func (p Plan) slowdown(e Effort) float64 {
+	copying := time.Duration(p.MaxPerRank) * e.CopyTime
+	if copying >= e.CurrentPass {
+		return copySlowdown
 	}
-	return copyDrag * copying.Seconds() / e.Pass.Seconds()
+	return copySlowdown * copying.Seconds() / e.CurrentPass.Seconds()
 }
 
-// Replaces reports whether a plan, made for what is asked for now, is to take
-// the place of one that is under way and needs so much longer. Both come into
-// force in the end; what differs is how long passes take until then. Now is the
-// time of a pass under the map in force, soon that under the map under way.
-func (p Plan) Replaces(e Effort, remaining time.Duration, now, soon float64) bool {
-	dropped := remaining.Seconds() * (now - p.After)
-	kept := e.takes(p.Most).Seconds() * (now - soon)
-	return dropped > kept
+// Replaces reports whether a plan for the present demand is to replace a change in
+// progress that needs the time remaining. In both cases the map of the plan is active
+// in the end; what differs is the duration of passes until then. The argument current
+// is the duration of a pass under the active map, and next that under the map of the
+// change in progress, both relative as in Plan.
+func (p Plan) Replaces(e Effort, remaining time.Duration, current, next float64) bool {
+	gainIfReplaced := remaining.Seconds() * (current - p.After)
+	gainIfKept := e.duration(p.MaxPerRank).Seconds() * (current - next)
+	return gainIfReplaced > gainIfKept
 }
 
-// PassTime returns the time of a pass under a map and a demand, in that under a
-// map that loads all ranks alike.
+// PassTime returns the duration of a pass under a map and a demand, relative to a
+// pass under a map that loads all ranks equally.
 func (g Group) PassTime(m rebalance.Map, demand [][]float64) float64 {
 	slowest, mean := m.StepTime(demand, g.Shape.Ranks, g.Speed)
 	if mean <= 0 {
 		return 1
 	}
-	return g.passTime(slowest / mean)
+	return g.passTimeAt(slowest / mean)
 }
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -1,17 +1,17 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package retry decides whether a request that failed may be sent again and
-// when. A Budget keeps retries to a share of recent successes, so that a
-// failing group gets no storm. The package is pure; chance comes in as an
+// Package retry decides whether and when a request that failed may be sent again.
+// A Budget limits retries to a fraction of recent successes, so that a failing
+// group receives no retry storm. The package is pure: randomness is passed as an
 // argument, and the caller serialises access.
 package retry
 
 import "time"
 
-// Budget allows a share of recent successes as retries.
+// Budget limits retries to a fraction of recent successes.
 type Budget struct {
 	share  float64 // Retries earned by one success.
-	max    float64 // Retries that can be saved up.
+	max    float64 // Maximum number of retries that can accumulate.
 	tokens float64 // Invariant: 0 <= tokens <= max.
 }
 
@@ -20,10 +20,10 @@
 	return &Budget{share: share, max: limit, tokens: limit}
 }
 
-// Success earns a share of a retry.
+// Success adds the share of a retry that one success earns.
 func (b *Budget) Success() { b.tokens = min(b.max, b.tokens+b.share) }
 
-// SetShare changes the share, when a new policy is in force.
+// SetShare changes the share, when a new policy takes effect.
 func (b *Budget) SetShare(share float64) { b.share = share }
 
 // Take spends one retry; it reports false when none is left.
@@ -35,7 +35,7 @@
 	return true
 }
 
-// Times between attempts.
+// Bounds of the delay between two attempts.
 const (
 	baseDelay = 10 * time.Millisecond
 	maxDelay  = 500 * time.Millisecond
@@ -43,25 +43,25 @@
 
 // Attempt is a failed attempt.
 type Attempt struct {
-	Number     int       // 1 for the first attempt.
-	NotRun     bool      // Nothing was started.
-	Repeatable bool      // The request may run more than once.
-	Allowed    bool      // The policy's word.
-	Deadline   time.Time // Zero when there is none.
-	Random     float64   // In [0, 1).
+	Number       int       // 1 for the first attempt.
+	NotRun       bool      // The endpoint did not start the request.
+	Repeatable   bool      // The request may run more than once.
+	PolicyAllows bool      // The policy allows a retry of a request that may have run.
+	Deadline     time.Time // Zero when there is none.
+	Random       float64   // In [0, 1).
 }
 
-// MaxAttempts bounds the attempts of one request.
+// MaxAttempts is the maximum number of attempts of one request.
 const MaxAttempts = 4
 
-// Next says whether to try again and after which delay. A request that may
-// have run is tried again only when it is repeatable and the policy allows it;
-// one that was not run needs no word of the policy.
+// Next returns whether to try again, and after which delay. A request that may
+// have run is retried only if it is repeatable and the policy allows it; one that
+// was not run is retried regardless of the policy.
 func Next(a Attempt, now time.Time) (delay time.Duration, again bool) {
 	if a.Number >= MaxAttempts {
 		return 0, false
 	}
-	if !a.NotRun && !(a.Repeatable && a.Allowed) {
+	if !a.NotRun && !(a.Repeatable && a.PolicyAllows) {
 		return 0, false
 	}
 	ceiling := min(maxDelay, baseDelay<<min(a.Number-1, 10))
--- a/internal/decide/retry/window.go
+++ b/internal/decide/retry/window.go
@@ -5,69 +5,70 @@
 import "time"
 
 const (
-	// windowParts is into how many parts a window is cut.
+	// windowParts is the number of parts into which a window is divided.
 	windowParts = 20
-	// keptParts is one more: the newest part has only begun, and whatever is as old as a
-	// window still counts.
-	keptParts = windowParts + 1
+	// storedParts is one more than windowParts, because the newest part is incomplete and
+	// everything as old as a window still counts.
+	storedParts = windowParts + 1
 )
 
-// Window allows a share of the requests of a sliding window as repeats. Every
-// process holds one a service: since each keeps to the share of its own
-// requests, all together keep to the share of all, without a word between them.
+// Window limits retries to a fraction of the requests in a sliding window. Every
+// process has one per service: as each keeps to the share of its own requests, all
+// together keep to the share of all requests without communication.
 //
-// The fraction of a repeat that is left over is allowed by chance, one draw a window: of
-// hundreds of processes each may have less than one, and all of them together have
-// hundreds. Where two draws fall into one window they allow less than twice as much.
+// The number of retries allowed is not an integer, and its fraction is rounded up or
+// down at random, once per window: each of hundreds of processes may be allowed less
+// than one retry, while all together are allowed hundreds. If two draws fall into one
+// window, less than twice the number is allowed.
 type Window struct {
-	part     time.Duration
-	share    float64
-	spare    float64 // Repeats that need no request, a window.
-	at       int64   // Number of the newest part.
-	requests [keptParts]int
-	repeats  [keptParts]int
-	round    float64 // Added before the fraction is cut off; 0 up to 1.
-	drawnAt  int64   // Part in which it was drawn.
+	partLength time.Duration
+	share      float64
+	floor      float64 // Retries per window that are allowed without requests.
+	newest     int64   // Number of the newest part.
+	requests   [storedParts]int
+	retries    [storedParts]int
+	rounding   float64 // Random number in [0, 1), added before the fraction is cut off.
+	roundingAt int64   // Number of the part in which rounding was drawn; 0 before the first draw.
 }
 
 // NewWindow returns an empty window.
-func NewWindow(length time.Duration, share, spare float64) *Window {
-	return &Window{part: max(length/windowParts, 1), share: share, spare: spare}
+func NewWindow(length time.Duration, share, floor float64) *Window {
+	return &Window{partLength: max(length/windowParts, 1), share: share, floor: floor}
 }
 
 func (w *Window) advance(now time.Time) {
-	n := now.UnixNano() / int64(w.part)
-	for range min(n-w.at, keptParts) {
-		w.at++
-		w.requests[w.at%keptParts], w.repeats[w.at%keptParts] = 0, 0
+	n := now.UnixNano() / int64(w.partLength)
+	for range min(n-w.newest, storedParts) {
+		w.newest++
+		w.requests[w.newest%storedParts], w.retries[w.newest%storedParts] = 0, 0
 	}
-	w.at = max(w.at, n)
+	w.newest = max(w.newest, n)
 }
 
-// Request counts a request.
-func (w *Window) Request(now time.Time) {
+// RecordRequest counts a request.
+func (w *Window) RecordRequest(now time.Time) {
 	w.advance(now)
-	w.requests[w.at%keptParts]++
+	w.requests[w.newest%storedParts]++
 }
 
-// SetSpare changes the repeats that need no request.
-func (w *Window) SetSpare(spare float64) { w.spare = spare }
+// SetFloor changes the number of retries per window that are allowed without requests.
+func (w *Window) SetFloor(floor float64) { w.floor = floor }
 
-// Take spends one repeat; it reports false when the window has none left. Random returns a
-// number from 0 up to 1.
+// Take spends one retry; it reports false when the window has none left. The function
+// random returns a number in [0, 1).
 func (w *Window) Take(now time.Time, random func() float64) bool {
 	w.advance(now)
-	if w.drawnAt == 0 || w.at-w.drawnAt >= windowParts {
-		w.round, w.drawnAt = random(), w.at
+	if w.roundingAt == 0 || w.newest-w.roundingAt >= windowParts {
+		w.rounding, w.roundingAt = random(), w.newest
 	}
-	requests, repeats := 0, 0
-	for i := range keptParts {
+	requests, retries := 0, 0
+	for i := range storedParts {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	if float64(repeats+1) > w.share*float64(requests)+w.spare+w.round {
+	if float64(retries+1) > w.share*float64(requests)+w.floor+w.rounding {
 		return false
 	}
-	w.repeats[w.at%keptParts]++
+	w.retries[w.newest%storedParts]++
 	return true
 }
--- a/internal/decide/retry/window_test.go
+++ b/internal/decide/retry/window_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// never rounds no fraction up.
-func never() float64 { return 0 }
+// roundDown makes every fraction be rounded down.
+func roundDown() float64 { return 0 }
 
 func TestWindowKeepsToItsShare(t *testing.T) {
 	g := NewWithT(t)
@@ -20,29 +20,29 @@
 	w := NewWindow(10*time.Second, 0.2, 1)
 	take := func() (n int) {
 		for range 100 {
-			if w.Take(now, never) {
+			if w.Take(now, roundDown) {
 				n++
 			}
 		}
 		return n
 	}
-	g.Expect(take()).To(Equal(1), "the spare")
+	g.Expect(take()).To(Equal(1), "the floor")
 	for range 50 {
-		w.Request(now)
+		w.RecordRequest(now)
 	}
 	g.Expect(take()).To(Equal(10))
 	now = now.Add(5 * time.Second)
 	g.Expect(take()).To(BeZero(), "they still count")
 	now = now.Add(6 * time.Second)
-	g.Expect(take()).To(Equal(1), "requests and repeats are forgotten together")
+	g.Expect(take()).To(Equal(1), "requests and retries expire together")
 }
 
-// The published budget of repeats, split among hundreds of gateways, leaves each with less than
-// one; together they must use it, and not more.
-func TestFractionsOfARepeatAddUp(t *testing.T) {
+// The published retry budget, divided among hundreds of gateways, leaves less than one retry to
+// each; together they must use the budget, and not exceed it.
+func TestFractionsOfARetryAddUp(t *testing.T) {
 	const (
 		gateways = 531
-		windows  = 10 // As many as are played, and seconds of each.
+		windows  = 10 // The number of windows simulated, and the length of each in seconds.
 	)
 	for _, tc := range []struct {
 		name  string
@@ -61,7 +61,7 @@
 				list[i] = NewWindow(windows*time.Second, 0.16, tc.spare)
 			}
 			now := time.Unix(1000, 0)
-			var taken []float64 // In each second.
+			var taken []float64 // Retries in each second.
 			for range windows * windows {
 				now = now.Add(time.Second)
 				n := 0.0
--- a/internal/decide/room/room.go
+++ b/internal/decide/room/room.go
@@ -1,121 +1,121 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package room shares the free places of a group of ranks among processes that all
-// see the same number of them and do not know of each other's requests. Each lets
-// a request in with the chance that makes all of them together fill the places
-// once: as many as there are to as many as want one, by what this process sees of
-// its own. Requests of a better class go first, at whatever process: what they usually
-// want is left to them. It is a pure state machine: time and chance come in as
-// arguments, and the caller serialises access. How many places there are is package
-// passes' matter.
+// Package room shares the free slots of a group of ranks among processes that all see
+// the same number of free slots and do not know of each other's requests. Each process
+// admits a request with a probability such that all processes together fill the slots
+// once: the ratio of free slots to the demand of all processes, which it estimates from
+// its own requests. Requests of a better class go first, at any process: the number of
+// slots that they typically need is reserved for them. It is a pure state machine: time
+// and randomness are passed as arguments, and the caller serialises access. Package
+// passes determines the number of slots.
 package room
 
 import "time"
 
-// Class is the order in which requests get places, the first being 0.
+// Class is the priority of a request for a slot; 0 goes first.
 type Class int
 
-// urgencies is how many ranks of urgency are told apart; those after the last are taken
-// as the last one.
-const urgencies = 3
+// urgencyLevels is the number of distinct urgencies; higher numbers count as the last one.
+const urgencyLevels = 3
 
-// classes is how many classes there are.
-const classes = 2 * urgencies
+// classCount is the number of classes.
+const classCount = 2 * urgencyLevels
 
-// ClassOf returns the class of a request by its urgency, 0 being the most urgent. One that
-// is late however soon it is let in comes after all that can be in time: while callers
-// that had been refused before waited for two seconds and asked at each report, those who
-// came for the first time asked once or twice and were refused, and everybody was late.
+// ClassOf returns the class of a request by its urgency, 0 being the most urgent. A request
+// that would be late even if it were admitted now comes after all that can be in time.
+// Otherwise, callers that had been rejected before and waited for two seconds asked for a slot
+// at each report, new callers asked once or twice and were rejected, and all were late.
 func ClassOf(urgency int, late bool) Class {
-	c := Class(min(max(urgency, 0), urgencies-1))
+	c := Class(min(max(urgency, 0), urgencyLevels-1))
 	if late {
-		c += urgencies
+		c += urgencyLevels
 	}
 	return c
 }
 
-func (c Class) late() bool { return c >= urgencies }
+func (c Class) late() bool { return c >= urgencyLevels }
 
-// urgencyWeights is how much more often requests are let in by their urgency while there
-// is too little room for all. Strict order would shut out the least urgent for as long
-// as that lasts; their callers wait for an answer, too.
-var urgencyWeights = [urgencies]float64{4, 2, 1}
+// urgencyWeights are the relative frequencies of admission by urgency while there is not enough
+// capacity for all requests. Strict priority would starve the least urgent requests during that
+// time; their callers wait for an answer, too.
+var urgencyWeights = [urgencyLevels]float64{4, 2, 1}
 
-// usualWeight is the weight of the requests since the newest report in the usual
-// number: the last ten reports or so, a second, tell how many want a place now.
-const usualWeight = 0.1
+// smoothingWeight is the weight of the newest report interval in the smoothed number of requests,
+// which thus covers about the last ten reports, or one second.
+const smoothingWeight = 0.1
 
-// Share is what one process sees of one group.
+// Share is the view that one process has of the demand for one group.
 type Share struct {
-	report time.Time        // The newest one of places; zero before the first.
-	wants  [classes]float64 // Requests that wanted a place since it came.
-	usual  [classes]float64 // Their smoothed number from one report to the next.
+	lastReport time.Time           // Time of the newest report of free slots; zero before the first.
+	requests   [classCount]float64 // Requests for a slot since that report.
+	smoothed   [classCount]float64 // Smoothed number of requests between two reports.
 }
 
-// Report notes that places were told anew at a moment.
-func (s *Share) Report(at time.Time) {
-	if !at.After(s.report) {
+// RecordReport records that the number of free slots was reported at the given time.
+func (s *Share) RecordReport(at time.Time) {
+	if !at.After(s.lastReport) {
 		return
 	}
-	for c := range s.usual {
-		if !s.report.IsZero() {
-			s.usual[c] += usualWeight * (s.wants[c] - s.usual[c])
+	for c := range s.smoothed {
+		if !s.lastReport.IsZero() {
+			s.smoothed[c] += smoothingWeight * (s.requests[c] - s.smoothed[c])
 		}
-		s.wants[c] = 0
+		s.requests[c] = 0
 	}
-	s.report = at
+	s.lastReport = at
 }
 
-// Newest returns the time of the newest report. A request that was not let in wants
-// a place again with the next one.
-func (s *Share) Newest() time.Time { return s.report }
+// LastReport returns the time of the newest report. A request that was not admitted asks for a
+// slot again at the next report.
+func (s *Share) LastReport() time.Time { return s.lastReport }
 
-// Take reports whether a request of a class takes one of so many places that are free,
-// for which so many other processes have requests, too. Surge is set while all of them
-// have requests that waited for the same, as right after an outage: what is usual tells
-// nothing then, and the others want as much as this one. Random returns a number from 0
-// up to 1.
-func (s *Share) Take(c Class, places float64, others int, surge bool, random func() float64) bool {
-	s.wants[c]++
-	chance := s.chance(c, places, float64(others+1), surge)
-	return places >= 1 && chance > 0 && (chance >= 1 || random() < chance)
+// Admit reports whether a request of a class takes one of the free slots, for which other
+// processes have requests, too; others is the number of these processes. The argument surge is
+// set while all of them have requests that waited for the same event, as right after an outage:
+// the smoothed numbers are meaningless then, and each of the others is assumed to have as many
+// requests as this process. The function random returns a number in [0, 1).
+func (s *Share) Admit(c Class, slots float64, others int, surge bool, random func() float64) bool {
+	s.requests[c]++
+	probability := s.admitProbability(c, slots, float64(others+1), surge)
+	return slots >= 1 && probability > 0 && (probability >= 1 || random() < probability)
 }
 
-// chance returns with which chance a request of a class is let in, where so many processes
-// want places.
-func (s *Share) chance(c Class, places, processes float64, surge bool) float64 {
-	first := Class(0) // Of the classes that share what places there are.
+// admitProbability returns the probability with which a request of a class is admitted, where
+// processes is the number of processes with requests.
+func (s *Share) admitProbability(c Class, slots, processes float64, surge bool) float64 {
+	first := Class(0) // First of the classes that share the slots.
 	if c.late() {
-		first = urgencies
+		first = urgencyLevels
 		for k := range first {
-			places -= s.usual[k] * processes
+			slots -= s.smoothed[k] * processes
 		}
 	}
-	var want [urgencies]float64
-	for u := range want {
-		want[u] = s.usual[first+Class(u)] * processes
+	var demand [urgencyLevels]float64
+	for u := range demand {
+		demand[u] = s.smoothed[first+Class(u)] * processes
 	}
 	own := int(c - first)
-	want[own] = max(want[own], s.wants[c]) // In a surge here the usual number tells too little.
+	demand[own] = max(demand[own], s.requests[c]) // During a surge at this process the smoothed number is too low.
 	if surge {
-		want[own] = max(want[own], s.wants[c]*processes)
+		demand[own] = max(demand[own], s.requests[c]*processes)
 	}
-	return fill(want, places, own)
+	return fillSlots(demand, slots, own)
 }
 
-// fill pours places into the wants of urgencies by their weights, and returns which part
-// of those of one is let in. What is more than an urgency wants goes to the others.
-func fill(want [urgencies]float64, places float64, own int) (part float64) {
-	full := [urgencies]bool{}
+// fillSlots distributes slots over the demand of the urgencies by their weights, and returns the
+// fraction of the demand of urgency own that is admitted. Slots that exceed the demand of an
+// urgency go to the others.
+func fillSlots(demand [urgencyLevels]float64, slots float64, own int) (fraction float64) {
+	full := [urgencyLevels]bool{}
 	for {
 		total, next := 0.0, -1
-		for u, n := range want {
+		for u, n := range demand {
 			if !full[u] {
 				total += urgencyWeights[u] * n
 			}
 		}
-		for u := range want {
-			if !full[u] && places*urgencyWeights[u] >= total {
+		for u := range demand {
+			if !full[u] && slots*urgencyWeights[u] >= total {
 				next = u
 			}
 		}
@@ -123,9 +123,9 @@
 		case next == own:
 			return 1
 		case next < 0:
-			return places * urgencyWeights[own] / total
+			return slots * urgencyWeights[own] / total
 		}
 		full[next] = true
-		places -= want[next]
+		slots -= demand[next]
 	}
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -181,12 +181,12 @@
 		s = &room.Share{}
 		q.g.shares[group] = s
 	}
-	s.Report(q.g.passes.LastRound(group))
-	if last := q.asked; last != nil && last.group == group && !s.Newest().After(last.at) {
+	s.RecordReport(q.g.passes.LastRound(group))
+	if last := q.asked; last != nil && last.group == group && !s.LastReport().After(last.at) {
 		return false // It was not let in by what is known.
 	}
-	q.asked = &lastAsked{group: group, at: s.Newest()}
-	return s.Take(q.class(), o.FreeCapacity(), q.g.sharers(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
+	q.asked = &lastAsked{group: group, at: s.LastReport()}
+	return s.Admit(q.class(), o.FreeCapacity(), q.g.sharers(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
 }
 
 // byGroup returns the groups that the ranks in list are in, in the order of their
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -277,7 +277,7 @@
 	defer g.mu.Unlock()
 	g.others, g.heardAt = n, heard
 	for _, w := range g.windows {
-		w.SetSpare(g.spare())
+		w.SetFloor(g.spare())
 	}
 }
 
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -69,7 +69,7 @@
 		return unreached
 	}
 	if len(q.tried) == 0 {
-		duty.Locked(&g.mu, func() { g.window(q.service).Request(g.cfg.Now()) })
+		duty.Locked(&g.mu, func() { g.window(q.service).RecordRequest(g.cfg.Now()) })
 	}
 	return q.exchange(e, conn)
 }
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -136,20 +136,20 @@
 		share = expertWork
 	}
 	return remap.Group{
-		Shape:       rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.Experts, Slots: l.shape.Places},
-		Spare:       l.shape.Spare,
-		ExpertShare: share,
-		Speed:       l.speeds(),
+		Shape:          rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.Experts, Slots: l.shape.Places},
+		MaxNewPerLayer: l.shape.Spare,
+		ExpertShare:    share,
+		Speed:          l.speeds(),
 	}
 }
 
 // effort returns the time that changes take here.
 func (l *leader) effort() remap.Effort {
 	return remap.Effort{
-		Copy:  l.copyTime(1),
-		Rest:  noticeLooks*l.lookPause() + l.handing + l.arming.Mean(),
-		Still: max(l.arming.Most()-mostAhead*l.planner.pass, 0),
-		Pass:  l.planner.pass,
+		CopyTime:    l.copyTime(1),
+		Overhead:    noticeLooks*l.lookPause() + l.handing + l.arming.Mean(),
+		StallTime:   max(l.arming.Most()-mostAhead*l.planner.pass, 0),
+		CurrentPass: l.planner.pass,
 	}
 }
 
@@ -161,7 +161,7 @@
 	}
 	price := l.price(l.left(time.Now()))
 	plan := l.plan(price)
-	if !plan.Pays(l.effort(), price) {
+	if !plan.IsWorthwhile(l.effort(), price) {
 		return
 	}
 	l.begin(ctx, plan)
@@ -177,15 +177,15 @@
 		return f.Left(now)
 	}
 	e := l.effort()
-	return max(f.Left(now), firstChanges*(e.Copy+e.Rest))
+	return max(f.Left(now), firstChanges*(e.CopyTime+e.Overhead))
 }
 
 // price says what changes are worth while demand stays for so long.
 func (l *leader) price(left time.Duration) remap.Price {
 	return remap.Price{
-		Second: l.s.cfg.SkewPrice * l.pressure(),
-		Copy:   paysTimes * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
-		Left:   left,
+		PerSecond: l.s.cfg.SkewPrice * l.pressure(),
+		PerCopy:   paysTimes * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
+		Horizon:   left,
 	}
 }
 
@@ -200,7 +200,7 @@
 	version := (m.Newest/versionsPerRank+1)*versionsPerRank + uint64(m.Self)
 	layout := rows(plan.Map, len(l.byRank))
 	now := time.Now()
-	p.pending = &pending{plan: plan, version: version, began: now, due: now.Add(l.copyTime(plan.Most)), shifts: p.follower.Shifts(), speeds: l.speeds()}
+	p.pending = &pending{plan: plan, version: version, began: now, due: now.Add(l.copyTime(plan.MaxPerRank)), shifts: p.follower.Shifts(), speeds: l.speeds()}
 	m.Begin(version, layout)
 	l.writeMap(layout)
 	l.drive(ctx, prepareTries*l.orderLimit(&l.whole, len(l.byRank)-1))
@@ -259,7 +259,7 @@
 	plan := l.plan(price)
 	soon := g.PassTime(p.pending.plan.Map, p.follower.Load())
 	remaining := max(p.pending.due.Sub(now), 0)
-	if !plan.Pays(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, soon) {
+	if !plan.IsWorthwhile(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, soon) {
 		p.pending.shifts, p.pending.speeds = p.follower.Shifts(), l.speeds()
 		return
 	}
@@ -290,7 +290,7 @@
 	} else {
 		l.s.figures.gaveUp.Inc(1)
 	}
-	l.s.log.Info("map changed", zap.Bool("in-force", done), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.Most),
+	l.s.log.Info("map changed", zap.Bool("in-force", done), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.MaxPerRank),
 		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.pass), zap.Ints("running", l.running()), zap.Float64s("speed", l.speeds()),
 		zap.Duration("copying", copied.Sub(change.began)), zap.Duration("switching", took))
 }
