--- a/internal/decide/own/own.go
+++ b/internal/decide/own/own.go
@@ -1,16 +1,17 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
 // Package own computes which endpoint owns an idempotency key, by rendezvous
-// hashing over the published endpoints of a service. It knows nothing of which
-// endpoints are alive: all entries must agree whatever they see.
+// hashing over the published endpoints of a service. It does not consider which
+// endpoints are alive, because all entries must agree even if their views differ.
 //
-// The idea is Option A of "[RFC] Stable Multi-Disk Placement and Stale KV
+// The method is Option A of "[RFC] Stable Multi-Disk Placement and Stale KV
 // Cache GC for fs_native"; docs/MEASUREMENTS.md compares it with modulo.
 package own
 
 import "github.com/cespare/xxhash/v2"
 
-// Score ranks an owner for a key; the highest one owns it.
+// Score returns the rendezvous score of an owner for a key; the owner with the
+// highest score owns the key.
 func Score(key, owner string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -20,7 +21,7 @@
 	return d.Sum64()
 }
 
-// Owner returns the owner of key among names, or "" when there is none. It
+// Owner returns the owner of key among names, or "" if names is empty. The result
 // does not depend on the order of names.
 func Owner(key string, names []string) (owner string) {
 	var best uint64
@@ -33,7 +34,8 @@
 	return owner
 }
 
-// Modulo is the naive version: the hash of the key modulo the number of names.
+// Modulo returns the owner under the naive method: the hash of the key modulo the
+// number of names.
 func Modulo(key string, names []string) (owner string) {
 	if len(names) == 0 {
 		return ""
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
 // Package route chooses the endpoint for a request: the group first, then the
-// rank within it. It is a pure function of what an entry has heard of the
-// endpoints, which is late, and of what it has sent itself since. It does not
-// know whether an endpoint is alive: dead and leaving ones are not offered.
+// rank within it. It is a pure function of the reports that an entry has received
+// from the endpoints, which are delayed, and of the requests that the entry itself
+// has sent since. It does not know whether an endpoint is alive: the caller does
+// not pass dead or leaving ones.
 package route
 
 import (
@@ -13,49 +14,50 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/own"
 )
 
-// Candidate is one endpoint that a request may go to.
+// Candidate is an endpoint to which a request may be sent.
 type Candidate struct {
-	Endpoint string
-	Group    string
-	Local    bool    // In the entry's own failure domain.
-	Running  int     // Requests at the endpoint, by its last report.
-	Queued   int     // Requests in its queue, by its last report.
-	Limit    int     // Its concurrency limit; 0 when nothing was heard yet.
-	StepMS   float64 // Its mean step time.
-	Sent     int     // Requests this entry sent since that report and that have not ended.
-	Stalled  bool    // Its group's step number stands still.
+	Endpoint   string
+	Group      string
+	SameDomain bool    // It is in the entry's own failure domain.
+	Running    int     // Running requests, by its last report.
+	Queued     int     // Queued requests, by its last report.
+	Limit      int     // Its concurrency limit; 0 before its first report.
+	StepMS     float64 // Its mean step time in milliseconds.
+	InFlight   int     // Requests that this entry has sent since that report and that have not ended.
+	Stalled    bool    // The step number of its group does not advance.
 }
 
-// Want is what a request asks for.
-type Want struct {
-	Prefix string // Hash of the prompt prefix; "" when caching does not matter.
-	Random uint64 // Source of chance; the same value gives the same choice.
+// Request holds the properties of a request that affect routing.
+type Request struct {
+	Prefix string // Hash of the prompt prefix; "" if caching does not matter.
+	Random uint64 // Random number; the same value gives the same choice.
 }
 
-// Costs, in units of one request that waits.
+// Costs and loads, in units of one waiting request.
 const (
-	remoteCost  = 0.5  // A hop to another failure domain.
-	unheardLoad = 1.0  // Load assumed of an endpoint that has not reported.
-	boundFactor = 1.25 // Load of a preferred endpoint, at most, to the mean.
-	boundSlack  = 0.1
-	holders     = 3 // Endpoints that hold one prefix.
+	remoteCost      = 0.5  // Cost of a hop to another failure domain.
+	unreportedLoad  = 1.0  // Assumed load of an endpoint that has not reported.
+	maxLoadFactor   = 1.25 // Maximum load of a preferred endpoint, as a multiple of the mean.
+	maxLoadSlack    = 0.1  // Added to that maximum.
+	prefixEndpoints = 3    // Number of preferred endpoints of a prefix.
 )
 
-// load is the endpoint's predicted wait, in requests by its limit.
+// load returns the endpoint's predicted wait: its requests as a fraction of its
+// limit, plus the number of requests above the limit.
 func (c Candidate) load() float64 {
 	if c.Limit == 0 {
-		return unheardLoad + float64(c.Sent)
+		return unreportedLoad + float64(c.InFlight)
 	}
-	busy := float64(c.Running+c.Queued+c.Sent) / float64(c.Limit)
-	over := math.Max(0, float64(c.Running+c.Queued+c.Sent-c.Limit))
-	return busy + over
+	busy := float64(c.Running+c.Queued+c.InFlight) / float64(c.Limit)
+	excess := math.Max(0, float64(c.Running+c.Queued+c.InFlight-c.Limit))
+	return busy + excess
 }
 
-// Pick returns the index of the chosen candidate, or -1 when all are stalled
-// or there is none. Prefixes map to preferred endpoints by rendezvous with
-// bounded load; apart from that, the better of two random candidates is taken,
-// so that entries with the same old reports do not herd.
-func Pick(list []Candidate, w Want) int {
+// Pick returns the index of the chosen candidate, or -1 if all are stalled or
+// there is none. Prefixes map to preferred endpoints by rendezvous hashing with
+// bounded load; otherwise, Pick returns the better of two random candidates, so
+// that entries with the same outdated reports do not all choose the same one.
+func Pick(list []Candidate, r Request) int {
 	usable := make([]int, 0, len(list))
 	total := 0.0
 	for i, c := range list {
@@ -67,37 +69,36 @@
 	if len(usable) == 0 {
 		return -1
 	}
-	if w.Prefix != "" {
-		if i := preferred(list, usable, w.Prefix, total/float64(len(usable))); i >= 0 {
+	if r.Prefix != "" {
+		if i := preferred(list, usable, r.Prefix, total/float64(len(usable))); i >= 0 {
 			return i
 		}
 	}
-	a, b := twoOf(len(usable), w.Random)
+	a, b := twoRandom(len(usable), r.Random)
 	first, second := usable[a], usable[b]
-	if cost(list[second], w) < cost(list[first], w) {
+	if cost(list[second], r) < cost(list[first], r) {
 		return second
 	}
 	return first
 }
 
-// preferred returns the least loaded of the few endpoints that come first for
-// the prefix in rendezvous order, so that a popular prefix is held by a few
-// endpoints and no more. When even that one is far above the mean, there is
-// none.
+// preferred returns the least loaded of the first prefixEndpoints endpoints in the
+// rendezvous order of the prefix, so that only a few endpoints cache a popular
+// prefix. It returns -1 if even the load of that one is far above the mean.
 func preferred(list []Candidate, usable []int, prefix string, mean float64) int {
-	first := make([]int, 0, holders)
-	scores := make([]uint64, 0, holders)
+	first := make([]int, 0, prefixEndpoints)
+	scores := make([]uint64, 0, prefixEndpoints)
 	for _, i := range usable {
 		s := own.Score(prefix, list[i].Endpoint)
 		at := len(first)
 		for at > 0 && scores[at-1] < s {
 			at--
 		}
-		if at == holders {
+		if at == prefixEndpoints {
 			continue
 		}
-		if len(first) == holders {
-			first, scores = first[:holders-1], scores[:holders-1]
+		if len(first) == prefixEndpoints {
+			first, scores = first[:prefixEndpoints-1], scores[:prefixEndpoints-1]
 		}
 		first = slices.Insert(first, at, i)
 		scores = slices.Insert(scores, at, s)
@@ -108,26 +109,27 @@
 			best = i
 		}
 	}
-	if list[best].load() > boundFactor*mean+boundSlack {
+	if list[best].load() > maxLoadFactor*mean+maxLoadSlack {
 		return -1
 	}
 	return best
 }
 
-// cost is the predicted wait and the prompt work not cached there.
-func cost(c Candidate, w Want) float64 {
+// cost returns the predicted wait at a candidate, weighted by its step time, and the
+// cost of a hop to another failure domain.
+func cost(c Candidate, r Request) float64 {
 	sum := c.load()
 	if c.StepMS > 0 {
 		sum *= 1 + c.StepMS/1000
 	}
-	if !c.Local {
+	if !c.SameDomain {
 		sum += remoteCost
 	}
 	return sum
 }
 
-// twoOf draws two different numbers below n, or the same one when n is 1.
-func twoOf(n int, random uint64) (a, b int) {
+// twoRandom returns two different random numbers below n, or 0 twice if n is 1.
+func twoRandom(n int, random uint64) (a, b int) {
 	a = int(random % uint64(n))
 	if n == 1 {
 		return a, a
--- a/internal/decide/silence/silence.go
+++ b/internal/decide/silence/silence.go
@@ -1,51 +1,51 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package silence says for how long an answer may be silent until its request is
-// better sent elsewhere: a connection behind a cut says nothing, and so does an endpoint
-// that lost an answer. It is pure. Whether the request may be sent again, and whether
-// the budget allows it, is the caller's matter.
+// Package silence computes how long to wait for the next event of an answer before its
+// request is better sent to another endpoint: nothing arrives on a partitioned connection,
+// or from an endpoint that lost the answer. It is pure. The caller decides whether the
+// request may be retried, and whether the retry budget allows it.
 package silence
 
 import "time"
 
 const (
-	// targetShare is the part of the target for which every first event is waited for:
-	// a second try may still be in time after it where groups are quick.
-	targetShare = 0.8
-	// longer is how many times the usual longest time until a first event an answer is
-	// waited for: a group whose first events take long is busy, and not silent.
-	longer = 1.5
-	// leaveShare is the part of the time after which callers leave a silent answer that
-	// is waited for at most: the rest is for the try elsewhere.
-	leaveShare = 0.55
-	// passesMissed is how many passes must be missed in the midst of a stream.
-	passesMissed = 8
+	// targetFraction is the fraction of the target for which every first event is awaited: a
+	// second attempt after it may still be in time if the group is fast.
+	targetFraction = 0.8
+	// firstEventFactor is the multiple of FirstEvent for which the first event is awaited: a
+	// group whose first events take long is busy, not silent.
+	firstEventFactor = 1.5
+	// callerTimeoutFraction is the maximum wait as a fraction of the time after which callers
+	// abandon a silent answer: the remainder is for the attempt at another endpoint.
+	callerTimeoutFraction = 0.55
+	// missedPasses is the number of passes without an event that end the wait in a stream.
+	missedPasses = 8
 )
 
-// Answer is what is known of an answer and its caller.
+// Answer holds the expected times of an answer, and the timeout of its caller.
 type Answer struct {
-	Target time.Duration // Until the answer or its first event, to be in time.
-	Leaves time.Duration // Callers leave an answer that is silent for so long.
-	First  time.Duration // Until nearly all first events of the group or service come; 0 when not known.
-	Pass   time.Duration // Usual time between two events; 0 when not known.
+	Target        time.Duration // Time until the answer or its first event for it to be in time.
+	CallerTimeout time.Duration // Time without an event after which callers abandon an answer; 0 if they never do.
+	FirstEvent    time.Duration // Time within which nearly all first events of the group or service arrive; 0 if unknown.
+	PassTime      time.Duration // Typical time between two events; 0 if unknown.
 }
 
-// BeforeFirst returns for how long after the request was sent nothing may come.
+// BeforeFirst returns how long to wait for the first event after the request was sent.
 func (a Answer) BeforeFirst() time.Duration {
-	wait := max(time.Duration(targetShare*float64(a.Target)), time.Duration(longer*float64(a.First)))
-	return a.atMost(wait)
+	wait := max(time.Duration(targetFraction*float64(a.Target)), time.Duration(firstEventFactor*float64(a.FirstEvent)))
+	return a.limited(wait)
 }
 
-// Midway returns for how long nothing may come after an event: at least as long as
-// before the first one, since a rank that fails holds up its group for a time and the
-// stream then ends by itself.
-func (a Answer) Midway() time.Duration {
-	return a.atMost(max(a.Target, passesMissed*a.Pass))
+// MidStream returns how long to wait for the next event after an event: at least the
+// target, since a failing rank stalls its group for some time and the stream then ends
+// by itself.
+func (a Answer) MidStream() time.Duration {
+	return a.limited(max(a.Target, missedPasses*a.PassTime))
 }
 
-func (a Answer) atMost(wait time.Duration) time.Duration {
-	if a.Leaves <= 0 {
+func (a Answer) limited(wait time.Duration) time.Duration {
+	if a.CallerTimeout <= 0 {
 		return wait
 	}
-	return min(wait, time.Duration(leaveShare*float64(a.Leaves)))
+	return min(wait, time.Duration(callerTimeoutFraction*float64(a.CallerTimeout)))
 }
--- a/internal/decide/spread/spread.go
+++ b/internal/decide/spread/spread.go
@@ -1,55 +1,55 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package spread decides which published generation a process adopts. It is a
-// pure state machine: fetching, checking signatures and parsing are done by
-// the caller, who tells the result.
+// Package spread decides which published generation of the configuration a process
+// adopts. It is a pure state machine: the caller fetches, verifies and parses a
+// generation, and passes the result.
 package spread
 
 import "github.com/canvaspulley/canvaspulley/internal/published"
 
-// Decision is what to do with a generation that was heard of.
+// Decision is what to do with an announced generation.
 type Decision int
 
 // The decisions.
 const (
-	Ignore Decision = iota // Older, the same, or refused before.
-	Fetch                  // Newer: fetch and judge it, then call Adopt or Refuse.
+	Ignore Decision = iota // It is older, the same, or was refused before.
+	Fetch                  // It is newer: fetch and validate it, then call Adopt or Refuse.
 )
 
-// State is what a process holds of the published configuration.
+// State is the state of the published configuration in one process.
 type State struct {
-	current published.Version // Zero when nothing was adopted yet.
-	refused map[published.Version]bool
-	clash   published.Version // The other manifest of the same generation, if one was seen.
+	current  published.Version // Zero before the first adoption.
+	refused  map[published.Version]bool
+	conflict published.Version // Another valid manifest of the same generation, if one was received.
 }
 
-// maxRefused bounds the memory of refused generations.
+// maxRefused bounds the number of refused generations that are remembered.
 const maxRefused = 64
 
 // New returns the state of a process that has no configuration.
 func New() *State { return &State{refused: map[published.Version]bool{}} }
 
-// Current returns the generation in force; the zero Version when there is none.
+// Current returns the generation in effect; the zero Version if there is none.
 func (s *State) Current() published.Version { return s.current }
 
-// Clash returns a second manifest of the present generation, if one was seen.
-func (s *State) Clash() (v published.Version, ok bool) {
-	return s.clash, s.clash.Generation != 0 && s.clash.Generation == s.current.Generation
+// Conflict returns a second manifest of the current generation, if one was received.
+func (s *State) Conflict() (v published.Version, ok bool) {
+	return s.conflict, s.conflict.Generation != 0 && s.conflict.Generation == s.current.Generation
 }
 
-// Heard takes in a generation named by a peer or the configuration service.
-func (s *State) Heard(v published.Version) Decision {
+// Receive decides what to do with a generation announced by a peer or the configuration service.
+func (s *State) Receive(v published.Version) Decision {
 	if v.Generation == 0 || s.refused[v] || !v.Newer(s.current) {
 		return Ignore
 	}
 	return Fetch
 }
 
-// Adopt puts a fetched and judged generation in force. It reports false, and
-// changes nothing, when a newer one came in meanwhile: configuration never
-// gets older. A second manifest of one generation is noted as a clash.
+// Adopt makes a fetched and valid generation the current one. It reports false, and
+// leaves the current one unchanged, if that is not older, because a newer one arrived
+// in the meantime: the configuration never goes back. A second manifest of the same generation is recorded as a conflict.
 func (s *State) Adopt(v published.Version) bool {
-	s.note(v)
+	s.recordConflict(v)
 	if !v.Newer(s.current) {
 		return false
 	}
@@ -57,23 +57,23 @@
 	return true
 }
 
-// note remembers two valid manifests of one generation.
-func (s *State) note(v published.Version) {
+// recordConflict records a conflict if v is another manifest of the current generation.
+func (s *State) recordConflict(v published.Version) {
 	if v.Generation != s.current.Generation || v.Hash == s.current.Hash {
 		return
 	}
-	s.clash = v
+	s.conflict = v
 	if v.Newer(s.current) {
-		s.clash = s.current
+		s.conflict = s.current
 	}
 }
 
-// Seen takes in a valid manifest that was not adopted, so that a clash is
-// noticed also by those who hold the manifest that wins.
-func (s *State) Seen(v published.Version) { s.note(v) }
+// RecordValid records a valid manifest that was not adopted, so that processes with
+// the winning manifest detect a conflict, too.
+func (s *State) RecordValid(v published.Version) { s.recordConflict(v) }
 
-// Refuse remembers that a generation is faulty, so that it is not fetched from
-// every peer again.
+// Refuse records that a generation is invalid, so that it is not fetched again from
+// every peer.
 func (s *State) Refuse(v published.Version) {
 	if len(s.refused) >= maxRefused {
 		s.refused = map[published.Version]bool{}
--- a/internal/decide/spread/spread_test.go
+++ b/internal/decide/spread/spread_test.go
@@ -23,25 +23,25 @@
 	return version(uint64(rapid.IntRange(1, 4).Draw(t, "generation")), fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "hash")))
 }
 
-// hear follows the decision, as a daemon does.
-func hear(s *State, v published.Version) {
-	if s.Heard(v) == Fetch {
+// receive receives a generation and follows the decision, as the daemon does.
+func receive(s *State, v published.Version) {
+	if s.Receive(v) == Fetch {
 		s.Adopt(v)
 	}
 }
 
-// TestOneOrderForAll lets two processes hear the same generations in different
-// orders, stale ones again and again: both end on the same, and neither ever
-// gets older.
-func TestOneOrderForAll(t *testing.T) {
+// TestProcessesConvergeInAnyOrder has two processes receive the same generations in
+// different orders, stale ones repeatedly: both end with the same generation, and neither
+// ever goes back to an older one.
+func TestProcessesConvergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		heard := rapid.SliceOfN(rapid.Custom(anyVersion), 1, 12).Draw(t, "heard")
-		other := rapid.Permutation(heard).Draw(t, "other order")
+		received := rapid.SliceOfN(rapid.Custom(anyVersion), 1, 12).Draw(t, "heard")
+		other := rapid.Permutation(received).Draw(t, "other order")
 		a, b := New(), New()
-		for i := range heard {
+		for i := range received {
 			was := a.Current()
-			hear(a, heard[i])
-			hear(b, other[i])
+			receive(a, received[i])
+			receive(b, other[i])
 			if was.Newer(a.Current()) {
 				t.Fatalf("went from %v back to %v", was, a.Current())
 			}
@@ -52,11 +52,11 @@
 	})
 }
 
-// TestByArrivalGoesBack shows that the naive rule, the last one heard of the
-// same or a higher number, ends differently on two processes.
-func TestByArrivalGoesBack(t *testing.T) {
+// TestAdoptionByArrivalDiverges shows that under the naive rule, adopt the last received
+// generation of the same or a higher number, two processes end with different generations.
+func TestAdoptionByArrivalDiverges(t *testing.T) {
 	g := gomega.NewWithT(t)
-	last := func(order ...published.Version) (v published.Version) {
+	adoptLast := func(order ...published.Version) (v published.Version) {
 		for _, one := range order {
 			if one.Generation >= v.Generation {
 				v = one
@@ -65,30 +65,30 @@
 		return v
 	}
 	one, two := version(2, "a"), version(2, "b")
-	g.Expect(last(one, two)).NotTo(gomega.Equal(last(two, one)))
+	g.Expect(adoptLast(one, two)).NotTo(gomega.Equal(adoptLast(two, one)))
 }
 
-func TestClashIsSeenByWinnerAndLoser(t *testing.T) {
+func TestConflictIsDetectedByWinnerAndLoser(t *testing.T) {
 	for _, order := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		g := gomega.NewWithT(t)
 		s := New()
-		hear(s, version(2, order[0]))
-		s.Seen(version(2, order[1]))
-		hear(s, version(2, order[1]))
+		receive(s, version(2, order[0]))
+		s.RecordValid(version(2, order[1]))
+		receive(s, version(2, order[1]))
 		g.Expect(s.Current().Hash).To(gomega.Equal("b"))
-		other, ok := s.Clash()
+		other, ok := s.Conflict()
 		g.Expect(ok).To(gomega.BeTrue())
 		g.Expect(other.Hash).To(gomega.Equal("a"))
-		hear(s, version(3, "c"))
-		_, ok = s.Clash()
-		g.Expect(ok).To(gomega.BeFalse(), "a higher generation ends the clash")
+		receive(s, version(3, "c"))
+		_, ok = s.Conflict()
+		g.Expect(ok).To(gomega.BeFalse(), "a higher generation ends the conflict")
 	}
 }
 
-func TestRefusedIsNotFetchedAgain(t *testing.T) {
+func TestRefusedGenerationIsNotFetchedAgain(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := New()
 	s.Refuse(version(2, "bad"))
-	g.Expect(s.Heard(version(2, "bad"))).To(gomega.Equal(Ignore))
-	g.Expect(s.Heard(version(2, "good"))).To(gomega.Equal(Fetch))
+	g.Expect(s.Receive(version(2, "bad"))).To(gomega.Equal(Ignore))
+	g.Expect(s.Receive(version(2, "good"))).To(gomega.Equal(Fetch))
 }
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -130,9 +130,9 @@
 			list = append(list, candidate{
 				member: m,
 				Candidate: route.Candidate{
-					Endpoint: ep.Name, Group: s.Name, Local: m.Domain == e.node.Settings().Domain,
+					Endpoint: ep.Name, Group: s.Name, SameDomain: m.Domain == e.node.Settings().Domain,
 					Running: h.load.Running, Queued: h.load.Queued, Limit: h.load.Limit,
-					StepMS: h.load.StepMS, Sent: h.sent, Stalled: h.load.Stalled,
+					StepMS: h.load.StepMS, InFlight: h.sent, Stalled: h.load.Stalled,
 				},
 			})
 		}
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -108,7 +108,7 @@
 	r.charge(pb, back)
 	r.merge(a, back, now)
 	for _, way := range [][2]int{{a, b}, {b, a}} {
-		if r.peers[way[1]].conf.Heard(r.peers[way[0]].conf.Current()) == spread.Fetch {
+		if r.peers[way[1]].conf.Receive(r.peers[way[0]].conf.Current()) == spread.Fetch {
 			r.due = append(r.due, way)
 		}
 	}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -233,7 +233,7 @@
 		denied = n.table.Self().Incarnation != before.Incarnation
 		lost = n.table.Superseded(m.Rows)
 		n.heir = n.heir || lost
-		decision = n.spread.Heard(m.Version)
+		decision = n.spread.Receive(m.Version)
 	})
 	n.note(changes)
 	if denied {
