--- a/internal/decide/passes/passes_test.go
+++ b/internal/decide/passes/passes_test.go
@@ -101,10 +101,10 @@
 
 func TestRequestsAreMovedOffSlowRanksIfTheOthersHaveCapacity(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		pace    float64
-		running int
-		want    bool
+		name     string
+		slowdown float64
+		running  int
+		want     bool
 	}{
 		{"a little slow", 2, 3, false},
 		{"very slow", 8, 3, true},
@@ -115,7 +115,7 @@
 			g := NewWithT(t)
 			p := New()
 			reportAll(p, "g", RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: 1})
-			p.Report(id("g", 2), "g", shape, RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: tc.pace, At: at})
+			p.Report(id("g", 2), "g", shape, RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: tc.slowdown, At: at})
 			g.Expect(p.ShouldMoveRequests(id("g", 2), at)).To(Equal(tc.want))
 			g.Expect(p.ShouldMoveRequests(id("g", 1), at)).To(BeFalse())
 		})
@@ -155,19 +155,19 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			drawn, last := 0, 0
+			chosen, last := 0, 0
 			for n := range 3000 {
 				i, ok := Choose(tc.offers, func(sum int) int { return n * 7919 % sum })
 				g.Expect(ok).To(Equal(tc.ok))
 				if !ok {
 					return
 				}
-				drawn++
+				chosen++
 				if i == len(tc.offers)-1 {
 					last++
 				}
 			}
-			g.Expect(float64(last) / float64(drawn)).To(BeNumerically("~", tc.share, 0.02))
+			g.Expect(float64(last) / float64(chosen)).To(BeNumerically("~", tc.share, 0.02))
 		})
 	}
 }
--- a/internal/decide/passes/told_test.go
+++ b/internal/decide/passes/told_test.go
@@ -29,12 +29,12 @@
 			tr.RecordAnnouncedLimit("g", tc.announced, at)
 			limit, ok := tr.Limit("g", now)
 			g.Expect(ok).To(BeTrue())
-			guess, _ := tr.Estimate("g", now)
-			g.Expect(guess).To(BeNumerically("~", 8.2, 0.1))
+			estimate, _ := tr.Estimate("g", now)
+			g.Expect(estimate).To(BeNumerically("~", 8.2, 0.1))
 			if tc.isAnnounced {
 				g.Expect(limit).To(Equal(6.0))
 			} else {
-				g.Expect(limit).To(Equal(guess))
+				g.Expect(limit).To(Equal(estimate))
 			}
 		})
 	}
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -61,11 +61,11 @@
 
 func TestAHoldIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	sendings := []Knowledge{NoKnownEnd, KnownEnd}
+	knowledge := []Knowledge{NoKnownEnd, KnownEnd}
 	for range 20 {
-		sendings = append(sendings, OnTrial)
+		knowledge = append(knowledge, OnTrial)
 	}
-	b, last := historyOf(sendings...)
+	b, last := historyOf(knowledge...)
 	assertVerdict(g, b, last, Held, maxHold)
 }
 
--- a/internal/decide/rebalance/improve_test.go
+++ b/internal/decide/rebalance/improve_test.go
@@ -30,10 +30,10 @@
 
 func TestImproveKeepsToTheBoundPerLayer(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		shape Shape
-		spare int
-		most  float64 // Skew after three improvements in a row.
+		name     string
+		shape    Shape
+		perLayer int
+		maxSkew  float64 // Skew after three improvements in a row.
 	}{
 		{"twelve ranks", Shape{Ranks: 12, Experts: 72, Slots: 8}, 3, 1.15},
 		{"63 ranks", Shape{Ranks: 63, Experts: 252, Slots: 5}, 3, 1.65},
@@ -45,14 +45,14 @@
 			layer := roundRobin(tc.shape)
 			after := 0.0
 			for range 3 {
-				i := Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{PerLayer: tc.spare})
-				assertAdded(g, layer, i.Map[0], tc.shape, tc.spare)
+				i := Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{PerLayer: tc.perLayer})
+				assertAdded(g, layer, i.Map[0], tc.shape, tc.perLayer)
 				g.Expect(i.Map.Valid(tc.shape)).To(BeTrue())
 				g.Expect(i.After).To(BeNumerically("<=", i.Before))
 				t.Logf("skew %.3f to %.3f with %d copies", i.Before, i.After, i.Copies)
 				layer, after = i.Map[0], i.After
 			}
-			g.Expect(after).To(BeNumerically("<", tc.most))
+			g.Expect(after).To(BeNumerically("<", tc.maxSkew))
 		})
 	}
 }
--- a/internal/decide/remap/remap_test.go
+++ b/internal/decide/remap/remap_test.go
@@ -79,10 +79,10 @@
 	e := Effort{CopyTime: 400 * time.Millisecond, Overhead: 100 * time.Millisecond}
 	p := Plan{Before: 1.5, After: 1.2, MaxPerRank: 1} // Saves a fifth.
 	for _, tc := range []struct {
-		name  string
-		still time.Duration
-		left  time.Duration
-		pays  bool
+		name       string
+		stall      time.Duration
+		horizon    time.Duration
+		worthwhile bool
 	}{
 		{"demand is stable for seconds", 0, 3 * time.Second, true},
 		{"demand shifts before the switch", 0, 400 * time.Millisecond, false},
@@ -90,8 +90,8 @@
 		{"the group would stall for the switch", 600 * time.Millisecond, 3 * time.Second, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			e.StallTime = tc.still
-			NewWithT(t).Expect(p.IsWorthwhile(e, Price{PerSecond: 1, Horizon: tc.left})).To(Equal(tc.pays))
+			e.StallTime = tc.stall
+			NewWithT(t).Expect(p.IsWorthwhile(e, Price{PerSecond: 1, Horizon: tc.horizon})).To(Equal(tc.worthwhile))
 		})
 	}
 }
--- a/internal/decide/retry/window_test.go
+++ b/internal/decide/retry/window_test.go
@@ -46,7 +46,7 @@
 	)
 	for _, tc := range []struct {
 		name  string
-		spare float64
+		floor float64
 	}{
 		{"less than one each", 0.69},
 		{"more than one each", 1.25},
@@ -58,7 +58,7 @@
 			random := rand.New(rand.NewPCG(1, 2)).Float64
 			list := make([]*Window, gateways)
 			for i := range list {
-				list[i] = NewWindow(windows*time.Second, 0.16, tc.spare)
+				list[i] = NewWindow(windows*time.Second, 0.16, tc.floor)
 			}
 			now := time.Unix(1000, 0)
 			var taken []float64 // Retries in each second.
@@ -72,7 +72,7 @@
 				}
 				taken = append(taken, n)
 			}
-			want := tc.spare * gateways
+			want := tc.floor * gateways
 			total := 0.0
 			for i, n := range taken {
 				total += n
--- a/internal/decide/room/room_test.go
+++ b/internal/decide/room/room_test.go
@@ -56,12 +56,12 @@
 	for _, processes := range []int{1, 6, 149, 400} {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
 			g := NewWithT(t)
-			const places = 400
-			underloaded := simulate(processes, 300, places, 20)
+			const slots = 400
+			underloaded := simulate(processes, 300, slots, 20)
 			g.Expect(float64(underloaded.admitted)).To(BeNumerically(">", 0.99*float64(underloaded.requested)), "there is capacity for all")
-			overloaded := simulate(processes, 800, places, 20)
-			g.Expect(overloaded.peak).To(BeNumerically("<", 1.15*places))
-			g.Expect(float64(overloaded.admitted)).To(BeNumerically(">", 0.85*places*20), "no slot stays free for long")
+			overloaded := simulate(processes, 800, slots, 20)
+			g.Expect(overloaded.peak).To(BeNumerically("<", 1.15*slots))
+			g.Expect(float64(overloaded.admitted)).To(BeNumerically(">", 0.85*slots*20), "no slot stays free for long")
 		})
 	}
 }
@@ -96,10 +96,10 @@
 	for _, processes := range []int{6, 33, 149} {
 		t.Run(fmt.Sprint(processes), func(t *testing.T) {
 			g := NewWithT(t)
-			const places = 300
-			admitted := surge(processes, 2*places/processes+1, places)
-			g.Expect(admitted).To(BeNumerically(">", 0.9*places))
-			g.Expect(admitted).To(BeNumerically("<", 2*places))
+			const slots = 300
+			admitted := surge(processes, 2*slots/processes+1, slots)
+			g.Expect(admitted).To(BeNumerically(">", 0.9*slots))
+			g.Expect(admitted).To(BeNumerically("<", 2*slots))
 		})
 	}
 }
@@ -111,9 +111,9 @@
 	r := rand.New(rand.NewPCG(5, 6))
 	shares := make([]Share, processes)
 	type waiting struct {
-		at    int // Process.
-		class Class
-		looks int // Number of reports for which it still waits.
+		at      int // Process.
+		class   Class
+		reports int // Number of reports for which it still waits.
 	}
 	var queue []waiting
 	var ends []time.Time
@@ -139,8 +139,8 @@
 				own[w.at]++
 				admitted[w.class]++
 				ends = append(ends, now.Add(time.Duration((0.5+r.Float64())*float64(time.Second))))
-			case w.looks > 0:
-				w.looks--
+			case w.reports > 0:
+				w.reports--
 				stillWaiting = append(stillWaiting, w)
 			}
 		}
@@ -166,8 +166,8 @@
 // The least urgent requests are rejected most when capacity is short, but are not starved.
 func TestMoreUrgentRequestsAreAdmittedMoreOften(t *testing.T) {
 	g := NewWithT(t)
-	most, least := ClassOf(0, false), ClassOf(2, false)
-	part := compete(15, map[Class]int{most: 300, least: 300}, map[Class]int{most: 1, least: 1}, 400, most, least)
-	g.Expect(part[most]).To(BeNumerically(">", 1.5*part[least]))
-	g.Expect(part[least]).To(BeNumerically(">", 0.2))
+	mostUrgent, leastUrgent := ClassOf(0, false), ClassOf(2, false)
+	fraction := compete(15, map[Class]int{mostUrgent: 300, leastUrgent: 300}, map[Class]int{mostUrgent: 1, leastUrgent: 1}, 400, mostUrgent, leastUrgent)
+	g.Expect(fraction[mostUrgent]).To(BeNumerically(">", 1.5*fraction[leastUrgent]))
+	g.Expect(fraction[leastUrgent]).To(BeNumerically(">", 0.2))
 }
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -185,11 +185,11 @@
 	g := NewWithT(t)
 	p := newSimulation(100, 5)
 	p.run(15)
-	left := 0
+	running := 0
 	for _, proc := range p.list {
 		proc.stopped = slices.Contains(p.seeds, proc.self.Address) || p.random.IntN(2) == 0 || isLowest(p, proc)
 		if !proc.stopped {
-			left++
+			running++
 		}
 	}
 	p.run(rounds(ExpireAfter) + 2)
@@ -200,7 +200,7 @@
 		}
 	}
 	p.run(2*5 + 3) // Other domains are queried in turn.
-	p.expectAlive(g, left-1)
+	p.expectAlive(g, running-1)
 }
 
 // isLowest reports whether a gateway is one of the first Hubs of its failure domain by address.
@@ -237,11 +237,11 @@
 			g := NewWithT(t)
 			p := newSimulation(60, 5)
 			p.run(20)
-			left := len(p.list)
+			running := len(p.list)
 			for _, proc := range p.list {
 				if !tc.seeds && slices.Contains(p.seeds, proc.self.Address) {
 					proc.stopped = true
-					left--
+					running--
 				}
 			}
 			p.run(30)
@@ -253,7 +253,7 @@
 			}
 			p.partitioned = ""
 			p.run(2*remoteEveryRounds + 5)
-			p.expectAlive(g, left-1)
+			p.expectAlive(g, running-1)
 		})
 	}
 }
--- a/internal/decide/spread/spread.go
+++ b/internal/decide/spread/spread.go
@@ -47,7 +47,8 @@
 
 // Adopt makes a fetched and valid generation the current one. It reports false, and
 // leaves the current one unchanged, if that is not older, because a newer one arrived
-// in the meantime: the configuration never goes back. A second manifest of the same generation is recorded as a conflict.
+// in the meantime: the configuration never goes back. A second manifest of the same
+// generation is recorded as a conflict.
 func (s *State) Adopt(v published.Version) bool {
 	s.recordConflict(v)
 	if !v.Newer(s.current) {
--- a/internal/decide/spread/spread_test.go
+++ b/internal/decide/spread/spread_test.go
@@ -39,11 +39,11 @@
 		other := rapid.Permutation(received).Draw(t, "other order")
 		a, b := New(), New()
 		for i := range received {
-			was := a.Current()
+			before := a.Current()
 			receive(a, received[i])
 			receive(b, other[i])
-			if was.Newer(a.Current()) {
-				t.Fatalf("went from %v back to %v", was, a.Current())
+			if before.Newer(a.Current()) {
+				t.Fatalf("went from %v back to %v", before, a.Current())
 			}
 		}
 		if a.Current() != b.Current() {
--- a/internal/decide/throttle/lend_test.go
+++ b/internal/decide/throttle/lend_test.go
@@ -17,10 +17,10 @@
 
 // delayedMessage is a message in flight.
 type delayedMessage struct {
-	due     time.Duration
-	from    int
-	to      string
-	message ShareMessage
+	deliverAt time.Duration
+	from      int
+	to        string
+	message   ShareMessage
 }
 
 // lendingFleet is a fleet whose gateways lend each other shares.
@@ -64,7 +64,7 @@
 	f.inFlight = nil
 	for _, m := range list {
 		to := f.index[m.to]
-		if m.due > f.now || f.suspended(to) {
+		if m.deliverAt > f.now || f.suspended(to) {
 			f.inFlight = append(f.inFlight, m)
 			continue
 		}
@@ -136,16 +136,16 @@
 func TestLentSharesStayWithinALimitAndUseHalfOfItWhereverCallersConnect(t *testing.T) {
 	const lasts = 21 * time.Second
 	for _, n := range fleetSizes {
-		for where, moves := range map[string]func(time.Duration) (int, int){"at one": allAt(n / 2), "moving": eachSecond(n), "everywhere": everywhere(n)} {
+		for where, callersAt := range map[string]func(time.Duration) (int, int){"at one": allAt(n / 2), "moving": eachSecond(n), "everywhere": everywhere(n)} {
 			for _, limit := range []float64{0, 0.5, 1, 2, 4, 6, 50} {
 				t.Run(fmt.Sprintf("%d gateways, %v a second, callers %s", n, limit, where), func(t *testing.T) {
 					f := newLendingFleet(n, limit)
-					f.callersAt = moves
+					f.callersAt = callersAt
 					f.simulate(t, limit, lasts)
 					assertWithin(t, f.fleet, limit)
 					if limit > 0 {
-						most, _ := f.peakAndGap()
-						t.Logf("used %.2f, at most %d in %v; messages a second: %.1f asks, %.1f grants, %.1f refusals, %.1f returns", f.usedFractionOf(limit), most, window,
+						peak, _ := f.peakAndGap()
+						t.Logf("used %.2f, at most %d in %v; messages per second: %.1f borrow requests, %.1f grants, %.1f refusals, %.1f returns", f.usedFractionOf(limit), peak, window,
 							f.rate(Borrow), f.rate(Grant), f.rate(RefusedLent)+f.rate(RefusedInUse), f.rate(Return))
 						NewWithT(t).Expect(f.usedFractionOf(limit)).To(BeNumerically(">=", 0.5))
 					}
@@ -173,7 +173,7 @@
 
 func TestLentSharesStayWithinALimitUnderFailure(t *testing.T) {
 	const lasts = 40 * time.Second
-	for name, harm := range map[string]func(f *lendingFleet){
+	for name, injectFault := range map[string]func(f *lendingFleet){
 		"a third of all messages is lost": func(f *lendingFleet) { f.lossRate = 1.0 / 3 },
 		"clocks differ": func(f *lendingFleet) {
 			for i := range f.skew {
@@ -191,12 +191,12 @@
 		},
 	} {
 		for _, n := range []int{6, 30} {
-			for where, moves := range map[string]func(time.Duration) (int, int){"at one": allAt(n / 2), "moving": eachSecond(n), "everywhere": everywhere(n)} {
+			for where, callersAt := range map[string]func(time.Duration) (int, int){"at one": allAt(n / 2), "moving": eachSecond(n), "everywhere": everywhere(n)} {
 				for _, limit := range limits {
 					t.Run(fmt.Sprintf("%s, %d gateways, %v a second, callers %s", name, n, limit, where), func(t *testing.T) {
 						f := newLendingFleet(n, limit)
-						f.callersAt = moves
-						harm(f)
+						f.callersAt = callersAt
+						injectFault(f)
 						f.simulate(t, limit, lasts)
 						assertWithin(t, f.fleet, limit)
 					})
@@ -225,14 +225,14 @@
 			}
 		},
 	} {
-		for where, moves := range map[string]func(time.Duration) (int, int){"at one": allAt(1), "moving": eachSecond(n / 2)} {
+		for where, callersAt := range map[string]func(time.Duration) (int, int){"at one": allAt(1), "moving": eachSecond(n / 2)} {
 			for _, limit := range limits {
 				t.Run(fmt.Sprintf("%s, %v a second, callers %s", name, limit, where), func(t *testing.T) {
 					f := newLendingFleet(n, limit)
 					f.allowOverlap = true
 					f.callersAt = func(now time.Duration) (int, int) {
 						change(f)
-						return moves(now)
+						return callersAt(now)
 					}
 					f.simulate(t, limit, 40*time.Second)
 					assertWithin(t, f.fleet, limit)
@@ -384,8 +384,8 @@
 	borrower.ReceiveMessage(lender.self, grant(t, lender, borrower, borrow(t, borrower, now), now), now)
 	borrower.Take(endpointID, now)
 	g.Expect(lender.MaySend(endpointID, now)).To(BeFalse())
-	asked := borrow(t, borrower, now.Add(leaseTime*6/10))
-	refused, ok := lender.ReceiveMessage(borrower.self, asked, now.Add(leaseTime*6/10))
+	request := borrow(t, borrower, now.Add(leaseTime*6/10))
+	refused, ok := lender.ReceiveMessage(borrower.self, request, now.Add(leaseTime*6/10))
 	g.Expect(ok).To(BeTrue())
 	g.Expect(refused.Kind).To(Equal(RefusedInUse))
 	g.Expect(lender.AvailableRate(endpointID, now.Add(leaseTime))).To(BeNumerically(">", 0))
