--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -112,7 +112,7 @@
 }
 
 func call(key string) wire.Envelope {
-	return wire.Envelope{Kind: wire.KindCall, Method: http.MethodPost, Path: "/payments/pay", Key: key, Once: true, Customer: "c"}
+	return wire.Envelope{Kind: wire.KindCall, Method: http.MethodPost, Path: "/payments/pay", Key: key, NoRetry: true, Customer: "c"}
 }
 
 // counter is a service that counts its runs and may be held.
--- a/internal/agent/ended.go
+++ b/internal/agent/ended.go
@@ -42,7 +42,7 @@
 	if now.Sub(a.endedAt) > oneEnd {
 		a.endedAt = now
 	}
-	return &wire.Ended{Life: a.node.Settings().Endpoint + "@" + strconv.FormatInt(a.endedAt.UnixMilli(), 10)}
+	return &wire.Ended{Incarnation: a.node.Settings().Endpoint + "@" + strconv.FormatInt(a.endedAt.UnixMilli(), 10)}
 }
 
 // tellEnded tells the entry, before the stream breaks off, that the engine has ended.
@@ -54,5 +54,5 @@
 	if err != nil {
 		return // An Ended always has a JSON form.
 	}
-	_ = f.write(offset, wire.EventEnded, raw) // The stream breaks off anyhow.
+	_ = f.write(offset, wire.EventProcessEnded, raw) // The stream breaks off anyhow.
 }
--- a/internal/agent/ended_test.go
+++ b/internal/agent/ended_test.go
@@ -42,15 +42,15 @@
 
 // endedIn returns what an answer says of the endpoint's process.
 func endedIn(a answer) (life string) {
-	if _, data, ok := strings.Cut(a.body, "event: "+wire.EventEnded+"\ndata: "); ok {
+	if _, data, ok := strings.Cut(a.body, "event: "+wire.EventProcessEnded+"\ndata: "); ok {
 		var e wire.Ended
 		if json.Unmarshal([]byte(data[:strings.Index(data, "\n")]), &e) == nil {
-			return e.Life
+			return e.Incarnation
 		}
 	}
 	var r wire.Refusal
 	if json.Unmarshal([]byte(a.body), &r) == nil && r.Ended != nil {
-		return r.Ended.Life
+		return r.Ended.Incarnation
 	}
 	return ""
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -178,7 +178,7 @@
 	if (env.Kind == wire.KindStream) != (a.engine != nil) {
 		return nil, wire.Refuse(http.StatusMisdirectedRequest, 0, "the endpoint does not serve this kind")
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBodyBytes))
 	if err != nil {
 		return nil, wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
@@ -259,7 +259,7 @@
 	switch v {
 	case once.Replay:
 		return &wire.Refusal{Outcome: wire.Done, Status: answer.Status, Reason: "answer of the first run",
-			Repeat: &wire.Repeat{Type: answer.Type, Body: answer.Body}}
+			Replay: &wire.Replay{ContentType: answer.Type, Body: answer.Body}}
 	case once.InProgress:
 		r := wire.Doubt(http.StatusConflict, "a request with this key is running")
 		r.RetryAfterMS = time.Second.Milliseconds()
@@ -368,8 +368,8 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), j.timeout())
 	defer cancel()
 	reply, err := a.service.Do(ctx, adapter.Call{
-		Method: j.env.Method, Path: j.env.Path, Type: j.env.Type, Key: j.env.Key,
-		Body: j.body, Once: j.env.Once,
+		Method: j.env.Method, Path: j.env.Path, Type: j.env.ContentType, Key: j.env.Key,
+		Body: j.body, Once: j.env.NoRetry,
 	})
 	switch {
 	case adapter.NotSent(err):
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -183,11 +183,11 @@
 // bringCache gives the engine the KV cache of a stream that moves here, if the
 // agent it comes from still has it. Without it the prompt is computed again.
 func (j *job) bringCache(ctx context.Context) {
-	if j.env.CacheAt == "" {
+	if j.env.CacheAddress == "" {
 		return
 	}
 	a := j.agent
-	cache, err := a.node.PeerGet(ctx, j.env.CacheAt, wire.PathCache+url.PathEscape(j.env.CacheID))
+	cache, err := a.node.PeerGet(ctx, j.env.CacheAddress, wire.PathCache+url.PathEscape(j.env.CacheAttemptID))
 	if err == nil {
 		err = a.engine.Import(ctx, j.name, cache)
 	}
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -116,10 +116,10 @@
 func (p *fleetProcess) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: gateway.HeaderTime,
+		ReadHeaderTimeout: gateway.CallerHeaderTimeout,
 		ReadTimeout:       callTime,
 		WriteTimeout:      callTime,
-		IdleTimeout:       peers.ServerIdle,
+		IdleTimeout:       peers.ServerIdleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          p.serverLog,
 		// An empty success of the server's own is none of an endpoint's.
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -89,7 +89,7 @@
 	lastRound      time.Time     // Time of the last report that completed a round: as many reports as there are ranks.
 	gap            time.Duration // Moving average of pauses between stream events of this process; 0 before the first.
 	gapAt          time.Time
-	firstEvent     estimate.Time // Time from sending a request to its first event.
+	firstEvent     estimate.Estimator // Time from sending a request to its first event.
 	announced      leaderLimit
 }
 
@@ -155,7 +155,7 @@
 		return 0, 0
 	}
 	if g.firstEvent.Known() {
-		first = g.firstEvent.Most()
+		first = g.firstEvent.UpperBound()
 	}
 	return first, g.gap
 }
@@ -178,7 +178,7 @@
 		return v, false
 	}
 	pass := requestCost * (g.shape.FixedCost + perRank)
-	return Turnover{Rate: perRank / (g.shape.PassesPerAnswer * pass), FirstEvent: g.firstEvent.Most()}, true
+	return Turnover{Rate: perRank / (g.shape.PassesPerAnswer * pass), FirstEvent: g.firstEvent.UpperBound()}, true
 }
 
 // Forget removes endpoints that are no longer listed.
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -117,7 +117,7 @@
 	}
 	switch {
 	case e.bucket != nil:
-		e.bucket.Set(n*e.share.Rate, n*e.share.Burst, at)
+		e.bucket.SetRate(n*e.share.Rate, n*e.share.Burst, at)
 	case n > 0:
 		e.bucket = limit.NewBucketWith(n*e.share.Rate, n*e.share.Burst, 0, at)
 	}
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -147,7 +147,7 @@
 		return true
 	}
 	b := l.bucketOf(id, e, now)
-	allowed := b != nil && b.Holds(now)
+	allowed := b != nil && b.HasToken(now)
 	e.loans.recordUse(allowed, now)
 	return allowed
 }
@@ -164,7 +164,7 @@
 // GiveBack returns the token that Take consumed for a request that was not sent.
 func (l *Limits) GiveBack(id string) {
 	if e := l.endpoints[id]; e != nil && e.bucket != nil {
-		e.bucket.GiveBack()
+		e.bucket.ReturnToken()
 	}
 }
 
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -147,7 +147,7 @@
 	}
 	s.env = s.entry.envelope(s.req, wire.KindStream, s.req.facts(s.chat.Model, key == ""))
 	s.env.Key = key
-	s.env.Once = key != ""
+	s.env.NoRetry = key != ""
 	text := prompt(s.chat.Messages)
 	s.prefix = strconv.FormatUint(xxhash.Sum64String(text[:min(len(text), prefixBytes)]), 36)
 	body, err := json.Marshal(adapter.Generate{Prompt: text, MaxTokens: s.chat.MaxTokens})
@@ -226,7 +226,7 @@
 // have been given, it is a move, for which the policy is asked.
 func (s *stream) goOn(c candidate, refusal *wire.Refusal) bool {
 	begun := s.next > 0 && refusal.Outcome == wire.Unknown
-	if !begun || s.env.Once {
+	if !begun || s.env.NoRetry {
 		return s.entry.again(s.req, s.chat.Model, &s.env, refusal)
 	}
 	if !s.mayMove(refusal.Reason) || s.req.tries >= maxMoves || s.req.r.Context().Err() != nil {
@@ -286,7 +286,7 @@
 			}
 			continue
 		}
-		if f.Event == wire.EventEnded {
+		if f.Event == wire.EventProcessEnded {
 			return endedRefusal(f.Data)
 		}
 		if f.Event == wire.EventEnd { // In its place: every token before it was given.
@@ -310,7 +310,7 @@
 func endedRefusal(data []byte) *wire.Refusal {
 	r := wire.Doubt(http.StatusBadGateway, "engine has ended")
 	ended := &wire.Ended{}
-	if json.Unmarshal(data, ended) == nil && ended.Life != "" {
+	if json.Unmarshal(data, ended) == nil && ended.Incarnation != "" {
 		r.Ended = ended
 	}
 	return r
@@ -326,10 +326,10 @@
 // planned stop waits for it, and if so where its KV cache is to be had.
 func (s *stream) movesOff(c candidate) bool {
 	others := s.entry.candidates(s.groups, map[string]bool{c.Endpoint: true})
-	if s.next == 0 || s.env.Once || len(others) == 0 || !s.mayMove(reasonLeaving) {
+	if s.next == 0 || s.env.NoRetry || len(others) == 0 || !s.mayMove(reasonLeaving) {
 		return false
 	}
-	s.env.CacheAt, s.env.CacheID = c.member.Address, s.env.ID
+	s.env.CacheAddress, s.env.CacheAttemptID = c.member.Address, s.env.ID
 	return true
 }
 
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -138,7 +138,7 @@
 	for name, give := range map[string]func(a *answer){
 		"answer": func(a *answer) { a.whole(http.StatusOK, "text/plain", []byte(body)) },
 		"refusal": func(a *answer) {
-			a.refuse(&wire.Refusal{Outcome: wire.Done, Status: http.StatusOK, Repeat: &wire.Repeat{Type: "text/plain", Body: []byte(body)}})
+			a.refuse(&wire.Refusal{Outcome: wire.Done, Status: http.StatusOK, Replay: &wire.Replay{ContentType: "text/plain", Body: []byte(body)}})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -60,13 +60,13 @@
 }
 
 func readBody(req *request) (raw []byte, refusal *wire.Refusal) {
-	raw, err := io.ReadAll(http.MaxBytesReader(req.out.w, req.r.Body, wire.MaxBody))
+	raw, err := io.ReadAll(http.MaxBytesReader(req.out.w, req.r.Body, wire.MaxBodyBytes))
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, wire.Refuse(http.StatusRequestTimeout, 0, "body was not read in time")
 	case err != nil:
 		return nil, wire.Refuse(http.StatusRequestEntityTooLarge, 0,
-			"body was not read whole; the limit is "+strconv.Itoa(wire.MaxBody)+" bytes")
+			"body was not read whole; the limit is "+strconv.Itoa(wire.MaxBodyBytes)+" bytes")
 	}
 	req.body = raw
 	return raw, nil
@@ -89,9 +89,9 @@
 	env := e.envelope(req, wire.KindCall, req.facts(s.Name, repeatable))
 	env.Method = req.r.Method
 	env.Path = req.r.URL.RequestURI()
-	env.Type = req.r.Header.Get("Content-Type")
+	env.ContentType = req.r.Header.Get("Content-Type")
 	env.Key = req.r.Header.Get(wire.HeaderKey)
-	env.Once = !repeatable || env.Key != ""
+	env.NoRetry = !repeatable || env.Key != ""
 	return e.call(req, s, &env, body)
 }
 
@@ -150,7 +150,7 @@
 	if refusal.Status < http.StatusInternalServerError || refusal.Status == http.StatusGatewayTimeout {
 		return false // The request itself is at fault, or its time is over.
 	}
-	a := retry.Attempt{Number: max(1, req.tries), NotRun: refusal.Outcome == wire.NotRun, Repeatable: !env.Once}
+	a := retry.Attempt{Number: max(1, req.tries), NotRun: refusal.Outcome == wire.NotRun, Repeatable: !env.NoRetry}
 	if !a.NotRun && a.Repeatable {
 		facts := req.facts(service, true)
 		facts.Reason = refusal.Reason
@@ -179,7 +179,7 @@
 	if resp.Header.Get(wire.HeaderOutcome) != string(wire.Done) {
 		return readRefusal(resp)
 	}
-	raw, err := adapter.ReadWhole(resp, wire.MaxBody)
+	raw, err := adapter.ReadWhole(resp, wire.MaxBodyBytes)
 	if err != nil {
 		return wire.Doubt(http.StatusBadGateway, "answer came only in part")
 	}
--- a/internal/entry/held_test.go
+++ b/internal/entry/held_test.go
@@ -29,7 +29,7 @@
 func ends(tokens int) script {
 	return func(a try) {
 		a.tokens(tokens)
-		a.frame(a.env.ID, a.env.Offset+tokens, wire.EventEnded, fmt.Sprintf(`{"life":%q}`, a.env.ID))
+		a.frame(a.env.ID, a.env.Offset+tokens, wire.EventProcessEnded, fmt.Sprintf(`{"life":%q}`, a.env.ID))
 		a.cut()
 	}
 }
@@ -127,7 +127,7 @@
 	r := newRig(t)
 	const rest = 60 // Seconds.
 	r.play(func(a try) {
-		a.w.Header().Set(wire.HeaderLoad, wire.EncodeLoad(wire.Load{RestMS: rest * 1000}))
+		a.w.Header().Set(wire.HeaderLoad, wire.EncodeLoad(wire.Load{BackoffMS: rest * 1000}))
 		a.answer(http.StatusServiceUnavailable, wire.NotRun, `{"outcome":"not-run","status":503,"reason":"rest","retry_after_ms":60000}`)
 	})
 	for range 6 {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -49,9 +49,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.get(cfg, c, now)
-	h.share.Count()
+	h.share.CountRequest()
 	rate := h.share.Rate(now)
-	h.bucket.Set(rate, max(1, h.burst*rate/c.Rate), now)
+	h.bucket.SetRate(rate, max(1, h.burst*rate/c.Rate), now)
 	return h.bucket.Take(now)
 }
 
@@ -66,7 +66,7 @@
 		}
 		l.all[c.Name] = h
 	}
-	h.share.Entitle(entitled)
+	h.share.SetEntitlement(entitled)
 	h.burst = c.Burst
 	return h
 }
@@ -113,7 +113,7 @@
 	defer l.mu.Unlock()
 	wants := map[string]float64{}
 	for name, h := range l.all {
-		if w := h.share.Want(now); w > 0 {
+		if w := h.share.Shortfall(now); w > 0 {
 			wants[name] = w
 		}
 	}
@@ -125,14 +125,14 @@
 	defer cancel()
 	asked := clock.Now()
 	var reply wire.BorrowReply
-	if l.node.Call(ctx, from.Address, wire.PathBorrow, wire.BorrowRequest{Customer: customer, Rate: rate}, &reply) != nil {
+	if l.node.Call(ctx, from.Address, wire.PathBorrow, wire.BorrowRequest{Customer: customer, RatePerSecond: rate}, &reply) != nil {
 		return // What the peer may have lent comes back to it with the lease.
 	}
-	if reply.Rate <= 0 || reply.Rate > rate {
+	if reply.RatePerSecond <= 0 || reply.RatePerSecond > rate {
 		return
 	}
-	duty.Locked(&l.mu, func() { l.all[customer].share.Borrow(reply.Rate, asked) })
-	l.node.Trail().Add(audit.ShareChanged, customer, fmt.Sprintf("borrowed %.1f a second from %s", reply.Rate, from.Name))
+	duty.Locked(&l.mu, func() { l.all[customer].share.Borrow(reply.RatePerSecond, asked) })
+	l.node.Trail().Add(audit.ShareChanged, customer, fmt.Sprintf("borrowed %.1f a second from %s", reply.RatePerSecond, from.Name))
 }
 
 // serveBorrow lends what this entry does not use.
@@ -149,7 +149,7 @@
 	reply := wire.BorrowReply{}
 	if c, known := cfg.Customer(q.Customer); known && c.Rate > 0 {
 		now := clock.Now()
-		duty.Locked(&l.mu, func() { reply.Rate = l.get(cfg, c, now).share.Lend(q.Rate, now) })
+		duty.Locked(&l.mu, func() { reply.RatePerSecond = l.get(cfg, c, now).share.Lend(q.RatePerSecond, now) })
 	}
 	httpjson.Reply(w, reply)
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -54,7 +54,7 @@
 	req.GetBody = nil // A body that cannot be read again is never sent again by the transport.
 	req.Header.Set(wire.HeaderEnvelope, string(text))
 	client := e.kept
-	if env.Once {
+	if env.NoRetry {
 		client = e.single
 	}
 	resp, err = client.Do(req)
@@ -90,7 +90,7 @@
 // readRefusal turns an agent's refusal into the entry's own. An answer without
 // an outcome proves nothing.
 func readRefusal(resp *http.Response) *wire.Refusal {
-	raw, _ := io.ReadAll(io.LimitReader(resp.Body, wire.MaxEnvelope)) // Half a refusal is judged by its header.
+	raw, _ := io.ReadAll(io.LimitReader(resp.Body, wire.MaxEnvelopeBytes)) // Half a refusal is judged by its header.
 	r := &wire.Refusal{}
 	if json.Unmarshal(raw, r) != nil || !isFailure(r.Status) {
 		r = wire.Doubt(http.StatusBadGateway, "endpoint answered "+resp.Status)
--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -20,7 +20,7 @@
 type bar func(s site, id string)
 
 var bars = map[string]bar{
-	"rests": func(s site, id string) { s.backoffs.Rest(backoff.Life{Name: id}, time.Minute, s.cfg.Now()) },
+	"rests": func(s site, id string) { s.backoffs.Backoff(backoff.Process{Name: id}, time.Minute, s.cfg.Now()) },
 	"is at its limit": func(s site, id string) {
 		s.limits.RecordAnswer(id, throttle.Report{Limited: true, At: s.cfg.Now()})
 		s.limits.Take(id, s.cfg.Now())
@@ -96,7 +96,7 @@
 func TestAVeryLongRestIsTried(t *testing.T) {
 	only := newStreamer(0)
 	s := newSite(t, only)
-	s.backoffs.Rest(backoff.Life{Name: "0"}, 365*24*time.Hour, s.cfg.Now().Add(-time.Hour))
+	s.backoffs.Backoff(backoff.Process{Name: "0"}, 365*24*time.Hour, s.cfg.Now().Add(-time.Hour))
 	assertServedBy(t, s, only, 2, func() { s.tell(0, 0, 1) })
 }
 
--- a/internal/gateway/broken_messages_test.go
+++ b/internal/gateway/broken_messages_test.go
@@ -30,19 +30,19 @@
 	reg := metrics.NewRegistry()
 	gw, cleanup := New(Config{}, Codec{}, follow.NewView(), zap.NewNop(), reg)
 	t.Cleanup(cleanup)
-	n, closeNeighbours := NewNeighbours(NeighboursConfig{Name: "g", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.NewNop())
+	n, closeNeighbours := NewPeerExchange(PeerExchangeConfig{Name: "g", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.NewNop())
 	t.Cleanup(closeNeighbours)
 	from := netip.MustParseAddrPort(socket.Address())
 	panics := metrics.GetOrRegisterCounter("process.panics.message", reg)
-	address, err := peers.Packed("127.0.0.1:2")
+	address, err := peers.PackAddress("127.0.0.1:2")
 	g.Expect(err).NotTo(HaveOccurred())
 	valid := []peers.Message{
-		{Hello: &peers.Hello{Name: "b", Address: "127.0.0.1:2", Domain: "b", Asks: "a", Known: []peers.Known{{Domain: "b", Gateways: []peers.KnownGateway{{Address: address, AgeMs: 5}}}}}},
+		{Hello: &peers.Hello{Name: "b", Address: "127.0.0.1:2", Domain: "b", QueriedDomain: "a", KnownGateways: []peers.DomainGateways{{Domain: "b", Gateways: []peers.KnownGateway{{Address: address, AgeMs: 5}}}}}},
 		{Load: &peers.Load{Address: "127.0.0.1:3", Group: "g"}},
 		{Loads: &peers.Loads{Group: "g", Ranks: []peers.RankLoad{{Address: address, Running: 1}}}},
 		{Ends: []peers.End{{Key: make([]byte, 16), Endpoint: "e", Sending: 1}}},
 		{Limits: []peers.Limit{{Endpoint: "e", Limited: true, PerSecond: 1}}},
-		{Lend: &peers.Lend{Address: "127.0.0.1:2", Parts: []peers.Part{{Kind: 1, Endpoint: "e", Number: 1, Tokens: 1, LastsMs: 9}}}},
+		{Lending: &peers.Lending{Address: "127.0.0.1:2", Shares: []peers.ShareMessage{{Kind: 1, Endpoint: "e", RequestNumber: 1, Tokens: 1, LeaseMs: 9}}}},
 	}
 	t.Run("broken ones cause no panic", func(t *testing.T) {
 		g := NewWithT(t)
@@ -84,7 +84,7 @@
 			t.Cleanup(closeSocket)
 			gw, cleanup := New(Config{}, Codec{}, follow.NewView(), zap.NewNop(), metrics.NewRegistry())
 			t.Cleanup(cleanup)
-			n, closeNeighbours := NewNeighbours(NeighboursConfig{Name: "a", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.New(core))
+			n, closeNeighbours := NewPeerExchange(PeerExchangeConfig{Name: "a", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.New(core))
 			t.Cleanup(closeNeighbours)
 			newcomer, closeNewcomer, err := peers.Listen("127.0.0.1:0", zap.NewNop())
 			g.Expect(err).NotTo(HaveOccurred())
@@ -93,20 +93,20 @@
 			var group errgroup.Group
 			group.Go(func() error {
 				return newcomer.Run(ctx, func(from netip.AddrPort, m peers.Message) {
-					if m.Hello != nil && m.Hello.Before != nil {
+					if m.Hello != nil && m.Hello.Previous != nil {
 						n.Receive(from, m) // As the newcomer itself would take it in.
 						cancel()
 					}
 				})
 			})
 			from := netip.MustParseAddrPort(newcomer.Address())
-			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Life: 1, Address: "127.0.0.1:2", Leaving: planned}})
+			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Incarnation: 1, Address: "127.0.0.1:2", Leaving: planned}})
 			if planned { // Others may hear the next life first.
 				n.mu.Lock()
 				n.roster.MergeMembers([]roster.Member{{Gateway: roster.Gateway{Address: "127.0.0.1:2"}}}, time.Now())
 				n.mu.Unlock()
 			}
-			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Life: 2, Address: "127.0.0.1:2"}})
+			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Incarnation: 2, Address: "127.0.0.1:2"}})
 			g.Expect(group.Wait()).To(Succeed())
 			g.Expect(lines.FilterMessage("peer ended without a planned stop").Len() == 0).To(Equal(planned))
 			earlier := lines.FilterMessage("an earlier life of this process ended")
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -39,7 +39,7 @@
 	list := make([]balance.Candidate, len(candidates))
 	shape, ranked := q.g.shape(q.config, q.service)
 	for i, e := range candidates {
-		list[i] = balance.Candidate{ID: e.ID, Near: e.Domain == q.g.cfg.Domain, Slow: e.ColdLeft > 0, Slots: e.Slots, Base: int(shape.FixedCost)}
+		list[i] = balance.Candidate{ID: e.ID, SameDomain: e.Domain == q.g.cfg.Domain, Cold: e.ColdLeft > 0, Slots: e.Slots, FixedCost: int(shape.FixedCost)}
 	}
 	terms := coldTerms(q.config, q.service)
 	if ranked && terms.Rate > 0 {
@@ -51,12 +51,12 @@
 	}
 	q.markCold(list, terms, now)
 	if ranked {
-		if q.g.table.Down(list, now) {
+		if q.g.table.AllClosed(list, now) {
 			if q.waited == 0 { // Else it was said before.
 				q.note("all ranks that are heard say that they serve nothing")
 			}
 			q.allDown = true // It would be turned away, or wait in vain.
-			q.opens = q.g.table.Opens(list, now)
+			q.opens = q.g.table.ExpectedOpen(list, now)
 			return e, false
 		}
 		q.full = false
@@ -77,7 +77,7 @@
 		}
 		return e, false
 	}
-	q.toCold = list[i].Paced
+	q.toCold = list[i].ColdLimited
 	q.takePermit(list[i].ID)
 	at := slices.IndexFunc(candidates, func(e fleet.Endpoint) bool { return e.ID == list[i].ID })
 	return candidates[at], true
@@ -131,7 +131,7 @@
 	q.turnover = passes.Turnover{}
 	for _, name := range names {
 		ranks := members[name]
-		if q.g.table.Down(ranks, now) {
+		if q.g.table.AllClosed(ranks, now) {
 			continue
 		}
 		o, known := q.offer(name, ranks, now)
@@ -139,7 +139,7 @@
 			return list, true // Nothing is known that limits it.
 		}
 		limited = limited || known
-		o.LastReport = q.g.table.Heard(ranks)
+		o.LastReport = q.g.table.LastReport(ranks)
 		offers, open = append(offers, o), append(open, name)
 	}
 	passes.MarkSilent(offers, now)
@@ -233,7 +233,7 @@
 func (q *request) offer(name string, ranks []balance.Candidate, now time.Time) (o passes.Option, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
-		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].Base))
+		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].FixedCost))
 	}
 	if v, ok := q.g.passes.Turnover(name, o.Limit, now); ok {
 		q.turnover.Rate += v.Rate * float64(o.Ranks)
@@ -243,8 +243,8 @@
 		o.Limit *= againShare
 	}
 	for _, c := range ranks {
-		o.Requests += q.g.table.Busy(c.ID, now)
-		if c.Near {
+		o.Requests += q.g.table.Outstanding(c.ID, now)
+		if c.SameDomain {
 			o.SameDomain++
 		}
 	}
--- a/internal/gateway/known.go
+++ b/internal/gateway/known.go
@@ -14,7 +14,7 @@
 // inPackets splits a list so that each part fits into one hello; it returns one part at
 // least.
 func inPackets(list []roster.Member) (parts [][]roster.Member) {
-	parts = slices.Collect(slices.Chunk(list, peers.MostKnown))
+	parts = slices.Collect(slices.Chunk(list, peers.MaxKnownGateways))
 	if len(parts) == 0 {
 		return [][]roster.Member{nil}
 	}
@@ -23,10 +23,10 @@
 
 // knownOf returns gateways as a hello names them. One whose address is no IP number and port
 // cannot be named.
-func knownOf(list []roster.Member) (known []peers.Known) {
+func knownOf(list []roster.Member) (known []peers.DomainGateways) {
 	at := map[string]int{} // Places in known, by failure domain.
 	for _, s := range list {
-		raw, err := peers.Packed(s.Address)
+		raw, err := peers.PackAddress(s.Address)
 		if err != nil {
 			continue
 		}
@@ -34,25 +34,25 @@
 		if !ok {
 			i = len(known)
 			at[s.Domain] = i
-			known = append(known, peers.Known{Domain: s.Domain})
+			known = append(known, peers.DomainGateways{Domain: s.Domain})
 		}
-		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), Blind: s.StoreUnreachable, Left: s.Stopping})
+		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), StoreUnreachable: s.StoreUnreachable, Leaving: s.Stopping})
 	}
 	return known
 }
 
 // seenOf returns the gateways that a hello names. Those that cannot be read are left out; the
 // error tells of the last one.
-func seenOf(known []peers.Known) (list []roster.Member, err error) {
+func seenOf(known []peers.DomainGateways) (list []roster.Member, err error) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
-			a, bad := g.Peer()
+			a, bad := g.PeerAddress()
 			if bad != nil {
 				err = errors.Wrap(bad, k.Domain)
 				continue
 			}
 			s := roster.Member{Age: g.Age()}
-			s.Address, s.Domain, s.StoreUnreachable, s.Stopping = a.String(), k.Domain, g.Blind, g.Left
+			s.Address, s.Domain, s.StoreUnreachable, s.Stopping = a.String(), k.Domain, g.StoreUnreachable, g.Leaving
 			list = append(list, s)
 		}
 	}
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -36,7 +36,7 @@
 }
 
 // lend asks other gateways for parts of limits and gives them back, until ctx ends.
-func (n *Neighbours) lend(ctx context.Context) error {
+func (n *PeerExchange) lend(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -50,14 +50,14 @@
 }
 
 // sendParts sends what is due; it reports whether more may fall due without another request.
-func (n *Neighbours) sendParts() (more bool) {
+func (n *PeerExchange) sendParts() (more bool) {
 	now := n.g.cfg.Now()
 	var letters []throttle.Outgoing
 	duty.Locked(&n.g.mu, func() {
 		letters = n.g.limits.OutgoingMessages(now)
 		more = n.g.limits.HasOpenLoans(now)
 	})
-	by := map[string][]peers.Part{}
+	by := map[string][]peers.ShareMessage{}
 	for _, l := range letters {
 		if l.Kind == throttle.Borrow {
 			n.g.figures.asked.Inc(1)
@@ -70,14 +70,14 @@
 	return more
 }
 
-func (n *Neighbours) tellParts(to string, parts []peers.Part) {
-	for list := range slices.Chunk(parts, peers.MostParts) {
-		n.socket.SendAll(addresses([]string{to}), peers.Message{Lend: &peers.Lend{Address: n.self, Parts: list}})
+func (n *PeerExchange) tellParts(to string, parts []peers.ShareMessage) {
+	for list := range slices.Chunk(parts, peers.MaxShares) {
+		n.socket.SendAll(addresses([]string{to}), peers.Message{Lending: &peers.Lending{Address: n.self, Shares: list}})
 	}
 }
 
 // hearParts takes in what another gateway says of parts, and answers it.
-func (n *Neighbours) hearParts(from netip.AddrPort, m peers.Lend) {
+func (n *PeerExchange) hearParts(from netip.AddrPort, m peers.Lending) {
 	if bad := n.g.badParts(m); bad != "" {
 		n.g.leaveOut(from, bad)
 		return
@@ -86,12 +86,12 @@
 }
 
 // takeParts takes in parts and returns what is answered.
-func (g *Gateway) takeParts(m peers.Lend) (answers []peers.Part) {
+func (g *Gateway) takeParts(m peers.Lending) (answers []peers.ShareMessage) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, p := range m.Parts {
-		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.Number, Tokens: p.Tokens, LeaseTime: p.Lasts()}
+	for _, p := range m.Shares {
+		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseTime: p.LeaseTime()}
 		answer, ok := g.limits.ReceiveMessage(m.Address, part, now)
 		if ok {
 			answers = append(answers, partOf(answer))
@@ -106,13 +106,13 @@
 	return answers
 }
 
-func partOf(p throttle.ShareMessage) peers.Part {
-	return peers.Part{Kind: int(p.Kind), Endpoint: p.Endpoint, Number: p.RequestNumber, Tokens: p.Tokens, LastsMs: p.LeaseTime.Milliseconds()}
+func partOf(p throttle.ShareMessage) peers.ShareMessage {
+	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseMs: p.LeaseTime.Milliseconds()}
 }
 
 // badParts says what is not valid in a message, "" where all is.
-func (g *Gateway) badParts(m peers.Lend) string {
-	if len(m.Parts) > peers.MostParts {
+func (g *Gateway) badParts(m peers.Lending) string {
+	if len(m.Shares) > peers.MaxShares {
 		return "too many parts"
 	}
 	var known bool
@@ -120,7 +120,7 @@
 	if !known {
 		return "of a gateway that is not heard"
 	}
-	for _, p := range m.Parts {
+	for _, p := range m.Shares {
 		if !validPart(p) {
 			return "a part with a value that it cannot have"
 		}
@@ -128,11 +128,11 @@
 	return ""
 }
 
-func validPart(p peers.Part) bool {
+func validPart(p peers.ShareMessage) bool {
 	return p.Kind >= int(throttle.Borrow) && p.Kind <= int(throttle.Return) &&
-		p.Endpoint != "" && len(p.Endpoint) <= longestID && p.Number > 0 &&
+		p.Endpoint != "" && len(p.Endpoint) <= longestID && p.RequestNumber > 0 &&
 		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // No NaN either.
-		p.LastsMs >= 0 && p.LastsMs <= longestLent.Milliseconds()
+		p.LeaseMs >= 0 && p.LeaseMs <= longestLent.Milliseconds()
 }
 
 // leaveOut counts a message that is left out, and logs some.
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -29,51 +29,51 @@
 }
 
 func TestMessagesOnPartsThatAreNotValidAreLeftOut(t *testing.T) {
-	valid := peers.Part{Kind: int(throttle.Borrow), Endpoint: "i", Number: 1}
-	change := func(f func(p *peers.Part)) peers.Lend {
+	valid := peers.ShareMessage{Kind: int(throttle.Borrow), Endpoint: "i", RequestNumber: 1}
+	change := func(f func(p *peers.ShareMessage)) peers.Lending {
 		p := valid
 		f(&p)
-		return peers.Lend{Address: borrowerAddress, Parts: []peers.Part{p}}
+		return peers.Lending{Address: borrowerAddress, Shares: []peers.ShareMessage{p}}
 	}
-	assertLeft := func(t *testing.T, m peers.Lend, lent, bad int64) {
+	assertLeft := func(t *testing.T, m peers.Lending, lent, bad int64) {
 		t.Helper()
 		g := NewWithT(t)
 		n := newLender(t)
-		n.Receive(netip.AddrPort{}, peers.Message{Lend: &m})
+		n.Receive(netip.AddrPort{}, peers.Message{Lending: &m})
 		g.Expect(n.g.figures.lent.Count()).To(Equal(lent))
 		g.Expect(n.g.figures.badParts.Count()).To(Equal(bad))
 	}
-	t.Run("valid", func(t *testing.T) { assertLeft(t, change(func(*peers.Part) {}), 1, 0) })
-	for name, m := range map[string]peers.Lend{
-		"kind 0":                change(func(p *peers.Part) { p.Kind = 0 }),
-		"kind 6":                change(func(p *peers.Part) { p.Kind = 6 }),
-		"kind below 0":          change(func(p *peers.Part) { p.Kind = -1 }),
-		"no endpoint":           change(func(p *peers.Part) { p.Endpoint = "" }),
-		"a long endpoint":       change(func(p *peers.Part) { p.Endpoint = strings.Repeat("i", longestID+1) }),
-		"number 0":              change(func(p *peers.Part) { p.Number = 0 }),
-		"tokens below 0":        change(func(p *peers.Part) { p.Tokens = -1 }),
-		"tokens that are none":  change(func(p *peers.Part) { p.Tokens = math.NaN() }),
-		"tokens without end":    change(func(p *peers.Part) { p.Tokens = math.Inf(1) }),
-		"a time below 0":        change(func(p *peers.Part) { p.LastsMs = -1 }),
-		"a time that overflows": change(func(p *peers.Part) { p.LastsMs = math.MaxInt64 }),
-		"an unknown gateway":    {Address: "10.0.0.9:80", Parts: []peers.Part{valid}},
-		"no gateway":            {Parts: []peers.Part{valid}},
-		"more parts than fit":   {Address: borrowerAddress, Parts: make([]peers.Part, peers.MostParts+1)},
+	t.Run("valid", func(t *testing.T) { assertLeft(t, change(func(*peers.ShareMessage) {}), 1, 0) })
+	for name, m := range map[string]peers.Lending{
+		"kind 0":                change(func(p *peers.ShareMessage) { p.Kind = 0 }),
+		"kind 6":                change(func(p *peers.ShareMessage) { p.Kind = 6 }),
+		"kind below 0":          change(func(p *peers.ShareMessage) { p.Kind = -1 }),
+		"no endpoint":           change(func(p *peers.ShareMessage) { p.Endpoint = "" }),
+		"a long endpoint":       change(func(p *peers.ShareMessage) { p.Endpoint = strings.Repeat("i", longestID+1) }),
+		"number 0":              change(func(p *peers.ShareMessage) { p.RequestNumber = 0 }),
+		"tokens below 0":        change(func(p *peers.ShareMessage) { p.Tokens = -1 }),
+		"tokens that are none":  change(func(p *peers.ShareMessage) { p.Tokens = math.NaN() }),
+		"tokens without end":    change(func(p *peers.ShareMessage) { p.Tokens = math.Inf(1) }),
+		"a time below 0":        change(func(p *peers.ShareMessage) { p.LeaseMs = -1 }),
+		"a time that overflows": change(func(p *peers.ShareMessage) { p.LeaseMs = math.MaxInt64 }),
+		"an unknown gateway":    {Address: "10.0.0.9:80", Shares: []peers.ShareMessage{valid}},
+		"no gateway":            {Shares: []peers.ShareMessage{valid}},
+		"more parts than fit":   {Address: borrowerAddress, Shares: make([]peers.ShareMessage, peers.MaxShares+1)},
 	} {
 		t.Run(name, func(t *testing.T) { assertLeft(t, m, 0, 1) })
 	}
 	t.Run("its own address", func(t *testing.T) {
 		n := newLender(t)
-		n.Receive(netip.AddrPort{}, peers.Message{Lend: &peers.Lend{Address: n.self, Parts: []peers.Part{valid}}})
+		n.Receive(netip.AddrPort{}, peers.Message{Lending: &peers.Lending{Address: n.self, Shares: []peers.ShareMessage{valid}}})
 		NewWithT(t).Expect(n.g.figures.lent.Count()).To(BeZero())
 	})
 }
 
 func TestAMessageOnPartsFitsAPacket(t *testing.T) {
 	g := NewWithT(t)
-	m := peers.Message{Lend: &peers.Lend{Address: "100.100.100.100:10000"}}
-	for i := range peers.MostParts {
-		m.Lend.Parts = append(m.Lend.Parts, peers.Part{Kind: int(throttle.Grant), Endpoint: fmt.Sprintf("%s-%d@1786946211702", strings.Repeat("x", 24), i), Number: time.Now().UnixNano(), Tokens: 0.123, LastsMs: 1000})
+	m := peers.Message{Lending: &peers.Lending{Address: "100.100.100.100:10000"}}
+	for i := range peers.MaxShares {
+		m.Lending.Shares = append(m.Lending.Shares, peers.ShareMessage{Kind: int(throttle.Grant), Endpoint: fmt.Sprintf("%s-%d@1786946211702", strings.Repeat("x", 24), i), RequestNumber: time.Now().UnixNano(), Tokens: 0.123, LeaseMs: 1000})
 	}
 	inOnePacket(g, m)
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -22,9 +22,9 @@
 	if q.route.Target <= 0 || !q.route.MayRepeat() || len(q.tried) >= q.route.Attempts {
 		return
 	}
-	x.Watch(upstream.Watch{
-		Limit:  func() time.Duration { return q.eventDue(e, x) },
-		GiveUp: func(silent time.Duration) bool { return q.giveUpSilent(e, silent) },
+	x.Watch(upstream.SilenceWatch{
+		Timeout: func() time.Duration { return q.eventDue(e, x) },
+		Abandon: func(silent time.Duration) bool { return q.giveUpSilent(e, silent) },
 	})
 }
 
@@ -52,7 +52,7 @@
 	defer q.g.mu.Unlock()
 	a.FirstEvent, a.PassTime = q.g.passes.TypicalTimes(e.ID)
 	if took := q.g.took[q.service]; took != nil && a.FirstEvent == 0 {
-		a.FirstEvent = took.Most()
+		a.FirstEvent = took.UpperBound()
 	}
 	return a
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -22,43 +22,43 @@
 	Load  *Load  `cbor:"2,keyasint,omitempty"`
 	Lead  *Lead  `cbor:"3,keyasint,omitempty"`
 	Loads *Loads `cbor:"4,keyasint,omitempty"`
-	Ends  []End  `cbor:"5,keyasint,omitempty"` // MostEnds at most; also beside a Hello.
-	// Limits has MostLimits at most, beside nothing else.
-	Limits []Limit `cbor:"6,keyasint,omitempty"`
-	Lend   *Lend   `cbor:"7,keyasint,omitempty"`
+	Ends  []End  `cbor:"5,keyasint,omitempty"` // MaxEnds at most; also beside a Hello.
+	// Limits has MaxLimits at most, beside nothing else.
+	Limits  []Limit  `cbor:"6,keyasint,omitempty"`
+	Lending *Lending `cbor:"7,keyasint,omitempty"`
 }
 
 // Hello tells that a gateway is there. A gateway answers it with a hello of its own; sidecars
 // tell loads to those they hear of.
 type Hello struct {
-	Name    string  `cbor:"1,keyasint"`
-	Life    int64   `cbor:"2,keyasint"` // Start of the process, Unix milliseconds.
-	Address string  `cbor:"3,keyasint"` // Peer listener.
-	Domain  string  `cbor:"4,keyasint,omitempty"`
-	Blind   bool    `cbor:"5,keyasint,omitempty"` // The store does not answer it.
-	Known   []Known `cbor:"6,keyasint,omitempty"` // Other gateways; MostKnown at most.
-	Leaving bool    `cbor:"7,keyasint,omitempty"`
-	Answer  bool    `cbor:"8,keyasint,omitempty"` // It answers a hello, and is not answered.
-	Asks    string  `cbor:"9,keyasint,omitempty"` // The failure domain whose gateways the answer is to name.
-	// Gateways is how many gateways the sender knows of, itself included.
-	Gateways int `cbor:"10,keyasint,omitempty"`
-	// Before is what the sender of an answer last heard of an earlier life of the receiver.
-	Before *Before `cbor:"11,keyasint,omitempty"`
+	Name             string           `cbor:"1,keyasint"`
+	Incarnation      int64            `cbor:"2,keyasint"` // Start of the process, Unix milliseconds.
+	Address          string           `cbor:"3,keyasint"` // Peer listener.
+	Domain           string           `cbor:"4,keyasint,omitempty"`
+	StoreUnreachable bool             `cbor:"5,keyasint,omitempty"` // The store does not answer it.
+	KnownGateways    []DomainGateways `cbor:"6,keyasint,omitempty"` // Other gateways; MaxKnownGateways at most.
+	Leaving          bool             `cbor:"7,keyasint,omitempty"`
+	IsAnswer         bool             `cbor:"8,keyasint,omitempty"` // It answers a hello, and is not answered.
+	QueriedDomain    string           `cbor:"9,keyasint,omitempty"` // The failure domain whose gateways the answer is to name.
+	// GatewayCount is how many gateways the sender knows of, itself included.
+	GatewayCount int `cbor:"10,keyasint,omitempty"`
+	// Previous is what the sender of an answer last heard of an earlier life of the receiver.
+	Previous *PreviousIncarnation `cbor:"11,keyasint,omitempty"`
 }
 
-// Before is the last word of an earlier life of a gateway.
-type Before struct {
-	_     struct{} `cbor:",toarray"`
-	Life  int64    // As in Hello.
-	AgeMs int64    // Since its last word.
-	Left  bool     // It was in its planned stop.
+// PreviousIncarnation is the last word of an earlier life of a gateway.
+type PreviousIncarnation struct {
+	_           struct{} `cbor:",toarray"`
+	Incarnation int64    // As in Hello.
+	AgeMs       int64    // Since its last word.
+	Leaving     bool     // It was in its planned stop.
 }
 
 // Age returns how long ago the last word was.
-func (b Before) Age() time.Duration { return time.Duration(b.AgeMs) * time.Millisecond }
+func (b PreviousIncarnation) Age() time.Duration { return time.Duration(b.AgeMs) * time.Millisecond }
 
-// Known is some gateways of one failure domain that the sender of a Hello knows of.
-type Known struct {
+// DomainGateways is some gateways of one failure domain that the sender of a Hello knows of.
+type DomainGateways struct {
 	_        struct{} `cbor:",toarray"`
 	Domain   string
 	Gateways []KnownGateway
@@ -66,15 +66,15 @@
 
 // KnownGateway is another gateway that the sender of a Hello knows of.
 type KnownGateway struct {
-	_       struct{} `cbor:",toarray"`
-	Address []byte   // Peer listener: IP number and port, as netip.AddrPort writes them.
-	AgeMs   int64    // Since its last word.
-	Blind   bool
-	Left    bool
+	_                struct{} `cbor:",toarray"`
+	Address          []byte   // Peer listener: IP number and port, as netip.AddrPort writes them.
+	AgeMs            int64    // Since its last word.
+	StoreUnreachable bool
+	Leaving          bool
 }
 
-// Peer returns the peer listener of the gateway.
-func (g KnownGateway) Peer() (a netip.AddrPort, err error) {
+// PeerAddress returns the peer listener of the gateway.
+func (g KnownGateway) PeerAddress() (a netip.AddrPort, err error) {
 	err = a.UnmarshalBinary(g.Address)
 	return a, errors.Wrap(err, "gateway named by another one")
 }
@@ -82,8 +82,8 @@
 // Age returns how long ago the gateway's last word was.
 func (g KnownGateway) Age() time.Duration { return time.Duration(g.AgeMs) * time.Millisecond }
 
-// Packed returns an address, IP number and port, as messages name it.
-func Packed(address string) (raw []byte, err error) {
+// PackAddress returns an address, IP number and port, as messages name it.
+func PackAddress(address string) (raw []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "address %q", address) }()
 	a, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -92,66 +92,66 @@
 	return a.MarshalBinary()
 }
 
-// MostKnown is how many gateways one Hello names: it stays within a packet of 1,400 bytes.
-const MostKnown = 48
+// MaxKnownGateways is how many gateways one Hello names: it stays within a packet of 1,400 bytes.
+const MaxKnownGateways = 48
 
 // Load tells the load of an engine.
 type Load struct {
-	Address string  `cbor:"1,keyasint"` // Of the engine.
-	Running int     `cbor:"2,keyasint,omitempty"`
-	Waiting int     `cbor:"3,keyasint,omitempty"`
-	Group   string  `cbor:"4,keyasint,omitempty"`
-	Closed  bool    `cbor:"5,keyasint,omitempty"`
-	Pace    float64 `cbor:"6,keyasint,omitempty"`
-	PassMs  int     `cbor:"7,keyasint,omitempty"`  // Time of a pass, smoothed.
-	Onward  bool    `cbor:"8,keyasint,omitempty"`  // The receiver tells the other gateways of its failure domain.
-	Born    int64   `cbor:"9,keyasint,omitempty"`  // When the engine's life began, Unix milliseconds; 0 when not told.
-	Epoch   uint64  `cbor:"10,keyasint,omitempty"` // Of the group; another one when it has formed anew.
-	// Gateways is how many gateways the sender hears; 0 when it does not tell.
-	Gateways int `cbor:"11,keyasint,omitempty"`
+	Address   string  `cbor:"1,keyasint"` // Of the engine.
+	Running   int     `cbor:"2,keyasint,omitempty"`
+	Waiting   int     `cbor:"3,keyasint,omitempty"`
+	Group     string  `cbor:"4,keyasint,omitempty"`
+	Closed    bool    `cbor:"5,keyasint,omitempty"`
+	Slowdown  float64 `cbor:"6,keyasint,omitempty"`
+	PassMs    int     `cbor:"7,keyasint,omitempty"`  // Time of a pass, smoothed.
+	Forward   bool    `cbor:"8,keyasint,omitempty"`  // The receiver tells the other gateways of its failure domain.
+	StartedAt int64   `cbor:"9,keyasint,omitempty"`  // When the engine's life began, Unix milliseconds; 0 when not told.
+	Epoch     uint64  `cbor:"10,keyasint,omitempty"` // Of the group; another one when it has formed anew.
+	// GatewayCount is how many gateways the sender hears; 0 when it does not tell.
+	GatewayCount int `cbor:"11,keyasint,omitempty"`
 }
 
 // Loads tells the loads of ranks of one group, as its leader has just seen them: of
 // those only that are in the group's epoch, and so in their newest life.
 type Loads struct {
-	Group  string     `cbor:"1,keyasint"`
-	Closed bool       `cbor:"2,keyasint,omitempty"`
-	PassMs int        `cbor:"3,keyasint,omitempty"`
-	Onward bool       `cbor:"4,keyasint,omitempty"` // As in Load.
-	Ranks  []RankLoad `cbor:"5,keyasint"`           // MostRanks at most.
+	Group   string     `cbor:"1,keyasint"`
+	Closed  bool       `cbor:"2,keyasint,omitempty"`
+	PassMs  int        `cbor:"3,keyasint,omitempty"`
+	Forward bool       `cbor:"4,keyasint,omitempty"` // As in Load.
+	Ranks   []RankLoad `cbor:"5,keyasint"`           // MaxRankLoads at most.
 	// Epoch and Gateways are as in Load.
-	Epoch    uint64 `cbor:"6,keyasint,omitempty"`
-	Gateways int    `cbor:"7,keyasint,omitempty"`
-	// Limit is how many requests a rank may hold in the mean; 0 when it is not known.
-	Limit float32 `cbor:"8,keyasint,omitempty"`
+	Epoch        uint64 `cbor:"6,keyasint,omitempty"`
+	GatewayCount int    `cbor:"7,keyasint,omitempty"`
+	// LimitPerRank is how many requests a rank may hold in the mean; 0 when it is not known.
+	LimitPerRank float32 `cbor:"8,keyasint,omitempty"`
 }
 
-// MostRanks is how many ranks one Loads names: it stays within a packet of 1,400
+// MaxRankLoads is how many ranks one Loads names: it stays within a packet of 1,400
 // bytes.
-const MostRanks = 80
+const MaxRankLoads = 80
 
 // RankLoad is the load of one rank.
 type RankLoad struct {
-	_       struct{} `cbor:",toarray"`
-	Address []byte   // Of the engine: IP number and port, as netip.AddrPort writes them.
-	Running int
-	Waiting int
-	Pace    float32 // Above 1 when it is slow.
+	_        struct{} `cbor:",toarray"`
+	Address  []byte   // Of the engine: IP number and port, as netip.AddrPort writes them.
+	Running  int
+	Waiting  int
+	Slowdown float32 // Above 1 when it is slow.
 }
 
-// Engine returns the address of a rank's engine.
-func (l RankLoad) Engine() (a netip.AddrPort, err error) {
+// EngineAddress returns the address of a rank's engine.
+func (l RankLoad) EngineAddress() (a netip.AddrPort, err error) {
 	err = a.UnmarshalBinary(l.Address)
 	return a, errors.Wrap(err, "load of a rank")
 }
 
 // Lead tells that a sidecar leads its group.
 type Lead struct {
-	Group string `cbor:"1,keyasint"`
-	Epoch uint64 `cbor:"2,keyasint"`
-	Rank  int    `cbor:"3,keyasint"`
-	Fence uint64 `cbor:"4,keyasint"`
-	Tells bool   `cbor:"5,keyasint,omitempty"` // It has just told gateways the loads of all ranks.
+	Group      string `cbor:"1,keyasint"`
+	Epoch      uint64 `cbor:"2,keyasint"`
+	Rank       int    `cbor:"3,keyasint"`
+	Fence      uint64 `cbor:"4,keyasint"`
+	SendsLoads bool   `cbor:"5,keyasint,omitempty"` // It has just told gateways the loads of all ranks.
 }
 
 // End tells that an endpoint's process ended while it ran a request.
@@ -164,9 +164,9 @@
 	AgeMs    int64    // Since the end.
 }
 
-// MostEnds is how many ends one message names: beside a Hello it stays within a packet of
+// MaxEnds is how many ends one message names: beside a Hello it stays within a packet of
 // 1,400 bytes.
-const MostEnds = 12
+const MaxEnds = 12
 
 // Limit tells what an endpoint's answer to a gateway said of its rate limit.
 type Limit struct {
@@ -180,34 +180,34 @@
 // Age returns how long ago the word was.
 func (l Limit) Age() time.Duration { return time.Duration(l.AgeMs) * time.Millisecond }
 
-// MostLimits is how many limits one message names: it stays within a packet of 1,400 bytes.
-const MostLimits = 24
+// MaxLimits is how many limits one message names: it stays within a packet of 1,400 bytes.
+const MaxLimits = 24
 
-// Lend tells another gateway what is asked for and given of parts of rate limits.
-type Lend struct {
-	Address string `cbor:"1,keyasint"` // Peer listener of the sender.
-	Parts   []Part `cbor:"2,keyasint"` // MostParts at most.
+// Lending tells another gateway what is asked for and given of parts of rate limits.
+type Lending struct {
+	Address string         `cbor:"1,keyasint"` // Peer listener of the sender.
+	Shares  []ShareMessage `cbor:"2,keyasint"` // MaxShares at most.
 }
 
-// Part tells of one gateway's part of an endpoint's rate limit.
-type Part struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     int      // As package throttle counts it.
-	Endpoint string   // One life of it.
-	Number   int64    // Of the ask.
-	Tokens   float64  // That go with the part.
-	LastsMs  int64    // For which it is lent.
+// ShareMessage tells of one gateway's part of an endpoint's rate limit.
+type ShareMessage struct {
+	_             struct{} `cbor:",toarray"`
+	Kind          int      // As package throttle counts it.
+	Endpoint      string   // One life of it.
+	RequestNumber int64    // Of the ask.
+	Tokens        float64  // That go with the part.
+	LeaseMs       int64    // For which it is lent.
 }
 
-// Lasts returns for how long a part is lent.
-func (p Part) Lasts() time.Duration { return time.Duration(p.LastsMs) * time.Millisecond }
+// LeaseTime returns for how long a part is lent.
+func (p ShareMessage) LeaseTime() time.Duration { return time.Duration(p.LeaseMs) * time.Millisecond }
 
-// MostParts is how many parts one message names: it stays within a packet of 1,400 bytes.
-const MostParts = 20
+// MaxShares is how many parts one message names: it stays within a packet of 1,400 bytes.
+const MaxShares = 20
 
-// Beside returns the address of the sidecar beside an engine, which listens on
+// SidecarAddress returns the address of the sidecar beside an engine, which listens on
 // the engine's instance at a port that is alike everywhere.
-func Beside(engine string, port int) (a netip.AddrPort, err error) {
+func SidecarAddress(engine string, port int) (a netip.AddrPort, err error) {
 	defer func() { err = errors.Wrapf(err, "sidecar beside %q", engine) }()
 	at, err := netip.ParseAddrPort(engine)
 	if err != nil {
@@ -219,8 +219,8 @@
 // Times for which connections of calls between processes are kept while they are idle.
 // Whoever calls drops one long before whoever serves ends it, so no call meets that end.
 const (
-	CallerIdle = 30 * time.Second
-	ServerIdle = 3 * CallerIdle
+	ClientIdleTimeout = 30 * time.Second
+	ServerIdleTimeout = 3 * ClientIdleTimeout
 )
 
 // maxDatagram is above any message; a longer one is dropped.
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -13,23 +13,23 @@
 
 // Report is what an engine says about itself.
 type Report struct {
-	Group    string  `json:"group" cbor:"1,keyasint,omitempty"` // "" when it is in none.
-	Epoch    uint64  `json:"epoch" cbor:"2,keyasint,omitempty"` // Of the group; rises each time it opens anew.
-	Rank     int     `json:"rank" cbor:"3,keyasint,omitempty"`
-	Size     int     `json:"size" cbor:"4,keyasint,omitempty"` // Ranks of the group.
-	Open     bool    `json:"open" cbor:"5,keyasint,omitempty"`
-	Step     uint64  `json:"step" cbor:"6,keyasint,omitempty"`     // Newest pass that began.
-	Map      uint64  `json:"map" cbor:"7,keyasint,omitempty"`      // Version in force.
-	Prepared uint64  `json:"prepared" cbor:"8,keyasint,omitempty"` // Version whose experts have been copied; 0 for none.
-	Armed    Arming  `json:"armed" cbor:"9,keyasint,omitempty"`
-	Held     uint64  `json:"held" cbor:"10,keyasint,omitempty"` // Pass that it will not begin; 0 for none.
-	Copying  bool    `json:"copying" cbor:"11,keyasint,omitempty"`
-	Running  int     `json:"running" cbor:"12,keyasint,omitempty"`
-	Waiting  int     `json:"waiting" cbor:"13,keyasint,omitempty"`
-	Used     int     `json:"used" cbor:"14,keyasint,omitempty"` // Tokens of memory that cannot give way.
-	Total    int     `json:"total" cbor:"15,keyasint,omitempty"`
-	Pace     float64 `json:"pace" cbor:"16,keyasint,omitempty"` // Above 1 when it is slow.
-	Born     int64   `json:"born" cbor:"17,keyasint,omitempty"` // When its life began, Unix milliseconds; 0 when not told.
+	Group       string  `json:"group" cbor:"1,keyasint,omitempty"` // "" when it is in none.
+	Epoch       uint64  `json:"epoch" cbor:"2,keyasint,omitempty"` // Of the group; rises each time it opens anew.
+	Rank        int     `json:"rank" cbor:"3,keyasint,omitempty"`
+	Size        int     `json:"size" cbor:"4,keyasint,omitempty"` // Ranks of the group.
+	Open        bool    `json:"open" cbor:"5,keyasint,omitempty"`
+	Step        uint64  `json:"step" cbor:"6,keyasint,omitempty"`     // Newest pass that began.
+	Map         uint64  `json:"map" cbor:"7,keyasint,omitempty"`      // Version in force.
+	Prepared    uint64  `json:"prepared" cbor:"8,keyasint,omitempty"` // Version whose experts have been copied; 0 for none.
+	Armed       Arming  `json:"armed" cbor:"9,keyasint,omitempty"`
+	HeldPass    uint64  `json:"held" cbor:"10,keyasint,omitempty"` // Pass that it will not begin; 0 for none.
+	Copying     bool    `json:"copying" cbor:"11,keyasint,omitempty"`
+	Running     int     `json:"running" cbor:"12,keyasint,omitempty"`
+	Waiting     int     `json:"waiting" cbor:"13,keyasint,omitempty"`
+	UsedTokens  int     `json:"used" cbor:"14,keyasint,omitempty"` // Tokens of memory that cannot give way.
+	TotalTokens int     `json:"total" cbor:"15,keyasint,omitempty"`
+	Slowdown    float64 `json:"pace" cbor:"16,keyasint,omitempty"` // Above 1 when it is slow.
+	StartedAt   int64   `json:"born" cbor:"17,keyasint,omitempty"` // When its life began, Unix milliseconds; 0 when not told.
 }
 
 // Arming is a version that comes into force as a pass begins.
@@ -41,18 +41,18 @@
 // Counts is how often the requests of a rank chose each expert since its
 // start.
 type Counts struct {
-	Born  int64 // As in Report.
-	Epoch uint64
-	Step  uint64
-	Flat  []uint64 // Set by set.
+	StartedAt int64 // As in Report.
+	Epoch     uint64
+	Step      uint64
+	Flat      []uint64 // Set by set.
 }
 
-// Held is the experts of one rank under a map.
-type Held struct {
-	Born    int64 // As in Report.
-	Epoch   uint64
-	Version uint64
-	Sets    [][]int // Experts by set.
+// HeldExperts is the experts of one rank under a map.
+type HeldExperts struct {
+	StartedAt    int64 // As in Report.
+	Epoch        uint64
+	Version      uint64
+	ExpertsBySet [][]int // Experts by set.
 }
 
 // Op is the kind of an order.
@@ -64,7 +64,7 @@
 	Arm     Op = "arm"     // Take the prepared map as a pass begins.
 	Disarm  Op = "disarm"  // Take an arming back.
 	Hold    Op = "hold"    // Do not begin a pass.
-	Go      Op = "go"      // Let go of a hold.
+	Release Op = "go"      // Let go of a hold.
 )
 
 // Order is one order to a rank.
@@ -88,13 +88,13 @@
 	Lost     Result = "lost"     // No answer: it may have been taken, or may be carried out later.
 )
 
-// ErrBroken means that an engine's answer could not be read.
-var ErrBroken = errors.New("an engine's answer that cannot be read")
+// ErrMalformed means that an engine's answer could not be read.
+var ErrMalformed = errors.New("an engine's answer that cannot be read")
 
 // Engine is the engine beside a process.
 type Engine struct {
-	Report func(ctx context.Context) (Report, error)
-	Counts func(ctx context.Context) (Counts, error)
-	Held   func(ctx context.Context) (Held, error)
-	Order  func(ctx context.Context, o Order) (Result, error)
+	Report      func(ctx context.Context) (Report, error)
+	Counts      func(ctx context.Context) (Counts, error)
+	HeldExperts func(ctx context.Context) (HeldExperts, error)
+	Order       func(ctx context.Context, o Order) (Result, error)
 }
--- a/internal/rank/ranktest/group.go
+++ b/internal/rank/ranktest/group.go
@@ -52,7 +52,7 @@
 	g := &Group{shape: s, lose: lose, engines: make([]engine, s.Ranks)}
 	for r := range g.engines {
 		g.engines[r] = engine{counts: make([]uint64, s.Sets*s.Experts), maps: map[uint64][][][]int{0: dealt(s)}}
-		g.engines[r].report = rank.Report{Group: "g", Epoch: 1, Rank: r, Size: s.Ranks, Open: true, Running: 4, Pace: 1}
+		g.engines[r].report = rank.Report{Group: "g", Epoch: 1, Rank: r, Size: s.Ranks, Open: true, Running: 4, Slowdown: 1}
 	}
 	return g
 }
@@ -74,25 +74,25 @@
 	return wait.Every(ctx, pass, g.pass)
 }
 
-// Shift makes other experts the ones that get most.
-func (g *Group) Shift(hot int) {
+// ShiftDemand makes other experts the ones that get most.
+func (g *Group) ShiftDemand(hot int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.hot = hot
 }
 
-// Forget makes a rank's counts begin anew, as after a restart of its requests.
-func (g *Group) Forget(r int) {
+// ResetCounts makes a rank's counts begin anew, as after a restart of its requests.
+func (g *Group) ResetCounts(r int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.engines[r].counts)
 }
 
-// HoldAt sets which pass a rank holds, 0 for none.
-func (g *Group) HoldAt(r int, step uint64) {
+// SetHold sets which pass a rank holds, 0 for none.
+func (g *Group) SetHold(r int, step uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.engines[r].Held = step
+	g.engines[r].HeldPass = step
 }
 
 // Step returns the newest pass that began.
@@ -106,7 +106,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for r := range g.engines {
-		if g.engines[r].Held == g.step+1 {
+		if g.engines[r].HeldPass == g.step+1 {
 			return
 		}
 	}
@@ -157,7 +157,7 @@
 			defer g.mu.Unlock()
 			e := &g.engines[r]
 			rep := e.report
-			rep.Step, rep.Map, rep.Prepared, rep.Armed, rep.Held = g.step, e.Map, e.Prepared, e.Armed, e.Held
+			rep.Step, rep.Map, rep.Prepared, rep.Armed, rep.HeldPass = g.step, e.Map, e.Prepared, e.Armed, e.HeldPass
 			return rep, nil
 		},
 		Counts: func(context.Context) (rank.Counts, error) {
@@ -165,12 +165,12 @@
 			defer g.mu.Unlock()
 			return rank.Counts{Epoch: 1, Step: g.step, Flat: append([]uint64(nil), g.engines[r].counts...)}, nil
 		},
-		Held: func(context.Context) (rank.Held, error) {
+		HeldExperts: func(context.Context) (rank.HeldExperts, error) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			h := rank.Held{Epoch: 1, Version: g.engines[r].Map}
+			h := rank.HeldExperts{Epoch: 1, Version: g.engines[r].Map}
 			for _, set := range g.engines[r].maps[h.Version] {
-				h.Sets = append(h.Sets, set[r])
+				h.ExpertsBySet = append(h.ExpertsBySet, set[r])
 			}
 			return h, nil
 		},
@@ -184,15 +184,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for r := range g.engines {
-		if g.engines[r].Held != 0 {
-			held = fmt.Sprintf("rank %d holds %d", r, g.engines[r].Held)
+		if g.engines[r].HeldPass != 0 {
+			held = fmt.Sprintf("rank %d holds %d", r, g.engines[r].HeldPass)
 		}
 	}
 	return g.engines[0].Map, held, g.broken
 }
 
-// Changes returns how many maps came into force.
-func (g *Group) Changes() int {
+// MapChanges returns how many maps came into force.
+func (g *Group) MapChanges() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.changes
--- a/internal/rank/ranktest/state.go
+++ b/internal/rank/ranktest/state.go
@@ -10,7 +10,7 @@
 	Map      uint64
 	Prepared uint64
 	Armed    rank.Arming
-	Held     uint64
+	HeldPass uint64
 }
 
 // Execute carries an order out; step is the newest pass that began.
@@ -46,13 +46,13 @@
 			s.Armed = rank.Arming{}
 		}
 	case rank.Hold:
-		if step >= o.Step || s.Held != 0 && s.Held != o.Step {
+		if step >= o.Step || s.HeldPass != 0 && s.HeldPass != o.Step {
 			return rank.Conflict
 		}
-		s.Held = o.Step
-	case rank.Go:
-		if s.Held == o.Step {
-			s.Held = 0
+		s.HeldPass = o.Step
+	case rank.Release:
+		if s.HeldPass == o.Step {
+			s.HeldPass = 0
 		}
 	}
 	return rank.Done
--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -48,7 +48,7 @@
 	_ = g.Wait() // No function returns an error: a rank that is not heard shows below.
 	l.s.figures.looks.UpdateSince(began)
 	l.s.log.Debug("look", zap.Duration("took", time.Since(began)), zap.Int("asked", len(heard)), zap.Int("silent", len(silent)),
-		zap.Int("summed", l.newest.Summed), zap.Int("bytes-of-counts", len(l.newest.Counts)))
+		zap.Int("summed", l.newest.SummedRanks), zap.Int("bytes-of-counts", len(l.newest.Counts)))
 	l.place(own)
 	return l.complete(own)
 }
@@ -76,8 +76,8 @@
 	if now := time.Now(); now.Sub(l.countsAt) >= l.untilCounts(now) {
 		q.Group, l.countsAt = own.Group, now
 	}
-	q.Limit = askTimeout + time.Duration(depth(len(list), q.Fan))*stepTime
-	call, cancel := context.WithTimeout(ctx, q.Limit)
+	q.Timeout = askTimeout + time.Duration(depth(len(list), q.Fanout))*stepTime
+	call, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	a := l.s.askTree(call, q)
 	for _, m := range list {
@@ -85,20 +85,20 @@
 	}
 	now := time.Now()
 	for _, r := range a.Ranks {
-		if r.Place < 0 || r.Place > len(list) || r.Report == nil {
+		if r.Index < 0 || r.Index > len(list) || r.Report == nil {
 			continue
 		}
 		m := l.self
-		if r.Place > 0 {
-			m = list[r.Place-1]
+		if r.Index > 0 {
+			m = list[r.Index-1]
 		}
 		m.hear(*r.Report, now)
 	}
 	l.newest = a
 	l.s.figures.missed.Inc(int64(len(list) + 1 - len(a.Ranks)))
 	l.s.figures.bytes.Update(int64(len(a.Counts)))
-	if a.Summed > 0 && l.s.cfg.LinkRate > 0 {
-		bytes := float64(min(q.Fan, len(list)) * len(a.Counts))
+	if a.SummedRanks > 0 && l.s.cfg.LinkRate > 0 {
+		bytes := float64(min(q.Fanout, len(list)) * len(a.Counts))
 		l.countsPause = time.Duration(bytes / (countsShare * l.s.cfg.LinkRate) * float64(time.Second))
 	}
 }
@@ -115,7 +115,7 @@
 // hear takes in a rank's word; that of an earlier life than is known of is left out, and
 // the rank counts as one that did not answer.
 func (m *member) hear(r rank.Report, now time.Time) {
-	if fleet.CompareLives(max(m.endpoint.Born, m.report.Born), r.Born) < 0 {
+	if fleet.CompareLives(max(m.endpoint.Born, m.report.StartedAt), r.StartedAt) < 0 {
 		return
 	}
 	m.report, m.seen = r, now
@@ -127,7 +127,7 @@
 	list := make([]int64, len(l.byRank))
 	for r, m := range l.byRank {
 		if m != nil {
-			list[r] = m.report.Born
+			list[r] = m.report.StartedAt
 		}
 	}
 	return list
@@ -148,7 +148,7 @@
 // questionTo returns a question to ranks: down a tree where they are many, and to
 // all at once where they are not.
 func questionTo(list []*member) question {
-	q := question{Fan: fanFor(len(list))}
+	q := question{Fanout: fanFor(len(list))}
 	for _, m := range list {
 		q.Engines = append(q.Engines, m.endpoint.Address)
 	}
@@ -166,13 +166,13 @@
 		l.s.contained(func() { engine = l.askStraight(ctx, m) })
 		return nil
 	})
-	a, err := l.s.below(ctx, question{Engines: []string{m.endpoint.Address}, Fan: 1, Limit: silentTimeout})
+	a, err := l.s.below(ctx, question{Engines: []string{m.endpoint.Address}, Fanout: 1, Timeout: silentTimeout})
 	_ = g.Wait() // The function returns no error: nothing is known of an engine that is not heard.
 	m.fresh = false
 	switch {
 	case err == nil && len(a.Ranks) == 1 && a.Ranks[0].Report != nil:
 		m.hear(*a.Ranks[0].Report, time.Now())
-	case engine != nil && fleet.CompareLives(max(m.endpoint.Born, m.report.Born), engine.Born) >= 0:
+	case engine != nil && fleet.CompareLives(max(m.endpoint.Born, m.report.StartedAt), engine.StartedAt) >= 0:
 		m.report, m.seen, m.fresh = *engine, time.Now(), true
 	case err != nil:
 		l.s.log.Debug("sidecar not heard", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
@@ -209,12 +209,12 @@
 // complete reports whether all ranks are in their places, but perhaps for the one
 // that led before, which is then the absent one.
 func (l *leader) complete(own rank.Report) bool {
-	l.absent = cutover.None
+	l.absent = cutover.NoRank
 	for r, m := range l.byRank {
 		if m != nil {
 			continue
 		}
-		if l.absent != cutover.None || !l.ledBefore(r, own) || !l.engineLost(own) {
+		if l.absent != cutover.NoRank || !l.ledBefore(r, own) || !l.engineLost(own) {
 			return false
 		}
 		l.absent = r
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -73,7 +73,7 @@
 		m, err := s.maps.read(*text)
 		if err != nil {
 			s.log.Info("map not read", zap.Uint64("version", o.Version), zap.String("error", err.Error()))
-			return answered{Result: rank.Lost, Error: err.Error(), NoBase: errors.Is(err, errNoBase)}
+			return answered{Result: rank.Lost, Error: err.Error(), UnknownBase: errors.Is(err, errNoBase)}
 		}
 		o.Map = m
 	}
@@ -100,7 +100,7 @@
 	if !s.orderTook.Known() {
 		return orderTimeout
 	}
-	return min(max(orderPatience*s.orderTook.Most(), leastOrderTimeout), orderTimeout)
+	return min(max(orderPatience*s.orderTook.UpperBound(), leastOrderTimeout), orderTimeout)
 }
 
 func (s *Sidecar) carryOutOnce(ctx context.Context, o rank.Order) (a answer) {
@@ -128,7 +128,7 @@
 
 func newPeerClient(cfg Config) (c *peerClient, cleanup func()) {
 	d := &net.Dialer{Timeout: engineTimeout}
-	t := &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: peers.CallerIdle, DisableCompression: true}
+	t := &http.Transport{DialContext: d.DialContext, MaxIdleConnsPerHost: 2, IdleConnTimeout: peers.ClientIdleTimeout, DisableCompression: true}
 	return &peerClient{client: &http.Client{Transport: t}, port: cfg.PeersPort}, t.CloseIdleConnections
 }
 
@@ -153,7 +153,7 @@
 // raw makes one call and returns the answer's body.
 func (c *peerClient) raw(ctx context.Context, method, engine, path string, body []byte) (raw []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "sidecar of %s", engine) }()
-	address, err := peers.Beside(engine, c.port)
+	address, err := peers.SidecarAddress(engine, c.port)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/sidecar/calls_test.go
+++ b/internal/sidecar/calls_test.go
@@ -58,7 +58,7 @@
 	}))
 	g.Expect(srv.Listener.Close()).To(Succeed())
 	srv.Listener = l
-	srv.Config.IdleTimeout = peers.ServerIdle / factor
+	srv.Config.IdleTimeout = peers.ServerIdleTimeout / factor
 	srv.Start()
 	t.Cleanup(srv.Close)
 	client, cleanup := newPeerClient(Config{PeersPort: l.Addr().(*net.TCPAddr).Port})
@@ -95,7 +95,7 @@
 func TestNoOrderMeetsTheEndOfAnIdleConnection(t *testing.T) {
 	t.Parallel()
 	const factor, around = 60, 200 * time.Millisecond
-	for _, rested := range []time.Duration{peers.CallerIdle / factor, peers.ServerIdle / factor} {
+	for _, rested := range []time.Duration{peers.ClientIdleTimeout / factor, peers.ServerIdleTimeout / factor} {
 		t.Run(rested.String(), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -19,8 +19,8 @@
 
 // planner follows the demand for experts and makes maps for it.
 type planner struct {
-	follower *demand.Follower // Nil until the group's shape is known.
-	taken    uint64           // Number of the own window when counts were last taken in.
+	follower *demand.Tracker // Nil until the group's shape is known.
+	taken    uint64          // Number of the own window when counts were last taken in.
 	current  rebalance.Map
 	version  uint64 // Of current; meaningful only when known is set.
 	known    bool
@@ -101,7 +101,7 @@
 func (l *leader) learn() {
 	p := &l.planner
 	duty.Locked(&l.s.mu, func() { p.pass = l.s.passes.pass })
-	if l.shape == nil || l.shape.Sets == 0 || l.newest.Summed == 0 || l.newest.Epoch != l.epoch || l.newest.Window == p.taken {
+	if l.shape == nil || l.shape.Sets == 0 || l.newest.SummedRanks == 0 || l.newest.Epoch != l.epoch || l.newest.Window == p.taken {
 		return
 	}
 	if p.follower == nil {
@@ -111,11 +111,11 @@
 	now := time.Now()
 	flat, err := unpackCounts(l.newest.Counts)
 	if err != nil || len(flat) != l.shape.Sets*l.shape.Experts {
-		l.s.log.Warn("counts left out", zap.Int("ranks", l.newest.Summed), zap.Int("numbers", len(flat)), zap.Error(err))
+		l.s.log.Warn("counts left out", zap.Int("ranks", l.newest.SummedRanks), zap.Int("numbers", len(flat)), zap.Error(err))
 		return
 	}
-	if p.follower.Learn(flat, l.newest.Summed, now) {
-		l.s.log.Info("demand has shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.Left(now)))
+	if p.follower.Update(flat, l.newest.SummedRanks, now) {
+		l.s.log.Info("demand has shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.ExpectedRemaining(now)))
 	}
 }
 
@@ -126,7 +126,7 @@
 		step := e.StepTime + time.Duration(e.Slots)*e.WriterTime/2
 		memory = time.Duration(memoryShare * e.UsualAnswer * float64(step))
 	}
-	return demand.Config{Sets: e.Sets, Experts: e.Experts, Ranks: len(l.byRank), Memory: memory}
+	return demand.Config{Sets: e.Sets, Experts: e.Experts, Ranks: len(l.byRank), SmoothingTime: memory}
 }
 
 // group returns the group as package remap sees it.
@@ -148,7 +148,7 @@
 	return remap.Effort{
 		CopyTime:    l.copyTime(1),
 		Overhead:    noticeLooks*l.lookPause() + l.handing + l.arming.Mean(),
-		StallTime:   max(l.arming.Most()-mostAhead*l.planner.pass, 0),
+		StallTime:   max(l.arming.UpperBound()-mostAhead*l.planner.pass, 0),
 		CurrentPass: l.planner.pass,
 	}
 }
@@ -156,7 +156,7 @@
 // change begins a new map, if that pays.
 func (l *leader) change(ctx context.Context) {
 	p := &l.planner
-	if p.follower == nil || p.follower.Load() == nil || p.follower.Suspect() || !l.readMap(ctx) {
+	if p.follower == nil || p.follower.Smoothed() == nil || p.follower.ShiftSuspected() || !l.readMap(ctx) {
 		return
 	}
 	price := l.price(l.left(time.Now()))
@@ -174,10 +174,10 @@
 func (l *leader) left(now time.Time) time.Duration {
 	f := l.planner.follower
 	if f.Shifts() > 0 {
-		return f.Left(now)
+		return f.ExpectedRemaining(now)
 	}
 	e := l.effort()
-	return max(f.Left(now), firstChanges*(e.CopyTime+e.Overhead))
+	return max(f.ExpectedRemaining(now), firstChanges*(e.CopyTime+e.Overhead))
 }
 
 // price says what changes are worth while demand stays for so long.
@@ -191,17 +191,17 @@
 
 // plan makes a map for what is asked for now.
 func (l *leader) plan(price remap.Price) remap.Plan {
-	return remap.Make(l.group(), l.planner.current, l.planner.follower.Load(), l.effort(), price, pause)
+	return remap.Make(l.group(), l.planner.current, l.planner.follower.Smoothed(), l.effort(), price, pause)
 }
 
 // begin has the ranks copy the experts of a plan.
 func (l *leader) begin(ctx context.Context, plan remap.Plan) {
 	p, m := &l.planner, l.machine
-	version := (m.Newest/versionsPerRank+1)*versionsPerRank + uint64(m.Self)
+	version := (m.HighestVersion/versionsPerRank+1)*versionsPerRank + uint64(m.Self)
 	layout := rows(plan.Map, len(l.byRank))
 	now := time.Now()
 	p.pending = &pending{plan: plan, version: version, began: now, due: now.Add(l.copyTime(plan.MaxPerRank)), shifts: p.follower.Shifts(), speeds: l.speeds()}
-	m.Begin(version, layout)
+	m.StartPreparing(version, layout)
 	l.writeMap(layout)
 	l.drive(ctx, prepareTries*l.orderLimit(&l.whole, len(l.byRank)-1))
 	l.countsAt = time.Now() // The copies are looked for first.
@@ -222,10 +222,10 @@
 func (l *leader) writeMap(next layout) {
 	base := rows(l.planner.current, len(l.byRank))
 	experts := l.shape.Experts
-	l.whole = mapText{Experts: experts, Text: packMap(next)}
-	l.changed = mapText{Base: fingerprint(base), Experts: experts, Text: packChange(base, next)}
+	l.whole = mapText{Experts: experts, Data: packMap(next)}
+	l.changed = mapText{Base: fingerprint(base), Experts: experts, Data: packChange(base, next)}
 	l.s.maps.put(next) // Its own orders do not come as text.
-	l.s.log.Debug("map written", zap.Int("whole", len(l.whole.Text)), zap.Int("change", len(l.changed.Text)))
+	l.s.log.Debug("map written", zap.Int("whole", len(l.whole.Data)), zap.Int("change", len(l.changed.Data)))
 }
 
 // abandon drops the change that is under way.
@@ -234,7 +234,7 @@
 	l.s.figures.gaveUp.Inc(1)
 	l.s.log.Warn("map given up", zap.String("cause", cause), zap.Uint64("version", p.pending.version), zap.Duration("after", time.Since(p.pending.began)))
 	p.pending = nil
-	l.machine.GiveUp()
+	l.machine.Abort()
 }
 
 // proceed goes on with the change that is under way.
@@ -242,7 +242,7 @@
 	p := &l.planner
 	now := time.Now()
 	switch {
-	case l.machine.Copied(l.reports()):
+	case l.machine.AllPrepared(l.reports()):
 		l.switchOver(ctx)
 	case now.Sub(p.pending.due) > p.pending.due.Sub(p.pending.began)+overdue:
 		l.abandon("not copied in time")
@@ -257,7 +257,7 @@
 	p, g := &l.planner, l.group()
 	price := l.price(l.left(now))
 	plan := l.plan(price)
-	soon := g.PassTime(p.pending.plan.Map, p.follower.Load())
+	soon := g.PassTime(p.pending.plan.Map, p.follower.Smoothed())
 	remaining := max(p.pending.due.Sub(now), 0)
 	if !plan.IsWorthwhile(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, soon) {
 		p.pending.shifts, p.pending.speeds = p.follower.Shifts(), l.speeds()
@@ -270,16 +270,16 @@
 // switchOver brings the map whose experts were copied into force.
 func (l *leader) switchOver(ctx context.Context) {
 	p, m := &l.planner, l.machine
-	change, copied, before := p.pending, time.Now(), m.Gained
+	change, copied, before := p.pending, time.Now(), m.Completed
 	p.pending = nil
-	m.Switch(l.nextStep())
+	m.SwitchAt(l.nextStep())
 	l.drive(ctx, armLimit)
-	m.GiveUp()
+	m.Abort()
 	l.drive(ctx, recoverLimit)
 	l.handing += time.Duration(armingWeight * float64(max(copied.Sub(change.due), 0)-l.handing))
 	l.switched = time.Now()
 	took := l.switched.Sub(copied)
-	done := m.Gained > before
+	done := m.Completed > before
 	if done {
 		// One that came to nothing says how long an answer did not come, as from a
 		// frozen instance, and not how long orders take.
@@ -322,7 +322,7 @@
 	if pass <= 0 {
 		return leastAhead
 	}
-	return max(leastAhead, int(l.arming.Most()/pass)+leastAhead)
+	return max(leastAhead, int(l.arming.UpperBound()/pass)+leastAhead)
 }
 
 // copyTime returns how long a rank takes for so many copies.
@@ -348,7 +348,7 @@
 	alike := true
 	for r, m := range l.byRank {
 		speed[r] = 1
-		if pace := m.report.Pace; pace > 1 {
+		if pace := m.report.Slowdown; pace > 1 {
 			speed[r] = 1 / pace
 			alike = false
 		}
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -74,14 +74,14 @@
 	all        []*member // Every endpoint of the service, those of a failure domain together.
 	self       *member   // Of all, the own one.
 	byRank     []*member // Of the own group; nil before the first look, and nil for the absent one.
-	absent     int       // Rank that led before, if it alone does not answer; cutover.None otherwise.
+	absent     int       // Rank that led before, if it alone does not answer; cutover.NoRank otherwise.
 	machine    *cutover.Machine
 	born       []int64 // Of the ranks, when machine was made.
 	fence      uint64
 	planner    planner
-	arming     estimate.Time // That the orders of a switch took.
-	handing    time.Duration // Smoothed time by which changes took longer than their copies: to hand out the map, and to see the copies.
-	switched   time.Time     // When the last switch was brought about.
+	arming     estimate.Estimator // That the orders of a switch took.
+	handing    time.Duration      // Smoothed time by which changes took longer than their copies: to hand out the map, and to see the copies.
+	switched   time.Time          // When the last switch was brought about.
 	limiter    passes.Limiter
 	toldAt     time.Time // When gateways were last told the loads of all ranks.
 	whole      mapText   // The map of the change under way.
@@ -96,7 +96,7 @@
 }
 
 func newLeader(s *Sidecar) *leader {
-	return &leader{s: s, absent: cutover.None, arming: estimate.New(armingWeight)}
+	return &leader{s: s, absent: cutover.NoRank, arming: estimate.New(armingWeight)}
 }
 
 // run looks at the group until ctx ends.
@@ -234,7 +234,7 @@
 		l.resign("a rank has begun a new life")
 		return // The next look asks all ranks again.
 	}
-	if l.machine == nil || l.machine.Absent() != l.absent {
+	if l.machine == nil || l.machine.AbsentRank() != l.absent {
 		l.fence = max(l.fence+1, uint64(time.Now().UnixMilli())*fencesPerMilli)
 		l.machine = cutover.New(own.Size, own.Rank, l.absence(own), own.Epoch, l.fence)
 		l.planner.pending = nil
@@ -245,7 +245,7 @@
 	if !m.Observe(l.reports()) {
 		return
 	}
-	if l.absent != cutover.None {
+	if l.absent != cutover.NoRank {
 		l.drive(ctx, recoverLimit)
 		return
 	}
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -124,7 +124,7 @@
 		if m.inOtherGroup(rank.Report{Group: lead.Group}, now) {
 			continue
 		}
-		a, err := peers.Beside(m.endpoint.Address, s.cfg.PeersPort)
+		a, err := peers.SidecarAddress(m.endpoint.Address, s.cfg.PeersPort)
 		if err != nil {
 			s.log.Warn("rank not told of its leader", zap.String("error", err.Error()))
 			continue
@@ -144,7 +144,7 @@
 	var to []netip.AddrPort
 	duty.Locked(&s.mu, func() {
 		lead, to = s.leading, s.tellTo
-		lead.Tells = time.Since(s.toldAllAt) < tellsFor
+		lead.SendsLoads = time.Since(s.toldAllAt) < tellsFor
 	})
 	for _, a := range to {
 		s.socket.Send(a, peers.Message{Lead: &lead})
@@ -154,7 +154,7 @@
 // deposed reacts to a higher fence: in the first orders it may be an earlier
 // leader's, whose clock ran ahead; later it is a new leader's.
 func (l *leader) deposed() {
-	l.s.log.Warn("fence refused", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Gained))
+	l.s.log.Warn("fence refused", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Completed))
 	l.fence += fenceStep
 	l.resign("a higher fence")                 // Refused once: the same fence is not used again.
 	l.openedAt = time.Now().Add(2 * leadEvery) // Whoever leads is heard until then.
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -32,7 +32,7 @@
 	if !fresh {
 		return
 	}
-	m := peers.Message{Load: load, Ends: s.suspects.TellOne(now)}
+	m := peers.Message{Load: load, Ends: s.suspects.ForNewPeer(now)}
 	if m.Load != nil || len(m.Ends) > 0 {
 		s.socket.Send(from, m)
 	}
@@ -43,7 +43,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	fresh = s.gateways.hello(from, h, now)
-	s.hearOfGateways(h.Known, now)
+	s.hearOfGateways(h.KnownGateways, now)
 	if fresh && !s.reportAt.IsZero() {
 		load = s.load(s.report, false)
 	}
@@ -51,16 +51,16 @@
 }
 
 // hearOfGateways takes in the gateways that a hello names. The caller holds mu.
-func (s *Sidecar) hearOfGateways(known []peers.Known, now time.Time) {
+func (s *Sidecar) hearOfGateways(known []peers.DomainGateways, now time.Time) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
-			a, err := g.Peer()
+			a, err := g.PeerAddress()
 			if err != nil {
 				s.log.Warn("gateway left out", zap.String("domain", k.Domain), zap.String("error", err.Error()))
 				continue
 			}
 			age := g.Age()
-			if !g.Left && age >= 0 && age < subscribed {
+			if !g.Leaving && age >= 0 && age < subscribed {
 				s.gateways.hearOf(a, k.Domain, now.Add(-age))
 			}
 		}
@@ -69,7 +69,7 @@
 
 // led reports whether a leader of the group tells the own load. The caller holds mu.
 func (s *Sidecar) led(now time.Time) bool {
-	return s.lead.heard.Tells && s.lead.heard.Group == s.report.Group && now.Sub(s.lead.at) < leadLapse
+	return s.lead.heard.SendsLoads && s.lead.heard.Group == s.report.Group && now.Sub(s.lead.at) < leadLapse
 }
 
 // reportPause is the time between two reports of a sidecar's own load.
@@ -118,13 +118,13 @@
 	var to []netip.AddrPort
 	duty.Locked(&s.mu, func() {
 		pass := s.passes.pass
-		told = peers.Loads{Group: own.Group, Closed: s.still, PassMs: int(pass.Milliseconds()), Onward: true}
-		told.Epoch, told.Gateways = own.Epoch, s.gateways.gateways()
-		told.Limit = float32(l.limit(pass, now))
+		told = peers.Loads{Group: own.Group, Closed: s.still, PassMs: int(pass.Milliseconds()), Forward: true}
+		told.Epoch, told.GatewayCount = own.Epoch, s.gateways.gateways()
+		told.LimitPerRank = float32(l.limit(pass, now))
 		to = s.gateways.onePerDomain(now)
 		s.toldAllAt = now
 	})
-	for part := range slices.Chunk(l.rankLoads(), peers.MostRanks) {
+	for part := range slices.Chunk(l.rankLoads(), peers.MaxRankLoads) {
 		told.Ranks = part
 		s.socket.SendAll(to, peers.Message{Loads: &told})
 	}
@@ -139,7 +139,7 @@
 	ranks := make([]passes.RankReport, 0, len(l.byRank))
 	for _, m := range l.byRank {
 		if m != nil {
-			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Pace, At: now})
+			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Slowdown, At: now})
 		}
 	}
 	perRank, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
@@ -156,12 +156,12 @@
 		if m == nil {
 			continue
 		}
-		raw, err := peers.Packed(m.endpoint.Address)
+		raw, err := peers.PackAddress(m.endpoint.Address)
 		if err != nil {
 			l.s.log.Warn("load not told", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
 			continue
 		}
-		list = append(list, peers.RankLoad{Address: raw, Running: m.report.Running, Waiting: m.report.Waiting, Pace: float32(m.report.Pace)})
+		list = append(list, peers.RankLoad{Address: raw, Running: m.report.Running, Waiting: m.report.Waiting, Slowdown: float32(m.report.Slowdown)})
 	}
 	return list
 }
--- a/internal/sidecar/loads_test.go
+++ b/internal/sidecar/loads_test.go
@@ -54,7 +54,7 @@
 	var m peers.Message
 	g.Eventually(received, eventually).Should(Receive(&m))
 	g.Expect(m.Load).NotTo(BeNil())
-	g.Expect(*m.Load).To(Equal(peers.Load{Address: "10.0.0.1:80", Group: "g", Epoch: 4, Gateways: 1}))
+	g.Expect(*m.Load).To(Equal(peers.Load{Address: "10.0.0.1:80", Group: "g", Epoch: 4, GatewayCount: 1}))
 	s.hearHello(at, peers.Hello{Domain: "b"})
 	g.Consistently(received, 100*time.Millisecond).ShouldNot(Receive(), "the next report comes by itself")
 }
@@ -68,13 +68,13 @@
 	_, received := listen(t, g, at.String())
 	s := &Sidecar{log: zap.NewNop(), socket: own, gateways: newSubscribers("a"), suspects: suspects.New(zap.NewNop(), metrics.NewRegistry())}
 	key := quarantine.KeyOf("POST", "h", "/p", "c", nil)
-	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Life: 1}, Ends: []peers.End{{Key: key[:], Endpoint: "e"}}})
+	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Incarnation: 1}, Ends: []peers.End{{Key: key[:], Endpoint: "e"}}})
 	var m peers.Message
 	g.Eventually(received, eventually).Should(Receive(&m))
 	g.Expect(m.Ends).To(HaveLen(1))
-	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Life: 1}})
+	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Incarnation: 1}})
 	g.Consistently(received, 100*time.Millisecond).ShouldNot(Receive(), "it is not new")
-	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Life: 2}})
+	s.receive(at, peers.Message{Hello: &peers.Hello{Domain: "a", Incarnation: 2}})
 	g.Eventually(received, eventually).Should(Receive(&m))
 	g.Expect(m.Ends).To(HaveLen(1))
 	g.Expect(m.Ends[0].Key).To(Equal(key[:]))
@@ -109,7 +109,7 @@
 // A sidecar is silent while its leader tells all loads, and only then: a leader may be heard
 // that cannot tell.
 func TestASidecarIsSilentWhileItsLeaderTellsForIt(t *testing.T) {
-	tells := peers.Lead{Group: "g", Tells: true}
+	tells := peers.Lead{Group: "g", SendsLoads: true}
 	for _, tc := range []struct {
 		name   string
 		size   int
@@ -125,7 +125,7 @@
 		{"the leader tells", 129, tells, 0, false, false, ledPoll, false},
 		{"the leader does not tell", 129, peers.Lead{Group: "g"}, 0, false, false, 129 * perRank, true},
 		{"the leader has fallen silent", 129, tells, leadLapse, false, false, 129 * perRank, true},
-		{"another group's leader tells", 129, peers.Lead{Group: "h", Tells: true}, 0, false, false, 129 * perRank, true},
+		{"another group's leader tells", 129, peers.Lead{Group: "h", SendsLoads: true}, 0, false, false, 129 * perRank, true},
 		{"the leader tells, but the group has just opened", 129, tells, 0, true, false, ledPoll, true},
 		{"the leader tells, but the engine is lost", 129, tells, 0, false, true, ledPoll, true},
 	} {
--- a/internal/sidecar/maptext.go
+++ b/internal/sidecar/maptext.go
@@ -224,7 +224,7 @@
 	_       struct{} `cbor:",toarray"`
 	Base    uint64   // Fingerprint of the map that Text changes; 0 where it is whole.
 	Experts int      // Of a set: a base that was dealt out is known by it.
-	Text    []byte
+	Data    []byte
 }
 
 // errNoBase means that the map which a change is of is not known here.
@@ -233,7 +233,7 @@
 // read returns the map of a text and keeps it.
 func (s *shelf) read(t mapText) (m layout, err error) {
 	if t.Base == 0 {
-		m, err = unpackMap(t.Text)
+		m, err = unpackMap(t.Data)
 	} else {
 		m, err = s.change(t)
 	}
@@ -247,7 +247,7 @@
 func (s *shelf) change(t mapText) (m layout, err error) {
 	base := s.get(t.Base)
 	if base == nil {
-		d := reader{raw: t.Text}
+		d := reader{raw: t.Data}
 		sets, ranks := d.number(), d.number()
 		if d.err != nil || ranks == 0 || t.Experts <= 0 || sets > maxMapRows/ranks || t.Experts > maxMapRows {
 			return nil, errNoBase
@@ -256,7 +256,7 @@
 			return nil, errNoBase
 		}
 	}
-	return unpackChange(base, t.Text)
+	return unpackChange(base, t.Data)
 }
 
 // maxMapRows bounds the rows and the experts of a map that is made from what a
--- a/internal/sidecar/maptext_test.go
+++ b/internal/sidecar/maptext_test.go
@@ -68,7 +68,7 @@
 	second := dealt(2, 3, 7)
 	second[1][2] = []int{0, 2}
 	text := func(from, to layout) mapText {
-		return mapText{Base: fingerprint(from), Experts: 7, Text: packChange(from, to)}
+		return mapText{Base: fingerprint(from), Experts: 7, Data: packChange(from, to)}
 	}
 	read, err := s.read(text(first, second))
 	g.Expect(err).NotTo(HaveOccurred(), "the first map is known by its rule")
@@ -88,7 +88,7 @@
 		s.put(next)
 	}
 	g.Expect(len(s.keys)).To(BeNumerically("<=", shelfSize))
-	_, err = s.read(mapText{Base: 1, Experts: 1 << 30, Text: appendNumbers(nil, 1<<30, 1<<30)})
+	_, err = s.read(mapText{Base: 1, Experts: 1 << 30, Data: appendNumbers(nil, 1<<30, 1<<30)})
 	g.Expect(err).To(MatchError(errNoBase), "a size that is no size")
 }
 
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -97,19 +97,19 @@
 	}
 	o.Map = nil // Goes as text.
 	q := questionTo(list)
-	q.Order, q.Map, q.Limit = &o, text, l.orderLimit(text, len(list))
+	q.Order, q.Map, q.Timeout = &o, text, l.orderLimit(text, len(list))
 	if text == nil && len(list) >= fanFlat {
-		q.Fan = fanLight
+		q.Fanout = fanLight
 	}
-	call, cancel := context.WithTimeout(ctx, q.Limit)
+	call, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	for _, a := range l.s.spread(call, q).Ranks {
 		switch {
-		case a.Place < 0 || a.Place >= len(ranks):
-		case a.NoBase:
-			lacking = append(lacking, ranks[a.Place])
+		case a.Index < 0 || a.Index >= len(ranks):
+		case a.UnknownBase:
+			lacking = append(lacking, ranks[a.Index])
 		default:
-			results[ranks[a.Place]] = a.Result
+			results[ranks[a.Index]] = a.Result
 		}
 	}
 	return lacking
@@ -122,7 +122,7 @@
 	fan := fanFor(ranks)
 	steps := time.Duration(depth(ranks, fan))
 	if text != nil && l.s.cfg.LinkRate > 0 {
-		sent := float64(min(fan, ranks)*len(text.Text)) / l.s.cfg.LinkRate
+		sent := float64(min(fan, ranks)*len(text.Data)) / l.s.cfg.LinkRate
 		limit += steps * time.Duration(sent*float64(time.Second))
 	}
 	return limit + steps*stepTime
@@ -141,12 +141,12 @@
 	}
 	sent := o
 	sent.Map = nil // Goes as text.
-	q := question{Engines: []string{l.byRank[r].endpoint.Address}, Fan: 1, Order: &sent}
+	q := question{Engines: []string{l.byRank[r].endpoint.Address}, Fanout: 1, Order: &sent}
 	if o.Op == rank.Prepare {
 		q.Map = &l.whole
 	}
-	q.Limit = l.orderLimit(q.Map, 1)
-	call, cancel := context.WithTimeout(ctx, q.Limit)
+	q.Timeout = l.orderLimit(q.Map, 1)
+	call, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	a, err := l.s.below(call, q)
 	if err == nil && len(a.Ranks) == 1 {
--- a/internal/sidecar/ownarming.go
+++ b/internal/sidecar/ownarming.go
@@ -66,8 +66,8 @@
 // absence says what is known of the leader before, whose rank alone does not
 // answer, and arms nothing more for it.
 func (l *leader) absence(own rank.Report) cutover.Absence {
-	if l.absent == cutover.None {
-		return cutover.Nobody
+	if l.absent == cutover.NoRank {
+		return cutover.NoAbsence
 	}
 	a := cutover.Absence{Rank: l.absent}
 	if own.Rank != cutover.Holder(l.absent) {
@@ -77,10 +77,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.own.closed = l.fence
-	a.Sure = s.started.Add(sureAfter).Before(s.lead.ledAt)
+	a.ArmingKnown = s.started.Add(sureAfter).Before(s.lead.ledAt)
 	if s.own.epoch == own.Epoch {
 		a.Armed = s.own.armed
-		a.Sure = a.Sure && !s.own.lost
+		a.ArmingKnown = a.ArmingKnown && !s.own.lost
 	}
 	return a
 }
--- a/internal/sidecar/readmap.go
+++ b/internal/sidecar/readmap.go
@@ -25,12 +25,12 @@
 	rows := make([][][]int, ranks)
 	for r, m := range l.byRank {
 		call, cancel := context.WithTimeout(ctx, engineTimeout)
-		h, err := l.s.dial(m.endpoint.Address).Held(call)
+		h, err := l.s.dial(m.endpoint.Address).HeldExperts(call)
 		cancel()
-		if err != nil || h.Version != version || len(h.Sets) != l.shape.Sets {
+		if err != nil || h.Version != version || len(h.ExpertsBySet) != l.shape.Sets {
 			return false // It has just changed, or the next look asks again.
 		}
-		rows[r] = h.Sets
+		rows[r] = h.ExpertsBySet
 	}
 	bySet := make(layout, l.shape.Sets)
 	for k := range bySet {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -105,10 +105,10 @@
 	lead      leadership
 	turned    chan struct{} // Holds one when the group has opened or closed and that is to be told.
 	own       ownArming
-	orderTook estimate.Time    // Until the own engine answered an order.
-	leading   peers.Lead       // What this sidecar announces.
-	tellTo    []netip.AddrPort // Whom; nil while it does not lead.
-	toldAllAt time.Time        // When this sidecar, as the leader, last told gateways the loads of all ranks.
+	orderTook estimate.Estimator // Until the own engine answered an order.
+	leading   peers.Lead         // What this sidecar announces.
+	tellTo    []netip.AddrPort   // Whom; nil while it does not lead.
+	toldAllAt time.Time          // When this sidecar, as the leader, last told gateways the loads of all ranks.
 
 	suspects *suspects.Set // Only kept for gateways that start anew.
 	figures  figures
@@ -201,7 +201,7 @@
 // receive takes in a message. One that causes a panic is left out.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
 	duty.Contain("message", s.log, s.reg, func() {
-		s.suspects.Hear(m.Ends, time.Now())
+		s.suspects.MergeEnds(m.Ends, time.Now())
 		switch {
 		case m.Hello != nil:
 			s.hearHello(from, *m.Hello)
@@ -226,7 +226,7 @@
 	}
 	s.socket.SendAll(near, peers.Message{Load: load})
 	onward := *load
-	onward.Onward = true
+	onward.Forward = true
 	s.socket.SendAll(far, peers.Message{Load: &onward})
 }
 
@@ -248,8 +248,8 @@
 // lost. The caller holds mu.
 func (s *Sidecar) load(r rank.Report, lost bool) *peers.Load {
 	return &peers.Load{
-		Address: s.cfg.Address, Born: r.Born, Running: r.Running, Waiting: r.Waiting, Pace: r.Pace,
-		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.pass.Milliseconds()), Gateways: s.gateways.gateways(),
+		Address: s.cfg.Address, StartedAt: r.StartedAt, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown,
+		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.pass.Milliseconds()), GatewayCount: s.gateways.gateways(),
 		Closed: lost || r.Group != "" && !r.Open || s.standsStill(r),
 	}
 }
@@ -264,7 +264,7 @@
 	still := r.Size > 1 && r.Open && s.passes.stalled(now)
 	if still != s.still {
 		s.still = still
-		s.log.Info("group stands still", zap.Bool("still", still), zap.Uint64("step", r.Step), zap.Int("running", r.Running), zap.Uint64("held", r.Held))
+		s.log.Info("group stands still", zap.Bool("still", still), zap.Uint64("step", r.Step), zap.Int("running", r.Running), zap.Uint64("held", r.HeldPass))
 	}
 	return still
 }
@@ -282,7 +282,7 @@
 		}
 		return true
 	}
-	if !s.noteLife(r.Born) {
+	if !s.noteLife(r.StartedAt) {
 		return false
 	}
 	if r.Open != s.report.Open && r.Rank%turnTellers == 0 {
@@ -364,7 +364,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.noteLife(n.Born) {
+	if !s.noteLife(n.StartedAt) {
 		return
 	}
 	s.work = difference(s.work, s.counts, n)
@@ -375,7 +375,7 @@
 // not belong together.
 func difference(last window, from, to rank.Counts) (w window) {
 	w = window{number: last.number + 1, epoch: to.Epoch}
-	if from.Epoch != to.Epoch || fleet.CompareLives(from.Born, to.Born) != 0 || len(from.Flat) != len(to.Flat) {
+	if from.Epoch != to.Epoch || fleet.CompareLives(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
 		return w
 	}
 	w.flat = make([]uint64, len(to.Flat))
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -130,10 +130,10 @@
 			// Another rank leads: a load that shifts is followed again, and no hold
 			// is left behind.
 			for r := range ranks {
-				engines.Forget(r)
-				engines.HoldAt(r, 0)
+				engines.ResetCounts(r)
+				engines.SetHold(r, 0)
 			}
-			engines.HoldAt(0, engines.Step()+50)
+			engines.SetHold(0, engines.Step()+50)
 			g.Eventually(func() string { _, held, _ := engines.State(); return held }, eventually).Should(BeEmpty())
 			g.Expect(version()).To(BeNumerically(">=", first))
 			_, _, broken := engines.State()
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -46,8 +46,8 @@
 // for so long that it gets no loads any more.
 func (s *subscribers) hello(from netip.AddrPort, h peers.Hello, now time.Time) (fresh bool) {
 	g, known := s.of(from, h.Domain)
-	fresh = !known || g.life != h.Life || now.Sub(g.at) > subscribed
-	g.life, g.at, g.knows = h.Life, now, h.Gateways
+	fresh = !known || g.life != h.Incarnation || now.Sub(g.at) > subscribed
+	g.life, g.at, g.knows = h.Incarnation, now, h.GatewayCount
 	return fresh
 }
 
--- a/internal/sidecar/subscribers_test.go
+++ b/internal/sidecar/subscribers_test.go
@@ -105,17 +105,17 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Life: 1, Gateways: 500}, now)
+	s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Incarnation: 1, GatewayCount: 500}, now)
 	s.hearOf(gatewayAt(1, 0), "b", now.Add(-subscribed+time.Second))
 	s.hearOf(gatewayAt(0, 0), "a", now.Add(-subscribed))
 	g.Expect(s.onePerDomain(now)).To(ConsistOf(gatewayAt(0, 0), gatewayAt(1, 0)))
 	g.Expect(s.gateways()).To(Equal(500))
-	g.Expect(s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Life: 1}, now)).To(BeFalse())
-	g.Expect(s.hello(gatewayAt(1, 0), peers.Hello{Domain: "b", Life: 1}, now)).To(BeTrue(), "it was known by hearsay only")
+	g.Expect(s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, now)).To(BeFalse())
+	g.Expect(s.hello(gatewayAt(1, 0), peers.Hello{Domain: "b", Incarnation: 1}, now)).To(BeTrue(), "it was known by hearsay only")
 	later := now.Add(2 * time.Second)
-	s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Life: 1}, later)
+	s.hello(gatewayAt(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, later)
 	s.hearOf(gatewayAt(1, 1), "b", later)
-	s.hello(gatewayAt(1, 0), peers.Hello{Domain: "b", Life: 1, Gateways: 7}, now.Add(-time.Hour))
+	s.hello(gatewayAt(1, 0), peers.Hello{Domain: "b", Incarnation: 1, GatewayCount: 7}, now.Add(-time.Hour))
 	g.Expect(s.onePerDomain(later)).To(ConsistOf(gatewayAt(0, 0), gatewayAt(1, 1)), "an older word lapses")
 }
 
@@ -125,7 +125,7 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	h := peers.Hello{Domain: "b", Life: 1}
+	h := peers.Hello{Domain: "b", Incarnation: 1}
 	g.Expect(s.hello(gatewayAt(1, 0), h, now)).To(BeTrue())
 	g.Expect(s.hello(gatewayAt(1, 0), h, now.Add(subscribed))).To(BeFalse())
 	g.Expect(s.hello(gatewayAt(1, 0), h, now.Add(2*subscribed+time.Millisecond))).To(BeTrue())
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -47,8 +47,8 @@
 type question struct {
 	_       struct{}      `cbor:",toarray"`
 	Engines []string      // Whose sidecars are asked; the receiver's engine is the first.
-	Fan     int           // Sidecars that one calls at most.
-	Limit   time.Duration // In which the answer must be there.
+	Fanout  int           // Sidecars that one calls at most.
+	Timeout time.Duration // In which the answer must be there.
 	Group   string        // Whose counts are wanted; "" for none.
 	Order   *rank.Order   // To be carried out by each, without its map; nil to ask for reports only.
 	Map     *mapText      // Of an order to prepare.
@@ -56,22 +56,22 @@
 
 // answered is what became of the question at one rank.
 type answered struct {
-	_      struct{}     `cbor:",toarray"`
-	Place  int          // In the question's list.
-	Report *rank.Report // Nil where an order was given.
-	Result rank.Result  // Of the order.
-	Error  string
-	NoBase bool // The order's map is a change of one that the rank does not know: nothing was done.
+	_           struct{}     `cbor:",toarray"`
+	Index       int          // In the question's list.
+	Report      *rank.Report // Nil where an order was given.
+	Result      rank.Result  // Of the order.
+	Error       string
+	UnknownBase bool // The order's map is a change of one that the rank does not know: nothing was done.
 }
 
 // answers goes up the tree.
 type answers struct {
-	_      struct{} `cbor:",toarray"`
-	Ranks  []answered
-	Counts []byte // Sum of the newest windows of so many ranks, as packCounts writes it; empty for none.
-	Summed int
-	Window uint64 // Number of the first rank's window.
-	Epoch  uint64 // Of the windows.
+	_           struct{} `cbor:",toarray"`
+	Ranks       []answered
+	Counts      []byte // Sum of the newest windows of so many ranks, as packCounts writes it; empty for none.
+	SummedRanks int
+	Window      uint64 // Number of the first rank's window.
+	Epoch       uint64 // Of the windows.
 }
 
 // fanFor returns how many sidecars one calls to reach so many ranks where each call
@@ -99,14 +99,14 @@
 	if err == nil {
 		err = cbor.Unmarshal(raw, &q)
 	}
-	if err == nil && (len(q.Engines) == 0 || q.Fan <= 0) {
+	if err == nil && (len(q.Engines) == 0 || q.Fanout <= 0) {
 		err = errors.New("a question to nobody")
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), q.Limit)
+	ctx, cancel := context.WithTimeout(r.Context(), q.Timeout)
 	defer cancel()
 	a := s.askTree(ctx, q)
 	if raw, err = cbor.Marshal(a); err != nil {
@@ -135,7 +135,7 @@
 
 // spread puts a question to all its engines, a part of them through each of a few.
 func (s *Sidecar) spread(ctx context.Context, q question) (sum answers) {
-	parts := split(q.Engines, q.Fan)
+	parts := split(q.Engines, q.Fanout)
 	below := make([]answers, len(parts))
 	var g errgroup.Group
 	for i, part := range parts {
@@ -159,17 +159,17 @@
 	for first := range part {
 		deadline, ok := ctx.Deadline()
 		if left := time.Until(deadline) - stepTime; ok && left > 0 {
-			q.Limit = left
+			q.Timeout = left
 		} else {
 			return answers{}
 		}
 		q.Engines = part[first:]
-		call, cancel := context.WithTimeout(ctx, q.Limit+stepTime/2)
+		call, cancel := context.WithTimeout(ctx, q.Timeout+stepTime/2)
 		a, err := s.below(call, q)
 		cancel()
 		if err == nil {
 			for i := range a.Ranks {
-				a.Ranks[i].Place += first
+				a.Ranks[i].Index += first
 			}
 			return a
 		}
@@ -199,7 +199,7 @@
 		s.log.Warn("counts left out", zap.String("error", err.Error()))
 		return a
 	}
-	a.Summed, a.Epoch = 1, rep.Epoch
+	a.SummedRanks, a.Epoch = 1, rep.Epoch
 	return a
 }
 
@@ -207,23 +207,23 @@
 // list.
 func (s *Sidecar) add(sum *answers, from answers, place int) {
 	for _, r := range from.Ranks {
-		r.Place += place
+		r.Index += place
 		sum.Ranks = append(sum.Ranks, r)
 	}
-	if from.Summed == 0 {
+	if from.SummedRanks == 0 {
 		return
 	}
-	if sum.Summed == 0 {
-		sum.Counts, sum.Summed, sum.Epoch = from.Counts, from.Summed, from.Epoch
+	if sum.SummedRanks == 0 {
+		sum.Counts, sum.SummedRanks, sum.Epoch = from.Counts, from.SummedRanks, from.Epoch
 		return
 	}
 	both, err := addCounts(sum.Counts, from.Counts)
 	if err != nil || sum.Epoch != from.Epoch {
-		s.log.Debug("counts left out", zap.Int("ranks", from.Summed), zap.Uint64("epoch", from.Epoch), zap.Error(err))
+		s.log.Debug("counts left out", zap.Int("ranks", from.SummedRanks), zap.Uint64("epoch", from.Epoch), zap.Error(err))
 		return
 	}
 	sum.Counts = both
-	sum.Summed += from.Summed
+	sum.SummedRanks += from.SummedRanks
 }
 
 // depth is how many steps a question takes down a tree of so many ranks below its
--- a/internal/sidecar/tree_test.go
+++ b/internal/sidecar/tree_test.go
@@ -62,7 +62,7 @@
 	if t.silent[to] {
 		return answers{}, errors.New("no answer")
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Limit)
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	return t.sidecars[to].askTree(ctx, q), nil
 }
@@ -77,7 +77,7 @@
 func (t *tree) ask(fan int, order *rank.Order) answers {
 	ctx, cancel := context.WithTimeout(context.Background(), eventually)
 	defer cancel()
-	return t.sidecars[0].askTree(ctx, question{Engines: engines(len(t.sidecars)), Fan: fan, Limit: eventually, Group: "g", Order: order})
+	return t.sidecars[0].askTree(ctx, question{Engines: engines(len(t.sidecars)), Fanout: fan, Timeout: eventually, Group: "g", Order: order})
 }
 
 func TestATreeReachesEveryRankOnceByFewCallsOfEach(t *testing.T) {
@@ -89,7 +89,7 @@
 				a := all.ask(fan, nil)
 				g.Expect(a.Ranks).To(HaveLen(ranks))
 				for _, r := range a.Ranks {
-					g.Expect(r.Report.Rank).To(Equal(r.Place))
+					g.Expect(r.Report.Rank).To(Equal(r.Index))
 				}
 				for r := range ranks {
 					g.Expect(all.calls[r]).To(BeNumerically("<=", fan))
@@ -102,7 +102,7 @@
 				for i, n := range []int{ranks, ranks * (ranks - 1) / 2, 300 * ranks} {
 					g.Expect(float64(counts[i])).To(BeNumerically("~", n, most/50), "each step rounds")
 				}
-				g.Expect(a.Summed).To(Equal(ranks))
+				g.Expect(a.SummedRanks).To(Equal(ranks))
 			})
 		}
 	}
@@ -126,11 +126,11 @@
 	a := all.ask(fanHeavy, nil)
 	heard := map[int]bool{}
 	for _, r := range a.Ranks {
-		g.Expect(r.Report.Rank).To(Equal(r.Place))
-		heard[r.Place] = true
+		g.Expect(r.Report.Rank).To(Equal(r.Index))
+		heard[r.Index] = true
 	}
 	g.Expect(heard).To(HaveLen(ranks - len(dead)))
-	g.Expect(a.Summed).To(Equal(ranks - len(dead)))
+	g.Expect(a.SummedRanks).To(Equal(ranks - len(dead)))
 	for _, r := range dead {
 		g.Expect(heard).NotTo(HaveKey(r))
 	}
@@ -156,19 +156,19 @@
 	}
 	a := all.ask(fanFlat, nil)
 	g.Expect(a.Ranks).To(HaveLen(12))
-	g.Expect(a.Summed).To(Equal(9))
+	g.Expect(a.SummedRanks).To(Equal(9))
 }
 
 func TestTimeIsKeptForEachStepDown(t *testing.T) {
 	g := NewWithT(t)
 	var limits []time.Duration
 	s := &Sidecar{log: zap.NewNop(), below: func(_ context.Context, q question) (answers, error) {
-		limits = append(limits, q.Limit)
+		limits = append(limits, q.Timeout)
 		return answers{}, errors.New("no answer")
 	}}
 	ctx, cancel := context.WithTimeout(context.Background(), eventually)
 	defer cancel()
-	s.askPart(ctx, question{Limit: eventually}, engines(3))
+	s.askPart(ctx, question{Timeout: eventually}, engines(3))
 	g.Expect(limits).To(HaveLen(3), "each is tried in the place of the one before")
 	for _, l := range limits {
 		g.Expect(l).To(BeNumerically("<=", eventually-stepTime))
@@ -176,6 +176,6 @@
 	limits = nil
 	short, cancel := context.WithTimeout(context.Background(), stepTime/2)
 	defer cancel()
-	s.askPart(short, question{Limit: stepTime / 2}, engines(3))
+	s.askPart(short, question{Timeout: stepTime / 2}, engines(3))
 	g.Expect(limits).To(BeEmpty(), "an answer would come too late")
 }
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -218,7 +218,7 @@
 	case killAround:
 		return s.killAround(g, f)
 	case shiftLoad:
-		s.group.Shift(f.how)
+		s.group.ShiftDemand(f.how)
 	}
 	return nil
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -166,7 +166,7 @@
 	for _, one := range givenUp {
 		s.say("given up by its caller, whose time was over: %s", one)
 	}
-	r.Maps = s.group.Changes()
+	r.Maps = s.group.MapChanges()
 	if _, _, broken := s.group.State(); broken != "" {
 		r.Broken = append(r.Broken, broken)
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -32,8 +32,8 @@
 	return &Set{log: log, held: metrics.GetOrRegisterGauge("quarantine.held", reg), news: make(chan struct{}, 1), book: quarantine.New()}
 }
 
-// News returns a channel that holds a value while something waits to be told.
-func (s *Set) News() <-chan struct{} { return s.news }
+// Pending returns a channel that holds a value while something waits to be told.
+func (s *Set) Pending() <-chan struct{} { return s.news }
 
 // tellSoon notes that something waits to be told.
 func (s *Set) tellSoon() {
@@ -43,18 +43,18 @@
 	}
 }
 
-// Tell returns what to tell all other processes next.
-func (s *Set) Tell(now time.Time) []peers.End {
+// NextToSend returns what to tell all other processes next.
+func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.NextToSend(peers.MostEnds, now), now)
+	return encode(s.book.NextToSend(peers.MaxEnds, now), now)
 }
 
-// TellOne returns what to tell one process that may know nothing.
-func (s *Set) TellOne(now time.Time) []peers.End {
+// ForNewPeer returns what to tell one process that may know nothing.
+func (s *Set) ForNewPeer(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.MostSevere(peers.MostEnds), now)
+	return encode(s.book.MostSevere(peers.MaxEnds), now)
 }
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
@@ -64,15 +64,15 @@
 	return list
 }
 
-// Untold reports whether something waits that was never told.
-func (s *Set) Untold() bool {
+// HasUnsent reports whether something waits that was never told.
+func (s *Set) HasUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.HasUnsent()
 }
 
-// Hear takes in what another process told.
-func (s *Set) Hear(list []peers.End, now time.Time) {
+// MergeEnds takes in what another process told.
+func (s *Set) MergeEnds(list []peers.End, now time.Time) {
 	if len(list) == 0 {
 		return
 	}
@@ -103,8 +103,8 @@
 		e.AgeMs >= 0 && e.AgeMs <= oldest.Milliseconds() && quarantine.Knowledge(e.Sending).Valid()
 }
 
-// Ended takes in that an endpoint ended under a request of this process.
-func (s *Set) Ended(k quarantine.Key, endpoint string, sending quarantine.Knowledge, now time.Time) {
+// RecordEnd takes in that an endpoint ended under a request of this process.
+func (s *Set) RecordEnd(k quarantine.Key, endpoint string, sending quarantine.Knowledge, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.add(quarantine.End{Key: k, Endpoint: endpoint, Knowledge: sending, At: now}, time.Time{}, now)
@@ -128,8 +128,8 @@
 	s.log.Info("endpoint ended under a request", fields...)
 }
 
-// Sound takes in that a request ran to its end.
-func (s *Set) Sound(key func() quarantine.Key) {
+// RecordSuccess takes in that a request ran to its end.
+func (s *Set) RecordSuccess(key func() quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() || !s.book.RecordCompletion(key()) {
@@ -139,8 +139,8 @@
 	s.tellSoon()
 }
 
-// Alive takes in that an endpoint answered what was sent to it at a moment.
-func (s *Set) Alive(endpoint string, sentAt time.Time) {
+// RecordAlive takes in that an endpoint answered what was sent to it at a moment.
+func (s *Set) RecordAlive(endpoint string, sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() || !s.book.RecordAnswer(endpoint, sentAt) {
@@ -150,9 +150,9 @@
 	s.tellSoon()
 }
 
-// Sending returns what is known of a request that is sent now. The key is worked out only
+// SendingState returns what is known of a request that is sent now. The key is worked out only
 // where any is known, as it costs a hash of the body.
-func (s *Set) Sending(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
+func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
@@ -171,8 +171,8 @@
 	return s.book.Judge(key(), now)
 }
 
-// Begin begins a trial; it reports false while another one is under way.
-func (s *Set) Begin(k quarantine.Key, now, until time.Time) bool {
+// BeginTrial begins a trial; it reports false while another one is under way.
+func (s *Set) BeginTrial(k quarantine.Key, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.book.BeginTrial(k, now, until)
@@ -185,8 +185,8 @@
 	s.book.EndTrial(k)
 }
 
-// Forget drops what has lapsed.
-func (s *Set) Forget(now time.Time) {
+// Expire drops what has lapsed.
+func (s *Set) Expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Forget(now)
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -14,14 +14,14 @@
 
 // Names of frames that are no tokens.
 const (
-	EventEnd     = "end"     // The last one of a stream that ended whole.
-	EventLeaving = "leaving" // The endpoint is leaving; the stream goes on, or may move.
-	EventAlive   = "alive"   // No token yet, but the engine's steps go on.
-	EventEnded   = "ended"   // The engine's process has ended; the data is an Ended in JSON.
+	EventEnd          = "end"     // The last one of a stream that ended whole.
+	EventLeaving      = "leaving" // The endpoint is leaving; the stream goes on, or may move.
+	EventAlive        = "alive"   // No token yet, but the engine's steps go on.
+	EventProcessEnded = "ended"   // The engine's process has ended; the data is an Ended in JSON.
 )
 
-// MaxFrame is the largest server-sent event that is read, in bytes.
-const MaxFrame = 64 << 10
+// MaxFrameBytes is the largest server-sent event that is read, in bytes.
+const MaxFrameBytes = 64 << 10
 
 // EventID is the id of a server-sent event: which request, which endpoint made
 // it and which token it holds.
@@ -111,8 +111,8 @@
 	case "data":
 		fr.data = append(append(fr.data, value...), '\n')
 	}
-	if len(fr.data)-1 > MaxFrame { // Without the last line break.
-		return errors.Newf("frame is larger than %d bytes", MaxFrame)
+	if len(fr.data)-1 > MaxFrameBytes { // Without the last line break.
+		return errors.Newf("frame is larger than %d bytes", MaxFrameBytes)
 	}
 	return nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -42,9 +42,9 @@
 
 // Limits of what is read from callers and peers, in bytes.
 const (
-	MaxBody     = 8 << 20
-	MaxEnvelope = 16 << 10
-	MaxMessage  = 256 << 10
+	MaxBodyBytes     = 8 << 20
+	MaxEnvelopeBytes = 16 << 10
+	MaxMessageBytes  = 256 << 10
 )
 
 // Outcome is what a caller is told of a request.
@@ -68,22 +68,22 @@
 
 // Envelope goes with each request from an entry to an agent.
 type Envelope struct {
-	ID         string  `json:"id"` // Request id, '~' and the number of the attempt.
-	Kind       Kind    `json:"kind"`
-	Endpoint   string  `json:"endpoint"` // Slot the entry means; an agent of another slot refuses.
-	Customer   string  `json:"customer"`
-	Weight     float64 `json:"weight"`
-	Class      string  `json:"class,omitempty"`
-	Priority   int     `json:"priority"`
-	Key        string  `json:"key,omitempty"`      // Idempotency key, "" when there is none.
-	DeadlineMS int64   `json:"deadline,omitempty"` // Unix milliseconds; 0 when there is none.
-	Offset     int     `json:"offset,omitempty"`   // First token wanted; the engine resumes there.
-	Method     string  `json:"method,omitempty"`
-	Path       string  `json:"path,omitempty"`
-	Type       string  `json:"type,omitempty"`     // Content type of the body.
-	Once       bool    `json:"once,omitempty"`     // The request may not be repeated.
-	CacheAt    string  `json:"cache_at,omitempty"` // Peer address of an agent whose engine holds the KV cache.
-	CacheID    string  `json:"cache_id,omitempty"` // Attempt under which it holds it.
+	ID             string  `json:"id"` // Request id, '~' and the number of the attempt.
+	Kind           Kind    `json:"kind"`
+	Endpoint       string  `json:"endpoint"` // Slot the entry means; an agent of another slot refuses.
+	Customer       string  `json:"customer"`
+	Weight         float64 `json:"weight"`
+	Class          string  `json:"class,omitempty"`
+	Priority       int     `json:"priority"`
+	Key            string  `json:"key,omitempty"`      // Idempotency key, "" when there is none.
+	DeadlineMS     int64   `json:"deadline,omitempty"` // Unix milliseconds; 0 when there is none.
+	Offset         int     `json:"offset,omitempty"`   // First token wanted; the engine resumes there.
+	Method         string  `json:"method,omitempty"`
+	Path           string  `json:"path,omitempty"`
+	ContentType    string  `json:"type,omitempty"`     // Content type of the body.
+	NoRetry        bool    `json:"once,omitempty"`     // The request may not be repeated.
+	CacheAddress   string  `json:"cache_at,omitempty"` // Peer address of an agent whose engine holds the KV cache.
+	CacheAttemptID string  `json:"cache_id,omitempty"` // Attempt under which it holds it.
 }
 
 // Deadline returns the caller's deadline; ok is false when there is none.
@@ -97,8 +97,8 @@
 // ParseEnvelope decodes and checks the header of a request from an entry.
 func ParseEnvelope(text string) (e *Envelope, err error) {
 	defer func() { err = errors.Wrap(err, "envelope") }()
-	if len(text) > MaxEnvelope {
-		return nil, errors.Newf("%d bytes is larger than %d", len(text), MaxEnvelope)
+	if len(text) > MaxEnvelopeBytes {
+		return nil, errors.Newf("%d bytes is larger than %d", len(text), MaxEnvelopeBytes)
 	}
 	e = &Envelope{}
 	if err := json.Unmarshal([]byte(text), e); err != nil {
@@ -125,19 +125,19 @@
 	Reason       string  `json:"reason"`
 	Status       int     `json:"status"`
 	RetryAfterMS int64   `json:"retry_after_ms,omitempty"`
-	Repeat       *Repeat `json:"-"` // The first run's answer; only with Done.
+	Replay       *Replay `json:"-"` // The first run's answer; only with Done.
 	Ended        *Ended  `json:"ended,omitempty"`
 }
 
 // Ended tells that the endpoint's process ended while it ran a request.
 type Ended struct {
-	Life string `json:"life"` // Names the life that ended, among all endpoints.
+	Incarnation string `json:"life"` // Names the life that ended, among all endpoints.
 }
 
-// Repeat is the answer of an earlier run, given again.
-type Repeat struct {
-	Type string
-	Body []byte
+// Replay is the answer of an earlier run, given again.
+type Replay struct {
+	ContentType string
+	Body        []byte
 }
 
 // OutcomeRequest asks an agent whether an attempt was run, and forbids it if
@@ -170,8 +170,8 @@
 	h.Set(HeaderOutcome, string(r.Outcome))
 	h.Set(HeaderReason, r.Reason)
 	contentType, body := "application/json", []byte(nil)
-	if r.Repeat != nil {
-		contentType, body = r.Repeat.Type, r.Repeat.Body
+	if r.Replay != nil {
+		contentType, body = r.Replay.ContentType, r.Replay.Body
 	} else {
 		body, _ = json.Marshal(r) // A Refusal always has a JSON form.
 		body = append(body, '\n')
@@ -197,25 +197,25 @@
 
 // BorrowRequest asks a peer entry for a part of a customer's limit.
 type BorrowRequest struct {
-	Customer string  `json:"customer"`
-	Rate     float64 `json:"rate"` // Requests a second wanted.
+	Customer      string  `json:"customer"`
+	RatePerSecond float64 `json:"rate"` // Requests a second wanted.
 }
 
 // BorrowReply says how much the peer lends for a lease of the package limit.
 type BorrowReply struct {
-	Rate float64 `json:"rate"`
+	RatePerSecond float64 `json:"rate"`
 }
 
 // Load is what an agent knows of its endpoint, sent with every answer.
 type Load struct {
-	Running int     `json:"run"`            // Requests at the endpoint.
-	Queued  int     `json:"q"`              // Requests in the agent's queue.
-	Limit   int     `json:"lim"`            // Requests the agent lets in at once.
-	StepMS  float64 `json:"step,omitempty"` // Mean engine step, in milliseconds.
-	Step    uint64  `json:"n,omitempty"`    // Engine step number.
-	Leaving bool    `json:"leave,omitempty"`
-	Stalled bool    `json:"stall,omitempty"` // The engine group stands still.
-	RestMS  int64   `json:"rest,omitempty"`  // For how long the endpoint wants nothing.
+	Running          int     `json:"run"`            // Requests at the endpoint.
+	Queued           int     `json:"q"`              // Requests in the agent's queue.
+	ConcurrencyLimit int     `json:"lim"`            // Requests the agent lets in at once.
+	MeanStepMS       float64 `json:"step,omitempty"` // Mean engine step, in milliseconds.
+	StepNumber       uint64  `json:"n,omitempty"`    // Engine step number.
+	Leaving          bool    `json:"leave,omitempty"`
+	Stalled          bool    `json:"stall,omitempty"` // The engine group stands still.
+	BackoffMS        int64   `json:"rest,omitempty"`  // For how long the endpoint wants nothing.
 }
 
 // EncodeLoad returns l as a header value.
@@ -229,7 +229,7 @@
 
 // ParseLoad decodes a load header; ok is false when there is none.
 func ParseLoad(text string) (l Load, ok bool) {
-	if text == "" || len(text) > MaxEnvelope || json.Unmarshal([]byte(text), &l) != nil {
+	if text == "" || len(text) > MaxEnvelopeBytes || json.Unmarshal([]byte(text), &l) != nil {
 		return Load{}, false
 	}
 	return l, true
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -89,7 +89,7 @@
 	long := strings.Repeat("x", 4000)
 	for name, r := range map[string]*Refusal{
 		"refusal":            Doubt(http.StatusBadGateway, long),
-		"answer given again": {Outcome: Done, Status: http.StatusOK, Repeat: &Repeat{Type: "text/plain", Body: []byte(long)}},
+		"answer given again": {Outcome: Done, Status: http.StatusOK, Replay: &Replay{ContentType: "text/plain", Body: []byte(long)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
