--- a/internal/decide/passes/passes_test.go
+++ b/internal/decide/passes/passes_test.go
@@ -22,8 +22,8 @@
 
 func id(group string, r int) string { return fmt.Sprintf("%s-%d", group, r) }
 
-// tell has all ranks of a group tell the same.
-func tell(t *Tracker, group string, r RankReport) {
+// reportAll records the same report for all ranks of a group.
+func reportAll(t *Tracker, group string, r RankReport) {
 	if r.At.IsZero() {
 		r.At = at
 	}
@@ -38,56 +38,56 @@
 		rank RankReport
 		want float64
 	}{
-		{"passes half as long as they may be", RankReport{Running: 5, PassTime: 51 * ms}, 12},
-		{"as long as they may be", RankReport{Running: 5, PassTime: 102 * ms}, 5},
+		{"passes half as long as allowed", RankReport{Running: 5, PassTime: 51 * ms}, 12},
+		{"as long as allowed", RankReport{Running: 5, PassTime: 102 * ms}, 5},
 		{"too long", RankReport{Running: 9, PassTime: 140 * ms}, 5.2},
-		{"far too long", RankReport{Running: 5, PassTime: 400 * ms}, leastLet},
-		{"nothing in time any more", RankReport{Running: 5, PassTime: 400 * ms, Slowdown: 10}, 12},
-		{"a slow rank that holds nothing", RankReport{Running: 0, PassTime: 60 * ms, Slowdown: 10}, 3.5},
+		{"far too long", RankReport{Running: 5, PassTime: 400 * ms}, minEstimate},
+		{"no answer is in time", RankReport{Running: 5, PassTime: 400 * ms, Slowdown: 10}, 12},
+		{"a slow rank without requests", RankReport{Running: 0, PassTime: 60 * ms, Slowdown: 10}, 3.5},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			p := New()
-			tell(p, "g", tc.rank)
+			reportAll(p, "g", tc.rank)
 			limit, ok := p.Limit("g", at)
 			g.Expect(ok).To(BeTrue())
-			g.Expect(limit).To(BeNumerically("~", max(tc.want, leastLet), 0.2))
+			g.Expect(limit).To(BeNumerically("~", max(tc.want, minEstimate), 0.2))
 		})
 	}
 }
 
-func TestGroupsAreJudgedApart(t *testing.T) {
+func TestGroupsAreLimitedIndependently(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "fast", RankReport{Running: 5, PassTime: 51 * ms})
-	tell(p, "slow", RankReport{Running: 5, PassTime: 200 * ms})
+	reportAll(p, "fast", RankReport{Running: 5, PassTime: 51 * ms})
+	reportAll(p, "slow", RankReport{Running: 5, PassTime: 200 * ms})
 	fast, _ := p.Limit("fast", at)
 	slow, _ := p.Limit("slow", at)
 	g.Expect(fast).To(BeNumerically(">", 2*slow))
 	_, ok := p.Limit("unheard", at)
 	g.Expect(ok).To(BeFalse())
-	_, ok = p.Limit("fast", at.Add(2*rankAge))
-	g.Expect(ok).To(BeFalse(), "what was told is old")
+	_, ok = p.Limit("fast", at.Add(2*maxReportAge))
+	g.Expect(ok).To(BeFalse(), "the reports are too old")
 }
 
-func TestPausesThatAreSeenGoBeforeWhatRanksTold(t *testing.T) {
+func TestObservedGapsTakePrecedenceOverRankReports(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "g", RankReport{Running: 5, PassTime: 51 * ms})
+	reportAll(p, "g", RankReport{Running: 5, PassTime: 51 * ms})
 	for range 6 {
 		p.RecordGap(id("g", 1), 102*ms, at)
 	}
 	limit, _ := p.Limit("g", at)
 	g.Expect(limit).To(BeNumerically("~", 5, 0.2))
-	tell(p, "g", RankReport{Running: 5, PassTime: 51 * ms, At: at.Add(time.Second)})
+	reportAll(p, "g", RankReport{Running: 5, PassTime: 51 * ms, At: at.Add(time.Second)})
 	limit, _ = p.Limit("g", at.Add(time.Second))
-	g.Expect(limit).To(BeNumerically("~", 12, 0.2), "no stream is under way here")
+	g.Expect(limit).To(BeNumerically("~", 12, 0.2), "this process has no stream")
 }
 
-func TestARankThatChangesItsGroupIsForgottenInTheOldOne(t *testing.T) {
+func TestARankThatChangesItsGroupIsRemovedFromTheOldOne(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "old", RankReport{Running: 5, PassTime: 51 * ms})
+	reportAll(p, "old", RankReport{Running: 5, PassTime: 51 * ms})
 	for r := range ranks {
 		p.Report(id("old", r), "new", shape, RankReport{Running: 5, PassTime: 51 * ms, At: at})
 	}
@@ -99,12 +99,12 @@
 	g.Expect(ok).To(BeFalse())
 }
 
-func TestSlowRanksAreVacatedWhereTheOthersHaveRoom(t *testing.T) {
+func TestRequestsAreMovedOffSlowRanksIfTheOthersHaveCapacity(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		pace    float64
-		running int
-		want    bool
+		name     string
+		slowdown float64
+		running  int
+		want     bool
 	}{
 		{"a little slow", 2, 3, false},
 		{"very slow", 8, 3, true},
@@ -114,8 +114,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			p := New()
-			tell(p, "g", RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: 1})
-			p.Report(id("g", 2), "g", shape, RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: tc.pace, At: at})
+			reportAll(p, "g", RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: 1})
+			p.Report(id("g", 2), "g", shape, RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: tc.slowdown, At: at})
 			g.Expect(p.ShouldMoveRequests(id("g", 2), at)).To(Equal(tc.want))
 			g.Expect(p.ShouldMoveRequests(id("g", 1), at)).To(BeFalse())
 		})
@@ -125,9 +125,9 @@
 func TestTurnover(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "g", RankReport{Running: 5, PassTime: 50 * ms})
+	reportAll(p, "g", RankReport{Running: 5, PassTime: 50 * ms})
 	_, ok := p.Turnover("g", 5, at)
-	g.Expect(ok).To(BeFalse(), "no first event was seen")
+	g.Expect(ok).To(BeFalse(), "no first event was recorded")
 	for range 50 {
 		p.RecordFirstEvent(id("g", 0), 150*ms)
 	}
@@ -144,35 +144,35 @@
 	for _, tc := range []struct {
 		name   string
 		offers []Option
-		share  float64 // Of the last one.
+		share  float64 // Fraction of choices of the last option.
 		ok     bool
 	}{
-		{"none has room", []Option{full, full}, 0, false},
-		{"one has room", []Option{full, half}, 1, true},
-		{"near before far", []Option{half, near}, 2.0 / 3, true},
-		{"by room", []Option{{Ranks: 4, Requests: 30, Limit: 10}, half}, 2.0 / 3, true},
+		{"none has capacity", []Option{full, full}, 0, false},
+		{"one has capacity", []Option{full, half}, 1, true},
+		{"same domain before others", []Option{half, near}, 2.0 / 3, true},
+		{"by free capacity", []Option{{Ranks: 4, Requests: 30, Limit: 10}, half}, 2.0 / 3, true},
 		{"no groups", nil, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			drawn, last := 0, 0
+			chosen, last := 0, 0
 			for n := range 3000 {
 				i, ok := Choose(tc.offers, func(sum int) int { return n * 7919 % sum })
 				g.Expect(ok).To(Equal(tc.ok))
 				if !ok {
 					return
 				}
-				drawn++
+				chosen++
 				if i == len(tc.offers)-1 {
 					last++
 				}
 			}
-			g.Expect(float64(last) / float64(drawn)).To(BeNumerically("~", tc.share, 0.02))
+			g.Expect(float64(last) / float64(chosen)).To(BeNumerically("~", tc.share, 0.02))
 		})
 	}
 }
 
-func TestARoundIsOverWhenAllRanksHaveTold(t *testing.T) {
+func TestARoundEndsWhenAllRanksHaveReported(t *testing.T) {
 	g := NewWithT(t)
 	tr := New()
 	g.Expect(tr.LastRound("g")).To(BeZero())
@@ -182,7 +182,7 @@
 			at := time.Unix(1000, 0).Add(time.Duration(10*n+i) * time.Millisecond)
 			tr.Report(id, "g", Shape{}, RankReport{At: at})
 			g.Expect(tr.LastRound("g")).To(BeTemporally("<=", at))
-			if n > 0 { // All three are known.
+			if n > 0 { // All three ranks are known.
 				rounds[tr.LastRound("g")] = true
 			}
 		}
@@ -190,8 +190,8 @@
 	g.Expect(rounds).To(HaveLen(9))
 }
 
-// A group that is cut off is passed over at once, and not when the process itself is.
-func TestLeaveSilent(t *testing.T) {
+// A group that is partitioned off is skipped at once, unless the process itself is partitioned off.
+func TestMarkSilent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(d time.Duration) Option { return Option{Ranks: 4, Limit: 4, LastReport: now.Add(-d)} }
 	for _, tc := range []struct {
@@ -199,10 +199,10 @@
 		offers []Option
 		silent []bool
 	}{
-		{"all are heard", []Option{ago(0), ago(silentAfter)}, []bool{false, false}},
-		{"one is cut off", []Option{ago(0), ago(2 * silentAfter)}, []bool{false, true}},
-		{"the process is cut off", []Option{ago(2 * silentAfter), ago(3 * silentAfter)}, []bool{false, false}},
-		{"one was never heard", []Option{ago(0), {Ranks: 4, Limit: 4}}, []bool{false, false}},
+		{"all groups report", []Option{ago(0), ago(silentAfter)}, []bool{false, false}},
+		{"one group is partitioned off", []Option{ago(0), ago(2 * silentAfter)}, []bool{false, true}},
+		{"the process is partitioned off", []Option{ago(2 * silentAfter), ago(3 * silentAfter)}, []bool{false, false}},
+		{"one group never reported", []Option{ago(0), {Ranks: 4, Limit: 4}}, []bool{false, false}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -156,7 +156,7 @@
 		},
 		{
 			name:  "endpoints get more than the limits that they name",
-			edits: []edit{{"../decide/throttle/throttle.go", "if e == nil || !e.word.Limited {\n\t\treturn true", "if e != nil || e == nil {\n\t\treturn true"}},
+			edits: []edit{{"../decide/throttle/throttle.go", "if e == nil || !e.report.Limited {\n\t\treturn true", "if e != nil || e == nil {\n\t\treturn true"}},
 			finds: `named a limit of \S+ a second and got`, seed: 6004, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
