--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -197,7 +197,7 @@
 	case crashEndpoint:
 		return s.crash(f)
 	case misbehave:
-		kinds := []standin.Behaviour{standin.RejectsUnrun, standin.Fails, standin.Truncates, standin.DropsAnswer, standin.AnswersTwice}
+		kinds := []standin.Behaviour{standin.NotExecuted, standin.Fails, standin.Truncates, standin.DropsAnswer, standin.AnswersTwice}
 		s.endpoint(f.which).misbehave(f.lasts, 100, kinds[f.how%len(kinds)])
 	case failAtRandom:
 		s.failAtRandom(f)
@@ -225,7 +225,7 @@
 
 // What failAtRandom draws from, and the least and the most of 100 requests that
 // draw. Those that are there twice come more often, as what they do takes no time.
-var randomBehaviours = []standin.Behaviour{standin.Fails, standin.Fails, standin.Truncates, standin.Truncates, standin.DropsAnswer, standin.RejectsUnrun,
+var randomBehaviours = []standin.Behaviour{standin.Fails, standin.Fails, standin.Truncates, standin.Truncates, standin.DropsAnswer, standin.NotExecuted,
 	standin.AnswersTwice, standin.Unframed, standin.UnframedReset, standin.Stalls, standin.NotFound}
 
 const leastPart, mostPart = 20, 80
