--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -165,7 +165,7 @@
 	base, end := context.WithCancel(context.Background())
 	r.end = end
 	r.callers.Config.BaseContext = func(net.Listener) context.Context { return base }
-	r.callers.Config.ConnContext = callerconn.Context
+	r.callers.Config.ConnContext = callerconn.WithConn
 	r.callers.Start()
 	t.Cleanup(func() {
 		end()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -110,9 +110,9 @@
 	mayHaveRun bool   // Some attempt may have.
 
 	sameAs  quarantine.Key
-	hasKey  bool               // The key above was worked out.
-	sending quarantine.Sending // What was known of the request at its last attempt.
-	onTrial bool               // It is sent to see whether it still ends endpoints.
+	hasKey  bool                 // The key above was worked out.
+	sending quarantine.Knowledge // What was known of the request at its last attempt.
+	onTrial bool                 // It is sent to see whether it still ends endpoints.
 }
 
 // serve wraps a handler: everything that all requests have in common, and the
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -33,12 +33,12 @@
 	v, left := known.Judge(req.key, now)
 	switch {
 	case v == quarantine.Free, v == quarantine.Trial && req.onTrial:
-		req.sending = known.Sending(req.key, now)
+		req.sending = known.SendingState(req.key, now)
 		if req.onTrial {
 			req.sending = quarantine.OnTrial
 		}
 		return nil
-	case v == quarantine.Trial && e.ownsTrial(req.key()) && known.Begin(req.key(), now, now.Add(trialTime)):
+	case v == quarantine.Trial && e.ownsTrial(req.key()) && known.BeginTrial(req.key(), now, now.Add(trialTime)):
 		req.onTrial, req.sending = true, quarantine.OnTrial
 		return nil
 	case v == quarantine.Trial:
@@ -67,12 +67,12 @@
 		return
 	}
 	e.count("endpoints.ended-under-attempt")
-	e.node.Suspects().Ended(req.key(), refusal.Ended.Incarnation, req.sending, e.now())
+	e.node.Suspects().RecordEnd(req.key(), refusal.Ended.Incarnation, req.sending, e.now())
 	refusal.Ended = nil // It is no matter of the caller's.
 }
 
 // ranToEnd takes in that an endpoint ran the request and lives on.
-func (e *Entry) ranToEnd(req *request) { e.node.Suspects().Sound(req.key) }
+func (e *Entry) ranToEnd(req *request) { e.node.Suspects().RecordSuccess(req.key) }
 
 // endTrial ends a trial of which nothing was learned.
 func (e *Entry) endTrial(req *request) {
