--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package adapter holds the narrow adapters to what the system runs on: the
-// model engine, the plain service, the configuration service, the list of
-// instances and the weight store. Each adapter is a struct of functions, so
-// that a test or a bench can put its own in place; the constructors here speak
-// the HTTP protocols. Nothing in this package decides anything.
+// Package adapter contains narrow adapters to the platform: the model engine,
+// the plain service, the configuration service, the list of instances and the
+// weight store. Each adapter is a struct of functions, so that a test or a
+// benchmark can replace them; the constructors here implement the HTTP
+// protocols. This package makes no decisions.
 package adapter
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAnswer bounds what is read of a platform answer that is not a stream.
-const maxAnswer = 8 << 20
+// maxAnswerBytes limits the size of a platform's answer that is not a stream.
+const maxAnswerBytes = 8 << 20
 
-// statusError is an HTTP answer other than the expected one.
+// statusError reports an HTTP answer with an unexpected status.
 type statusError struct {
-	code int
-	text string
-	rest time.Duration // That the answer asks for.
+	code    int
+	text    string
+	backoff time.Duration // Requested by the answer; 0 for none.
 }
 
 func (e *statusError) Error() string { return http.StatusText(e.code) + ": " + e.text }
 
-// Status returns the HTTP status of a failed call, or 0 when err is not one.
+// Status returns the HTTP status of the answer that err reports, or 0 when err has none.
 func Status(err error) int {
 	var se *statusError
 	if errors.As(err, &se) {
@@ -40,33 +40,33 @@
 	return 0
 }
 
-// Rest returns for how long the one that failed a call wants nothing more, 0 when it did not
-// say so.
-func Rest(err error) time.Duration {
+// Backoff returns the backoff that the server requested when it failed a call, 0 when it
+// requested none.
+func Backoff(err error) time.Duration {
 	var se *statusError
 	if errors.As(err, &se) {
-		return se.rest
+		return se.backoff
 	}
 	return 0
 }
 
-// longestRest bounds what is read of a time to rest, so that it fits a duration.
-const longestRest = 365 * 24 * time.Hour
+// maxBackoff limits the backoff that is read from an answer, so that it fits a time.Duration.
+const maxBackoff = 365 * 24 * time.Hour
 
-// restOf reads for how long an answer asks to be left alone. Seconds may have a fraction; what
-// is no such number counts as absent.
-func restOf(resp *http.Response) time.Duration {
+// readBackoff returns the backoff that an answer with status 503 requests in Retry-After, in seconds that
+// may have a fraction. Any other value is treated as absent.
+func readBackoff(resp *http.Response) time.Duration {
 	if resp.StatusCode != http.StatusServiceUnavailable {
 		return 0
 	}
 	s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	if err != nil || !(s > 0) { // No NaN either.
+	if err != nil || !(s > 0) { // Also false for NaN.
 		return 0
 	}
-	return time.Duration(min(s, longestRest.Seconds()) * float64(time.Second))
+	return time.Duration(min(s, maxBackoff.Seconds()) * float64(time.Second))
 }
 
-// notSentError marks a call of which no byte left the process.
+// notSentError marks the error of a call of which no byte left the process.
 type notSentError struct{ error }
 
 func (e notSentError) Unwrap() error { return e.error }
@@ -77,29 +77,29 @@
 	return errors.As(err, &ns)
 }
 
-// FailedDial reports whether a transport error proves that nothing was sent:
-// there was no connection.
+// FailedDial reports whether a transport error proves that nothing was sent,
+// because no connection was established.
 func FailedDial(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// classify marks a transport error that proves that nothing was sent.
-func classify(err error) error {
+// markIfNotSent wraps err in a notSentError if it proves that nothing was sent.
+func markIfNotSent(err error) error {
 	if FailedDial(err) {
 		return notSentError{err}
 	}
 	return err
 }
 
-// IdleTime is how long a transport keeps a connection that rests. Servers of ours keep theirs
+// IdleTimeout is how long a transport keeps an idle connection. Servers of this system keep theirs
 // longer, and wait for as long in a planned stop.
-const IdleTime = 3 * time.Second
+const IdleTimeout = 3 * time.Second
 
-// NewTransport returns a transport that keeps connections to many peers. It is
-// used only for requests that are harmless to repeat: net/http sends some
-// requests again by itself when a kept connection breaks. source is the IP
-// number that connections come from, "" for any.
+// NewTransport returns a transport that pools connections to many peers. It is
+// used only for requests that are harmless to repeat: net/http resends some
+// requests by itself when a reused connection breaks. source is the local IP
+// address of the connections, "" for any.
 func NewTransport(source string) *http.Transport {
 	d := &net.Dialer{Timeout: time.Second, KeepAlive: 15 * time.Second}
 	if ip := net.ParseIP(source); ip != nil {
@@ -109,7 +109,7 @@
 		Proxy:                 nil,
 		DialContext:           d.DialContext,
 		MaxIdleConnsPerHost:   256,
-		IdleConnTimeout:       IdleTime,
+		IdleConnTimeout:       IdleTimeout,
 		ReadBufferSize:        2 << 10,
 		WriteBufferSize:       2 << 10,
 		ResponseHeaderTimeout: 0,
@@ -117,16 +117,16 @@
 	}
 }
 
-// NewSingleTransport returns a transport that opens a connection for each
-// request and closes it afterwards. net/http repeats a request by itself only
-// on a connection it has used before, so that one sent here is sent once.
-func NewSingleTransport(source string) *http.Transport {
+// NewSingleUseTransport returns a transport that opens a connection for each
+// request and closes it afterwards. net/http resends a request by itself only
+// if it was sent on a reused connection, so requests sent here are sent once.
+func NewSingleUseTransport(source string) *http.Transport {
 	t := NewTransport(source)
 	t.DisableKeepAlives = true
 	return t
 }
 
-// getJSON reads a JSON answer into v.
+// getJSON decodes the JSON answer to a GET request into v.
 func getJSON(ctx context.Context, c *http.Client, url string, v any) (err error) {
 	raw, err := get(ctx, c, url)
 	if err != nil {
@@ -142,28 +142,27 @@
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return nil, classify(err)
+		return nil, markIfNotSent(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	return readOK(resp)
 }
 
-// statusText is how much of an unexpected answer is quoted, in bytes.
-const statusText = 200
+// maxQuotedBytes is how much of the body of an unexpected answer an error quotes.
+const maxQuotedBytes = 200
 
-// readOK reads the whole body of an answer with the expected status.
+// readOK reads the complete body of an answer with status 200; any other status is a statusError.
 func readOK(resp *http.Response) (raw []byte, err error) {
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, statusText)) // The status says enough.
-		return nil, &statusError{resp.StatusCode, string(text), restOf(resp)}
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxQuotedBytes)) // The text is optional; the status is sufficient.
+		return nil, &statusError{resp.StatusCode, string(text), readBackoff(resp)}
 	}
-	return ReadWhole(resp, maxAnswer)
+	return ReadWhole(resp, maxAnswerBytes)
 }
 
-// ReadWhole reads the body of an answer that is at most limit bytes long. An
-// answer with neither a length nor chunks ends where its connection ends, also
-// when the process that gave it has died: nothing shows that it is whole, so it
-// is taken as cut.
+// ReadWhole reads the complete body of an answer, at most limit bytes. An answer with
+// neither a length nor chunked encoding ends with its connection, also when the process
+// that sent it has died. Nothing proves that it is complete, so it is treated as truncated.
 func ReadWhole(resp *http.Response, limit int) (raw []byte, err error) {
 	raw, err = io.ReadAll(io.LimitReader(resp.Body, int64(limit)+1))
 	switch {
@@ -177,7 +176,7 @@
 	return raw, nil
 }
 
-// framed reports whether the end of an answer's body shows by itself.
+// framed reports whether the framing of an answer marks the end of its body, so that a truncated one is detected.
 func framed(resp *http.Response) bool {
 	return resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0 || resp.ProtoMajor > 1 ||
 		resp.Request != nil && resp.Request.Method == http.MethodHead
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -16,9 +16,9 @@
 	"github.com/onsi/gomega"
 )
 
-// breaking is a server that answers the first request and then breaks each
-// kept connection after it has read a request from it.
-func breaking(t *testing.T) (url string, runs *atomic.Int32) {
+// newBreakingServer starts a server that answers the first request and then aborts each
+// connection after it has read a request from it.
+func newBreakingServer(t *testing.T) (url string, runs *atomic.Int32) {
 	t.Helper()
 	runs = &atomic.Int32{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -30,19 +30,19 @@
 	return srv.URL, runs
 }
 
-// TestTransportRepeatsByItself shows what the client "single" is for: over a
-// kept connection net/http sends some requests again, though the first copy
-// was read by the server.
-func TestTransportRepeatsByItself(t *testing.T) {
-	check := func(name string, once bool, call Call, want int32) {
+// TestTransportResendsOnPooledConnections shows why single-use connections are needed: on a
+// reused connection net/http resends some requests by itself, even though the server has
+// already read the first copy.
+func TestTransportResendsOnPooledConnections(t *testing.T) {
+	check := func(name string, sendOnce bool, call Call, want int32) {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			url, runs := breaking(t)
-			kept := &http.Client{Transport: NewTransport("")}
-			s := NewService(url, kept, &http.Client{Transport: NewSingleTransport("")})
+			url, runs := newBreakingServer(t)
+			pooled := &http.Client{Transport: NewTransport("")}
+			s := NewService(url, pooled, &http.Client{Transport: NewSingleUseTransport("")})
 			_, err := s.Do(context.Background(), Call{Method: http.MethodGet, Path: "/warm"})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			call.Once = once
+			call.SendOnce = sendOnce
 			_, err = s.Do(context.Background(), call)
 			g.Expect(err).To(gomega.HaveOccurred())
 			g.Expect(NotSent(err)).To(gomega.BeFalse())
@@ -51,25 +51,25 @@
 	}
 	record := Call{Method: http.MethodGet, Path: "/record"}
 	payment := Call{Method: http.MethodPost, Path: "/pay", Key: "k", Body: []byte("x")}
-	check("naive: a record handed out over a kept connection", false, record, 2)
-	check("naive: a payment with a key over a kept connection", false, payment, 2)
+	check("naive: a record handed out over a reused connection", false, record, 2)
+	check("naive: a payment with a key over a reused connection", false, payment, 2)
 	check("record handed out once", true, record, 1)
 	check("payment with a key once", true, payment, 1)
 }
 
-func TestNotSentOnlyWhenNobodyListens(t *testing.T) {
+func TestNotSentWhenNothingListens(t *testing.T) {
 	g := gomega.NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_ = l.Close()
-	c := &http.Client{Transport: NewSingleTransport("")}
+	c := &http.Client{Transport: NewSingleUseTransport("")}
 	_, err = NewService("http://"+l.Addr().String(), c, c).Do(context.Background(), Call{Method: http.MethodPost, Path: "/"})
 	g.Expect(NotSent(err)).To(gomega.BeTrue())
 }
 
-// raw is a server that gives each request the same bytes and then ends the
-// connection in order, as it ends with a process.
-func raw(t *testing.T, answer string) (url string) {
+// newRawServer starts a server that answers each request with the same bytes and then closes
+// the connection in order, as happens when a process ends.
+func newRawServer(t *testing.T, answer string) (url string) {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -85,25 +85,25 @@
 	return srv.URL
 }
 
-func TestAnAnswerCutShortIsNoAnswer(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	ctx := context.Background()
-	kept, single := &http.Client{Transport: NewTransport("")}, &http.Client{Transport: NewSingleTransport("")}
+	pooled, singleUse := &http.Client{Transport: NewTransport("")}, &http.Client{Transport: NewSingleUseTransport("")}
 	service := func(call Call) func(url string) error {
 		return func(url string) error {
-			_, err := NewService(url, kept, single).Do(ctx, call)
+			_, err := NewService(url, pooled, singleUse).Do(ctx, call)
 			return err
 		}
 	}
 	readers := map[string]func(url string) error{
 		"record":         service(Call{Method: http.MethodGet, Path: "/"}),
-		"payment":        service(Call{Method: http.MethodPost, Path: "/", Body: []byte("x"), Once: true}),
-		"engine state":   func(url string) error { _, err := NewEngine(url, kept).State(ctx); return err },
-		"engine experts": func(url string) error { _, err := NewEngine(url, kept).Experts(ctx); return err },
-		"engine order":   func(url string) error { _, err := NewEngine(url, kept).Order(ctx, MapOrder{}); return err },
-		"KV cache":       func(url string) error { _, err := NewEngine(url, kept).Export(ctx, "r"); return err },
-		"configuration":  func(url string) error { _, err := NewConfigService(url, kept).Get(ctx, "k"); return err },
-		"watch":          func(url string) error { _, err := NewConfigService(url, kept).Wait(ctx, "k", ""); return err },
-		"instances":      func(url string) error { _, err := NewInstances(url, kept).List(ctx); return err },
+		"payment":        service(Call{Method: http.MethodPost, Path: "/", Body: []byte("x"), SendOnce: true}),
+		"engine state":   func(url string) error { _, err := NewEngine(url, pooled).State(ctx); return err },
+		"engine experts": func(url string) error { _, err := NewEngine(url, pooled).Experts(ctx); return err },
+		"engine order":   func(url string) error { _, err := NewEngine(url, pooled).Order(ctx, MapOrder{}); return err },
+		"KV cache":       func(url string) error { _, err := NewEngine(url, pooled).Export(ctx, "r"); return err },
+		"configuration":  func(url string) error { _, err := NewConfigService(url, pooled).Get(ctx, "k"); return err },
+		"watch":          func(url string) error { _, err := NewConfigService(url, pooled).Watch(ctx, "k", ""); return err },
+		"instances":      func(url string) error { _, err := NewInstances(url, pooled).List(ctx); return err },
 	}
 	for how, answer := range map[string]string{
 		"with a length":    "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"a\":",
@@ -111,7 +111,7 @@
 		"without a length": "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{\"a\":",
 		"in HTTP/1.0":      "HTTP/1.0 200 OK\r\n\r\n{\"a\":",
 	} {
-		url := raw(t, answer)
+		url := newRawServer(t, answer)
 		for what, read := range readers {
 			t.Run(what+"/"+how, func(t *testing.T) {
 				gomega.NewWithT(t).Expect(read(url)).To(gomega.HaveOccurred())
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestAnAnswerWithoutABodyIsWhole(t *testing.T) {
+func TestAnswerWithoutABodyIsComplete(t *testing.T) {
 	for name, one := range map[string]struct{ method, answer string }{
 		"no content":                {http.MethodPost, "HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n"},
 		"not modified":              {http.MethodGet, "HTTP/1.1 304 Not Modified\r\nConnection: close\r\n\r\n"},
@@ -130,18 +130,18 @@
 		"HTTP/1.1 closing, chunked": {http.MethodGet, "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := &http.Client{Transport: NewSingleTransport("")}
-			_, err := NewService(raw(t, one.answer), c, c).Do(context.Background(), Call{Method: one.method, Path: "/"})
+			c := &http.Client{Transport: NewSingleUseTransport("")}
+			_, err := NewService(newRawServer(t, one.answer), c, c).Do(context.Background(), Call{Method: one.method, Path: "/"})
 			gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 		})
 	}
 }
 
-func TestAnAnswerLargerThanTheBoundIsNoAnswer(t *testing.T) {
+func TestAnswerOverTheSizeLimitIsAnError(t *testing.T) {
 	for _, over := range []int{0, 1} {
 		t.Run(strconv.Itoa(over), func(t *testing.T) {
-			body := strings.Repeat("x", maxAnswer+over)
-			url := raw(t, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
+			body := strings.Repeat("x", maxAnswerBytes+over)
+			url := newRawServer(t, "HTTP/1.1 200 OK\r\nContent-Length: "+strconv.Itoa(len(body))+"\r\n\r\n"+body)
 			cache, err := NewEngine(url, http.DefaultClient).Export(context.Background(), "r")
 			gomega.NewWithT(t).Expect(err != nil).To(gomega.Equal(over > 0), "%v", err)
 			gomega.NewWithT(t).Expect(err != nil || len(cache) == len(body)).To(gomega.BeTrue())
--- a/internal/adapter/directory.go
+++ b/internal/adapter/directory.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Role is what an instance runs.
+// Role is the role of an instance in the system.
 type Role string
 
 // The roles.
@@ -20,11 +20,11 @@
 	RoleEndpoint Role = "endpoint"
 )
 
-// Instance is one row of the platform's list.
+// Instance is one row of the platform's list of instances.
 type Instance struct {
 	Name     string `json:"name"`
 	Role     Role   `json:"role"`
-	Endpoint string `json:"endpoint,omitempty"` // Slot it fills.
+	Endpoint string `json:"endpoint,omitempty"` // Endpoint slot that it fills.
 	Domain   string `json:"domain"`             // Failure domain.
 	Address  string `json:"address"`            // Peer listener, IP:port.
 	Leaving  bool   `json:"leaving,omitempty"`
@@ -32,7 +32,7 @@
 
 // Instances is the adapter to the list of live and leaving instances.
 type Instances struct {
-	// List reads the whole list; it lags.
+	// List reads the complete list, which lags behind the actual state.
 	List func(ctx context.Context) (list []Instance, err error)
 }
 
@@ -47,17 +47,17 @@
 }
 
 // ConfigService is the adapter to the configuration service, which can only be
-// read and watched. Every call counts against its rate.
+// read and watched. Every call counts against the service's rate limit.
 type ConfigService struct {
 	// Get reads the value of a key.
 	Get func(ctx context.Context, key string) (value []byte, err error)
-	// Wait returns the value of a key once its hash is not the one given, or
-	// nil when it did not change for a while.
-	Wait func(ctx context.Context, key, hash string) (value []byte, err error)
+	// Watch returns the value of a key once its hash differs from the given one, or
+	// nil when the value did not change until the service ended the wait.
+	Watch func(ctx context.Context, key, hash string) (value []byte, err error)
 }
 
-// waitTimeout bounds one waiting call, above the service's own bound.
-const waitTimeout = 40 * time.Second
+// watchTimeout limits one long poll; it is longer than the service's own limit.
+const watchTimeout = 40 * time.Second
 
 // NewConfigService returns the adapter to the service at the base URL.
 func NewConfigService(base string, c *http.Client) *ConfigService {
@@ -68,8 +68,8 @@
 			value, err = get(ctx, c, base+"/v1/keys/"+key)
 			return value, errors.Wrapf(err, "read %s", key)
 		},
-		Wait: func(ctx context.Context, key, hash string) (value []byte, err error) {
-			ctx, cancel := context.WithTimeout(ctx, waitTimeout)
+		Watch: func(ctx context.Context, key, hash string) (value []byte, err error) {
+			ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 			defer cancel()
 			value, err = get(ctx, c, base+"/v1/watch/"+key+"?hash="+url.QueryEscape(hash))
 			if Status(err) == http.StatusNotModified {
--- a/internal/adapter/engine.go
+++ b/internal/adapter/engine.go
@@ -21,30 +21,30 @@
 	Prompt    string `json:"prompt"`
 	MaxTokens int    `json:"max_tokens"`
 	Priority  int    `json:"priority"`
-	From      int    `json:"from"` // First token wanted; earlier ones are recomputed or imported.
+	From      int    `json:"from"` // Offset of the first token to send; earlier ones are recomputed or imported.
 }
 
-// EngineState is an engine's report about itself; it lags.
+// EngineState is an engine's report on its load; it lags behind the actual state.
 type EngineState struct {
 	Step    uint64  `json:"step"`
 	StepMS  float64 `json:"step_ms"`
 	Running int     `json:"running"`
 }
 
-// MapOrder is a fenced order about the expert map. Experts comes with Prepare
-// and says what the new map is, by layer and expert the ranks that hold it.
+// MapOrder is a fenced order about the expert map. With Prepare, Experts is the
+// new map: by layer and expert, the ranks that hold the expert.
 type MapOrder struct {
 	mapswitch.Order
 	Experts [][][]int `json:"experts,omitempty"`
 }
 
-// MapContent is an expert map as an engine knows it.
+// MapContent is an expert map as an engine reports it.
 type MapContent struct {
 	Version uint64    `json:"version"`
 	Experts [][][]int `json:"experts,omitempty"`
 }
 
-// ExpertLoad is the tokens that each expert of each layer got in one sample.
+// ExpertLoad is the number of tokens routed to each expert, by layer and expert, in one sample.
 type ExpertLoad struct {
 	Sample int         `json:"sample"`
 	Tokens [][]float64 `json:"tokens"`
@@ -52,24 +52,24 @@
 
 // Engine is the adapter to one model engine.
 type Engine struct {
-	// Generate starts a request; the stream is server-sent events, one a
-	// token, with an event "end" when it is whole. Closing it cancels.
+	// Generate starts a request. The stream consists of server-sent events, one per
+	// token, and an event "end" when it is complete. Closing it cancels the request.
 	Generate func(ctx context.Context, g Generate) (stream io.ReadCloser, err error)
 	// State reads the engine's report.
 	State func(ctx context.Context) (s EngineState, err error)
 	// Export reads the KV cache of a request.
 	Export func(ctx context.Context, id string) (cache []byte, err error)
-	// Import gives the engine a KV cache for a request that follows.
+	// Import loads a KV cache into the engine for a request that is sent afterwards.
 	Import func(ctx context.Context, id string, cache []byte) (err error)
-	// Order gives a fenced order about the expert map to the engine's rank.
+	// Order sends a fenced order about the expert map to the engine's rank.
 	Order func(ctx context.Context, o MapOrder) (r mapswitch.Reply, err error)
-	// Map reads the content of the map in force: its version, and by layer and
-	// expert the ranks that hold it. Before the first switch there is none.
+	// Map reads the active map: its version and, by layer and expert, the ranks that
+	// hold the expert. Before the first switch there is none.
 	Map func(ctx context.Context) (m MapContent, err error)
-	// Experts reads the newest report on the load of experts; it lags and has
-	// gaps. Every rank reports for its whole group.
+	// Experts reads the newest report on the load of experts. Reports lag, and samples
+	// may be missing. Every rank reports for its entire group.
 	Experts func(ctx context.Context) (l ExpertLoad, err error)
-	// Ended reports whether the engine's process has ended; nil where that cannot be told.
+	// Ended reports whether the engine's process has ended; nil if that cannot be determined.
 	Ended func(ctx context.Context) bool
 }
 
@@ -108,7 +108,7 @@
 	}
 }
 
-// postJSON posts a message that is harmless to repeat and decodes the answer.
+// postJSON posts v, which must be harmless to repeat, and decodes the answer into reply.
 func postJSON(ctx context.Context, c *http.Client, url string, v, reply any) (err error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return classify(err)
+		return markIfNotSent(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := readOK(resp)
@@ -140,16 +140,16 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // A body that cannot be read again is never sent again.
+	req.GetBody = nil // Without GetBody the transport cannot send the body a second time.
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.Do(req)
 	if err != nil {
-		return nil, classify(err)
+		return nil, markIfNotSent(err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer func() { _ = resp.Body.Close() }()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, statusText))
-		return nil, &statusError{resp.StatusCode, string(text), restOf(resp)}
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxQuotedBytes))
+		return nil, &statusError{resp.StatusCode, string(text), readBackoff(resp)}
 	}
 	return resp.Body, nil
 }
--- a/internal/adapter/listening.go
+++ b/internal/adapter/listening.go
@@ -12,18 +12,19 @@
 )
 
 // refusesConnections returns a function that reports whether the process at the base URL
-// refuses connections: it has ended, where one that broke off an answer lives on.
+// refuses connections, which means that it has ended. A process that only aborted an answer
+// still accepts them.
 func refusesConnections(base string) func(ctx context.Context) bool {
 	return func(ctx context.Context) bool {
 		u, err := url.Parse(base)
 		if err != nil {
-			return false // Settings are checked at the start; what cannot be asked has not ended.
+			return false // Settings are validated at start; an unreachable address does not prove that the process ended.
 		}
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", u.Host)
 		if err != nil {
 			return errors.Is(err, unix.ECONNREFUSED)
 		}
-		_ = conn.Close() // Nothing was sent on it.
+		_ = conn.Close() // Nothing was sent on the connection.
 		return false
 	}
 }
--- a/internal/adapter/service.go
+++ b/internal/adapter/service.go
@@ -14,40 +14,39 @@
 
 // Call is a request to a plain service.
 type Call struct {
-	Method string
-	Path   string
-	Type   string // Content type of Body.
-	Key    string // Idempotency key, "" when there is none.
-	Body   []byte
-	Once   bool // Whether the call may not be repeated, not even by the transport.
+	Method    string
+	Path      string
+	MediaType string // Content-Type of Body.
+	Key       string // Idempotency key; "" for none.
+	Body      []byte
+	SendOnce  bool // The call must not be sent twice, not even by the transport.
 }
 
-// Reply is the whole answer of a plain service.
+// Reply is the complete answer of a plain service.
 type Reply struct {
-	Status int
-	Type   string
-	Body   []byte
-	Rest   time.Duration // For which the service wants nothing more; 0 when it did not say so.
+	Status    int
+	MediaType string // Content-Type of Body.
+	Body      []byte
+	Backoff   time.Duration // Time for which the service requests no more calls; 0 for none.
 }
 
 // Service is the adapter to one plain service.
 type Service struct {
-	// Do makes one call. An error for which NotSent holds proves that the
-	// service got nothing; after any other it may have run.
+	// Do makes one call. An error for which NotSent returns true proves that the
+	// service received nothing; after any other error the call may have run.
 	Do func(ctx context.Context, call Call) (r Reply, err error)
-	// Ended reports whether the service's process has ended; nil where that cannot be told.
+	// Ended reports whether the service's process has ended; nil if that cannot be determined.
 	Ended func(ctx context.Context) bool
 }
 
-// NewService returns the adapter to the service at the base URL. Calls that
-// may not be repeated go through the client single, which must not keep
-// connections.
-func NewService(base string, kept, single *http.Client) *Service {
+// NewService returns the adapter to the service at the base URL. Calls with
+// SendOnce go through the client singleUse, which must not reuse connections.
+func NewService(base string, pooled, singleUse *http.Client) *Service {
 	return &Service{
 		Do: func(ctx context.Context, call Call) (r Reply, err error) {
-			c := kept
-			if call.Once {
-				c = single
+			c := pooled
+			if call.SendOnce {
+				c = singleUse
 			}
 			return do(ctx, c, base, call)
 		},
@@ -65,20 +64,20 @@
 	if err != nil {
 		return r, notSentError{err}
 	}
-	if call.Type != "" {
-		req.Header.Set("Content-Type", call.Type)
+	if call.MediaType != "" {
+		req.Header.Set("Content-Type", call.MediaType)
 	}
 	if call.Key != "" {
 		req.Header.Set("Idempotency-Key", call.Key)
 	}
 	resp, err := c.Do(req)
 	if err != nil {
-		return r, classify(err)
+		return r, markIfNotSent(err)
 	}
 	defer func() { _ = resp.Body.Close() }()
-	raw, err := ReadWhole(resp, maxAnswer)
+	raw, err := ReadWhole(resp, maxAnswerBytes)
 	if err != nil {
 		return r, err
 	}
-	return Reply{Status: resp.StatusCode, Type: resp.Header.Get("Content-Type"), Body: raw, Rest: restOf(resp)}, nil
+	return Reply{Status: resp.StatusCode, MediaType: resp.Header.Get("Content-Type"), Body: raw, Backoff: readBackoff(resp)}, nil
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -139,7 +139,7 @@
 		if hold != nil {
 			<-hold
 		}
-		return adapter.Reply{Status: http.StatusOK, Type: "text/plain", Body: []byte("paid")}, err
+		return adapter.Reply{Status: http.StatusOK, MediaType: "text/plain", Body: []byte("paid")}, err
 	}}
 }
 
@@ -204,7 +204,7 @@
 
 func TestNotRunIsNeverSaidAfterTheSend(t *testing.T) {
 	g := gomega.NewWithT(t)
-	gone := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")})
+	gone := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleUseTransport("")})
 	b := newBench(t, nil, nil, gone)
 	env := call(ident.NewKey(b.slot).String())
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "nobody listens: nothing was sent")
@@ -218,7 +218,7 @@
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(srv.Close)
-	b = newBench(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")}))
+	b = newBench(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleUseTransport("")}))
 	g.Expect(b.send(call(""), "").outcome).To(gomega.Equal(wire.Unknown))
 	g.Expect(once.count()).To(gomega.Equal(1))
 }
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -35,7 +35,7 @@
 	switch {
 	case adapter.NotSent(err) || adapter.Status(err) == http.StatusServiceUnavailable:
 		j.end(eventRefuse)
-		rest := adapter.Rest(err)
+		rest := adapter.Backoff(err)
 		a.rest(rest)
 		a.refuse(w, wire.Refuse(http.StatusServiceUnavailable, cmp.Or(rest, time.Second), "engine cannot be reached or takes nothing"))
 		return true
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package audit keeps the trail of changes that a process made or refused,
-// each with its cause. The newest records are held in memory for operators to
-// read; all go to the log, which outlives the process.
+// Package audit records the changes that a process made or refused, each with
+// its cause. The newest records are kept in memory for operators to read; all
+// records are written to the log, which outlives the process.
 package audit
 
 import (
@@ -14,30 +14,30 @@
 	"github.com/canvaspulley/canvaspulley/internal/ring"
 )
 
-// kept is the number of records held in memory.
-const kept = 1024
+// maxRecords is the maximum number of records kept in memory.
+const maxRecords = 1024
 
-// Kind names what a record is about.
+// Kind is the kind of event that a record describes.
 type Kind string
 
 // The kinds of records.
 const (
-	ConfigAdopted Kind = "config-adopted"
-	ConfigRefused Kind = "config-refused"
-	ConfigClash   Kind = "config-clash"
-	MemberChanged Kind = "member-changed"
-	PolicyFailed  Kind = "policy-failed"
-	StrayAnswer   Kind = "stray-answer"
-	StreamMoved   Kind = "stream-moved"
-	Drain         Kind = "drain"
-	Woke          Kind = "woke"
-	Stalled       Kind = "stalled"
-	ShareChanged  Kind = "share-changed"
-	PeerRefused   Kind = "peer-refused"
-	MapSwitch     Kind = "map-switch"
+	ConfigAdopted  Kind = "config-adopted"
+	ConfigRejected Kind = "config-refused"
+	ConfigConflict Kind = "config-clash"
+	MemberChanged  Kind = "member-changed"
+	PolicyFailed   Kind = "policy-failed"
+	StrayAnswer    Kind = "stray-answer"
+	StreamMoved    Kind = "stream-moved"
+	Drain          Kind = "drain"
+	PauseDetected  Kind = "woke"
+	Stalled        Kind = "stalled"
+	ShareChanged   Kind = "share-changed"
+	PeerRejected   Kind = "peer-refused"
+	MapSwitch      Kind = "map-switch"
 )
 
-// Record is one line of the trail.
+// Record is one entry of the trail.
 type Record struct {
 	At      time.Time `json:"at"`
 	Node    string    `json:"node"`
@@ -48,24 +48,25 @@
 
 // Trail is the audit trail of one process.
 type Trail struct {
-	node string
-	log  *zap.Logger
-	reg  metrics.Registry
-	ring *ring.Last[Record]
+	node     string
+	log      *zap.Logger
+	registry metrics.Registry
+	ring     *ring.Buffer[Record]
 }
 
-// New returns an empty trail that also writes to log and counts in reg.
-func New(node string, log *zap.Logger, reg metrics.Registry) *Trail {
-	return &Trail{node: node, log: log, reg: reg, ring: ring.NewLast[Record](kept)}
+// New returns an empty trail of the process node. It also writes its records to log and counts
+// them by kind in registry.
+func New(node string, log *zap.Logger, registry metrics.Registry) *Trail {
+	return &Trail{node: node, log: log, registry: registry, ring: ring.NewBuffer[Record](maxRecords)}
 }
 
-// Add puts a record on the trail.
+// Add adds a record to the trail, logs it and counts it.
 func (t *Trail) Add(kind Kind, subject, cause string) {
 	r := Record{At: time.Now(), Node: t.node, Kind: kind, Subject: subject, Cause: cause}
 	t.ring.Add(r)
-	metrics.GetOrRegisterCounter("audit."+string(kind), t.reg).Inc(1)
+	metrics.GetOrRegisterCounter("audit."+string(kind), t.registry).Inc(1)
 	t.log.Info("audit", zap.String("kind", string(kind)), zap.String("subject", subject), zap.String("cause", cause))
 }
 
-// Records returns the newest records, oldest first, and how many were dropped.
+// Records returns the newest records, oldest first, and the number of older ones that were dropped.
 func (t *Trail) Records() (list []Record, dropped uint64) { return t.ring.All() }
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -45,12 +45,12 @@
 	// callersAdvertised is the timeout that is advertised to these: a planned stop waits for
 	// as long.
 	callersAdvertised = 5 * time.Second
-	// peersIdle is for peers, which go by adapter.IdleTime. What is over covers the time for
+	// peersIdle is for peers, which go by adapter.IdleTimeout. What is over covers the time for
 	// which an answer is on its way, or waits at a busy peer.
-	peersIdle = adapter.IdleTime + 2*time.Second
+	peersIdle = adapter.IdleTimeout + 2*time.Second
 	// peersNewConn is for peers' connections without a request, in a planned stop: their
 	// transports open some in advance.
-	peersNewConn = adapter.IdleTime + time.Second
+	peersNewConn = adapter.IdleTimeout + time.Second
 )
 
 // Times of a planned stop.
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -94,7 +94,7 @@
 // reports false for one of an earlier life, which is left out.
 func (t *Table) Report(id string, l Load) (counts bool) {
 	e := t.of(id)
-	switch fleet.CompareLives(e.born, l.Born) {
+	switch fleet.CompareIncarnations(e.born, l.Born) {
 	case -1:
 		return false
 	case 1:
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -28,11 +28,11 @@
 // NewShape returns the shape of engines whose callers allow a pause between two events.
 func NewShape(e *fleet.Engine, pause time.Duration) Shape {
 	return Shape{
-		Base:   max(float64(e.StepTime)/float64(e.WriterTime), 1),
+		Base:   max(float64(e.BaseStepTime)/float64(e.DecodeTimePerRequest), 1),
 		Slots:  e.Slots,
-		Empty:  e.StepTime * time.Duration(e.StepsInPass),
+		Empty:  e.BaseStepTime * time.Duration(e.StepsPerPass),
 		Pause:  pause,
-		Passes: e.UsualAnswer / float64(max(e.StepsInPass, 1)),
+		Passes: e.MeanAnswerTokens / float64(max(e.StepsPerPass, 1)),
 	}
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -56,7 +56,7 @@
 
 // New returns an entry that uses the membership, configuration and credentials of n.
 func New(n *node.Node) *Entry {
-	pooled, singleUse := adapter.NewTransport(n.Settings().Source), adapter.NewSingleTransport(n.Settings().Source)
+	pooled, singleUse := adapter.NewTransport(n.Settings().Source), adapter.NewSingleUseTransport(n.Settings().Source)
 	pooled.TLSClientConfig = n.Credentials().Client()
 	singleUse.TLSClientConfig = n.Credentials().Client()
 	e := &Entry{
--- a/internal/fleet/call.go
+++ b/internal/fleet/call.go
@@ -4,45 +4,45 @@
 
 import "time"
 
-// Call is what a caller's request says about itself, besides its method, path
+// Call holds what a caller's request says in its headers, besides method, path
 // and body.
 type Call struct {
-	ID           string // Of this try of the caller; "" when it sent none.
-	Key          string // Customer's key; "" when it sent none.
-	Patience     time.Duration
-	HasPatience  bool   // Patience was sent.
-	Weights      string // Version of the weights that it asks for; "" for any.
-	LastEvent    string
-	PromptTokens int
-	AnswerTokens int    // The most that it wants.
-	GuessTokens  int    // Caller's guess of the answer's length; 0 when none.
-	Topic        string // First part of its prompt, which many requests share.
+	ID                    string        // Of this attempt of the caller; "" when it sent none.
+	Key                   string        // API key of the customer; "" when the caller sent none.
+	CallerTimeout         time.Duration // How much longer the caller waits.
+	HasCallerTimeout      bool          // The caller sent CallerTimeout.
+	WeightsVersion        string        // Version of the model weights that it requests; "" for any.
+	LastEventID           string        // After which a stream is to be resumed; "" for a new stream.
+	PromptTokens          int
+	MaxAnswerTokens       int    // Most tokens of the answer that it wants.
+	EstimatedAnswerTokens int    // Caller's estimate of the answer's length; 0 for none.
+	PromptPrefix          string // Identifies the start of the prompt, which many requests share.
 }
 
-// Stamp is what a gateway adds to a request for one endpoint.
-type Stamp struct {
-	EndpointName string // The only endpoint that may run it.
-	Customer     string // "" when the route is public.
-	Left         time.Duration
-	Priority     int    // 0 is the most urgent; -1 for none.
-	LastEvent    string // Id after which a stream goes on; "" for what the caller said.
-	Weights      string // Version of the weights that may run it; "" for any.
+// AttemptInfo holds what a gateway adds to a request that it sends to one endpoint.
+type AttemptInfo struct {
+	EndpointName   string        // The only endpoint that may run the request.
+	Customer       string        // "" when the route is public.
+	TimeLeft       time.Duration // Until the request's deadline.
+	Priority       int           // 0 is the most urgent; -1 for none.
+	LastEventID    string        // Event after which the stream continues; "" keeps the caller's value.
+	WeightsVersion string        // Version of the model weights that may run the request; "" for any.
 }
 
-// Answer is what an endpoint's answer says about itself, besides its status
+// Answer holds what an endpoint's answer says in its headers, besides status
 // and body.
 type Answer struct {
-	ID       string // Of the call that it answers.
-	Signed   bool   // It carries the endpoint's signature.
-	NotRun   bool   // The endpoint did not run the request and never will.
-	Endpoint string // Of the endpoint that answered, when told.
-	AtFault  string // Endpoint that a group's refusal is blamed on, when told.
-	Encoded  bool   // The body is not in the form that callers expect.
-	Weights  string // Version of the weights that made it, when told.
+	ID             string // Of the call that is answered.
+	Signed         bool   // The answer carries the endpoint's signature.
+	NotRun         bool   // The endpoint did not run the request and never will.
+	Endpoint       string // Name of the endpoint that answered; "" when not reported.
+	BlamedEndpoint string // Endpoint that caused a group's refusal; "" when not reported.
+	Encoded        bool   // The body has a Content-Encoding, which callers do not expect.
+	WeightsVersion string // Version of the model weights that made the answer; "" when not reported.
 
-	Limited bool          // The endpoint names a rate limit.
-	Limit   float64       // Requests a second that it takes from all gateways together; where it is limited.
-	Rest    time.Duration // For which the endpoint wants nothing more from this gateway; 0 when it does not ask.
-	Leaving bool          // The endpoint leaves: it wants nothing new.
-	Invalid []string      // Headers that are taken as absent since their values are not valid, for the log.
+	HasRateLimit   bool          // The endpoint announces a rate limit.
+	RateLimit      float64       // Requests per second that it accepts from all gateways together; valid if HasRateLimit.
+	Backoff        time.Duration // Time for which the endpoint requests no more requests from this gateway; 0 for none.
+	Leaving        bool          // The endpoint is leaving and accepts nothing new.
+	InvalidHeaders []string      // Headers that are treated as absent since their values are invalid, for the log.
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package fleet holds the published configuration and the list of endpoints as
-// a gateway sees them: routes, services, customers and what can be called. Its
-// values are made by an adapter and are not changed afterwards. The package
-// does no I/O and decides nothing but which route and customer a request has.
+// Package fleet defines the published configuration and the endpoints as a
+// gateway sees them: routes, services, customers and the endpoints that can be
+// called. Its values are created by an adapter and never modified afterwards.
+// The package does no I/O and decides only which route and customer a request has.
 package fleet
 
 import (
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may run more than once.
 type Kind int
 
 // The kinds of routes.
 const (
-	Once       Kind = iota // At most one endpoint may run it.
-	Repeatable             // May run more than once.
-	Streaming              // Answers with a series of events.
+	AtMostOnce Kind = iota // At most one endpoint may run a request.
+	Repeatable             // A request may run more than once.
+	Streaming              // The answer is a stream of events.
 )
 
 // String returns the name of k.
@@ -31,71 +31,71 @@
 	Weight  int
 }
 
-// Route tells how requests of one host and path prefix are served.
+// Route defines how requests for one host and path prefix are served.
 type Route struct {
-	Name       string
-	Host       string
-	PathPrefix string // Begins and ends with a slash.
-	Kind       Kind
-	Timeout    time.Duration // Longest time that a request is held.
-	Target     time.Duration // Time to the answer, or its first event, that earns full credit.
-	PauseLimit time.Duration // Longest pause between events that is in time; 0 when none is given.
-	Silence    time.Duration // After so long without a word callers leave; 0 when they wait until their deadline.
-	Priority   int           // 0 is the most urgent.
-	Attempts   int           // Endpoints that one request may be sent to, at least 1.
-	Public     bool          // Needs no key.
-	Resumable  bool          // A stream may go on at another endpoint.
-	Split      []Share       // At least one.
+	Name           string
+	Host           string
+	PathPrefix     string // Begins and ends with a slash.
+	Kind           Kind
+	Timeout        time.Duration // Longest time for which the gateway keeps a request.
+	TargetLatency  time.Duration // Time until the answer, or its first event, within which a request counts as fully in time.
+	MaxPause       time.Duration // Longest pause between events that is in time; 0 when not configured.
+	SilenceTimeout time.Duration // Time without data after which callers leave; 0 when they wait until their deadline.
+	Priority       int           // 0 is the most urgent.
+	MaxAttempts    int           // Endpoints that one request may be sent to, at least 1.
+	Public         bool          // Requests need no API key.
+	Resumable      bool          // A stream may be resumed at another endpoint.
+	Split          []Share       // Has at least one element.
 }
 
-// MayRepeat reports whether a request of the route may be run a second time.
+// MayRepeat reports whether a request of the route may run a second time.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || r.Kind == Streaming && r.Resumable
 }
 
-// Engine is the published shape and speed of a service's model engines.
+// Engine describes the size and speed of a service's model engines, as published.
 type Engine struct {
-	Slots         int           // Requests that run at once on one endpoint.
-	CacheTokens   int           // Tokens that an endpoint's memory holds.
-	Sets          int           // Sets of layers that are balanced on their own.
-	Experts       int           // A set.
-	Places        int           // Experts that a rank can hold, a set.
-	Spare         int           // Experts that a rank can take on in one change, a set.
-	ExpertBytes   float64       // Of one copy.
-	LinkRate      float64       // Bytes a second between endpoints.
-	ExpertShare   float64       // Part of a token's work that experts do.
-	StepTime      time.Duration // Of a token step without requests.
-	WriterTime    time.Duration // That each writing request adds to a step.
-	ContextTime   time.Duration // That 1,000 tokens of context add to a step.
-	ReadRate      float64       // Prompt tokens a second.
-	PairTime      time.Duration // A million pairs of a prompt token and one before it.
-	ChunkTokens   int           // Prompt tokens read in one step at most.
-	StepsInPass   int           // Steps that a pass makes while requests write.
-	FormTime      time.Duration // From the return of all ranks until the group is open.
-	UsualPrompt   float64       // Mean tokens.
-	UsualAnswer   float64       // Mean tokens.
-	ReportDelayed time.Duration // Age of a report that is asked from another machine.
+	Slots                int           // Requests that run concurrently on one endpoint.
+	CacheTokens          int           // Tokens that an endpoint's KV cache holds.
+	LayerSets            int           // Sets of layers that are balanced independently.
+	ExpertsPerSet        int           // Per layer set.
+	ExpertSlots          int           // Experts that a rank can hold, per layer set.
+	MaxAddedExperts      int           // Experts that a rank can add in one change of the map, per layer set.
+	ExpertBytes          float64       // Size of one copy of an expert.
+	LinkRate             float64       // Bytes per second between endpoints.
+	ExpertWorkShare      float64       // Fraction of the work for a token that experts do.
+	BaseStepTime         time.Duration // Duration of a token step without requests.
+	DecodeTimePerRequest time.Duration // Added to a step by each request that generates tokens.
+	StepTimePerKTokens   time.Duration // Added to a step by 1,000 tokens of context.
+	PrefillRate          float64       // Prompt tokens per second.
+	TimePerMillionPairs  time.Duration // Prefill time of a million pairs of a prompt token and an earlier one (attention).
+	PrefillChunkTokens   int           // Maximum prompt tokens processed in one step.
+	StepsPerPass         int           // Steps in a pass while requests generate tokens.
+	GroupFormTime        time.Duration // Time from the return of all ranks until the group is open.
+	MeanPromptTokens     float64
+	MeanAnswerTokens     float64
+	ReportLag            time.Duration // Age of a report when it is polled from another machine.
 }
 
-// Service is a set of endpoints that are alike.
+// Service is a set of interchangeable endpoints.
 type Service struct {
-	Name        string
-	HealthPath  string
-	Connections int           // That one endpoint accepts from all callers together.
-	Engine      *Engine       // Nil for a plain service.
-	ColdTime    time.Duration // For which an endpoint is cold after a start under load; 0 for never.
-	ColdRate    float64       // Requests a second that it bears meanwhile, from all gateways together; 0 for no bound.
+	Name           string
+	HealthPath     string
+	MaxConnections int           // Connections that one endpoint accepts from all its clients together.
+	Engine         *Engine       // Nil for a plain service.
+	ColdDuration   time.Duration // Time for which an endpoint is cold after it starts under load; 0 for never.
+	ColdRate       float64       // Requests per second that a cold endpoint can take from all gateways together; 0 for no limit.
 }
 
-// Customer is who a key belongs to.
+// Customer is the owner of API keys.
 type Customer struct {
 	Name        string
 	Keys        []string
 	Priority    int
-	HasPriority bool // Priority goes before the route's.
+	HasPriority bool // Priority overrides the route's.
 }
 
-// Limits bounds what a caller may send and how long it may take.
+// Limits bounds the size of callers' requests and the time that they take to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -105,24 +105,24 @@
 
 // Config is one version of the published configuration.
 type Config struct {
-	version   uint64
-	limits    Limits
-	services  map[string]*Service
-	byHost    map[string][]*Route // Invariant: longest prefix first.
-	byKey     map[string]*Customer
-	customers int
-	raw       []byte // As it was published, for neighbours.
+	version       uint64
+	limits        Limits
+	services      map[string]*Service
+	byHost        map[string][]*Route // Invariant: longest prefix first.
+	byKey         map[string]*Customer
+	customerCount int
+	raw           []byte // As published, for sending to peers.
 }
 
-// NewConfig indexes one version. It takes its arguments over.
+// NewConfig indexes one version. The slices must not be changed afterwards.
 func NewConfig(version uint64, routes []Route, services []Service, customers []Customer, limits Limits) *Config {
 	c := &Config{
-		version:   version,
-		limits:    limits,
-		services:  make(map[string]*Service, len(services)),
-		byHost:    map[string][]*Route{},
-		byKey:     map[string]*Customer{},
-		customers: len(customers),
+		version:       version,
+		limits:        limits,
+		services:      make(map[string]*Service, len(services)),
+		byHost:        map[string][]*Route{},
+		byKey:         map[string]*Customer{},
+		customerCount: len(customers),
 	}
 	for i := range services {
 		c.services[services[i].Name] = &services[i]
@@ -149,7 +149,7 @@
 // Version returns the number of the version; a higher one is newer.
 func (c *Config) Version() uint64 { return c.version }
 
-// WithRaw returns c with the text that it was decoded from.
+// WithRaw sets the text that c was decoded from, and returns c.
 func (c *Config) WithRaw(raw []byte) *Config {
 	c.raw = raw
 	return c
@@ -158,7 +158,7 @@
 // Raw returns the text that the version was decoded from, nil when unknown.
 func (c *Config) Raw() []byte { return c.raw }
 
-// Limits returns the limits on callers.
+// Limits returns the limits on callers' requests.
 func (c *Config) Limits() Limits { return c.limits }
 
 // Service returns a service by its name, or nil.
@@ -167,18 +167,18 @@
 // Services returns all services by name; callers must not change the map.
 func (c *Config) Services() map[string]*Service { return c.services }
 
-// PauseLimit returns the shortest pause between events that a route of a service
-// allows, 0 when none gives one.
-func (c *Config) PauseLimit(service string) (least time.Duration) {
+// MaxPause returns the smallest MaxPause of the routes that send traffic to a service,
+// 0 when none of them configures one.
+func (c *Config) MaxPause(service string) (shortest time.Duration) {
 	for _, routes := range c.byHost {
 		for _, r := range routes {
-			to := slices.ContainsFunc(r.Split, func(s Share) bool { return s.Service == service && s.Weight > 0 })
-			if to && r.PauseLimit > 0 && (least == 0 || r.PauseLimit < least) {
-				least = r.PauseLimit
+			routed := slices.ContainsFunc(r.Split, func(s Share) bool { return s.Service == service && s.Weight > 0 })
+			if routed && r.MaxPause > 0 && (shortest == 0 || r.MaxPause < shortest) {
+				shortest = r.MaxPause
 			}
 		}
 	}
-	return least
+	return shortest
 }
 
 // Route returns the route of a request: that of its host with the longest
@@ -192,24 +192,24 @@
 	return nil
 }
 
-// NeedsKey reports whether requests of r must carry a key.
-func (c *Config) NeedsKey(r *Route) bool { return !r.Public && c.customers > 0 }
+// NeedsKey reports whether requests of r must carry an API key.
+func (c *Config) NeedsKey(r *Route) bool { return !r.Public && c.customerCount > 0 }
 
-// Customer returns the holder of a key, or nil.
+// Customer returns the owner of an API key, or nil.
 func (c *Config) Customer(key string) *Customer { return c.byKey[key] }
 
-// Endpoint is one life of a back end, as the platform lists it.
+// Endpoint is one incarnation of a back end, as listed by the platform.
 type Endpoint struct {
-	// ID is of this life only (LifeID), so that whatever is kept by it ends with the
-	// life: a back end that starts again holds and knows nothing of before.
-	ID       string
-	Born     int64 // When the life began, Unix milliseconds; 0 when not told.
-	Service  string
-	Address  string // IP:PORT.
-	Domain   string
-	Slots    int
-	Leaving  bool          // It ends soon and gets nothing new.
-	ColdLeft time.Duration // How much longer it is slow after its start.
-	Revision uint64        // Of the list entry that told this.
-	Made     uint64        // Revision at which the entry first appeared.
+	// ID identifies this incarnation only (see IncarnationID), so that state kept under it ends with
+	// the incarnation: a back end that restarts has none of its earlier requests or data.
+	ID              string
+	StartedAt       int64 // Start of the process, Unix ms; 0 when unknown.
+	Service         string
+	Address         string // IP:PORT.
+	Domain          string
+	Slots           int
+	Leaving         bool          // It will stop soon and gets no new requests.
+	ColdLeft        time.Duration // Remaining time for which it is slow after its start.
+	Revision        uint64        // Store revision of the list entry that this was read from.
+	CreatedRevision uint64        // Store revision at which the entry first appeared.
 }
--- a/internal/fleet/life.go
+++ b/internal/fleet/life.go
@@ -8,30 +8,30 @@
 	"strings"
 )
 
-// LifeID returns the id of the life of a back end that is listed under a name and
-// was born at a time, in Unix milliseconds; 0 when that is not told, and the name
-// then stands for one life only.
-func LifeID(name string, born int64) string {
-	return name + lifeSuffix(born)
+// IncarnationID returns the id of the incarnation of a back end that is listed under name and
+// started at startedAt, in Unix milliseconds. When startedAt is 0 for unknown, the id is the
+// name, which then stands for a single incarnation.
+func IncarnationID(name string, startedAt int64) string {
+	return name + incarnationSuffix(startedAt)
 }
 
-func lifeSuffix(born int64) string {
-	if born == 0 {
+func incarnationSuffix(startedAt int64) string {
+	if startedAt == 0 {
 		return ""
 	}
-	return "@" + strconv.FormatInt(born, 10)
+	return "@" + strconv.FormatInt(startedAt, 10)
 }
 
-// Name returns the name under which the endpoint is listed and which it knows itself
-// by. A later life may have the same one.
-func (e Endpoint) Name() string { return strings.TrimSuffix(e.ID, lifeSuffix(e.Born)) }
+// Name returns the name under which the endpoint is listed and by which it identifies itself.
+// Later incarnations may have the same name.
+func (e Endpoint) Name() string { return strings.TrimSuffix(e.ID, incarnationSuffix(e.StartedAt)) }
 
-// CompareLives compares two births, in Unix milliseconds: it returns -1 when told is
-// of an earlier life than known, 1 when it is of a later one, and 0 when both are of
-// one life or either is 0, which is not told.
-func CompareLives(known, told int64) int {
-	if known == 0 || told == 0 {
+// CompareIncarnations compares the start times of two incarnations, in Unix milliseconds. It
+// returns -1 when reported is of an earlier incarnation than known, 1 when it is of a later one,
+// and 0 when both are of the same one or either is 0 for unknown.
+func CompareIncarnations(known, reported int64) int {
+	if known == 0 || reported == 0 {
 		return 0
 	}
-	return cmp.Compare(told, known)
+	return cmp.Compare(reported, known)
 }
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -245,7 +245,7 @@
 		had, ok = old.named(name)
 	}
 	if ok {
-		newer := had.Born < e.Born || had.Born == e.Born && had.Revision <= e.Revision
+		newer := had.StartedAt < e.StartedAt || had.StartedAt == e.StartedAt && had.Revision <= e.Revision
 		if !newer {
 			e = had
 		}
@@ -413,10 +413,10 @@
 
 // youngerThan reports whether the life of e began after that of other.
 func youngerThan(e, other fleet.Endpoint) bool {
-	if c := fleet.CompareLives(other.Born, e.Born); c != 0 {
+	if c := fleet.CompareIncarnations(other.StartedAt, e.StartedAt); c != 0 {
 		return c > 0
 	}
-	return e.Made > other.Made
+	return e.CreatedRevision > other.CreatedRevision
 }
 
 // revision returns the revision up to which changes are known.
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -132,7 +132,7 @@
 		fields = append(fields, zap.Int64("first-ms", q.firstAt.Sub(q.arrived).Milliseconds()))
 	}
 	if q.again {
-		fields = append(fields, zap.Bool("again", true), zap.Int64("patience-ms", q.call.Patience.Milliseconds()))
+		fields = append(fields, zap.Bool("again", true), zap.Int64("patience-ms", q.call.CallerTimeout.Milliseconds()))
 	}
 	if q.waited > 0 {
 		fields = append(fields, zap.Int64("waited-ms", q.waited.Milliseconds()))
--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -19,7 +19,7 @@
 	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() {
 		return // Another endpoint has this one's address.
 	}
-	for _, header := range a.Invalid {
+	for _, header := range a.InvalidHeaders {
 		q.note(e.ID + ": header left out, " + header)
 		q.g.figures.invalid.Inc(1)
 	}
@@ -28,21 +28,21 @@
 }
 
 // life names the life of an endpoint as its wishes are kept.
-func life(e fleet.Endpoint) backoff.Life { return backoff.Life{Name: e.Name(), Born: e.Born} }
+func life(e fleet.Endpoint) backoff.Life { return backoff.Life{Name: e.Name(), Born: e.StartedAt} }
 
 // hearBackoff takes in that an endpoint wants nothing for a while, or nothing more at all.
 func (q *request) hearBackoff(e fleet.Endpoint, a fleet.Answer) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if a.Rest == 0 {
+	if a.Backoff == 0 {
 		g.backoffs.Answered(life(e), q.wentAt)
 	}
-	if a.Rest == 0 && !a.Leaving {
+	if a.Backoff == 0 && !a.Leaving {
 		return
 	}
-	if a.Rest > 0 && g.backoffs.Rest(life(e), a.Rest, now) {
-		g.log.Info("endpoint asks for rest", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Rest))
+	if a.Backoff > 0 && g.backoffs.Rest(life(e), a.Backoff, now) {
+		g.log.Info("endpoint asks for rest", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Backoff))
 	}
 	if a.Leaving && g.backoffs.Leave(life(e), now) {
 		g.log.Info("endpoint says that it leaves", zap.String("endpoint", e.ID), zap.String("request", q.call.ID))
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -85,7 +85,7 @@
 
 // mayTryOn reports whether the request may be sent to one more endpoint.
 func (q *request) mayTryOn() bool {
-	return len(q.tried) < q.route.Attempts && len(q.unsent) <= maxUnreached
+	return len(q.tried) < q.route.MaxAttempts && len(q.unsent) <= maxUnreached
 }
 
 // candidates returns the endpoints of the service that may be tried, and what keeps the request
@@ -255,7 +255,7 @@
 // false for a plain service.
 func (g *Gateway) shape(c *fleet.Config, service string) (s passes.Shape, ok bool) {
 	svc := c.Service(service)
-	if svc == nil || svc.Engine == nil || svc.Engine.WriterTime <= 0 {
+	if svc == nil || svc.Engine == nil || svc.Engine.DecodeTimePerRequest <= 0 {
 		return s, false
 	}
 	g.shapesMu.Lock()
@@ -264,7 +264,7 @@
 		g.shapesOf, g.shapes = c, map[string]passes.Shape{}
 	}
 	if s, ok = g.shapes[service]; !ok {
-		s = passes.NewShape(svc.Engine, c.PauseLimit(service))
+		s = passes.NewShape(svc.Engine, c.MaxPause(service))
 		g.shapes[service] = s
 	}
 	return s, true
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -25,7 +25,7 @@
 // coldTerms returns what is published of the cold endpoints of a service.
 func coldTerms(c *fleet.Config, service string) (t cold.Terms) {
 	if svc := c.Service(service); svc != nil {
-		t = cold.Terms{Time: svc.ColdTime, Rate: svc.ColdRate}
+		t = cold.Terms{Time: svc.ColdDuration, Rate: svc.ColdRate}
 	}
 	return t
 }
--- a/internal/gateway/kept_test.go
+++ b/internal/gateway/kept_test.go
@@ -75,7 +75,7 @@
 		t.Run("length "+length, func(t *testing.T) {
 			g := NewWithT(t)
 			goOn := make(chan struct{})
-			s := newSiteWith(t, func(r *fleet.Route) { r.Kind, r.Attempts = fleet.Once, 1 }, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			s := newSiteWith(t, func(r *fleet.Route) { r.Kind, r.MaxAttempts = fleet.AtMostOnce, 1 }, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set(headerID, r.Header.Get(headerID))
 				w.Header().Set("Content-Type", "text/plain")
 				if length != "" {
@@ -142,7 +142,7 @@
 
 // Guards against a caller without an answer where its endpoint answers out of the protocol.
 func TestAStatusThatCannotBePassedOnIsAnswered(t *testing.T) {
-	s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.Once }, http.HandlerFunc(odd))
+	s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.AtMostOnce }, http.HandlerFunc(odd))
 	s.expectStatus(NewWithT(t), http.StatusBadGateway)
 }
 
@@ -185,7 +185,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.Once }, newStreamer(0))
+			s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.AtMostOnce }, newStreamer(0))
 			s.tell(0, 0, 1)
 			var faulty atomic.Bool
 			tc.inject(s, func() {
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -16,9 +16,9 @@
 
 // hearLimit takes in what an answer says of its endpoint's rate limit.
 func (q *request) hearLimit(e fleet.Endpoint, a fleet.Answer) {
-	w := throttle.Word{Limited: a.Limited, Limit: a.Limit, At: q.g.cfg.Now()}
+	w := throttle.Word{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
 	switch {
-	case a.Limited:
+	case a.HasRateLimit:
 	case a.Signed:
 		w.At = q.wentAt // A limit that is named since then still holds.
 	default:
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -19,8 +19,8 @@
 // the caller is better told to come back.
 func (q *request) awaitConfig() *follow.State {
 	patience := defaultPatience
-	if q.call.HasPatience {
-		patience = q.call.Patience
+	if q.call.HasCallerTimeout {
+		patience = q.call.CallerTimeout
 	}
 	timer := time.NewTimer(time.Until(hold.ForStart(q.arrived, patience)))
 	defer timer.Stop()
@@ -48,7 +48,7 @@
 	if !q.lastTry() || !q.mayTryOn() || q.kept != nil {
 		return e, false
 	}
-	until := q.keptUntil(max(q.turnover.First, q.route.Target/2))
+	until := q.keptUntil(max(q.turnover.First, q.route.TargetLatency/2))
 	if q.allDown && q.opens.After(until) {
 		return e, false // It would wait in vain.
 	}
--- a/internal/gateway/recover_test.go
+++ b/internal/gateway/recover_test.go
@@ -68,7 +68,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			one, two := twoSilentFirst(tc.after)
-			s := newSiteWith(t, func(r *fleet.Route) { r.Target = 50 * time.Millisecond }, one, two)
+			s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency = 50 * time.Millisecond }, one, two)
 			s.expectServed(g, "a", "")
 			g.Expect(append(one.firsts(), two.firsts()...)).To(Equal([]int{tc.from}))
 			g.Expect(s.figures.silent.Count()).To(BeEquivalentTo(1))
@@ -82,7 +82,7 @@
 func TestASilentTryGoesOnThoughItsGroupIsFull(t *testing.T) {
 	g := NewWithT(t)
 	one, two := twoSilentFirst(0)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target = 400 * time.Millisecond }, one, two)
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency = 400 * time.Millisecond }, one, two)
 	tell := func(running int) {
 		s.tell(0, running, 1)
 		s.tell(1, running, 1)
@@ -103,15 +103,15 @@
 		spare  float64
 	}{
 		{"it may run once only", func(r *fleet.Route) { r.Resumable = false }, 1000},
-		{"no try is left", func(r *fleet.Route) { r.Attempts = 1 }, 1000},
+		{"no try is left", func(r *fleet.Route) { r.MaxAttempts = 1 }, 1000},
 		{"no repeat is left", func(*fleet.Route) {}, 0},
-		{"nothing says what is too long", func(r *fleet.Route) { r.Target = 0 }, 1000},
+		{"nothing says what is too long", func(r *fleet.Route) { r.TargetLatency = 0 }, 1000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			one, two := twoSilentFirst(0)
 			s := newSiteWith(t, func(r *fleet.Route) {
-				r.Target = 20 * time.Millisecond
+				r.TargetLatency = 20 * time.Millisecond
 				tc.change(r)
 			}, one, two)
 			s.cfg.RetrySpare = tc.spare
@@ -130,7 +130,7 @@
 func TestWhoWouldNotComeAgainWaitsForAGroup(t *testing.T) {
 	g := NewWithT(t)
 	only := newStreamer(0)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = time.Second, patienceOf }, only)
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency, r.SilenceTimeout = time.Second, patienceOf }, only)
 	group := func(closed bool) {
 		s.Report(s.addresses[0], balance.Load{Group: "g", Closed: closed, Pass: 20 * time.Millisecond, At: time.Now()})
 	}
@@ -148,7 +148,7 @@
 func TestAHeldRequestIsRefusedBeforeItsCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	only := newStreamer(0)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = 100*time.Millisecond, 400*time.Millisecond }, only)
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency, r.SilenceTimeout = 100*time.Millisecond, 400*time.Millisecond }, only)
 	s.Report(s.addresses[0], balance.Load{Group: "g", Closed: true, At: time.Now().Add(time.Hour)})
 	s.expectRefused(g, "again", "20000")
 	g.Expect(only.firsts()).To(BeEmpty(), "it did not run")
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -184,13 +184,13 @@
 	}
 	q.service = q.pickService()
 	patience := defaultPatience
-	if q.call.HasPatience {
-		patience = q.call.Patience
+	if q.call.HasCallerTimeout {
+		patience = q.call.CallerTimeout
 		q.again, q.mayHaveTried = q.g.patience.again(q.route.Name, patience, q.route.Timeout)
 	}
 	q.final = q.arrived.Add(min(patience, q.route.Timeout))
 	if q.route.Kind == fleet.Streaming && q.route.Resumable {
-		q.cursor = cursorFrom(q.call.LastEvent)
+		q.cursor = cursorFrom(q.call.LastEventID)
 	}
 	return true
 }
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -19,7 +19,7 @@
 // watch has a try given up whose answer is silent for too long, if the request can go
 // on elsewhere. Without a target nothing says what is too long.
 func (q *request) watch(e fleet.Endpoint, x *upstream.Exchange) {
-	if q.route.Target <= 0 || !q.route.MayRepeat() || len(q.tried) >= q.route.Attempts {
+	if q.route.TargetLatency <= 0 || !q.route.MayRepeat() || len(q.tried) >= q.route.MaxAttempts {
 		return
 	}
 	x.Watch(upstream.Watch{
@@ -39,15 +39,15 @@
 
 // leavesAfter is after how long without a word the caller leaves.
 func (q *request) leavesAfter() time.Duration {
-	if q.route.Silence > 0 {
-		return q.route.Silence
+	if q.route.SilenceTimeout > 0 {
+		return q.route.SilenceTimeout
 	}
 	return time.Duration(deadlineShare * float64(q.final.Sub(q.arrived)))
 }
 
 // answerOf returns what is known of the answer of the try under way.
 func (q *request) answerOf(e fleet.Endpoint) silence.Answer {
-	a := silence.Answer{Target: q.route.Target, Leaves: q.leavesAfter()}
+	a := silence.Answer{Target: q.route.TargetLatency, Leaves: q.leavesAfter()}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	a.First, a.Pass = q.g.passes.Usual(e.ID)
--- a/internal/gateway/slow_stream_test.go
+++ b/internal/gateway/slow_stream_test.go
@@ -63,7 +63,7 @@
 // Guards against events that are lost, with the rest of their stream, where it goes on elsewhere.
 func TestAStreamThatBreaksOffAfterASilenceGoesOn(t *testing.T) {
 	t.Parallel()
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target = 0 }, http.HandlerFunc(breaksLater), http.HandlerFunc(breaksLater))
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency = 0 }, http.HandlerFunc(breaksLater), http.HandlerFunc(breaksLater))
 	s.expectServed(NewWithT(t), "one", "")
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -41,8 +41,8 @@
 	switch {
 	case !q.isStream(resp):
 		return errors.Newf("status %d where a stream goes on", resp.StatusCode)
-	case a.Weights != "" && q.cursor.weights != "" && a.Weights != q.cursor.weights:
-		return errors.Newf("weights %s where a stream of weights %s goes on", a.Weights, q.cursor.weights)
+	case a.WeightsVersion != "" && q.cursor.weights != "" && a.WeightsVersion != q.cursor.weights:
+		return errors.Newf("weights %s where a stream of weights %s goes on", a.WeightsVersion, q.cursor.weights)
 	}
 	return nil
 }
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -25,7 +25,7 @@
 )
 
 func (q *request) maxIdle(e fleet.Endpoint) time.Duration {
-	lastRepeat := len(q.tried) > 0 && len(q.tried)+1 >= q.route.Attempts
+	lastRepeat := len(q.tried) > 0 && len(q.tried)+1 >= q.route.MaxAttempts
 	if !q.route.MayRepeat() || lastRepeat || e.ID == q.closedUnder {
 		return onceIdle
 	}
@@ -186,8 +186,8 @@
 		}
 	}
 	if q.isStream(resp) {
-		if answer.Weights != "" {
-			q.cursor.weights = answer.Weights
+		if answer.WeightsVersion != "" {
+			q.cursor.weights = answer.WeightsVersion
 		}
 		return q.relayStream(e, x, resp)
 	}
@@ -195,14 +195,14 @@
 }
 
 // stamp is what the endpoint is told besides the caller's headers.
-func (q *request) stamp(e fleet.Endpoint) fleet.Stamp {
-	s := fleet.Stamp{EndpointName: e.Name(), Left: q.left(), Priority: q.priority()}
+func (q *request) stamp(e fleet.Endpoint) fleet.AttemptInfo {
+	s := fleet.AttemptInfo{EndpointName: e.Name(), TimeLeft: q.left(), Priority: q.priority()}
 	if q.customer != nil {
 		s.Customer = q.customer.Name
 	}
-	s.LastEvent = q.cursor.lastEvent()
+	s.LastEventID = q.cursor.lastEvent()
 	if q.reply.begun() {
-		s.Weights = q.cursor.weights
+		s.WeightsVersion = q.cursor.weights
 	}
 	return s
 }
@@ -246,13 +246,13 @@
 
 // turnedAway notes an answer that says that the request was not run.
 func (q *request) turnedAway(e fleet.Endpoint, status int, a fleet.Answer) {
-	q.bad(e, 0, fmt.Sprintf("turned away: %d %s", status, a.AtFault)) // Being full is no fault.
+	q.bad(e, 0, fmt.Sprintf("turned away: %d %s", status, a.BlamedEndpoint)) // Being full is no fault.
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() && !q.asksForWeights() {
 		q.g.table.Misplaced(e.ID, time.Now())
 	}
-	if a.AtFault != "" {
+	if a.BlamedEndpoint != "" {
 		q.downGroup, q.groupDown, q.downAt = q.g.passes.Group(e.ID), true, time.Now()
 	}
 }
@@ -260,7 +260,7 @@
 // asksForWeights reports whether the request may be turned away because of the
 // endpoint's weights, by its caller's wish or since a stream goes on under them.
 func (q *request) asksForWeights() bool {
-	return q.call.Weights != "" || q.reply.begun() && q.cursor.weights != ""
+	return q.call.WeightsVersion != "" || q.reply.begun() && q.cursor.weights != ""
 }
 
 // noteLeft notes the try that was under way as the caller left: it has no end of its own.
--- a/internal/gateway/vacate.go
+++ b/internal/gateway/vacate.go
@@ -27,7 +27,7 @@
 	if g.at[id] == nil {
 		g.at[id] = map[*request]place{}
 	}
-	g.at[id][q] = place{conn: conn, mayRetry: len(q.tried) < q.route.Attempts}
+	g.at[id][q] = place{conn: conn, mayRetry: len(q.tried) < q.route.MaxAttempts}
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -22,7 +22,7 @@
 // of its service. It reports whether there is an endpoint now.
 func (q *request) await(now time.Time) (e fleet.Endpoint, ok bool) {
 	g := q.g
-	until := q.arrived.Add(q.route.Target - q.turnover.First)
+	until := q.arrived.Add(q.route.TargetLatency - q.turnover.First)
 	if q.lastTry() {
 		until = q.keptUntil(q.turnover.First)
 	}
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -103,7 +103,7 @@
 // mayAskAnother reports whether the request could be sent to a further
 // endpoint.
 func (q *request) mayAskAnother() bool {
-	if !q.route.MayRepeat() || len(q.tried) >= q.route.Attempts {
+	if !q.route.MayRepeat() || len(q.tried) >= q.route.MaxAttempts {
 		return false
 	}
 	now := time.Now()
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package ident makes and reads the ids of requests and the idempotency keys.
-// Both are UUIDv7 and so carry the time they were made. A key also names the
-// endpoint that owns it, after an '@': its owner never changes, whatever is
-// published later and whatever a cut-off process believes.
+// Package ident creates and parses request ids and idempotency keys. Both are
+// UUIDv7 and thus contain the time of their creation. A key also names the
+// endpoint that owns it, after an '@': the owner never changes, whatever is
+// published later and whatever a partitioned process believes.
 package ident
 
 import (
@@ -14,12 +14,12 @@
 	"github.com/google/uuid"
 )
 
-// New returns a request id.
+// New returns a new request id.
 func New() string { return uuid.Must(uuid.NewV7()).String() }
 
-// KeyGrain is how much earlier than it was made a key may say that it was: a
-// UUIDv7 tells its time in whole milliseconds.
-const KeyGrain = time.Millisecond
+// KeyTimeResolution is how far Minted may lie before the actual creation of a key: a
+// UUIDv7 contains its time in whole milliseconds.
+const KeyTimeResolution = time.Millisecond
 
 // Key is an idempotency key.
 type Key struct {
@@ -32,12 +32,12 @@
 func NewKey(owner string) Key {
 	k, err := ParseKey(New() + "@" + owner)
 	if err != nil {
-		panic(err) // The text was just made.
+		panic(err) // The id was just created; only an empty or too long owner fails.
 	}
 	return k
 }
 
-// ParseKey reads a key that a caller sent.
+// ParseKey parses a key that a caller sent.
 func ParseKey(text string) (k Key, err error) {
 	defer func() { err = errors.Wrapf(err, "idempotency key %.80q", text) }()
 	if len(text) > 255 {
@@ -47,22 +47,22 @@
 	if owner == "" {
 		return k, errors.New("names no owner; POST /v1/keys makes one that does")
 	}
-	u, err := uuid.Parse(id)
+	parsed, err := uuid.Parse(id)
 	if err != nil || len(id) != 36 {
 		return k, errors.New("not a UUIDv7; POST /v1/keys makes one")
 	}
-	if u.Version() != 7 {
-		return k, errors.Newf("UUID of version %d, not 7; POST /v1/keys makes one", u.Version())
+	if parsed.Version() != 7 {
+		return k, errors.Newf("UUID of version %d, not 7; POST /v1/keys makes one", parsed.Version())
 	}
-	sec, nsec := u.Time().UnixTime()
+	sec, nsec := parsed.Time().UnixTime()
 	return Key{text: strings.ToLower(id) + text[len(id):], owner: owner, minted: time.Unix(sec, nsec)}, nil
 }
 
-// String returns the key as callers send it.
+// String returns the key in the form that callers send, with the UUID in lower case.
 func (k Key) String() string { return k.text }
 
-// Owner returns the endpoint named in the key.
+// Owner returns the name of the endpoint that owns the key.
 func (k Key) Owner() string { return k.owner }
 
-// Minted returns the time the key was made, by its maker's clock.
+// Minted returns the time at which the key was created, by the clock of its creator.
 func (k Key) Minted() time.Time { return k.minted }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -94,7 +94,7 @@
 		}
 	})
 	if woke {
-		n.trail.Add(audit.Woke, n.set.Name, "clock jumped between two ticks")
+		n.trail.Add(audit.PauseDetected, n.set.Name, "clock jumped between two ticks")
 		n.pushSome()
 	}
 }
@@ -302,7 +302,7 @@
 		return
 	}
 	if err := n.creds.Claims(r.TLS, m.sender()); err != nil {
-		n.trail.Add(audit.PeerRefused, r.RemoteAddr, err.Error())
+		n.trail.Add(audit.PeerRejected, r.RemoteAddr, err.Error())
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -286,7 +286,7 @@
 func (n *Node) Refusal() *wire.Refusal {
 	switch n.State() {
 	case Serving:
-		if early := n.set.ClockSkew + ident.KeyGrain - time.Since(n.start); early > 0 {
+		if early := n.set.ClockSkew + ident.KeyTimeResolution - time.Since(n.start); early > 0 {
 			// Keys minted now cannot yet be told from those of an earlier life.
 			return wire.Refuse(http.StatusServiceUnavailable, early, "process has just started")
 		}
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,25 +1,25 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package ring holds the bounded containers that join goroutines. None of them
-// grows: each says what it does when it is full.
+// Package ring provides bounded containers for passing values between goroutines.
+// None of them grows; each documents what it does when it is full.
 package ring
 
 import "sync"
 
-// Last keeps the newest values; when it is full, the oldest is dropped and
-// counted.
-type Last[T any] struct {
+// Buffer is a ring buffer of the newest values. When it is full, Add overwrites the
+// oldest value and counts it as dropped.
+type Buffer[T any] struct {
 	mu      sync.Mutex
 	buf     []T // Invariant: len(buf) <= cap(buf), which never changes.
-	next    int // Place of the next value once buf is full.
+	next    int // Index of the oldest value once buf is full; it is overwritten next.
 	dropped uint64
 }
 
-// NewLast returns a ring for n values.
-func NewLast[T any](n int) *Last[T] { return &Last[T]{buf: make([]T, 0, n)} }
+// NewBuffer returns an empty buffer for n values.
+func NewBuffer[T any](n int) *Buffer[T] { return &Buffer[T]{buf: make([]T, 0, n)} }
 
-// Add puts v in, over the oldest value when the ring is full.
-func (r *Last[T]) Add(v T) {
+// Add adds v; when the buffer is full, it replaces the oldest value.
+func (r *Buffer[T]) Add(v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.buf) < cap(r.buf) {
@@ -31,8 +31,8 @@
 	r.dropped++
 }
 
-// All returns the values, oldest first, and the number dropped.
-func (r *Last[T]) All() (values []T, dropped uint64) {
+// All returns the values, oldest first, and the number of values dropped so far.
+func (r *Buffer[T]) All() (values []T, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	values = make([]T, 0, len(r.buf))
@@ -40,16 +40,16 @@
 	return append(values, r.buf[:r.next]...), r.dropped
 }
 
-// Queue hands values from one goroutine to another; when it is full, Offer
-// refuses the value.
+// Queue passes values between goroutines in order. When it is full, Offer rejects
+// the value.
 type Queue[T any] struct {
 	c chan T
 }
 
-// NewQueue returns a queue for n values.
+// NewQueue returns an empty queue for n values.
 func NewQueue[T any](n int) *Queue[T] { return &Queue[T]{c: make(chan T, n)} }
 
-// Offer puts v in; it reports false when the queue is full.
+// Offer adds v without blocking; it returns false when the queue is full.
 func (q *Queue[T]) Offer(v T) bool {
 	select {
 	case q.c <- v:
@@ -59,8 +59,8 @@
 	}
 }
 
-// Out is where the values come out, in order.
+// Out returns the channel from which the values are received, in order.
 func (q *Queue[T]) Out() <-chan T { return q.c }
 
-// Len returns the number of values that wait.
+// Len returns the number of queued values.
 func (q *Queue[T]) Len() int { return len(q.c) }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -300,7 +300,7 @@
 // entry returns what the endpoint's present life says of itself. The caller holds the
 // site's mu, or nothing runs yet.
 func (e *endpointAt) entry(leaving bool) fleet.Endpoint {
-	return fleet.Endpoint{ID: fleet.LifeID(e.name, e.born), Born: e.born, Service: e.service, Address: e.address, Domain: e.domain, Slots: 8, Leaving: leaving}
+	return fleet.Endpoint{ID: fleet.IncarnationID(e.name, e.born), StartedAt: e.born, Service: e.service, Address: e.address, Domain: e.domain, Slots: 8, Leaving: leaving}
 }
 
 // serviceOf returns the service of an endpoint's name.
@@ -315,18 +315,18 @@
 	s.version += 1 + uint64(s.births%3)
 	all := []fleet.Share{{Service: plainNames[0], Weight: 1}, {Service: plainNames[1], Weight: 1}}
 	route := func(name string, k fleet.Kind, to ...fleet.Share) fleet.Route {
-		return fleet.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: k, Timeout: patience, Target: 300 * time.Millisecond, Attempts: 2, Split: to, Resumable: k == fleet.Streaming}
+		return fleet.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: k, Timeout: patience, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2, Split: to, Resumable: k == fleet.Streaming}
 	}
 	p := standin.Published{
 		Version: s.version,
 		Routes: []fleet.Route{
-			route("once", fleet.Once, fleet.Share{Service: s.movedTo, Weight: 1}),
+			route("once", fleet.AtMostOnce, fleet.Share{Service: s.movedTo, Weight: 1}),
 			route("again", fleet.Repeatable, all...),
 			route("stream", fleet.Streaming, fleet.Share{Service: modelName, Weight: 1}),
 		},
 		Services: []fleet.Service{{Name: plainNames[0]}, {Name: plainNames[1]}, {Name: modelName, Engine: &fleet.Engine{
-			Slots: 8, Sets: 2, Experts: 4 * s.cfg.Ranks, Places: 6, Spare: 2, ExpertBytes: 1e8, LinkRate: 1e11, ExpertShare: 0.9,
-			StepTime: passTime, StepsInPass: 1,
+			Slots: 8, LayerSets: 2, ExpertsPerSet: 4 * s.cfg.Ranks, ExpertSlots: 6, MaxAddedExperts: 2, ExpertBytes: 1e8, LinkRate: 1e11, ExpertWorkShare: 0.9,
+			BaseStepTime: passTime, StepsPerPass: 1,
 		}}},
 	}
 	for i, keys := range s.keys {
