--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -101,12 +101,12 @@
 }
 
 // setScripts sets the answers to the following attempts, one each; the last one is used for all later attempts.
-func (r *harness) setScripts(list ...agentScript) {
-	r.scripts.Store(&list)
-	r.attempts.Store(0)
+func (h *harness) setScripts(list ...agentScript) {
+	h.scripts.Store(&list)
+	h.attempts.Store(0)
 }
 
-func (r *harness) serveAgent(w http.ResponseWriter, req *http.Request) {
+func (h *harness) serveAgent(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path == wire.PathOutcome {
 		httpjson.Reply(w, wire.OutcomeReply{Outcome: wire.Unknown})
 		return
@@ -121,8 +121,8 @@
 		return
 	}
 	_, _ = io.Copy(io.Discard, req.Body)
-	list := *r.scripts.Load()
-	list[min(int(r.attempts.Add(1)), len(list))-1](scriptedAttempt{w, env})
+	list := *h.scripts.Load()
+	list[min(int(h.attempts.Add(1)), len(list))-1](scriptedAttempt{w, env})
 }
 
 // newHarness starts an entry of a small example site, with scripted agents.
@@ -131,11 +131,11 @@
 	g := gomega.NewWithT(t)
 	layout, err := example.New(example.Archive, example.Size{Domains: 1, EntriesADomain: 1, RanksADomain: 3, ServicesADomain: 2, Customers: 1}, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	r := &harness{t: t, layout: layout}
+	h := &harness{t: t, layout: layout}
 	dir := standin.NewDirectory()
 	dir.Publish(standin.Bundle{Manifest: layout.Pack(1, "", layout.Published()), Values: layout.Published()})
 	for _, p := range layout.Agents {
-		srv := httptest.NewServer(http.HandlerFunc(r.serveAgent))
+		srv := httptest.NewServer(http.HandlerFunc(h.serveAgent))
 		t.Cleanup(srv.Close)
 		dir.SetInstance(adapter.Instance{
 			Name: p.Name, Role: adapter.RoleEndpoint, Endpoint: p.Endpoint, Domain: p.Domain, Address: srv.Listener.Addr().String(),
@@ -154,30 +154,30 @@
 	group := &errgroup.Group{}
 	group.Go(func() error { return n.Run(ctx) })
 	e := New(n)
-	r.entry = e
+	h.entry = e
 	e.now = func() time.Time {
-		if r.clockPanics.Load() {
+		if h.clockPanics.Load() {
 			panic("a fault")
 		}
-		return time.Now().Add(time.Duration(r.clockOffset.Load()))
+		return time.Now().Add(time.Duration(h.clockOffset.Load()))
 	}
-	r.callers = httptest.NewUnstartedServer(e.Handler())
+	h.callers = httptest.NewUnstartedServer(e.Handler())
 	base, end := context.WithCancel(context.Background())
-	r.cancelBase = end
-	r.callers.Config.BaseContext = func(net.Listener) context.Context { return base }
-	r.callers.Config.ConnContext = callerconn.Context
-	r.callers.Start()
+	h.cancelBase = end
+	h.callers.Config.BaseContext = func(net.Listener) context.Context { return base }
+	h.callers.Config.ConnContext = callerconn.Context
+	h.callers.Start()
 	t.Cleanup(func() {
 		end()
 		cancel()
-		r.callers.CloseClientConnections()
-		r.callers.Close()
+		h.callers.CloseClientConnections()
+		h.callers.Close()
 		directory.CloseClientConnections()
 		_ = group.Wait()
 	})
 	g.Eventually(n.Refusal, waitTimeout).Should(gomega.BeNil())
 	g.Eventually(func() int { return len(n.ByEndpoint()) }, waitTimeout).Should(gomega.Equal(len(layout.Agents)))
-	return r
+	return h
 }
 
 // reply is an answer as received by a caller that knows only HTTP framing.
@@ -202,15 +202,15 @@
 
 // send sends a request and reads the answer. onRead, if not nil, is called after each read with
 // the body read so far.
-func (r *harness) send(d variant, method, path, body, header string, onRead func(body string)) reply {
-	r.t.Helper()
-	g := gomega.NewWithT(r.t)
-	c, err := net.Dial("tcp", r.callers.Listener.Addr().String())
+func (h *harness) send(d variant, method, path, body, header string, onRead func(body string)) reply {
+	h.t.Helper()
+	g := gomega.NewWithT(h.t)
+	c, err := net.Dial("tcp", h.callers.Listener.Addr().String())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	defer func() { _ = c.Close() }()
 	g.Expect(c.SetDeadline(time.Now().Add(waitTimeout))).To(gomega.Succeed())
 	_, err = fmt.Fprintf(c, "%s %s %s\r\nHost: entry\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n%s%s\r\n%s",
-		method, path, d.proto, r.layout.Customers[0].Key, len(body), d.header, header, body)
+		method, path, d.proto, h.layout.Customers[0].Key, len(body), d.header, header, body)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	resp, err := http.ReadResponse(bufio.NewReader(c), &http.Request{Method: method})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -230,13 +230,13 @@
 	}
 }
 
-func (r *harness) stream(d variant, header string, onRead func(body string)) reply {
-	r.t.Helper()
-	return r.send(d, http.MethodPost, "/v1/chat/completions", r.chatBody(true), header, onRead)
+func (h *harness) stream(d variant, header string, onRead func(body string)) reply {
+	h.t.Helper()
+	return h.send(d, http.MethodPost, "/v1/chat/completions", h.chatBody(true), header, onRead)
 }
 
-func (r *harness) chatBody(stream bool) string {
-	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":6,"messages":[{"role":"user","content":"x"}]}`, r.layout.Model, stream)
+func (h *harness) chatBody(stream bool) string {
+	return fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":6,"messages":[{"role":"user","content":"x"}]}`, h.layout.Model, stream)
 }
 
 // offsets lists the offsets of the tokens of a streamed body.
@@ -351,28 +351,28 @@
 }
 
 func TestIncompleteStreamIsAborted(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	for _, d := range variants {
 		t.Run(d.name, func(t *testing.T) {
 			for _, way := range afterTwoTokens {
 				t.Run(way.name, func(t *testing.T) {
-					r.setScripts(func(a scriptedAttempt) { a.tokens(2); a.abort() }, way.next)
-					expectAborted(t, r.stream(d, "", nil))
-					gomega.NewWithT(t).Expect(r.attempts.Load()).To(gomega.BeNumerically(">", 1), "attempts")
+					h.setScripts(func(a scriptedAttempt) { a.tokens(2); a.abort() }, way.next)
+					expectAborted(t, h.stream(d, "", nil))
+					gomega.NewWithT(t).Expect(h.attempts.Load()).To(gomega.BeNumerically(">", 1), "attempts")
 				})
 			}
 			t.Run("deadline", func(t *testing.T) {
 				hold := make(chan struct{})
 				defer close(hold)
-				r.setScripts(func(a scriptedAttempt) { a.tokens(2); <-hold })
-				expectAborted(t, r.stream(d, wire.HeaderDeadline+": 500\r\n", nil))
+				h.setScripts(func(a scriptedAttempt) { a.tokens(2); <-hold })
+				expectAborted(t, h.stream(d, wire.HeaderDeadline+": 500\r\n", nil))
 			})
 		})
 	}
 }
 
 func TestCompleteStreamEndsNormally(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	for _, d := range variants {
 		t.Run(d.name, func(t *testing.T) {
 			for _, way := range []struct {
@@ -390,8 +390,8 @@
 				}}},
 			} {
 				t.Run(way.name, func(t *testing.T) {
-					r.setScripts(way.list...)
-					expectComplete(t, d, r.stream(d, "", nil), 6)
+					h.setScripts(way.list...)
+					expectComplete(t, d, h.stream(d, "", nil), 6)
 				})
 			}
 		})
@@ -401,15 +401,15 @@
 func TestProcessEndAbortsStreams(t *testing.T) {
 	for _, d := range variants {
 		t.Run(d.name, func(t *testing.T) {
-			r := newHarness(t)
+			h := newHarness(t)
 			hold := make(chan struct{})
 			defer close(hold)
-			r.setScripts(func(a scriptedAttempt) { a.tokens(2); <-hold })
+			h.setScripts(func(a scriptedAttempt) { a.tokens(2); <-hold })
 			ended := false
-			a := r.stream(d, "", func(body string) {
+			a := h.stream(d, "", func(body string) {
 				if !ended && len(offsets(body)) == 2 {
 					ended = true
-					r.cancelBase()
+					h.cancelBase()
 				}
 			})
 			gomega.NewWithT(t).Expect(a.err).To(gomega.HaveOccurred(), "a truncated answer must not look complete")
@@ -419,7 +419,7 @@
 }
 
 func TestCompleteAnswersHaveALength(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	long := strings.Repeat("x", 4000)
 	text := func(a scriptedAttempt) {
 		a.tokens(0)
@@ -438,17 +438,17 @@
 			do                       agentScript
 			status                   int
 		}{
-			{"chat", http.MethodPost, "/v1/chat/completions", r.chatBody(false), text, http.StatusOK},
+			{"chat", http.MethodPost, "/v1/chat/completions", h.chatBody(false), text, http.StatusOK},
 			{"models", http.MethodGet, "/v1/models", "", nil, http.StatusOK},
-			{"key", http.MethodPost, "/v1/keys", `{"path":"` + r.layout.Path + `"}`, nil, http.StatusOK},
-			{"service", http.MethodGet, r.layout.Path + "x", "", service, http.StatusOK},
-			{"refusal", http.MethodPost, "/v1/chat/completions", r.chatBody(true), refusal, http.StatusConflict},
+			{"key", http.MethodPost, "/v1/keys", `{"path":"` + h.layout.Path + `"}`, nil, http.StatusOK},
+			{"service", http.MethodGet, h.layout.Path + "x", "", service, http.StatusOK},
+			{"refusal", http.MethodPost, "/v1/chat/completions", h.chatBody(true), refusal, http.StatusConflict},
 			{"not known", http.MethodGet, "/nowhere", "", nil, http.StatusNotFound},
 		} {
 			t.Run(d.name+"/"+one.name, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				r.setScripts(one.do)
-				a := r.send(d, one.method, one.path, one.body, "", nil)
+				h.setScripts(one.do)
+				a := h.send(d, one.method, one.path, one.body, "", nil)
 				g.Expect(a.StatusCode).To(gomega.Equal(one.status), a.body)
 				g.Expect(a.err).NotTo(gomega.HaveOccurred())
 				g.Expect(a.outcome()).NotTo(gomega.BeEmpty())
@@ -459,7 +459,7 @@
 }
 
 func TestPartialAnswerIsNotDone(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	done := wire.HeaderOutcome + ": done\r\n"
 	for _, one := range []struct {
 		name string
@@ -473,8 +473,8 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			r.setScripts(one.do)
-			a := r.send(variants[0], http.MethodPost, r.layout.Path+"pay?id=1", "x", "", nil)
+			h.setScripts(one.do)
+			a := h.send(variants[0], http.MethodPost, h.layout.Path+"pay?id=1", "x", "", nil)
 			g.Expect(a.StatusCode).To(gomega.Equal(http.StatusBadGateway), a.body)
 			g.Expect(a.outcome()).To(gomega.Equal(wire.Unknown))
 		})
@@ -482,9 +482,9 @@
 	for _, way := range afterTwoTokens {
 		t.Run("chat, "+way.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			r.setScripts(func(a scriptedAttempt) { a.tokens(2); a.abort() }, way.next)
-			a := r.send(variants[0], http.MethodPost, "/v1/chat/completions", r.chatBody(false), "", nil)
-			g.Expect(r.attempts.Load()).To(gomega.BeNumerically(">", 1), "attempts")
+			h.setScripts(func(a scriptedAttempt) { a.tokens(2); a.abort() }, way.next)
+			a := h.send(variants[0], http.MethodPost, "/v1/chat/completions", h.chatBody(false), "", nil)
+			g.Expect(h.attempts.Load()).To(gomega.BeNumerically(">", 1), "attempts")
 			g.Expect(a.StatusCode).To(gomega.BeNumerically(">=", http.StatusBadRequest), a.body)
 			g.Expect(a.outcome()).To(gomega.Equal(wire.Unknown))
 		})
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -26,8 +26,8 @@
 }
 
 // checkQuarantine refuses a request if endpoints' processes ended while they ran it or an identical
-// request, as seen by this or another entry. Without this check, such a stream moved on until it had
-// used all the attempts of one stream, and each retry of its caller ended as many endpoints again.
+// request, as seen by this or another entry. Without this check, such a stream was moved to as many
+// endpoints as maxStreamAttempts allows, and each retry of its caller ended as many again.
 func (e *Entry) checkQuarantine(req *request) *wire.Refusal {
 	suspects := e.node.Suspects()
 	now := e.now()
@@ -49,7 +49,7 @@
 	return wire.Refuse(http.StatusServiceUnavailable, retryAfter, "endpoints ended under this request")
 }
 
-// maxTrialTime is when a trial expires that its entry did not end.
+// maxTrialTime is the time after which a trial expires if its entry did not end it.
 const maxTrialTime = time.Minute
 
 // ownsTrial reports whether this entry, of all that are alive, is the one that may try the request with key k.
--- a/internal/entry/held_test.go
+++ b/internal/entry/held_test.go
@@ -43,31 +43,31 @@
 	for _, tc := range []struct {
 		name  string
 		agent agentScript
-		ask   func(r *harness) reply
+		ask   func(h *harness) reply
 	}{
-		{"stream without a token", endsProcess(0), func(r *harness) reply { return r.stream(variants[0], "", nil) }},
-		{"stream after tokens", endsProcess(1), func(r *harness) reply { return r.stream(variants[0], "", nil) }},
-		{"answer that is not streamed", endsProcess(1), func(r *harness) reply {
-			return r.send(variants[0], http.MethodPost, "/v1/chat/completions", r.chatBody(false), "", nil)
+		{"stream without a token", endsProcess(0), func(h *harness) reply { return h.stream(variants[0], "", nil) }},
+		{"stream after tokens", endsProcess(1), func(h *harness) reply { return h.stream(variants[0], "", nil) }},
+		{"answer that is not streamed", endsProcess(1), func(h *harness) reply {
+			return h.send(variants[0], http.MethodPost, "/v1/chat/completions", h.chatBody(false), "", nil)
 		}},
-		{"call of a service", endsProcessOnCall, func(r *harness) reply {
-			return r.send(variants[0], http.MethodGet, r.layout.Path+"x", "", "", nil)
+		{"call of a service", endsProcessOnCall, func(h *harness) reply {
+			return h.send(variants[0], http.MethodGet, h.layout.Path+"x", "", "", nil)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			r := newHarness(t)
-			r.setScripts(tc.agent)
+			h := newHarness(t)
+			h.setScripts(tc.agent)
 			var last reply
 			for n := range 2 * maxProcessEnds {
-				last = tc.ask(r)
+				last = tc.ask(h)
 				if n == 0 {
-					g.Expect(r.attempts.Load()).To(gomega.BeNumerically("<=", maxProcessEnds), "attempts of one request")
+					g.Expect(h.attempts.Load()).To(gomega.BeNumerically("<=", maxProcessEnds), "attempts of one request")
 				}
-				r.clockOffset.Add(int64(restartTime))
+				h.clockOffset.Add(int64(restartTime))
 			}
-			t.Logf("%d attempts", r.attempts.Load())
-			g.Expect(r.attempts.Load()).To(gomega.BeNumerically("<=", maxProcessEnds+expectedTrials), "attempts of all")
+			t.Logf("%d attempts", h.attempts.Load())
+			g.Expect(h.attempts.Load()).To(gomega.BeNumerically("<=", maxProcessEnds+expectedTrials), "attempts of all")
 			g.Expect(last.StatusCode).To(gomega.Equal(http.StatusServiceUnavailable))
 			g.Expect(last.outcome()).To(gomega.Equal(wire.NotRun))
 			after, err := strconv.Atoi(last.Header.Get("Retry-After"))
@@ -80,16 +80,16 @@
 
 // A request is not quarantined for one endpoint that ends during it.
 func TestRequestIsRetriedAfterOneProcessEnd(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	for range 2 * maxProcessEnds {
-		r.setScripts(endsProcess(2), func(a scriptedAttempt) { a.complete(4) })
-		expectComplete(t, variants[0], r.stream(variants[0], "", nil), 6)
+		h.setScripts(endsProcess(2), func(a scriptedAttempt) { a.complete(4) })
+		expectComplete(t, variants[0], h.stream(variants[0], "", nil), 6)
 	}
 }
 
 // When one attempt may have run and the next one did not, the request as a whole may have run.
 func TestNotRunIsTrueOfAllAttempts(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	refused := afterTwoTokens[0].next
 	for _, tc := range []struct {
 		name string
@@ -101,14 +101,14 @@
 		{"none ran", []agentScript{refused}, wire.NotRun},
 	} {
 		for kind, ask := range map[string]func() reply{
-			"stream": func() reply { return r.stream(variants[0], "", nil) },
-			"call":   func() reply { return r.send(variants[0], http.MethodGet, r.layout.Path+tc.name[:3], "", "", nil) },
+			"stream": func() reply { return h.stream(variants[0], "", nil) },
+			"call":   func() reply { return h.send(variants[0], http.MethodGet, h.layout.Path+tc.name[:3], "", "", nil) },
 		} {
 			t.Run(kind+", "+tc.name, func(t *testing.T) {
 				g := gomega.NewWithT(t)
-				r.setScripts(tc.list...)
+				h.setScripts(tc.list...)
 				a := ask()
-				g.Expect(int(r.attempts.Load())).To(gomega.BeNumerically(">=", min(len(tc.list), 2)), "attempts")
+				g.Expect(int(h.attempts.Load())).To(gomega.BeNumerically(">=", min(len(tc.list), 2)), "attempts")
 				g.Expect(a.outcome()).To(gomega.Equal(tc.want))
 				if tc.want == wire.Unknown {
 					g.Expect(a.StatusCode).To(gomega.Equal(http.StatusBadGateway))
@@ -123,19 +123,19 @@
 // has callers retry before the backoff ends.
 func TestEntriesSendNothingToEndpointsInBackoff(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newHarness(t)
+	h := newHarness(t)
 	const backoffSeconds = 60 // Seconds.
-	r.setScripts(func(a scriptedAttempt) {
+	h.setScripts(func(a scriptedAttempt) {
 		a.w.Header().Set(wire.HeaderLoad, wire.EncodeLoad(wire.Load{BackoffMS: backoffSeconds * 1000}))
 		a.respond(http.StatusServiceUnavailable, wire.NotRun, `{"outcome":"not-run","status":503,"reason":"rest","retry_after_ms":60000}`)
 	})
 	for range 6 {
-		a := r.send(variants[0], http.MethodPost, "/v1/chat/completions", r.chatBody(false), "", nil)
+		a := h.send(variants[0], http.MethodPost, "/v1/chat/completions", h.chatBody(false), "", nil)
 		g.Expect(a.StatusCode).To(gomega.Equal(http.StatusServiceUnavailable))
 	}
 	const ranks = 3
-	g.Expect(r.attempts.Load()).To(gomega.BeNumerically("<=", ranks), "each endpoint gets one attempt")
-	last := r.send(variants[0], http.MethodPost, "/v1/chat/completions", r.chatBody(false), "", nil)
+	g.Expect(h.attempts.Load()).To(gomega.BeNumerically("<=", ranks), "each endpoint gets one attempt")
+	last := h.send(variants[0], http.MethodPost, "/v1/chat/completions", h.chatBody(false), "", nil)
 	after, err := strconv.Atoi(last.Header.Get("Retry-After"))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(after).To(gomega.BeNumerically(">", backoffSeconds/2))
@@ -143,24 +143,24 @@
 
 // Guards against a panic in the entry that closes the connection during a request.
 func TestPanicIsAnswered(t *testing.T) {
-	r := newHarness(t)
-	r.setScripts(func(a scriptedAttempt) { a.complete(3) })
+	h := newHarness(t)
+	h.setScripts(func(a scriptedAttempt) { a.complete(3) })
 	for _, tc := range []struct {
 		name    string
 		inject  func()
 		outcome wire.Outcome
 	}{
-		{"while it is forwarded", func() { r.clockPanics.Store(true) }, wire.Unknown},
-		{"before it is forwarded", func() { r.entry.limits = nil }, wire.NotRun},
+		{"while it is forwarded", func() { h.clockPanics.Store(true) }, wire.Unknown},
+		{"before it is forwarded", func() { h.entry.limits = nil }, wire.NotRun},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			tc.inject()
-			a := r.send(variants[0], http.MethodPost, "/v1/chat/completions", r.chatBody(false), "", nil)
+			a := h.send(variants[0], http.MethodPost, "/v1/chat/completions", h.chatBody(false), "", nil)
 			g.Expect(a.StatusCode).To(gomega.Equal(http.StatusInternalServerError))
 			g.Expect(a.outcome()).To(gomega.Equal(tc.outcome))
 		})
 	}
-	panics := metrics.GetOrRegisterCounter("process.panics.request", r.entry.node.Metrics())
+	panics := metrics.GetOrRegisterCounter("process.panics.request", h.entry.node.Metrics())
 	gomega.NewWithT(t).Expect(panics.Count()).To(gomega.BeEquivalentTo(2))
 }
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -38,7 +38,7 @@
 	node *node.Node
 
 	mu         sync.Mutex
-	byCustomer map[string]*customerLimit // Without the customers that have no limit.
+	byCustomer map[string]*customerLimit // Customers without a limit have no element.
 }
 
 // allow takes one request from the customer's limit at this entry. When it returns false, the caller may
@@ -49,27 +49,27 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	h := l.get(cfg, c, now)
-	h.share.Count()
-	rate := h.share.Rate(now)
-	h.bucket.Set(rate, max(1, h.burst*rate/c.Rate), now)
-	return h.bucket.Take(now)
+	own := l.get(cfg, c, now)
+	own.share.Count()
+	rate := own.share.Rate(now)
+	own.bucket.Set(rate, max(1, own.burst*rate/c.Rate), now)
+	return own.bucket.Take(now)
 }
 
 // get returns this entry's share of c's limit, updated to the entitlement that is in effect. l.mu must be held.
 func (l *limits) get(cfg *published.Config, c *published.Customer, now time.Time) *customerLimit {
 	entitledRate := c.Rate / float64(l.entryCount(cfg))
-	h, found := l.byCustomer[c.Name]
+	own, found := l.byCustomer[c.Name]
 	if !found {
-		h = &customerLimit{
+		own = &customerLimit{
 			share:  limit.NewShare(entitledRate, now),
 			bucket: limit.NewBucket(entitledRate, max(1, c.Burst*entitledRate/c.Rate), now),
 		}
-		l.byCustomer[c.Name] = h
+		l.byCustomer[c.Name] = own
 	}
-	h.share.Entitle(entitledRate)
-	h.burst = c.Burst
-	return h
+	own.share.Entitle(entitledRate)
+	own.burst = c.Burst
+	return own
 }
 
 // entryCount returns the number of entries among which limits are divided. Without a published number,
@@ -113,8 +113,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	ratesWanted := map[string]float64{}
-	for name, h := range l.byCustomer {
-		if rate := h.share.Want(now); rate > 0 {
+	for name, own := range l.byCustomer {
+		if rate := own.share.Want(now); rate > 0 {
 			ratesWanted[name] = rate
 		}
 	}
@@ -138,8 +138,8 @@
 
 // serveBorrow handles a peer's request to borrow: it lends what this entry does not use.
 func (l *limits) serveBorrow(w http.ResponseWriter, r *http.Request) {
-	var q wire.BorrowRequest
-	if !node.ReadJSON(w, r, &q) {
+	var req wire.BorrowRequest
+	if !node.ReadJSON(w, r, &req) {
 		return
 	}
 	cfg, ok := l.node.Config()
@@ -148,9 +148,9 @@
 		return
 	}
 	reply := wire.BorrowReply{}
-	if c, known := cfg.Customer(q.Customer); known && c.Rate > 0 {
+	if c, known := cfg.Customer(req.Customer); known && c.Rate > 0 {
 		now := clock.Now()
-		duty.Locked(&l.mu, func() { reply.RatePerSecond = l.get(cfg, c, now).share.Lend(q.RatePerSecond, now) })
+		duty.Locked(&l.mu, func() { reply.RatePerSecond = l.get(cfg, c, now).share.Lend(req.RatePerSecond, now) })
 	}
 	httpjson.Reply(w, reply)
 }
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -26,7 +26,7 @@
 	startedAt       int64 // Start of the process that reported load, Unix ms.
 	sentSinceReport int   // This entry's unfinished requests that were sent after the report.
 	blockedUntil    time.Time
-	backoffUntil    time.Time                    // The endpoint requested to get no requests before.
+	backoffUntil    time.Time                    // End of the backoff that the endpoint requested.
 	cancels         map[*context.CancelFunc]bool // Of this entry's unfinished requests.
 }
 
@@ -39,12 +39,12 @@
 func newTracker() *tracker { return &tracker{bySlot: map[string]*endpointState{}} }
 
 func (t *tracker) get(slot string) *endpointState {
-	h, ok := t.bySlot[slot]
+	state, ok := t.bySlot[slot]
 	if !ok {
-		h = &endpointState{cancels: map[*context.CancelFunc]bool{}}
-		t.bySlot[slot] = h
+		state = &endpointState{cancels: map[*context.CancelFunc]bool{}}
+		t.bySlot[slot] = state
 	}
-	return h
+	return state
 }
 
 // beginRequest records a request that is about to be sent to a slot; cancel is called when the process
@@ -52,15 +52,15 @@
 func (t *tracker) beginRequest(slot string, cancel context.CancelFunc) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.get(slot)
-	h.sentSinceReport++
-	h.cancels[&cancel] = true
+	state := t.get(slot)
+	state.sentSinceReport++
+	state.cancels[&cancel] = true
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		delete(h.cancels, &cancel)
-		h.sentSinceReport = max(0, min(h.sentSinceReport, len(h.cancels)))
-		h.load.Running = max(0, h.load.Running-1)
+		delete(state.cancels, &cancel)
+		state.sentSinceReport = max(0, min(state.sentSinceReport, len(state.cancels)))
+		state.load.Running = max(0, state.load.Running-1)
 	}
 }
 
@@ -69,11 +69,11 @@
 func (t *tracker) cancelRequests(m member.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h, ok := t.bySlot[m.Endpoint]
-	if !ok || h.startedAt > m.Life {
+	state, ok := t.bySlot[m.Endpoint]
+	if !ok || state.startedAt > m.Life {
 		return
 	}
-	for cancel := range h.cancels {
+	for cancel := range state.cancels {
 		(*cancel)()
 	}
 }
@@ -83,12 +83,12 @@
 func (t *tracker) report(slot string, l wire.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	h := t.get(slot)
-	h.load = l
-	h.sentSinceReport = 0
-	h.backoffUntil = time.Now().Add(time.Duration(l.BackoffMS) * time.Millisecond)
+	state := t.get(slot)
+	state.load = l
+	state.sentSinceReport = 0
+	state.backoffUntil = time.Now().Add(time.Duration(l.BackoffMS) * time.Millisecond)
 	if l.Stalled {
-		h.blockedUntil = time.Now().Add(blockStalled)
+		state.blockedUntil = time.Now().Add(blockStalled)
 	}
 }
 
@@ -119,19 +119,19 @@
 			if !ok || m.Leaving || avoid[ep.Name] {
 				continue
 			}
-			h := e.tracker.get(ep.Name)
-			if h.startedAt != m.Life && m.Life != 0 {
-				h.startedAt, h.load, h.blockedUntil, h.backoffUntil = m.Life, wire.Load{}, time.Time{}, time.Time{} // The state of an earlier process does not apply.
+			state := e.tracker.get(ep.Name)
+			if state.startedAt != m.Life && m.Life != 0 {
+				state.startedAt, state.load, state.blockedUntil, state.backoffUntil = m.Life, wire.Load{}, time.Time{}, time.Time{} // The state of an earlier process does not apply.
 			}
-			if now.Before(h.blockedUntil) || now.Before(h.backoffUntil) || h.load.Leaving {
+			if now.Before(state.blockedUntil) || now.Before(state.backoffUntil) || state.load.Leaving {
 				continue
 			}
 			list = append(list, candidate{
 				member: m,
 				Candidate: route.Candidate{
 					Endpoint: ep.Name, Group: s.Name, Local: m.Domain == e.node.Settings().Domain,
-					Running: h.load.Running, Queued: h.load.Queued, Limit: h.load.ConcurrencyLimit,
-					StepMS: h.load.MeanStepMS, Sent: h.sentSinceReport, Stalled: h.load.Stalled,
+					Running: state.load.Running, Queued: state.load.Queued, Limit: state.load.ConcurrencyLimit,
+					StepMS: state.load.MeanStepMS, Sent: state.sentSinceReport, Stalled: state.load.Stalled,
 				},
 			})
 		}
