--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -77,15 +77,15 @@
 		service: service,
 		queue: admit.New(admit.Config{
 			Capacity: set.Queue, MinLimit: set.MinLimit, MaxLimit: set.MaxLimit,
-			StepTarget: target, AgePerStep: agePerStep,
+			StepTarget: target, AgingInterval: agePerStep,
 		}),
 		ids: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: idWindow, Capacity: idCapacity,
-			SentOnce: true,
+			NeverResent: true,
 		}),
 		keys: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyWindow,
-			Capacity: set.Keys, AnswerBytes: answerBytes,
+			Capacity: set.Keys, MaxAnswerBytes: answerBytes,
 		}),
 		waiting: map[string]chan ticket{},
 		moved:   n.Started(),
@@ -166,7 +166,7 @@
 	if r.Reason == admit.ReasonDeadline {
 		status = http.StatusGatewayTimeout
 	}
-	return wire.Refuse(status, r.After, string(r.Reason))
+	return wire.Refuse(status, r.RetryAfter, string(r.Reason))
 }
 
 // observe reads the engine's report and notices when its group stands still.
@@ -185,7 +185,7 @@
 		if err == nil && s.Step != a.step {
 			a.step, a.moved = s.Step, now
 			step := time.Duration(s.StepMS * float64(time.Millisecond))
-			a.tell(a.queue.Observe(step, now))
+			a.tell(a.queue.ObserveStep(step, now))
 		}
 		was := a.stalled
 		a.stalled = now.Sub(a.moved) >= a.node.Settings().StallAfter
@@ -212,7 +212,7 @@
 		Running:          a.queue.Running(),
 		Queued:           a.queue.Waiting(),
 		ConcurrencyLimit: a.queue.Limit(),
-		MeanStepMS:       float64(a.queue.Step()) / float64(time.Millisecond),
+		MeanStepMS:       float64(a.queue.StepTime()) / float64(time.Millisecond),
 		StepNumber:       a.step,
 		Stalled:          a.stalled,
 		BackoffMS:        a.restLeft().Milliseconds(),
@@ -221,7 +221,7 @@
 }
 
 // endpoint names the agent's endpoint, whose lives it does not tell apart.
-func (a *Agent) endpoint() backoff.Life { return backoff.Life{Name: a.node.Settings().Endpoint} }
+func (a *Agent) endpoint() backoff.Process { return backoff.Process{Name: a.node.Settings().Endpoint} }
 
 // rest takes in that the endpoint wants nothing for a while.
 func (a *Agent) rest(d time.Duration) {
@@ -229,7 +229,7 @@
 		return
 	}
 	var news bool
-	duty.Locked(&a.mu, func() { news = a.rests.Rest(a.endpoint(), d, clock.Now()) })
+	duty.Locked(&a.mu, func() { news = a.rests.Backoff(a.endpoint(), d, clock.Now()) })
 	if news {
 		a.count("endpoint.rests")
 		a.node.Log().Info("endpoint asks for rest", zap.Duration("for", d))
@@ -238,7 +238,7 @@
 
 // restLeft returns how much is left of the endpoint's rest. The caller holds mu.
 func (a *Agent) restLeft() time.Duration {
-	left, _ := a.rests.Resting(a.endpoint(), clock.Now())
+	left, _ := a.rests.BackingOff(a.endpoint(), clock.Now())
 	return left
 }
 
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -116,7 +116,7 @@
 	version, ok := m.drive(ctx, s, plan.Map)
 	if ok {
 		m.maps = map[uint64]rebalance.Map{version: plan.Map}
-		m.planner.Switched()
+		m.planner.MapSwitched()
 		m.agent.node.Trail().Add(audit.MapSwitch, s.Name,
 			fmt.Sprintf("version %d decided: %d experts moved, %.1f%% of the step time expected", version, plan.Transfers, 100*plan.Gain))
 	}
@@ -163,7 +163,7 @@
 }
 
 // askOwn reads the state of the agent's own rank, without a new promise.
-func (m *mapper) askOwn(ctx context.Context) (r mapswitch.Rank, ok bool) {
+func (m *mapper) askOwn(ctx context.Context) (r mapswitch.RankState, ok bool) {
 	reply, err := m.agent.engine.Order(ctx, adapter.MapOrder{Order: mapswitch.Order{Kind: mapswitch.Ask}})
 	if err != nil {
 		return r, false
@@ -211,9 +211,9 @@
 // complete sends a coordinator's orders until it is over or ctx ends.
 func (m *mapper) complete(ctx context.Context, s *published.Service, c mapswitch.Coordinator, next rebalance.Map) mapswitch.Coordinator {
 	started := time.Now()
-	for !c.Over() && ctx.Err() == nil {
+	for !c.Ended() && ctx.Err() == nil {
 		if time.Since(started) > undecidedLimit {
-			if next, aborts, ok := c.GiveUp(); ok {
+			if next, aborts, ok := c.AbortSwitch(); ok {
 				m.send(ctx, s, aborts, nil) // A rank that misses it is freed by the next ballot.
 				return next
 			}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -257,10 +257,10 @@
 // as it was.
 func refusalOfKey(v once.Verdict, answer *once.Answer) *wire.Refusal {
 	switch v {
-	case once.Repeat:
+	case once.Replay:
 		return &wire.Refusal{Outcome: wire.Done, Status: answer.Status, Reason: "answer of the first run",
 			Replay: &wire.Replay{ContentType: answer.Type, Body: answer.Body}}
-	case once.Busy:
+	case once.InProgress:
 		r := wire.Doubt(http.StatusConflict, "a request with this key is running")
 		r.RetryAfterMS = time.Second.Milliseconds()
 		return r
@@ -342,11 +342,11 @@
 		a.ids.Deny(j.name)
 		a.keys.Release(j.key)
 	case stateDone:
-		a.ids.Lose(j.name)
-		a.keys.Lose(j.key) // Unless its answer was kept.
+		a.ids.SetOutcomeUnknown(j.name)
+		a.keys.SetOutcomeUnknown(j.key) // Unless its answer was kept.
 	case stateUnknown:
-		a.ids.Lose(j.name)
-		a.keys.Lose(j.key)
+		a.ids.SetOutcomeUnknown(j.name)
+		a.keys.SetOutcomeUnknown(j.key)
 	}
 }
 
--- a/internal/callerconn/callerconn.go
+++ b/internal/callerconn/callerconn.go
@@ -25,8 +25,8 @@
 	lingerDefault = -1 // Closing sends what is left and ends the connection in order.
 )
 
-// Context is for http.Server.ConnContext: requests that come over c can use Arm.
-func Context(ctx context.Context, c net.Conn) context.Context {
+// WithConn is for http.Server.ConnContext: requests that come over c can use Arm.
+func WithConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
--- a/internal/callerconn/callerconn_test.go
+++ b/internal/callerconn/callerconn_test.go
@@ -67,18 +67,18 @@
 func TestEndsOfAnAnswerWithoutALength(t *testing.T) {
 	abort := func(*httptest.Server, func()) { panic(http.ErrAbortHandler) }
 	t.Run("whole", func(t *testing.T) {
-		err := serve(t, Context, func(_ *httptest.Server, disarm func()) { disarm() })
+		err := serve(t, WithConn, func(_ *httptest.Server, disarm func()) { disarm() })
 		NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	})
 	t.Run("broken off", func(t *testing.T) {
-		NewWithT(t).Expect(serve(t, Context, abort)).To(MatchError(syscall.ECONNRESET))
+		NewWithT(t).Expect(serve(t, WithConn, abort)).To(MatchError(syscall.ECONNRESET))
 	})
 	t.Run("handler returns without disarming", func(t *testing.T) {
-		err := serve(t, Context, func(*httptest.Server, func()) {})
+		err := serve(t, WithConn, func(*httptest.Server, func()) {})
 		NewWithT(t).Expect(err).To(MatchError(syscall.ECONNRESET))
 	})
 	t.Run("server is closed", func(t *testing.T) {
-		err := serve(t, Context, func(srv *httptest.Server, _ func()) { _ = srv.Config.Close() })
+		err := serve(t, WithConn, func(srv *httptest.Server, _ func()) { _ = srv.Config.Close() })
 		NewWithT(t).Expect(err).To(MatchError(syscall.ECONNRESET))
 	})
 	t.Run("broken off without the hook looks whole", func(t *testing.T) {
--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var serving, calling errgroup.Group
-	serving.Go(func() error { return serveOn(ctx, p.callersServer(gw), gw.Callers().Listener(l)) })
+	serving.Go(func() error { return serveOn(ctx, p.callersServer(gw), gw.CallerConns().Listener(l)) })
 
 	gw.Stop()
 	stop := make(chan struct{})
@@ -126,7 +126,7 @@
 	all := make(chan struct{}) // Closed once all are connected.
 	p.drain(ctx, stop, func() (requests, connections int) {
 		if came {
-			return gw.Busy(), gw.Callers().Open()
+			return gw.InFlight(), gw.CallerConns().OpenConns()
 		}
 		if time.Since(began) <= stopLinger+2*idlePoll {
 			return 0, 1 // One that is open until then.
@@ -139,10 +139,10 @@
 			g.Expect(err).NotTo(HaveOccurred())
 			calling.Go(func() error { <-all; return askOver(c) })
 		}
-		g.Eventually(gw.Callers().Open, patience).Should(Equal(callers))
+		g.Eventually(gw.CallerConns().OpenConns, patience).Should(Equal(callers))
 		close(all)
 		return 0, 0 // As seen before they came.
-	}, gw.Callers())
+	}, gw.CallerConns())
 	cancel()
 	g.Expect(calling.Wait()).To(Succeed())
 	g.Expect(serving.Wait()).To(Succeed())
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -116,7 +116,7 @@
 func (p *fleetProcess) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: gateway.HeaderTime,
+		ReadHeaderTimeout: gateway.CallerHeaderTimeout,
 		ReadTimeout:       callTime,
 		WriteTimeout:      callTime,
 		IdleTimeout:       peers.ServerIdleTimeout,
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -50,15 +50,15 @@
 	defer closeStore()
 	view := follow.NewView()
 	g, closeGateway := gateway.New(gateway.Config{
-		Domain:      p.set.Domain,
-		Source:      p.set.Source,
-		Memory:      int64(p.set.MemoryLimit * (1 << 20)),
-		KeyAge:      p.set.Revocation - keyMargin,
-		RetryShare:  p.set.RetryShare,
-		RetryWindow: p.set.RetryWindow,
-		RetrySpare:  p.set.RetrySpare,
-		EndSettle:   endSettle,
-		GracePeriod: p.set.Grace - stopMargin - stopSettle,
+		Domain:        p.set.Domain,
+		SourceAddress: p.set.Source,
+		MemoryBytes:   int64(p.set.MemoryLimit * (1 << 20)),
+		MaxKeyAge:     p.set.Revocation - keyMargin,
+		RetryShare:    p.set.RetryShare,
+		RetryWindow:   p.set.RetryWindow,
+		RetryFloor:    p.set.RetrySpare,
+		EndCheckDelay: endSettle,
+		GracePeriod:   p.set.Grace - stopMargin - stopSettle,
 
 		PropagationDelay: 2 * p.set.InForce, // A version is in force from before its acknowledgement.
 	}, platformCodec(), view, p.log, p.reg)
@@ -77,13 +77,13 @@
 		return err
 	}
 	defer closePeers()
-	neighbours, closeNeighbours := gateway.NewNeighbours(gateway.NeighboursConfig{
+	neighbours, closeNeighbours := gateway.NewPeerExchange(gateway.PeerExchangeConfig{
 		Name:         p.set.Name,
 		Domain:       p.set.Domain,
 		Address:      p.set.Peers,
 		Seeds:        p.set.Seeds,
-		InForce:      p.set.InForce,
-		First:        p.set.First,
+		EffectTime:   p.set.InForce,
+		FirstStart:   p.set.First,
 		SidecarsPort: p.set.PeersPort,
 		Decode:       platform.DecodeConfig,
 	}, g, socket, p.log)
@@ -103,8 +103,8 @@
 	duties := duty.New(ctx, p.log, p.reg, p.failed)
 	duties.Go("signals", func(ctx context.Context) error { return p.signals(ctx, stopAsPlanned, cancel) })
 	follower := follow.NewFollower(view, store.Source(), p.set.InForce, p.log)
-	follower.ListenTo(neighbours.Follow())
-	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.Changed) })
+	follower.UsePeers(neighbours.PeerSource())
+	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.ViewChanged) })
 	duties.Go("housekeeping", g.Run)
 	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, neighbours.Receive) })
 	duties.Go("neighbours", neighbours.Run)
@@ -117,7 +117,7 @@
 	})
 	p.serveMetrics(duties)
 	duties.Go("stop", func(ctx context.Context) error {
-		p.drain(ctx, stop, func() (requests, connections int) { return g.Busy(), g.Callers().Open() }, g.Callers())
+		p.drain(ctx, stop, func() (requests, connections int) { return g.InFlight(), g.CallerConns().OpenConns() }, g.CallerConns())
 		cancel()
 		return nil
 	})
@@ -132,9 +132,9 @@
 // serveCallersUntil is serveCallers with a bound on what is answered after ctx.
 func (p *fleetProcess) serveCallersUntil(ctx context.Context, g *gateway.Gateway, l net.Listener, atMost time.Duration) error {
 	srv := p.callersServer(g)
-	l = g.Callers().Listener(l)
+	l = g.CallerConns().Listener(l)
 	if p.mostCallers > 0 {
-		l = newBounded(l, p.mostCallers, g.Callers().Open, p.log)
+		l = newBounded(l, p.mostCallers, g.CallerConns().OpenConns, p.log)
 	}
 	// Apart: after a fault in one of them the other goes on until ctx ends.
 	duties := duty.New(ctx, p.log, p.reg, p.failed)
@@ -150,27 +150,27 @@
 // endCallers ends the connections of callers. Requests are refused before anything is closed:
 // Server.Shutdown would close connections as idle on which a request is just being read.
 func (p *fleetProcess) endCallers(g *gateway.Gateway, srv *http.Server, atMost time.Duration) {
-	g.End()
-	if err := g.Callers().CloseListeners(time.Now()); err != nil {
+	g.Terminate()
+	if err := g.CallerConns().CloseListeners(time.Now()); err != nil {
 		p.log.Warn("listener not closed", zap.String("error", err.Error()))
 	}
 	last, cancel := context.WithTimeout(context.Background(), atMost)
 	defer cancel()
-	poll(last, g.Callers().Drained)
-	if requests, connections := g.Busy(), g.Callers().Open(); requests+connections > 0 {
+	poll(last, g.CallerConns().Drained)
+	if requests, connections := g.InFlight(), g.CallerConns().OpenConns(); requests+connections > 0 {
 		p.log.Warn("connections ended with the process", zap.Int("requests", requests), zap.Int("connections", connections))
 	}
-	g.Callers().End()
+	g.CallerConns().MarkProcessEnding()
 	_ = srv.Close() // Its error is that of the listener, which is closed already.
 }
 
 // callersServer returns the server that takes callers.
 func (p *fleetProcess) callersServer(g *gateway.Gateway) *http.Server {
 	srv := p.httpServer(g.Handler())
-	srv.ReadTimeout, srv.IdleTimeout = 0, 0 // Streams last; the gateway bounds the rest.
-	srv.WriteTimeout = gateway.UnreadTime   // Of what the server says itself; the gateway sets its own.
-	srv.ConnContext = callerconn.Context    // Without it a stream cut short looks whole to HTTP/1.0.
-	g.Callers().Attach(srv)
+	srv.ReadTimeout, srv.IdleTimeout = 0, 0       // Streams last; the gateway bounds the rest.
+	srv.WriteTimeout = gateway.CallerWriteTimeout // Of what the server says itself; the gateway sets its own.
+	srv.ConnContext = callerconn.WithConn         // Without it a stream cut short looks whole to HTTP/1.0.
+	g.CallerConns().Attach(srv)
 	return srv
 }
 
@@ -216,7 +216,7 @@
 		EndpointHeader: platform.EndpointHeader,
 		CallerHeader:   platform.CallerHeader,
 		ReadAnswer:     platform.ReadAnswer,
-		MarkAnswer:     platform.MarkAnswer,
-		EventWeights:   platform.EventWeights,
+		MarkAnswer:     platform.SetAttemptID,
+		EventWeights:   platform.EventWeightsVersion,
 	}
 }
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -149,7 +149,7 @@
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          one.log,
 		BaseContext:       func(net.Listener) context.Context { return ctx },
-		ConnContext:       callerconn.Context,
+		ConnContext:       callerconn.WithConn,
 		Protocols:         &http.Protocols{},
 	}
 	srv.Protocols.SetHTTP1(true) // When a connection rests is known of HTTP/1 only.
@@ -206,7 +206,7 @@
 // open returns the number of open connections.
 func (d *Daemon) open() (n int) {
 	for _, one := range d.listeners {
-		n += one.conns.Open()
+		n += one.conns.OpenConns()
 	}
 	return n
 }
--- a/internal/daemon/listener_test.go
+++ b/internal/daemon/listener_test.go
@@ -153,7 +153,7 @@
 				g.Expect(k.c.Close()).To(Succeed())
 			}
 			g.Eventually(func() int64 { // One that is left at once still counts as answered.
-				return closed(d, keepalive.Left) + closed(d, keepalive.Answered)
+				return closed(d, keepalive.CallerClosed) + closed(d, keepalive.Answered)
 			}, patience).Should(BeEquivalentTo(10))
 			g.Expect(closed(d, keepalive.ProcessEnd)).To(BeZero())
 		})
--- a/internal/daemon/process_end_test.go
+++ b/internal/daemon/process_end_test.go
@@ -144,7 +144,7 @@
 	g.Expect(status).To(Equal(http.StatusOK))
 	cancel()
 	g.Expect(duties.Wait()).To(MatchError(ContainSubstring("1 panics")))
-	g.Expect(gw.Callers().Open()).To(BeZero(), "the end of its connections was awaited")
+	g.Expect(gw.CallerConns().OpenConns()).To(BeZero(), "the end of its connections was awaited")
 }
 
 // Guards against a fault of one listener that ends the process under the requests of the others.
@@ -219,7 +219,7 @@
 	defer cancel()
 	var serving errgroup.Group
 	serving.Go(func() error { return p.serveCallers(ctx, gw, l) })
-	g.Eventually(gw.Callers().Open, patience).Should(BeNumerically(">=", most))
+	g.Eventually(gw.CallerConns().OpenConns, patience).Should(BeNumerically(">=", most))
 	for _, c := range conns[:most] {
 		status, _, err := ask(c, bufio.NewReader(c), "/")
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -73,7 +73,7 @@
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	srv := p.callersServer(gw)
-	tracked := &acceptLog{Listener: gw.Callers().Listener(l)}
+	tracked := &acceptLog{Listener: gw.CallerConns().Listener(l)}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var group errgroup.Group
@@ -84,9 +84,9 @@
 	stop := make(chan struct{})
 	gw.Stop()
 	close(stop)
-	p.drain(ctx, stop, func() (requests, connections int) { return gw.Busy(), gw.Callers().Open() }, gw.Callers())
+	p.drain(ctx, stop, func() (requests, connections int) { return gw.InFlight(), gw.CallerConns().OpenConns() }, gw.CallerConns())
 	g.Expect(logs.FilterMessage("stopped with connections open").All()).To(BeEmpty())
-	g.Expect(gw.Callers().Drained()).To(BeTrue())
+	g.Expect(gw.CallerConns().Drained()).To(BeTrue())
 	cancel()
 	g.Expect(group.Wait()).To(Succeed())
 }
@@ -122,7 +122,7 @@
 	close(end)
 	_, err = io.Copy(io.Discard, resp.Body)
 	g.Expect(err).NotTo(HaveOccurred())
-	p.drain(ctx, stop, func() (requests, connections int) { return 0, callers.Open() }, callers)
+	p.drain(ctx, stop, func() (requests, connections int) { return 0, callers.OpenConns() }, callers)
 	g.Expect(logs.FilterMessage("stopped with connections open").All()).To(BeEmpty())
 	g.Expect(callers.Drained()).To(BeTrue())
 	cancel()
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -165,7 +165,7 @@
 	base, end := context.WithCancel(context.Background())
 	h.cancelBase = end
 	h.callers.Config.BaseContext = func(net.Listener) context.Context { return base }
-	h.callers.Config.ConnContext = callerconn.Context
+	h.callers.Config.ConnContext = callerconn.WithConn
 	h.callers.Start()
 	t.Cleanup(func() {
 		end()
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -110,9 +110,9 @@
 	mayHaveRun bool   // At least one attempt may have run at an endpoint.
 
 	cachedKey    quarantine.Key
-	keyComputed  bool               // cachedKey is valid.
-	sendingState quarantine.Sending // What was known of the request when its last attempt was sent.
-	onTrial      bool               // Sent to find out whether it still ends endpoints' processes.
+	keyComputed  bool                 // cachedKey is valid.
+	sendingState quarantine.Knowledge // What was known of the request when its last attempt was sent.
+	onTrial      bool                 // Sent to find out whether it still ends endpoints' processes.
 }
 
 // serve wraps a handler with what all requests have in common: the request id, admission,
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -156,7 +156,7 @@
 		input.Reason = refusal.Reason
 		ok, err := req.policy.Programs.Retry(input)
 		e.auditPolicyError(req, err)
-		a.Allowed = ok
+		a.PolicyAllows = ok
 	}
 	delay, ok := e.mayRetry(req, service, a)
 	return ok && wait.For(req.r.Context(), delay)
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -34,12 +34,12 @@
 	verdict, retryAfter := suspects.Judge(req.quarantineKey, now)
 	switch {
 	case verdict == quarantine.Free, verdict == quarantine.Trial && req.onTrial:
-		req.sendingState = suspects.Sending(req.quarantineKey, now)
+		req.sendingState = suspects.SendingState(req.quarantineKey, now)
 		if req.onTrial {
 			req.sendingState = quarantine.OnTrial
 		}
 		return nil
-	case verdict == quarantine.Trial && e.ownsTrial(req.quarantineKey()) && suspects.Begin(req.quarantineKey(), now, now.Add(maxTrialTime)):
+	case verdict == quarantine.Trial && e.ownsTrial(req.quarantineKey()) && suspects.BeginTrial(req.quarantineKey(), now, now.Add(maxTrialTime)):
 		req.onTrial, req.sendingState = true, quarantine.OnTrial
 		return nil
 	case verdict == quarantine.Trial:
@@ -68,12 +68,12 @@
 		return
 	}
 	e.count("endpoints.ended-under-attempt")
-	e.node.Suspects().Ended(req.quarantineKey(), refusal.Ended.Incarnation, req.sendingState, e.now())
+	e.node.Suspects().RecordEnd(req.quarantineKey(), refusal.Ended.Incarnation, req.sendingState, e.now())
 	refusal.Ended = nil // Internal: not part of the answer to the caller.
 }
 
 // recordSuccess records that an endpoint ran the request and its process is still alive.
-func (e *Entry) recordSuccess(req *request) { e.node.Suspects().Sound(req.quarantineKey) }
+func (e *Entry) recordSuccess(req *request) { e.node.Suspects().RecordSuccess(req.quarantineKey) }
 
 // endTrial ends the trial of a request when it gave no result.
 func (e *Entry) endTrial(req *request) {
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -50,9 +50,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	own := l.get(cfg, c, now)
-	own.share.Count()
+	own.share.CountRequest()
 	rate := own.share.Rate(now)
-	own.bucket.Set(rate, max(1, own.burst*rate/c.Rate), now)
+	own.bucket.SetRate(rate, max(1, own.burst*rate/c.Rate), now)
 	return own.bucket.Take(now)
 }
 
@@ -67,7 +67,7 @@
 		}
 		l.byCustomer[c.Name] = own
 	}
-	own.share.Entitle(entitledRate)
+	own.share.SetEntitlement(entitledRate)
 	own.burst = c.Burst
 	return own
 }
@@ -114,7 +114,7 @@
 	defer l.mu.Unlock()
 	ratesWanted := map[string]float64{}
 	for name, own := range l.byCustomer {
-		if rate := own.share.Want(now); rate > 0 {
+		if rate := own.share.Shortfall(now); rate > 0 {
 			ratesWanted[name] = rate
 		}
 	}
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -26,7 +26,7 @@
 	for _, one := range list {
 		routeCandidates = append(routeCandidates, one.Candidate)
 	}
-	i := route.Pick(routeCandidates, route.Want{Prefix: prefix, Random: rand.Uint64()})
+	i := route.Pick(routeCandidates, route.Request{Prefix: prefix, Random: rand.Uint64()})
 	if i < 0 {
 		return c, false
 	}
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -70,7 +70,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, ok := t.bySlot[m.Endpoint]
-	if !ok || state.startedAt > m.Life {
+	if !ok || state.startedAt > m.StartedAt {
 		return
 	}
 	for cancel := range state.cancels {
@@ -120,8 +120,8 @@
 				continue
 			}
 			state := e.tracker.get(ep.Name)
-			if state.startedAt != m.Life && m.Life != 0 {
-				state.startedAt, state.load, state.blockedUntil, state.backoffUntil = m.Life, wire.Load{}, time.Time{}, time.Time{} // The state of an earlier process does not apply.
+			if state.startedAt != m.StartedAt && m.StartedAt != 0 {
+				state.startedAt, state.load, state.blockedUntil, state.backoffUntil = m.StartedAt, wire.Load{}, time.Time{}, time.Time{} // The state of an earlier process does not apply.
 			}
 			if now.Before(state.blockedUntil) || now.Before(state.backoffUntil) || state.load.Leaving {
 				continue
@@ -129,9 +129,9 @@
 			list = append(list, candidate{
 				member: m,
 				Candidate: route.Candidate{
-					Endpoint: ep.Name, Group: s.Name, Local: m.Domain == e.node.Settings().Domain,
+					Endpoint: ep.Name, Group: s.Name, SameDomain: m.Domain == e.node.Settings().Domain,
 					Running: state.load.Running, Queued: state.load.Queued, Limit: state.load.ConcurrencyLimit,
-					StepMS: state.load.MeanStepMS, Sent: state.sentSinceReport, Stalled: state.load.Stalled,
+					StepMS: state.load.MeanStepMS, InFlight: state.sentSinceReport, Stalled: state.load.Stalled,
 				},
 			})
 		}
--- a/internal/follow/evacuation_test.go
+++ b/internal/follow/evacuation_test.go
@@ -61,8 +61,8 @@
 
 // hear has one view told all that is new in another one since a number.
 func hear(v, from *View, after uint64) (number uint64) {
-	told := from.Tell(after)
-	v.Hear(told, day)
+	told := from.UpdateSince(after)
+	v.ApplyUpdate(told, day)
 	return told.Number
 }
 
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -68,14 +68,14 @@
 	startGatherTime = 200 * time.Millisecond
 )
 
-// Listener lets a process follow by another one's word, so that few read the
+// PeerSource lets a process follow by another one's word, so that few read the
 // source.
-type Listener struct {
-	// Reads reports whether this process is one of the few; able tells whether
+type PeerSource struct {
+	// ReadsSource reports whether this process is one of the few; able tells whether
 	// the source answers it.
-	Reads func(able bool) bool
-	// Listen waits for news from one of the few and takes it into the view.
-	Listen func(ctx context.Context) error
+	ReadsSource func(able bool) bool
+	// Fetch waits for news from one of the few and takes it into the view.
+	Fetch func(ctx context.Context) error
 	// Turn is this process's place, from 0 up to 1, among those that listen: where
 	// what all hear is too old, they read the source one after the other.
 	Turn func() float64
@@ -100,7 +100,7 @@
 	back   time.Time // End of the last outage.
 
 	reported map[string]uint64 // Revisions of bad entries that were logged, by name.
-	listener *Listener         // Nil where every process reads the source.
+	listener *PeerSource       // Nil where every process reads the source.
 	ownUntil time.Time         // Until then it reads the source itself.
 	oldSince time.Time         // When what it hears was first too old; zero while it is not.
 	ownAfter time.Time         // Until then it goes on listening, though what it hears is old.
@@ -113,9 +113,9 @@
 	return &Follower{view: view, source: source, inForce: inForce, log: log, now: clock.Now, reported: map[string]uint64{}}
 }
 
-// ListenTo makes the follower listen to others where it is not one of the few
+// UsePeers makes the follower listen to others where it is not one of the few
 // that read the source. It is called before Run.
-func (f *Follower) ListenTo(l Listener) { f.listener = &l }
+func (f *Follower) UsePeers(l PeerSource) { f.listener = &l }
 
 // listens reports whether another process's word is to be followed now.
 func (f *Follower) listens() bool {
@@ -123,17 +123,17 @@
 	if f.listener == nil || now.Before(f.ownUntil) {
 		return false
 	}
-	return !f.listener.Reads(f.blind.IsZero() || now.Sub(f.blind) > blindTime)
+	return !f.listener.ReadsSource(f.blind.IsZero() || now.Sub(f.blind) > blindTime)
 }
 
 // listen follows another process's word once; it reports whether that was new
 // enough to go on so.
 func (f *Follower) listen(ctx context.Context) bool {
 	call, cancel := f.untilTurn(ctx)
-	err := f.listener.Listen(call)
+	err := f.listener.Fetch(call)
 	cancel()
 	now := f.now()
-	age := f.view.CheckAge(now)
+	age := f.view.ConfirmedAge(now)
 	if ctx.Err() != nil || err == nil && age < listenAge {
 		f.heard, f.oldSince = now.Add(-age), time.Time{}
 		return true
@@ -204,14 +204,14 @@
 			wait.For(ctx, f.gather())
 			continue
 		}
-		if errors.Is(err, ErrForgotten) {
+		if errors.Is(err, ErrCompacted) {
 			f.log.Info("history forgotten", zap.Uint64("after", f.view.revision()))
 			whole = true
 			wait.For(ctx, f.gatherAfter(true)) // There are news, only not in this answer.
 			continue
 		}
 		f.lose(err)
-		if f.listener != nil && !f.listener.Reads(false) {
+		if f.listener != nil && !f.listener.ReadsSource(false) {
 			f.ownUntil, f.ownAfter = time.Time{}, f.now().Add(ownPause)
 		}
 		wait.For(ctx, min(firstPause<<min(f.failed, 8), longestPause))
@@ -249,7 +249,7 @@
 	if err != nil {
 		return err
 	}
-	f.report(snap.Bad)
+	f.report(snap.Invalid)
 	f.noteOutage()
 	f.view.Replace(snap, asked, f.holding())
 	s := f.view.State()
@@ -270,11 +270,11 @@
 	if err != nil {
 		return err
 	}
-	f.report(ch.Bad)
+	f.report(ch.Invalid)
 	f.noteOutage()
 	removed := f.view.Apply(ch, asked, f.holding())
 	if !f.holding() {
-		removed = append(removed, f.view.Drop(f.now().Add(-lapseTime))...)
+		removed = append(removed, f.view.DropMissing(f.now().Add(-lapseTime))...)
 	}
 	f.logChanges(before, ch, removed)
 	return nil
@@ -297,7 +297,7 @@
 // is logged once.
 const maxReported = 1024
 
-func (f *Follower) report(bad []BadEntry) {
+func (f *Follower) report(bad []InvalidEntry) {
 	for _, b := range bad {
 		if revision, ok := f.reported[b.Name]; ok && revision == b.Revision {
 			continue
--- a/internal/follow/life_test.go
+++ b/internal/follow/life_test.go
@@ -43,10 +43,10 @@
 		v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1), false)
 	}},
 	{"neighbour's word", func(v *View, e fleet.Endpoint) {
-		v.Hear(Told{Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1))
+		v.ApplyUpdate(Update{Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1))
 	}},
 	{"neighbour's whole word", func(v *View, e fleet.Endpoint) {
-		v.Hear(Told{Whole: true, Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1))
+		v.ApplyUpdate(Update{Whole: true, Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1))
 	}},
 	{"loan", func(v *View, e fleet.Endpoint) { v.Merge(Changes{Endpoints: []fleet.Endpoint{e}}) }},
 }
@@ -78,7 +78,7 @@
 
 func TestLeavingIsKeptWithinALifeOverALapse(t *testing.T) {
 	checkWays(t, life(5, 2, true), life(5, 4, false), life(5, 4, true), func(g *WithT, v *View) {
-		v.Apply(Changes{Gone: []Gone{{"a", 3}}, At: 3}, at(0), false)
+		v.Apply(Changes{Removals: []Removal{{"a", 3}}, At: 3}, at(0), false)
 		g.Expect(v.State().Endpoints).To(BeEmpty())
 	})
 }
@@ -101,25 +101,25 @@
 	g := NewWithT(t)
 	teller, listener := NewView(), NewView()
 	teller.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{life(5, 2, true)}, At: 2}, at(0), false)
-	first := teller.Tell(0)
+	first := teller.UpdateSince(0)
 	listener.Offer(version(1), 1)
-	listener.Hear(first, at(0))
+	listener.ApplyUpdate(first, at(0))
 	teller.Apply(Changes{Endpoints: []fleet.Endpoint{life(7, 3, false)}, At: 3}, at(1), false)
-	listener.Hear(teller.Tell(first.Number), at(1))
+	listener.ApplyUpdate(teller.UpdateSince(first.Number), at(1))
 	expectOnly(g, listener, life(7, 3, false))
 }
 
 // An entry that another writer laid over an endpoint's names nothing to use; the
 // endpoint's own next one does, and whether it leaves is not forgotten meanwhile.
 func TestABadEntryHoldsUntilTheNext(t *testing.T) {
-	bad := BadEntry{Name: "a", Revision: 3, Err: errors.New("state: missing")}
+	bad := InvalidEntry{Name: "a", Revision: 3, Err: errors.New("state: missing")}
 	for _, tc := range []struct {
 		name string
 		take func(v *View)
 	}{
-		{"change", func(v *View) { v.Apply(Changes{Bad: []BadEntry{bad}, At: 3}, at(1), false) }},
+		{"change", func(v *View) { v.Apply(Changes{Invalid: []InvalidEntry{bad}, At: 3}, at(1), false) }},
 		{"snapshot", func(v *View) {
-			v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("b", 2)}, Bad: []BadEntry{bad}, At: 3}, at(1), false)
+			v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("b", 2)}, Invalid: []InvalidEntry{bad}, At: 3}, at(1), false)
 		}},
 	} {
 		for _, leaving := range []bool{false, true} {
@@ -157,8 +157,8 @@
 	core, logs := observer.New(zap.WarnLevel)
 	f := NewFollower(NewView(), Source{}, time.Second, zap.New(core))
 	f.now = func() time.Time { return at(0) }
-	bad := func(revision uint64) []BadEntry {
-		return []BadEntry{{Name: "a", Revision: revision, Err: errors.New("state: missing")}}
+	bad := func(revision uint64) []InvalidEntry {
+		return []InvalidEntry{{Name: "a", Revision: revision, Err: errors.New("state: missing")}}
 	}
 	f.report(bad(3))
 	f.report(bad(3))
--- a/internal/follow/told.go
+++ b/internal/follow/told.go
@@ -25,7 +25,7 @@
 
 type removal struct {
 	number uint64
-	gone   Gone
+	gone   Removal
 }
 
 func newChangeLog() changeLog { return changeLog{changed: map[string]uint64{}} }
@@ -45,7 +45,7 @@
 	for id, e := range old.Endpoints {
 		if _, ok := next.Endpoints[id]; !ok {
 			delete(l.changed, id)
-			l.removed = append(l.removed, removal{number, Gone{Name: e.Name(), Revision: e.Revision}})
+			l.removed = append(l.removed, removal{number, Removal{Name: e.Name(), Revision: e.Revision}})
 			l.number = number
 		}
 	}
@@ -58,25 +58,25 @@
 	}
 }
 
-// Told is what one process tells another one of its view.
-type Told struct {
+// Update is what one process tells another one of its view.
+type Update struct {
 	Number    uint64           `json:"number"` // To be named in the next question.
 	Whole     bool             `json:"whole"`  // Endpoints is all there are.
 	At        uint64           `json:"at"`     // Revision up to which it holds.
 	Endpoints []fleet.Endpoint `json:"endpoints,omitempty"`
 	Missing   []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have lapsed.
-	Gone      []Gone           `json:"gone,omitempty"`
+	Removals  []Removal        `json:"gone,omitempty"`
 	// Evacuations is the newest word on each domain, nil when no word is new.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 }
 
-// Tell returns what has changed after a number that Tell gave, or everything
+// UpdateSince returns what has changed after a number that Tell gave, or everything
 // for 0 or what lies too far back.
-func (v *View) Tell(after uint64) (t Told) {
+func (v *View) UpdateSince(after uint64) (t Update) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.state.Load()
-	t = Told{Number: v.log.number, At: v.at, Whole: after == 0 || after < v.log.dropped || after > v.log.number}
+	t = Update{Number: v.log.number, At: v.at, Whole: after == 0 || after < v.log.dropped || after > v.log.number}
 	for id, e := range s.Endpoints {
 		if !t.Whole && v.log.changed[id] <= after {
 			continue
@@ -94,7 +94,7 @@
 	}
 	for _, r := range v.log.removed {
 		if r.number > after {
-			t.Gone = append(t.Gone, r.gone)
+			t.Removals = append(t.Removals, r.gone)
 		}
 	}
 	return t
@@ -121,14 +121,14 @@
 	return v.log.number != number
 }
 
-// Hear takes in what another process tells: everything, or what follows on what it told
+// ApplyUpdate takes in what another process tells: everything, or what follows on what it told
 // last. Nothing that is known to be newer is changed or removed by it.
-func (v *View) Hear(t Told, now time.Time) {
+func (v *View) ApplyUpdate(t Update, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	// Others who hear it from this process go by how far it holds.
 	defer func() { v.at = max(v.at, t.At) }()
-	if !t.Whole && len(t.Endpoints)+len(t.Gone)+len(t.Evacuations) == 0 {
+	if !t.Whole && len(t.Endpoints)+len(t.Removals)+len(t.Evacuations) == 0 {
 		return
 	}
 	next := *v.state.Load()
@@ -147,7 +147,7 @@
 			next.Missing[id] = now
 		}
 	}
-	for _, g := range t.Gone {
+	for _, g := range t.Removals {
 		next.remove(g, false, now)
 		v.gone[g.Name] = max(v.gone[g.Name], g.Revision)
 	}
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -16,8 +16,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
 
-// ErrForgotten means that the source no longer has the changes asked for.
-var ErrForgotten = errors.New("the history asked for is gone")
+// ErrCompacted means that the source no longer has the changes asked for.
+var ErrCompacted = errors.New("the history asked for is gone")
 
 // Snapshot is the whole published state.
 type Snapshot struct {
@@ -25,20 +25,20 @@
 	ConfigRevision uint64
 	Endpoints      []fleet.Endpoint
 	Evacuations    []Evacuation // Those under way.
-	Bad            []BadEntry
+	Invalid        []InvalidEntry
 	At             uint64 // Revision from which changes are to be followed.
 }
 
-// Gone is an endpoint whose entry was removed.
-type Gone struct {
+// Removal is an endpoint whose entry was removed.
+type Removal struct {
 	Name     string // Under which it was listed.
 	Revision uint64
 }
 
-// BadEntry is an entry that does not name an endpoint that may be used: it cannot be
+// InvalidEntry is an entry that does not name an endpoint that may be used: it cannot be
 // read, or something else than an endpoint wrote it. What its key said before does
 // not hold any more; what is written there later does.
-type BadEntry struct {
+type InvalidEntry struct {
 	Name     string // Under which an endpoint would be listed; "" where the entry is not of the list.
 	Revision uint64 // 0 when not known.
 	Err      error  // Never nil.
@@ -49,9 +49,9 @@
 	Config         *fleet.Config // Nil when it did not change.
 	ConfigRevision uint64
 	Endpoints      []fleet.Endpoint // New or changed.
-	Gone           []Gone
+	Removals       []Removal
 	Evacuations    []Evacuation // Begun or over.
-	Bad            []BadEntry
+	Invalid        []InvalidEntry
 	At             uint64
 }
 
@@ -102,12 +102,12 @@
 	if v.state.Load().Config == nil {
 		return never
 	}
-	return v.CheckAge(now)
+	return v.ConfirmedAge(now)
 }
 
-// CheckAge returns how long ago the view was certainly complete, be it that
+// ConfirmedAge returns how long ago the view was certainly complete, be it that
 // nothing was published yet. It is very large when it never was.
-func (v *View) CheckAge(now time.Time) time.Duration {
+func (v *View) ConfirmedAge(now time.Time) time.Duration {
 	at := v.check.Load().at
 	if at.IsZero() {
 		return never
@@ -140,8 +140,8 @@
 	v.moved = make(chan struct{})
 }
 
-// Moved returns a channel that is closed at the next change or confirmation.
-func (v *View) Moved() <-chan struct{} {
+// Updated returns a channel that is closed at the next change or confirmation.
+func (v *View) Updated() <-chan struct{} {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.moved
@@ -213,7 +213,7 @@
 	for _, e := range snap.Endpoints {
 		v.put(&next, &old, e)
 	}
-	for _, b := range snap.Bad {
+	for _, b := range snap.Invalid {
 		v.dropBad(&next, b)
 	}
 	for id, e := range old.Endpoints {
@@ -282,12 +282,12 @@
 
 // dropBad removes what an entry said before it was overwritten by one that names no
 // endpoint to use.
-func (v *View) dropBad(next *State, b BadEntry) (removed bool) {
+func (v *View) dropBad(next *State, b InvalidEntry) (removed bool) {
 	if b.Name == "" {
 		return false
 	}
 	v.gone[b.Name] = max(v.gone[b.Name], b.Revision)
-	return next.remove(Gone{b.Name, b.Revision}, false, time.Time{})
+	return next.remove(Removal{b.Name, b.Revision}, false, time.Time{})
 }
 
 // Apply takes in changes that were asked for at a moment. It returns the
@@ -297,19 +297,19 @@
 	defer v.mu.Unlock()
 	next := *v.state.Load()
 	next.takeConfig(ch.Config, ch.ConfigRevision)
-	if len(ch.Endpoints)+len(ch.Gone)+len(ch.Bad) > 0 {
+	if len(ch.Endpoints)+len(ch.Removals)+len(ch.Invalid) > 0 {
 		old := next
 		next.own()
 		for _, e := range ch.Endpoints {
 			v.put(&next, &old, e)
 			delete(next.Missing, e.ID)
 		}
-		for _, b := range ch.Bad {
+		for _, b := range ch.Invalid {
 			if v.dropBad(&next, b) {
 				removed = append(removed, b.Name)
 			}
 		}
-		for _, g := range ch.Gone {
+		for _, g := range ch.Removals {
 			if next.remove(g, hold, asked) {
 				removed = append(removed, g.Name)
 			}
@@ -343,7 +343,7 @@
 }
 
 // remove drops an endpoint, or notes it as missing.
-func (s *State) remove(g Gone, hold bool, asked time.Time) bool {
+func (s *State) remove(g Removal, hold bool, asked time.Time) bool {
 	e, ok := s.named(g.Name)
 	if !ok || e.Revision > g.Revision {
 		return false
@@ -363,9 +363,9 @@
 	delete(s.lives, e.Name())
 }
 
-// Drop removes the endpoints that have been missing since before a moment and
+// DropMissing removes the endpoints that have been missing since before a moment and
 // returns them.
-func (v *View) Drop(before time.Time) (removed []string) {
+func (v *View) DropMissing(before time.Time) (removed []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	next := *v.state.Load()
--- a/internal/follow/view_test.go
+++ b/internal/follow/view_test.go
@@ -70,7 +70,7 @@
 	g := NewWithT(t)
 	v := NewView()
 	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("a", 1)}, At: 1}, at(0), false)
-	g.Expect(v.Apply(Changes{Gone: []Gone{{Name: "a", Revision: 5}}, At: 5}, at(1), false)).To(Equal([]string{"a"}))
+	g.Expect(v.Apply(Changes{Removals: []Removal{{Name: "a", Revision: 5}}, At: 5}, at(1), false)).To(Equal([]string{"a"}))
 	v.Merge(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 4)}})
 	g.Expect(v.State().Endpoints).To(BeEmpty())
 }
@@ -87,7 +87,7 @@
 	g.Expect(v.State().Missing).To(HaveLen(2))
 	v.Apply(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 10)}, At: 10}, at(2*time.Second), true)
 	g.Expect(v.State().Missing).To(HaveLen(1))
-	g.Expect(v.Drop(at(1500 * time.Millisecond))).To(Equal([]string{"b"}))
+	g.Expect(v.DropMissing(at(1500 * time.Millisecond))).To(Equal([]string{"b"}))
 	g.Expect(v.State().Endpoints).To(HaveKey("a"))
 }
 
@@ -131,7 +131,7 @@
 
 func TestFollowerReadsAllAgainWhenHistoryIsForgotten(t *testing.T) {
 	g := NewWithT(t)
-	s := &script{changes: []error{nil, ErrForgotten, errors.New("lost"), nil}}
+	s := &script{changes: []error{nil, ErrCompacted, errors.New("lost"), nil}}
 	f := NewFollower(NewView(), s.source(), time.Second, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	n := 0
@@ -166,9 +166,9 @@
 	now := time.Now()
 	f.now = func() time.Time { return now }
 	heard := 0
-	f.ListenTo(Listener{
-		Reads: func(bool) bool { return false },
-		Listen: func(context.Context) error {
+	f.UsePeers(PeerSource{
+		ReadsSource: func(bool) bool { return false },
+		Fetch: func(context.Context) error {
 			if heard++; heard%2 == 1 {
 				v.Confirm(uint64(calls), now)
 				return nil
@@ -205,9 +205,9 @@
 			f := NewFollower(v, Source{}, time.Second, zap.NewNop())
 			now := at(listenAge)
 			f.now = func() time.Time { return now }
-			f.ListenTo(Listener{
-				Reads: func(bool) bool { return false },
-				Listen: func(context.Context) error {
+			f.UsePeers(PeerSource{
+				ReadsSource: func(bool) bool { return false },
+				Fetch: func(context.Context) error {
 					if now.Sub(at(listenAge)) >= tc.backIn {
 						v.Confirm(1, now)
 					}
@@ -272,7 +272,7 @@
 			},
 			Changes: func(context.Context, uint64, time.Duration) (ch Changes, err error) {
 				calls++
-				return ch, ErrForgotten
+				return ch, ErrCompacted
 			},
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), watched)
--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -28,7 +28,9 @@
 }
 
 // life names the life of an endpoint as its wishes are kept.
-func life(e fleet.Endpoint) backoff.Life { return backoff.Life{Name: e.Name(), Born: e.StartedAt} }
+func life(e fleet.Endpoint) backoff.Process {
+	return backoff.Process{Name: e.Name(), Start: e.StartedAt}
+}
 
 // hearBackoff takes in that an endpoint wants nothing for a while, or nothing more at all.
 func (q *request) hearBackoff(e fleet.Endpoint, a fleet.Answer) {
@@ -36,15 +38,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if a.Backoff == 0 {
-		g.backoffs.Answered(life(e), q.wentAt)
+		g.backoffs.RecordAnswer(life(e), q.wentAt)
 	}
 	if a.Backoff == 0 && !a.Leaving {
 		return
 	}
-	if a.Backoff > 0 && g.backoffs.Rest(life(e), a.Backoff, now) {
+	if a.Backoff > 0 && g.backoffs.Backoff(life(e), a.Backoff, now) {
 		g.log.Info("endpoint asks for rest", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Backoff))
 	}
-	if a.Leaving && g.backoffs.Leave(life(e), now) {
+	if a.Leaving && g.backoffs.MarkLeaving(life(e), now) {
 		g.log.Info("endpoint says that it leaves", zap.String("endpoint", e.ID), zap.String("request", q.call.ID))
 	}
 	g.figures.countBackoffs(g.backoffs.Counts(now))
@@ -60,13 +62,13 @@
 	if _, _, limited := g.limits.Limited(e.ID); limited {
 		g.figures.toLimited.Inc(1)
 	}
-	if _, resting := g.backoffs.Resting(life(e), now); resting {
+	if _, resting := g.backoffs.BackingOff(life(e), now); resting {
 		g.figures.toResting.Inc(1)
 	}
 	if g.backoffs.Leaving(life(e)) {
 		g.figures.toLeaving.Inc(1)
 	}
-	g.backoffs.Sent(life(e), now)
+	g.backoffs.RecordSent(life(e), now)
 }
 
 // leaves reports whether an endpoint is to get nothing new, by its entry or by its answers.
@@ -80,7 +82,7 @@
 func (g *Gateway) rests(e fleet.Endpoint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, resting := g.backoffs.Resting(life(e), g.cfg.Now())
+	_, resting := g.backoffs.BackingOff(life(e), g.cfg.Now())
 	return resting
 }
 
@@ -97,18 +99,18 @@
 // bars reports whether what an endpoint asks for keeps requests from it now, and adds that to
 // b. The caller holds mu.
 func (g *Gateway) bars(b *barred, e fleet.Endpoint, now time.Time) bool {
-	if left, resting := g.backoffs.Resting(life(e), now); resting {
+	if left, resting := g.backoffs.BackingOff(life(e), now); resting {
 		if b.rest == 0 || left < b.rest {
 			b.rest = left
 		}
 		return true
 	}
-	if g.limits.Due(e.ID, now) {
+	if g.limits.MaySend(e.ID, now) {
 		return false
 	}
 	perSecond, _, _ := g.limits.Limited(e.ID)
-	b.rate += throttle.RateOf(perSecond)
-	b.held += g.limits.Held(e.ID, now)
+	b.rate += throttle.TotalRate(perSecond)
+	b.held += g.limits.AvailableRate(e.ID, now)
 	g.wantParts()
 	return true
 }
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -29,13 +29,13 @@
 	Version  uint64        `json:"version"`
 	Revision uint64        `json:"revision"`         // Of the configuration.
 	Config   []byte        `json:"config,omitempty"` // Text of the version, when it is newer than the one asked for.
-	follow.Told
+	follow.Update
 }
 
 // borrow asks a neighbour for what is published, if the store has not told for
 // a while.
-func (n *Neighbours) borrow(ctx context.Context) {
-	age := n.g.view.CheckAge(n.g.cfg.Now())
+func (n *PeerExchange) borrow(ctx context.Context) {
+	age := n.g.view.ConfirmedAge(n.g.cfg.Now())
 	if age < borrowAge {
 		n.borrows = false
 		return
@@ -62,7 +62,7 @@
 
 // lender returns whom to ask: by turns one of the own failure domain and any, drawn anew each
 // time. Bytes between domains are dear, but all of a domain may be as old.
-func (n *Neighbours) lender() (address string, ok bool) {
+func (n *PeerExchange) lender() (address string, ok bool) {
 	n.lenders++
 	list := n.readers()
 	if len(list) == 0 || n.lenders%2 == 0 {
@@ -78,14 +78,14 @@
 }
 
 // ask asks a neighbour for all that it knows.
-func (n *Neighbours) ask(ctx context.Context, from string) (p published, err error) {
+func (n *PeerExchange) ask(ctx context.Context, from string) (p published, err error) {
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	return n.call(ctx, from, "")
 }
 
 // call asks a neighbour for what it knows.
-func (n *Neighbours) call(ctx context.Context, from, query string) (p published, err error) {
+func (n *PeerExchange) call(ctx context.Context, from, query string) (p published, err error) {
 	defer func() { err = errors.Wrapf(err, "gateway %s", from) }()
 	version := uint64(0)
 	if c := n.g.view.State().Config; c != nil {
@@ -105,7 +105,7 @@
 // take puts a neighbour's view into the own one, with its age as seen from the
 // moment before it was asked. Nothing is removed by it, since the neighbour may
 // be further behind than the own view, and nothing that may have lapsed is taken.
-func (n *Neighbours) take(p published, asked time.Time) error {
+func (n *PeerExchange) take(p published, asked time.Time) error {
 	if err := n.takeConfig(p); err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func (n *Neighbours) takeConfig(p published) error {
+func (n *PeerExchange) takeConfig(p published) error {
 	if len(p.Config) == 0 {
 		return nil
 	}
--- a/internal/gateway/broken_messages_test.go
+++ b/internal/gateway/broken_messages_test.go
@@ -30,7 +30,7 @@
 	reg := metrics.NewRegistry()
 	gw, cleanup := New(Config{}, Codec{}, follow.NewView(), zap.NewNop(), reg)
 	t.Cleanup(cleanup)
-	n, closeNeighbours := NewNeighbours(NeighboursConfig{Name: "g", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.NewNop())
+	n, closeNeighbours := NewPeerExchange(PeerExchangeConfig{Name: "g", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.NewNop())
 	t.Cleanup(closeNeighbours)
 	from := netip.MustParseAddrPort(socket.Address())
 	panics := metrics.GetOrRegisterCounter("process.panics.message", reg)
@@ -84,7 +84,7 @@
 			t.Cleanup(closeSocket)
 			gw, cleanup := New(Config{}, Codec{}, follow.NewView(), zap.NewNop(), metrics.NewRegistry())
 			t.Cleanup(cleanup)
-			n, closeNeighbours := NewNeighbours(NeighboursConfig{Name: "a", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.New(core))
+			n, closeNeighbours := NewPeerExchange(PeerExchangeConfig{Name: "a", Domain: "a", Address: "127.0.0.1:1"}, gw, socket, zap.New(core))
 			t.Cleanup(closeNeighbours)
 			newcomer, closeNewcomer, err := peers.Listen("127.0.0.1:0", zap.NewNop())
 			g.Expect(err).NotTo(HaveOccurred())
@@ -103,7 +103,7 @@
 			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Incarnation: 1, Address: "127.0.0.1:2", Leaving: planned}})
 			if planned { // Others may hear the next life first.
 				n.mu.Lock()
-				n.roster.HearOf([]roster.Seen{{Gateway: roster.Gateway{Address: "127.0.0.1:2"}}}, time.Now())
+				n.roster.MergeMembers([]roster.Member{{Gateway: roster.Gateway{Address: "127.0.0.1:2"}}}, time.Now())
 				n.mu.Unlock()
 			}
 			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Incarnation: 2, Address: "127.0.0.1:2"}})
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -39,7 +39,7 @@
 	list := make([]balance.Candidate, len(candidates))
 	shape, ranked := q.g.shape(q.config, q.service)
 	for i, e := range candidates {
-		list[i] = balance.Candidate{ID: e.ID, Near: e.Domain == q.g.cfg.Domain, Slow: e.ColdLeft > 0, Slots: e.Slots, Base: int(shape.Base)}
+		list[i] = balance.Candidate{ID: e.ID, SameDomain: e.Domain == q.g.cfg.Domain, Cold: e.ColdLeft > 0, Slots: e.Slots, FixedCost: int(shape.FixedCost)}
 	}
 	terms := coldTerms(q.config, q.service)
 	if ranked && terms.Rate > 0 {
@@ -51,12 +51,12 @@
 	}
 	q.markCold(list, terms, now)
 	if ranked {
-		if q.g.table.Down(list, now) {
+		if q.g.table.AllClosed(list, now) {
 			if q.waited == 0 { // Else it was said before.
 				q.note("all ranks that are heard say that they serve nothing")
 			}
 			q.allDown = true // It would be turned away, or wait in vain.
-			q.opens = q.g.table.Opens(list, now)
+			q.opens = q.g.table.ExpectedOpen(list, now)
 			return e, false
 		}
 		q.full = false
@@ -77,7 +77,7 @@
 		}
 		return e, false
 	}
-	q.toCold = list[i].Paced
+	q.toCold = list[i].ColdLimited
 	q.takePermit(list[i].ID)
 	at := slices.IndexFunc(candidates, func(e fleet.Endpoint) bool { return e.ID == list[i].ID })
 	return candidates[at], true
@@ -99,7 +99,7 @@
 		if !q.g.staysIn(s, e) || q.g.bars(&bars, e, now) || slices.Contains(q.unsent, e.ID) {
 			continue
 		}
-		if q.groupDown && q.g.passes.Group(e.ID) == q.downGroup {
+		if q.groupDown && q.g.passes.GroupOf(e.ID) == q.downGroup {
 			continue // All ranks of a group stand and fall together.
 		}
 		if !slices.Contains(q.tried, e.ID) {
@@ -125,13 +125,13 @@
 // wherever it can: it has its place among those under way. The caller holds mu.
 func (q *request) chooseGroup(list []balance.Candidate, now time.Time) (chosen []balance.Candidate, ok bool) {
 	names, members := q.byGroup(list)
-	offers := make([]passes.Offer, 0, len(names))
+	offers := make([]passes.Option, 0, len(names))
 	open := make([]string, 0, len(names))
 	limited := false // Something is known of the passes of some group.
 	q.turnover = passes.Turnover{}
 	for _, name := range names {
 		ranks := members[name]
-		if q.g.table.Down(ranks, now) {
+		if q.g.table.AllClosed(ranks, now) {
 			continue
 		}
 		o, known := q.offer(name, ranks, now)
@@ -139,10 +139,10 @@
 			return list, true // Nothing is known that limits it.
 		}
 		limited = limited || known
-		o.Heard = q.g.table.Heard(ranks)
+		o.LastReport = q.g.table.LastReport(ranks)
 		offers, open = append(offers, o), append(open, name)
 	}
-	passes.LeaveSilent(offers, now)
+	passes.MarkSilent(offers, now)
 	i, ok := passes.Choose(offers, random)
 	switch {
 	case ok && q.takes(open[i], offers[i]):
@@ -154,14 +154,14 @@
 		if q.waited > 0 {
 			break // Said before.
 		}
-		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f let in at each", open[k], o.Busy, o.Ranks, o.Limit))
+		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f let in at each", open[k], o.Requests, o.Ranks, o.Limit))
 	}
 	return nil, false
 }
 
 // ranksOf returns the ranks of the groups that are not silent, or list when there are
 // none.
-func ranksOf(offers []passes.Offer, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
+func ranksOf(offers []passes.Option, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
 	for i, o := range offers {
 		if !o.Silent {
 			ranks = append(ranks, members[names[i]]...)
@@ -175,18 +175,18 @@
 
 // takes reports whether the request takes one of the free places of a group, for
 // which other gateways have requests, too. The caller holds mu.
-func (q *request) takes(group string, o passes.Offer) bool {
+func (q *request) takes(group string, o passes.Option) bool {
 	s := q.g.shares[group]
 	if s == nil {
 		s = &room.Share{}
 		q.g.shares[group] = s
 	}
-	s.Report(q.g.passes.Round(group))
-	if last := q.asked; last != nil && last.group == group && !s.Newest().After(last.at) {
+	s.RecordReport(q.g.passes.LastRound(group))
+	if last := q.asked; last != nil && last.group == group && !s.LastReport().After(last.at) {
 		return false // It was not let in by what is known.
 	}
-	q.asked = &lastAsked{group: group, at: s.Newest()}
-	return s.Take(q.class(), o.Room(), q.g.sharers(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
+	q.asked = &lastAsked{group: group, at: s.LastReport()}
+	return s.Admit(q.class(), o.FreeCapacity(), q.g.sharers(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
 }
 
 // byGroup returns the groups that the ranks in list are in, in the order of their
@@ -195,7 +195,7 @@
 	members = map[string][]balance.Candidate{}
 	sole := q.soleGroup(list)
 	for _, c := range list {
-		name := q.g.passes.Group(c.ID)
+		name := q.g.passes.GroupOf(c.ID)
 		if name == "" {
 			name = sole
 		}
@@ -217,7 +217,7 @@
 		return ""
 	}
 	for _, c := range list {
-		name := q.g.passes.Group(c.ID)
+		name := q.g.passes.GroupOf(c.ID)
 		if sole != "" && name != "" && name != sole {
 			return ""
 		}
@@ -230,22 +230,22 @@
 // the request's. Known is false when nothing is known of its passes, as when it has
 // just opened: until then a pass is given as much work as it makes without any
 // request. The caller holds mu.
-func (q *request) offer(name string, ranks []balance.Candidate, now time.Time) (o passes.Offer, known bool) {
+func (q *request) offer(name string, ranks []balance.Candidate, now time.Time) (o passes.Option, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
-		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].Base))
+		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].FixedCost))
 	}
 	if v, ok := q.g.passes.Turnover(name, o.Limit, now); ok {
 		q.turnover.Rate += v.Rate * float64(o.Ranks)
-		q.turnover.First = max(q.turnover.First, v.First)
+		q.turnover.FirstEvent = max(q.turnover.FirstEvent, v.FirstEvent)
 	}
 	if q.again {
 		o.Limit *= againShare
 	}
 	for _, c := range ranks {
-		o.Busy += q.g.table.Busy(c.ID, now)
-		if c.Near {
-			o.Near++
+		o.Requests += q.g.table.Outstanding(c.ID, now)
+		if c.SameDomain {
+			o.SameDomain++
 		}
 	}
 	return o, known
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -23,9 +23,9 @@
 const sendersAge = 2 * time.Second
 
 // coldTerms returns what is published of the cold endpoints of a service.
-func coldTerms(c *fleet.Config, service string) (t cold.Terms) {
+func coldTerms(c *fleet.Config, service string) (t cold.Params) {
 	if svc := c.Service(service); svc != nil {
-		t = cold.Terms{Time: svc.ColdDuration, Rate: svc.ColdRate}
+		t = cold.Params{Period: svc.ColdDuration, Rate: svc.ColdRate}
 	}
 	return t
 }
@@ -64,11 +64,11 @@
 	for id, e := range s.Endpoints {
 		if e.ColdLeft > 0 && g.coldTold[id] != e.Revision {
 			g.coldTold[id] = e.Revision
-			g.cold.Told(id, e.ColdLeft, now)
+			g.cold.MarkCold(id, e.ColdLeft, now)
 		}
 		for _, domain := range ended {
 			if e.Domain == domain {
-				g.cold.Began(id, coldTerms(s.Config, e.Service), now) // It may have got cold meanwhile.
+				g.cold.Started(id, coldTerms(s.Config, e.Service), now) // It may have got cold meanwhile.
 			}
 		}
 	}
@@ -120,30 +120,30 @@
 
 // markCold notes on the candidates which of them are cold, and which of those have got
 // all that this gateway may send them for now. The caller holds mu.
-func (q *request) markCold(list []balance.Candidate, t cold.Terms, now time.Time) {
+func (q *request) markCold(list []balance.Candidate, t cold.Params, now time.Time) {
 	if t.Rate <= 0 {
 		return
 	}
 	sole := q.soleGroup(list)
 	for i, c := range list {
-		group := cmp.Or(q.g.passes.Group(c.ID), sole)
+		group := cmp.Or(q.g.passes.GroupOf(c.ID), sole)
 		if !q.g.cold.Cold(c.ID, group, now) {
 			continue
 		}
-		list[i].Paced = true
-		list[i].Spent = !q.g.cold.Due(c.ID, t, rand.Float64, now)
+		list[i].ColdLimited = true
+		list[i].BudgetSpent = !q.g.cold.MaySend(c.ID, t, rand.Float64, now)
 	}
 }
 
 // allSpent reports whether nothing but the pace of cold endpoints keeps a request from
 // them.
 func allSpent(list []balance.Candidate) bool {
-	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.Spent })
+	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.BudgetSpent })
 }
 
 // paceTurnover has the request wait for one of so many cold endpoints as for room that
 // is taken by turns: each gateway has its own part of it. The caller holds mu.
-func (q *request) paceTurnover(endpoints int, t cold.Terms) {
+func (q *request) paceTurnover(endpoints int, t cold.Params) {
 	q.turnover.Rate = q.g.cold.Rate(t) * float64(endpoints*(q.g.sharers()+1))
 }
 
@@ -162,7 +162,7 @@
 // what is sent to them is turned away and overruns them. The caller holds mu.
 func (g *Gateway) listensStill(now time.Time) bool {
 	since := g.started
-	if at := g.table.LastWord(); at.After(since) {
+	if at := g.table.LastReportOfAny(); at.After(since) {
 		since = at
 	}
 	return now.Sub(since) < blindAfter
@@ -172,14 +172,14 @@
 func (g *Gateway) hearsRanks(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return now.Sub(g.table.LastWord()) < blindAfter/2
+	return now.Sub(g.table.LastReportOfAny()) < blindAfter/2
 }
 
 // noteUnreached takes in that an endpoint could not be reached: one that refuses a
 // connection has ended, and is cold when it is back. The caller holds mu.
 func (q *request) noteUnreached(id string, err error, now time.Time) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		q.g.cold.Began(id, coldTerms(q.config, q.service), now)
+		q.g.cold.Started(id, coldTerms(q.config, q.service), now)
 	}
 }
 
@@ -187,7 +187,7 @@
 // caller holds mu.
 func (q *request) sendsTo(id string, now time.Time) {
 	if q.toCold {
-		q.g.cold.Sent(id, coldTerms(q.config, q.service), rand.Float64, now)
+		q.g.cold.RecordSent(id, coldTerms(q.config, q.service), rand.Float64, now)
 		q.g.figures.toCold.Inc(1)
 	}
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -34,14 +34,14 @@
 	svc := snap.Config.Service("s")
 	svc.ColdDuration, svc.ColdRate = time.Hour, rate
 	view.Replace(snap, time.Now(), false)
-	s.Changed()
+	s.ViewChanged()
 	return s, view, list
 }
 
 // evacuate publishes a word on a failure domain.
 func evacuate(s site, view *follow.View, domain string, revision uint64, over bool) {
 	view.Apply(follow.Changes{Evacuations: []follow.Evacuation{{Domain: domain, Revision: revision, Over: over}}, At: revision}, time.Now(), false)
-	s.Changed()
+	s.ViewChanged()
 }
 
 func TestNothingNewGoesToAnEvacuatedDomain(t *testing.T) {
@@ -80,9 +80,9 @@
 	g := NewWithT(t)
 	s, _, list := coldSite(t, 3, 1e6)
 	s.expectRefused(g, "early", longPatience)
-	s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+	s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 	for i := range 60 {
-		s.Report(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		s.expectServed(g, fmt.Sprint(i), longPatience)
 	}
 	for _, c := range list {
@@ -97,7 +97,7 @@
 	s, _, list := coldSite(t, 2, 0.001)
 	tell := func() {
 		for _, a := range s.addresses {
-			s.Report(a, balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+			s.ReportLoad(a, balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		}
 	}
 	for i := range 4 {
@@ -136,7 +136,7 @@
 	s.view.Replace(snap, time.Now(), false)
 	s.greetUnheard()
 	g.Expect(received(g, sidecar)).To(Equal(unheardSidecars), "one word is enough for all")
-	s.g.Report("127.0.0.1:1", balance.Load{Group: "g", At: time.Now()})
+	s.g.ReportLoad("127.0.0.1:1", balance.Load{Group: "g", At: time.Now()})
 	s.greetUnheard()
 	g.Expect(received(g, sidecar)).To(BeZero())
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -19,13 +19,13 @@
 // suspicion is what is known of a request as one that may end endpoints.
 type suspicion struct {
 	sameAs     quarantine.Key
-	hasKey     bool               // The key above was worked out.
-	sending    quarantine.Sending // What was known of the request when it was last sent.
-	wentAt     time.Time          // When that was, by the clock that counts suspensions.
-	finished   bool               // The try under way came to its end, or was turned away.
-	endedUnder int                // Endpoints that ended under its tries.
-	onTrial    bool               // It is sent to see whether it still ends endpoints.
-	heldFor    time.Duration      // It may not be sent for so long; 0 when it may.
+	hasKey     bool                 // The key above was worked out.
+	sending    quarantine.Knowledge // What was known of the request when it was last sent.
+	wentAt     time.Time            // When that was, by the clock that counts suspensions.
+	finished   bool                 // The try under way came to its end, or was turned away.
+	endedUnder int                  // Endpoints that ended under its tries.
+	onTrial    bool                 // It is sent to see whether it still ends endpoints.
+	heldFor    time.Duration        // It may not be sent for so long; 0 when it may.
 }
 
 // key returns what names the request and all that are the same.
@@ -49,7 +49,7 @@
 // ranToEnd takes in that an endpoint ran the request and lives on.
 func (q *request) ranToEnd() {
 	q.finished = true
-	q.g.suspects.Sound(q.key)
+	q.g.suspects.RecordSuccess(q.key)
 }
 
 // brokeOff looks whether the endpoint of a try that broke off with err has ended.
@@ -73,7 +73,7 @@
 		return
 	}
 	g.lookers.Go(func() error {
-		wait.For(context.Background(), g.cfg.EndSettle)
+		wait.For(context.Background(), g.cfg.EndCheckDelay)
 		g.unfinished.endLook(e.ID)
 		duty.Contain("look", g.log, g.figures.reg, func() {
 			if g.refusesConnections(context.Background(), e, repeatIdle) {
@@ -92,7 +92,7 @@
 		return
 	}
 	for _, u := range list {
-		g.suspects.Ended(u.key, e.ID, u.sending, g.cfg.Now())
+		g.suspects.RecordEnd(u.key, e.ID, u.sending, g.cfg.Now())
 	}
 }
 
@@ -110,7 +110,7 @@
 	switch {
 	case v == quarantine.Free, v == quarantine.Trial && q.onTrial:
 		return false
-	case v == quarantine.Trial && q.g.ownsTrial(q.key()) && q.g.suspects.Begin(q.key(), now, now.Add(q.left())):
+	case v == quarantine.Trial && q.g.ownsTrial(q.key()) && q.g.suspects.BeginTrial(q.key(), now, now.Add(q.left())):
 		q.onTrial = true
 		return false
 	case v == quarantine.Trial:
@@ -123,7 +123,7 @@
 // noteSending notes what is known of the request as it is sent.
 func (q *request) noteSending() {
 	q.wentAt = q.g.cfg.Now()
-	q.sending = q.g.suspects.Sending(q.key, q.wentAt)
+	q.sending = q.g.suspects.SendingState(q.key, q.wentAt)
 	if q.onTrial {
 		q.sending = quarantine.OnTrial
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,20 +49,20 @@
 
 // Config is the setting of a Gateway.
 type Config struct {
-	Domain      string
-	Source      string        // IP number that connections come from; "" for any.
-	Memory      int64         // Bytes that the process may hold; 0 for no bound.
-	KeyAge      time.Duration // Greatest age of the configuration at which a key still counts.
-	RetryShare  float64       // Repeats by requests of a service, in RetryWindow.
-	RetryWindow time.Duration
-	RetrySpare  float64       // Repeats of all gateways together that need no request.
-	GracePeriod time.Duration // Longest time of a planned stop; 0 for no bound.
+	Domain        string
+	SourceAddress string        // IP number that connections come from; "" for any.
+	MemoryBytes   int64         // Bytes that the process may hold; 0 for no bound.
+	MaxKeyAge     time.Duration // Greatest age of the configuration at which a key still counts.
+	RetryShare    float64       // Repeats by requests of a service, in RetryWindow.
+	RetryWindow   time.Duration
+	RetryFloor    float64       // Repeats of all gateways together that need no request.
+	GracePeriod   time.Duration // Longest time of a planned stop; 0 for no bound.
 	// PropagationDelay is the longest time for which a caller and this gateway may go by
 	// different versions of the configuration.
 	PropagationDelay time.Duration
-	// EndSettle is how long an endpoint must live on after a stream without framing,
+	// EndCheckDelay is how long an endpoint must live on after a stream without framing,
 	// so that the end of its connection counts as the stream's.
-	EndSettle time.Duration
+	EndCheckDelay time.Duration
 	// Now tells the time by which the configuration grows old: it must count suspensions
 	// of the machine, or a key that was taken away counts for as much longer. Nil for the
 	// machine's own.
@@ -87,13 +87,13 @@
 	mu      sync.Mutex // Guards what follows.
 	table   *balance.Table
 	passes  *passes.Tracker
-	windows map[string]*retry.Window      // By service.
-	lines   map[string]*line.Line         // By service.
-	shares  map[string]*room.Share        // By group.
-	took    map[string]*estimate.Time     // Of answers in one piece, by service.
-	at      map[string]map[*request]place // Requests that may be moved, by endpoint.
-	others  int                           // Gateways that are known besides this one.
-	heardAt time.Time                     // When one of them was last heard.
+	windows map[string]*retry.Window       // By service.
+	lines   map[string]*line.Queue         // By service.
+	shares  map[string]*room.Share         // By group.
+	took    map[string]*estimate.Estimator // Of answers in one piece, by service.
+	at      map[string]map[*request]place  // Requests that may be moved, by endpoint.
+	others  int                            // Gateways that are known besides this one.
+	heardAt time.Time                      // When one of them was last heard.
 
 	started       time.Time
 	cold          *cold.Pacer
@@ -138,20 +138,20 @@
 			IdleTimeout:       defaultIdleTimeout,
 			PropagationDelay:  cfg.PropagationDelay,
 			MaxAdvertised:     maxAdvertised,
-			ReadHeaderTimeout: HeaderTime,
+			ReadHeaderTimeout: CallerHeaderTimeout,
 			GracePeriod:       cfg.GracePeriod,
 		}, log, reg),
 
 		suspects:   suspects.New(log, reg),
 		unfinished: newUnfinishedTries(),
 		patience:   newPatience(),
-		kept:       newKeptBytes(cfg.Memory, reg),
+		kept:       newKeptBytes(cfg.MemoryBytes, reg),
 		table:      balance.New(),
 		passes:     passes.New(),
 		windows:    map[string]*retry.Window{},
-		lines:      map[string]*line.Line{},
+		lines:      map[string]*line.Queue{},
 		shares:     map[string]*room.Share{},
-		took:       map[string]*estimate.Time{},
+		took:       map[string]*estimate.Estimator{},
 		at:         map[string]map[*request]place{},
 
 		started:   time.Now(),
@@ -165,13 +165,13 @@
 		evacuated: evacuatedDomains{},
 	}
 	g.ended, g.end = context.WithCancel(context.Background())
-	g.pool, cleanup = upstream.NewPool(cfg.Source, func() { g.figures.dialed.Inc(1) })
+	g.pool, cleanup = upstream.NewPool(cfg.SourceAddress, func() { g.figures.dialed.Inc(1) })
 	return g, cleanup
 }
 
-// HeaderTime bounds the arrival of a caller's header. The published bound may change; this
+// CallerHeaderTimeout bounds the arrival of a caller's header. The published bound may change; this
 // one is above what is published.
-const HeaderTime = 15 * time.Second
+const CallerHeaderTimeout = 15 * time.Second
 
 // defaultIdleTimeout is the idle timeout of callers' connections while none is published.
 const defaultIdleTimeout = time.Minute
@@ -186,8 +186,8 @@
 
 func (g *Gateway) sweep() {
 	s := g.view.State()
-	g.Changed()
-	g.suspects.Forget(g.cfg.Now())
+	g.ViewChanged()
+	g.suspects.Expire(g.cfg.Now())
 	g.unfinished.forget(time.Now())
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,29 +205,29 @@
 	g.figures.limited.Update(int64(g.limits.Count()))
 }
 
-// Changed is called after each change of the view: connections to endpoints
+// ViewChanged is called after each change of the view: connections to endpoints
 // that leave are closed at once.
-func (g *Gateway) Changed() {
+func (g *Gateway) ViewChanged() {
 	s := g.view.State()
 	if s.Config != nil {
 		g.conns.Publish(s.Config.Version(), s.Config.Limits().IdleTimeout, time.Now())
 	}
 	g.noteCold(s, time.Now())
-	g.pool.Forget(func(id string) bool {
+	g.pool.CloseIdle(func(id string) bool {
 		e, ok := s.Endpoints[id]
 		return ok && !g.leaves(e)
 	})
 }
 
-// Report takes in an endpoint's load by its address, since an agent knows no
+// ReportLoad takes in an endpoint's load by its address, since an agent knows no
 // more of the endpoint beside it.
-func (g *Gateway) Report(address string, l balance.Load) {
+func (g *Gateway) ReportLoad(address string, l balance.Load) {
 	s := g.view.State()
 	e, ok := s.ByAddress[address]
 	if !ok || s.Config == nil {
 		return
 	}
-	if fleet.CompareIncarnations(e.StartedAt, l.Born) < 0 {
+	if fleet.CompareIncarnations(e.StartedAt, l.StartedAt) < 0 {
 		return
 	}
 	shape, ranked := g.shape(s.Config, e.Service)
@@ -242,18 +242,18 @@
 	defer g.mu.Unlock()
 	if ranked = g.table.Report(e.ID, l) && ranked; ranked {
 		if !l.Closed {
-			g.cold.Opened(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
+			g.cold.RecordGroupOpen(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
 		}
-		g.passes.Report(e.ID, l.Group, shape, passes.Rank{Running: l.Running, Pass: l.Pass, Pace: l.Pace, Closed: l.Closed, At: l.At})
+		g.passes.Report(e.ID, l.Group, shape, passes.RankReport{Running: l.Running, PassTime: l.PassTime, Slowdown: l.Slowdown, Closed: l.Closed, At: l.At})
 	}
-	return ranked && g.passes.Vacate(e.ID, l.At)
+	return ranked && g.passes.ShouldMoveRequests(e.ID, l.At)
 }
 
 // hearLimit takes in the limit of a group, in requests a rank, that its leader tells.
 func (g *Gateway) hearLimit(group string, perRank float64, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.passes.Told(group, perRank, at)
+	g.passes.RecordAnnouncedLimit(group, perRank, at)
 	if perRank > 0 {
 		g.figures.limit.Update(perRank)
 	}
@@ -271,13 +271,13 @@
 // off: some hellos.
 const aloneAfter = 3 * helloEvery
 
-// SetOthers tells how many other gateways there are, and when one was last heard.
-func (g *Gateway) SetOthers(n int, heard time.Time) {
+// SetOtherGateways tells how many other gateways there are, and when one was last heard.
+func (g *Gateway) SetOtherGateways(n int, heard time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.others, g.heardAt = n, heard
 	for _, w := range g.windows {
-		w.SetSpare(g.spare())
+		w.SetFloor(g.spare())
 	}
 }
 
@@ -294,7 +294,7 @@
 )
 
 func (g *Gateway) spare() float64 {
-	return spareUsed * g.cfg.RetrySpare / float64(max(g.others+1, leastGateways))
+	return spareUsed * g.cfg.RetryFloor / float64(max(g.others+1, leastGateways))
 }
 
 // window returns the budget of a service. The caller holds mu.
@@ -312,7 +312,7 @@
 const tookWeight = 0.125
 
 // tookOf returns how long answers of a service in one piece take. The caller holds mu.
-func (g *Gateway) tookOf(service string) *estimate.Time {
+func (g *Gateway) tookOf(service string) *estimate.Estimator {
 	t := g.took[service]
 	if t == nil {
 		fresh := estimate.New(tookWeight)
@@ -322,11 +322,11 @@
 	return t
 }
 
-// Callers returns the connections of callers, which the callers' server must be attached to.
-func (g *Gateway) Callers() *keepalive.Tracker { return g.conns }
+// CallerConns returns the connections of callers, which the callers' server must be attached to.
+func (g *Gateway) CallerConns() *keepalive.Tracker { return g.conns }
 
-// Busy returns the number of requests that have not ended.
-func (g *Gateway) Busy() int { return int(g.busy.Load()) }
+// InFlight returns the number of requests that have not ended.
+func (g *Gateway) InFlight() int { return int(g.busy.Load()) }
 
 // Stop begins the planned stop: everything that comes is still served, but
 // callers are told to use other connections.
@@ -336,9 +336,9 @@
 	g.conns.Stop(now)
 }
 
-// End ends the time of all requests, since the process ends: those that can still be answered
+// Terminate ends the time of all requests, since the process ends: those that can still be answered
 // are, and those that come are refused. Connections to endpoints that they use are closed.
-func (g *Gateway) End() {
+func (g *Gateway) Terminate() {
 	g.end()
 	if g.stopping.Load() == nil {
 		g.Stop() // Callers are told to leave.
--- a/internal/gateway/kept.go
+++ b/internal/gateway/kept.go
@@ -23,15 +23,15 @@
 	chunkedGuess = 64 << 10
 	// keptStep is taken at least as more comes than was counted.
 	keptStep = 64 << 10
-	// UnreadTime is for how long a caller may leave what is sent to it unread. It is more
+	// CallerWriteTimeout is for how long a caller may leave what is sent to it unread. It is more
 	// than the longest silence after which callers of streams leave themselves, and less
 	// than an endpoint waits for its answer to be read.
-	UnreadTime = 4 * time.Second
+	CallerWriteTimeout = 4 * time.Second
 	// pieceBytes is how much of a whole answer a caller reads at least in that time.
 	pieceBytes = 64 << 10
 	// drainTime is how long an answer waits for the rest of a body that nobody wants: less
 	// than it may then be left unread.
-	drainTime = UnreadTime / 2
+	drainTime = CallerWriteTimeout / 2
 	// bodyMargin is how long after the time of its request a body may still come: callers
 	// who are a little late are refused on a connection that they keep.
 	bodyMargin = time.Second
@@ -128,7 +128,7 @@
 
 // boundWrite bounds for how long the next write to the caller may be left unread.
 func (p *reply) boundWrite() error {
-	err := http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(UnreadTime))
+	err := http.NewResponseController(p.w).SetWriteDeadline(time.Now().Add(CallerWriteTimeout))
 	if errors.Is(err, http.ErrNotSupported) {
 		return nil // It writes to no connection.
 	}
--- a/internal/gateway/kept_test.go
+++ b/internal/gateway/kept_test.go
@@ -36,7 +36,7 @@
 	s.dial(t).send(t, head("one", int(patienceOf.Milliseconds()), "Content-Length: 2")+"{}")
 	g.Eventually(s.kept.n.Load, patienceOf).Should(BeEquivalentTo(maxAnswer - 1 + 2))
 	g.Eventually(s.kept.n.Load, patienceOf).Should(BeZero(), "nothing is kept for a caller who does not read")
-	g.Eventually(s.Busy, patienceOf).Should(BeZero())
+	g.Eventually(s.InFlight, patienceOf).Should(BeZero())
 }
 
 // Callers who send much, or slowly, do not fill the memory together.
@@ -113,7 +113,7 @@
 	defer func() { g.Expect(resp.Body.Close()).To(Succeed()) }()
 	var got int64
 	for err == nil {
-		time.Sleep(2 * UnreadTime / pieces)
+		time.Sleep(2 * CallerWriteTimeout / pieces)
 		var n int64
 		n, err = io.CopyN(io.Discard, resp.Body, maxAnswer/pieces)
 		got += n
--- a/internal/gateway/known.go
+++ b/internal/gateway/known.go
@@ -13,17 +13,17 @@
 
 // inPackets splits a list so that each part fits into one hello; it returns one part at
 // least.
-func inPackets(list []roster.Seen) (parts [][]roster.Seen) {
+func inPackets(list []roster.Member) (parts [][]roster.Member) {
 	parts = slices.Collect(slices.Chunk(list, peers.MaxKnownGateways))
 	if len(parts) == 0 {
-		return [][]roster.Seen{nil}
+		return [][]roster.Member{nil}
 	}
 	return parts
 }
 
 // knownOf returns gateways as a hello names them. One whose address is no IP number and port
 // cannot be named.
-func knownOf(list []roster.Seen) (known []peers.DomainGateways) {
+func knownOf(list []roster.Member) (known []peers.DomainGateways) {
 	at := map[string]int{} // Places in known, by failure domain.
 	for _, s := range list {
 		raw, err := peers.PackAddress(s.Address)
@@ -36,14 +36,14 @@
 			at[s.Domain] = i
 			known = append(known, peers.DomainGateways{Domain: s.Domain})
 		}
-		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), StoreUnreachable: s.Blind, Leaving: s.Left})
+		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), StoreUnreachable: s.StoreUnreachable, Leaving: s.Stopping})
 	}
 	return known
 }
 
 // seenOf returns the gateways that a hello names. Those that cannot be read are left out; the
 // error tells of the last one.
-func seenOf(known []peers.DomainGateways) (list []roster.Seen, err error) {
+func seenOf(known []peers.DomainGateways) (list []roster.Member, err error) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
 			a, bad := g.PeerAddress()
@@ -51,8 +51,8 @@
 				err = errors.Wrap(bad, k.Domain)
 				continue
 			}
-			s := roster.Seen{Age: g.Age()}
-			s.Address, s.Domain, s.Blind, s.Left = a.String(), k.Domain, g.StoreUnreachable, g.Leaving
+			s := roster.Member{Age: g.Age()}
+			s.Address, s.Domain, s.StoreUnreachable, s.Stopping = a.String(), k.Domain, g.StoreUnreachable, g.Leaving
 			list = append(list, s)
 		}
 	}
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -36,7 +36,7 @@
 }
 
 // lend asks other gateways for parts of limits and gives them back, until ctx ends.
-func (n *Neighbours) lend(ctx context.Context) error {
+func (n *PeerExchange) lend(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -50,19 +50,19 @@
 }
 
 // sendParts sends what is due; it reports whether more may fall due without another request.
-func (n *Neighbours) sendParts() (more bool) {
+func (n *PeerExchange) sendParts() (more bool) {
 	now := n.g.cfg.Now()
-	var letters []throttle.Letter
+	var letters []throttle.Outgoing
 	duty.Locked(&n.g.mu, func() {
-		letters = n.g.limits.Letters(now)
-		more = n.g.limits.Lending(now)
+		letters = n.g.limits.OutgoingMessages(now)
+		more = n.g.limits.HasOpenLoans(now)
 	})
 	by := map[string][]peers.ShareMessage{}
 	for _, l := range letters {
-		if l.Kind == throttle.Ask {
+		if l.Kind == throttle.Borrow {
 			n.g.figures.asked.Inc(1)
 		}
-		by[l.To] = append(by[l.To], partOf(l.Part))
+		by[l.To] = append(by[l.To], partOf(l.ShareMessage))
 	}
 	for to, parts := range by {
 		n.tellParts(to, parts)
@@ -70,14 +70,14 @@
 	return more
 }
 
-func (n *Neighbours) tellParts(to string, parts []peers.ShareMessage) {
+func (n *PeerExchange) tellParts(to string, parts []peers.ShareMessage) {
 	for list := range slices.Chunk(parts, peers.MaxShares) {
 		n.socket.SendAll(addresses([]string{to}), peers.Message{Lending: &peers.Lending{Address: n.self, Shares: list}})
 	}
 }
 
 // hearParts takes in what another gateway says of parts, and answers it.
-func (n *Neighbours) hearParts(from netip.AddrPort, m peers.Lending) {
+func (n *PeerExchange) hearParts(from netip.AddrPort, m peers.Lending) {
 	if bad := n.g.badParts(m); bad != "" {
 		n.g.leaveOut(from, bad)
 		return
@@ -91,8 +91,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range m.Shares {
-		part := throttle.Part{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, Number: p.RequestNumber, Tokens: p.Tokens, Lasts: p.LeaseTime()}
-		answer, ok := g.limits.Receive(m.Address, part, now)
+		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseTime: p.LeaseTime()}
+		answer, ok := g.limits.ReceiveMessage(m.Address, part, now)
 		if ok {
 			answers = append(answers, partOf(answer))
 		}
@@ -106,8 +106,8 @@
 	return answers
 }
 
-func partOf(p throttle.Part) peers.ShareMessage {
-	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.Number, Tokens: p.Tokens, LeaseMs: p.Lasts.Milliseconds()}
+func partOf(p throttle.ShareMessage) peers.ShareMessage {
+	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseMs: p.LeaseTime.Milliseconds()}
 }
 
 // badParts says what is not valid in a message, "" where all is.
@@ -116,7 +116,7 @@
 		return "too many parts"
 	}
 	var known bool
-	duty.Locked(&g.mu, func() { known = g.limits.Knows(m.Address) })
+	duty.Locked(&g.mu, func() { known = g.limits.HasPeer(m.Address) })
 	if !known {
 		return "of a gateway that is not heard"
 	}
@@ -129,7 +129,7 @@
 }
 
 func validPart(p peers.ShareMessage) bool {
-	return p.Kind >= int(throttle.Ask) && p.Kind <= int(throttle.Return) &&
+	return p.Kind >= int(throttle.Borrow) && p.Kind <= int(throttle.Return) &&
 		p.Endpoint != "" && len(p.Endpoint) <= longestID && p.RequestNumber > 0 &&
 		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // No NaN either.
 		p.LeaseMs >= 0 && p.LeaseMs <= longestLent.Milliseconds()
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -24,12 +24,12 @@
 	n.withSocket(t)
 	n.moveTo(n.socket.Address())
 	n.g.setGateways(n.self, []string{borrowerAddress})
-	n.g.limits.Answered("i", throttle.Word{Limited: true, Limit: 1, At: n.g.cfg.Now()})
+	n.g.limits.RecordAnswer("i", throttle.Report{Limited: true, Limit: 1, At: n.g.cfg.Now()})
 	return n
 }
 
 func TestMessagesOnPartsThatAreNotValidAreLeftOut(t *testing.T) {
-	valid := peers.ShareMessage{Kind: int(throttle.Ask), Endpoint: "i", RequestNumber: 1}
+	valid := peers.ShareMessage{Kind: int(throttle.Borrow), Endpoint: "i", RequestNumber: 1}
 	change := func(f func(p *peers.ShareMessage)) peers.Lending {
 		p := valid
 		f(&p)
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -21,7 +21,7 @@
 const (
 	// deafFor is how long a gateway that did not answer is asked after all others: whoever
 	// died is not known by then.
-	deafFor = roster.FreshFor
+	deafFor = roster.RecentFor
 	// firstAnswers is how long a process that has just started waits at most to hear of
 	// others of its failure domain, so that not all listen to the seeds: some round trips
 	// to these, looked at each firstLook.
@@ -52,9 +52,9 @@
 	number uint64
 }
 
-// Listen waits for news from a gateway that reads the store and takes it in. When
+// FollowPeers waits for news from a gateway that reads the store and takes it in. When
 // that does not answer, the other ones are asked, too.
-func (n *Neighbours) Listen(ctx context.Context) (err error) {
+func (n *PeerExchange) FollowPeers(ctx context.Context) (err error) {
 	if n.first && time.Since(n.started) < startSpread {
 		wait.For(ctx, startSpread-time.Since(n.started)) // The seeds may not be up yet.
 	}
@@ -73,7 +73,7 @@
 }
 
 // listenable returns whom to listen to, in the order of trial.
-func (n *Neighbours) listenable(now time.Time) []string {
+func (n *PeerExchange) listenable(now time.Time) []string {
 	list, place := n.before()
 	if n.settling(now) && place < readersPerDomain {
 		list = n.seeds
@@ -99,7 +99,7 @@
 }
 
 // listenTo waits for news from one gateway and takes it in.
-func (n *Neighbours) listenTo(ctx context.Context, from string) (err error) {
+func (n *PeerExchange) listenTo(ctx context.Context, from string) (err error) {
 	var last heardNumber
 	duty.Locked(&n.mu, func() { last = n.heardOf[from] })
 	asked := n.g.cfg.Now()
@@ -112,17 +112,17 @@
 	if err := n.takeConfig(p); err != nil {
 		return err
 	}
-	n.g.view.Hear(p.Told, n.g.cfg.Now())
+	n.g.view.ApplyUpdate(p.Update, n.g.cfg.Now())
 	n.g.view.Confirm(p.Version, asked.Add(p.Held-p.Age))
 	duty.Locked(&n.mu, func() { n.heardOf = listenedTo{from: {life: p.Life, number: p.Number}} })
 	n.logTold(from, p)
 	return nil
 }
 
-func (n *Neighbours) logTold(from string, p published) {
-	if len(p.Config)+len(p.Endpoints)+len(p.Gone) == 0 {
+func (n *PeerExchange) logTold(from string, p published) {
+	if len(p.Config)+len(p.Endpoints)+len(p.Removals) == 0 {
 		return
 	}
 	n.log.Info("heard of changes", zap.String("from", from), zap.Uint64("version", p.Version), zap.Uint64("revision", p.At),
-		zap.Duration("age", p.Age), zap.Bool("whole", p.Whole), zap.Int("endpoints", len(p.Endpoints)), zap.Int("gone", len(p.Gone)))
+		zap.Duration("age", p.Age), zap.Bool("whole", p.Whole), zap.Int("endpoints", len(p.Endpoints)), zap.Int("gone", len(p.Removals)))
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -27,7 +27,7 @@
 
 // station is a gateway that others can listen to.
 type station struct {
-	*Neighbours
+	*PeerExchange
 	view *follow.View
 }
 
@@ -35,7 +35,7 @@
 	view := follow.NewView()
 	g, closeGateway := New(Config{Domain: "a"}, Codec{}, view, zap.NewNop(), metrics.NewRegistry())
 	t.Cleanup(closeGateway)
-	n, closeNeighbours := NewNeighbours(NeighboursConfig{Name: "g", Domain: "a", Decode: func(raw []byte) (*fleet.Config, error) {
+	n, closeNeighbours := NewPeerExchange(PeerExchangeConfig{Name: "g", Domain: "a", Decode: func(raw []byte) (*fleet.Config, error) {
 		return configOf(uint64(len(raw))), nil
 	}}, g, nil, zap.NewNop())
 	t.Cleanup(closeNeighbours)
@@ -92,15 +92,15 @@
 		return list
 	}
 
-	g.Expect(listener.Listen(ctx)).To(Succeed())
+	g.Expect(listener.FollowPeers(ctx)).To(Succeed())
 	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(3))
 	g.Expect(ids()).To(ConsistOf("one", "two"))
 	g.Expect(listener.view.Age(time.Now())).To(BeNumerically(">=", reader.view.Age(time.Now().Add(-time.Millisecond))))
 
 	// The call is held until something changes, and only that is told.
 	var held errgroup.Group
-	held.Go(func() error { return listener.Listen(ctx) })
-	reader.view.Apply(follow.Changes{Config: configOf(4), Gone: []follow.Gone{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
+	held.Go(func() error { return listener.FollowPeers(ctx) })
+	reader.view.Apply(follow.Changes{Config: configOf(4), Removals: []follow.Removal{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
 	g.Expect(held.Wait()).To(Succeed())
 	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(4))
 	g.Expect(ids()).To(ConsistOf("two", "three"))
@@ -110,7 +110,7 @@
 	listener.view.Merge(follow.Changes{Endpoints: []fleet.Endpoint{endpointAt("one", 5)}})
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 	reader.life++
-	g.Expect(listener.Listen(ctx)).To(Succeed())
+	g.Expect(listener.FollowPeers(ctx)).To(Succeed())
 	g.Expect(ids()).To(ConsistOf("two", "three"))
 }
 
@@ -121,7 +121,7 @@
 	listener.hear(hello(behind, "a", false))
 	behind.view.Replace(follow.Snapshot{Config: configOf(3), Endpoints: []fleet.Endpoint{endpointAt("old", 2)}, At: 2}, time.Now().Add(-time.Minute), false)
 	listener.publish(5, 9, endpointAt("new", 9))
-	g.Expect(listener.Listen(ctx)).To(Succeed())
+	g.Expect(listener.FollowPeers(ctx)).To(Succeed())
 	g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(5))
 	g.Expect(listener.view.State().Endpoints).To(HaveKey("new"))
 	g.Expect(listener.view.Age(time.Now())).To(BeNumerically("<", 30*time.Second))
@@ -136,7 +136,7 @@
 					s.hear(hello(other, "a", blind[j]))
 				}
 			}
-			if s.Reads(!blind[i]) {
+			if s.ReadsStore(!blind[i]) {
 				n++
 			}
 		}
@@ -160,8 +160,8 @@
 		for _, other := range all {
 			alone.hear(hello(other, "b", false))
 		}
-		g.Expect(alone.Reads(true)).To(BeTrue())
-		g.Expect(alone.Listen(context.Background())).To(MatchError(errNoReader))
+		g.Expect(alone.ReadsStore(true)).To(BeTrue())
+		g.Expect(alone.FollowPeers(context.Background())).To(MatchError(errNoReader))
 	})
 }
 
@@ -172,20 +172,20 @@
 	ctx := context.Background()
 	seed, starter := newStation(t, 7), newStation(t, 9)
 	seed.seeds, starter.seeds = []string{seed.self}, []string{seed.self}
-	g.Expect(seed.Reads(true)).To(BeTrue())
-	g.Expect(starter.Reads(true)).To(BeFalse())
+	g.Expect(seed.ReadsStore(true)).To(BeTrue())
+	g.Expect(starter.ReadsStore(true)).To(BeFalse())
 
 	seed.view.Replace(follow.Snapshot{At: 1}, time.Now(), false)
-	g.Expect(starter.Listen(ctx)).To(Succeed())
-	g.Expect(starter.view.CheckAge(time.Now())).To(BeNumerically("<", 30*time.Second), "there is nothing yet, which is news")
+	g.Expect(starter.FollowPeers(ctx)).To(Succeed())
+	g.Expect(starter.view.ConfirmedAge(time.Now())).To(BeNumerically("<", 30*time.Second), "there is nothing yet, which is news")
 	g.Expect(starter.view.Age(time.Now())).To(BeNumerically(">", time.Hour), "of no configuration")
 	seed.publish(3, 3, endpointAt("one", 2))
-	g.Expect(starter.Listen(ctx)).To(Succeed())
+	g.Expect(starter.FollowPeers(ctx)).To(Succeed())
 	g.Expect(starter.view.State().Config.Version()).To(BeEquivalentTo(3))
 	g.Expect(starter.view.State().Endpoints).To(HaveKey("one"))
 
 	starter.started = time.Now().Add(-2 * heardFor)
-	g.Expect(starter.Reads(true)).To(BeTrue(), "it has heard of no other one of its domain")
+	g.Expect(starter.ReadsStore(true)).To(BeTrue(), "it has heard of no other one of its domain")
 }
 
 func TestWhoDoesNotAnswerIsNotTheOnlyOneListenedTo(t *testing.T) {
@@ -197,13 +197,13 @@
 	listener.hear(hello(reader, "a", false))
 	reader.publish(3, 6)
 	for range 2 {
-		g.Expect(listener.Listen(ctx)).To(Succeed())
+		g.Expect(listener.FollowPeers(ctx)).To(Succeed())
 		g.Expect(listener.view.State().Config.Version()).To(BeEquivalentTo(3))
 		g.Expect(listener.listenable(time.Now())[0]).To(Equal(reader.self), "the one that answered comes first from then on")
 	}
 	listener.moveTo(listener.self)
 	listener.hear(hello(dead, "a", false))
-	g.Expect(listener.Listen(ctx)).NotTo(Succeed())
+	g.Expect(listener.FollowPeers(ctx)).NotTo(Succeed())
 }
 
 func TestWhatMayHaveLapsedIsNotBorrowed(t *testing.T) {
@@ -211,7 +211,7 @@
 	ctx := context.Background()
 	lender, borrower := newStation(t, 7), newStation(t, 9)
 	lender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
-	lender.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
+	lender.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
 	p, err := borrower.ask(ctx, lender.self)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(borrower.take(p, time.Now())).To(Succeed())
@@ -258,7 +258,7 @@
 	}
 	knowAll(40)
 	g.Expect(s.listenable(time.Now())).To(Equal([]string{at(4), at(0), at(1)}))
-	g.Expect(s.Reads(true)).To(BeFalse())
+	g.Expect(s.ReadsStore(true)).To(BeFalse())
 	s.deaf[at(4)] = time.Now()
 	g.Expect(s.listenable(time.Now())).To(Equal([]string{at(0), at(1), at(4)}), "one that did not answer comes last for a time")
 	g.Expect(s.listenable(time.Now().Add(2 * deafFor))).To(HaveExactElements(at(4), at(0), at(1)))
@@ -267,9 +267,9 @@
 
 	knowAll(1)
 	s.seeds = []string{"10.9.0.1:80"}
-	g.Expect(s.Reads(true)).To(BeTrue())
+	g.Expect(s.ReadsStore(true)).To(BeTrue())
 	s.started = time.Now()
-	g.Expect(s.Reads(true)).To(BeFalse())
+	g.Expect(s.ReadsStore(true)).To(BeFalse())
 	g.Expect(s.listenable(time.Now())).To(Equal(s.seeds), "one of the first goes by its seeds while it settles")
 	knowAll(40)
 	s.started = time.Now()
@@ -310,7 +310,7 @@
 		g.Expect(s.listenTo(ctx, reader.self)).To(Succeed())
 		g.Expect(s.view.State().Endpoints).To(HaveLen(2))
 	}
-	reader.view.Apply(follow.Changes{Gone: []follow.Gone{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
+	reader.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
 	g.Expect(middle.listenTo(ctx, reader.self)).To(Succeed())
 	g.Expect(leaf.listenTo(ctx, middle.self)).To(Succeed())
 	g.Expect(leaf.view.State().Endpoints).To(HaveLen(1))
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -13,19 +13,19 @@
 )
 
 // takeLoad takes in the load of one engine, and passes it on if asked to.
-func (n *Neighbours) takeLoad(l peers.Load) {
+func (n *PeerExchange) takeLoad(l peers.Load) {
 	if l.Forward {
 		l.Forward = false
 		n.passOn(peers.Message{Load: &l})
 	}
 	n.g.hearSenders(l.GatewayCount, time.Now())
-	n.g.Report(l.Address, balance.Load{
-		Born: l.StartedAt, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: l.Slowdown, Pass: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
+	n.g.ReportLoad(l.Address, balance.Load{
+		StartedAt: l.StartedAt, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: l.Slowdown, PassTime: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
 	})
 }
 
 // takeLoads takes in the loads of ranks of a group, and passes them on if asked to.
-func (n *Neighbours) takeLoads(l peers.Loads) {
+func (n *PeerExchange) takeLoads(l peers.Loads) {
 	if l.Forward {
 		l.Forward = false
 		n.passOn(peers.Message{Loads: &l})
@@ -39,17 +39,17 @@
 			n.log.Warn("load left out", zap.String("group", l.Group), zap.String("error", err.Error()))
 			continue
 		}
-		n.g.Report(a.String(), balance.Load{
-			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: float64(r.Slowdown), Pass: time.Duration(l.PassMs) * time.Millisecond, At: now,
+		n.g.ReportLoad(a.String(), balance.Load{
+			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: float64(r.Slowdown), PassTime: time.Duration(l.PassMs) * time.Millisecond, At: now,
 		})
 	}
 }
 
 // passOn tells loads to the other gateways of the own failure domain.
-func (n *Neighbours) passOn(m peers.Message) {
+func (n *PeerExchange) passOn(m peers.Message) {
 	var to []string
 	duty.Locked(&n.mu, func() {
-		for _, g := range n.roster.There(time.Now()) {
+		for _, g := range n.roster.Alive(time.Now()) {
 			if g.Domain == n.domain {
 				to = append(to, g.Address)
 			}
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -21,9 +21,9 @@
 // Times of the talk with other processes.
 const (
 	// helloEvery is the time between two rounds of hellos.
-	helloEvery = roster.Every
+	helloEvery = roster.HelloInterval
 	// heardFor is how long a gateway counts as there after its last hello.
-	heardFor = roster.HeardFor
+	heardFor = roster.ExpireAfter
 	// unheardEvery is the time between two hellos to sidecars while none is heard: gateways
 	// and sidecars that lost power together were up within a second of each other, and
 	// each hello that is missed keeps the callers of a gateway waiting.
@@ -49,9 +49,9 @@
 	maxPublished = 16 << 20
 )
 
-// Neighbours finds other gateways, tells sidecars and gateways of this one, and
+// PeerExchange finds other gateways, tells sidecars and gateways of this one, and
 // borrows the published state from a neighbour while the store does not answer.
-type Neighbours struct {
+type PeerExchange struct {
 	g          *Gateway
 	socket     *peers.Socket
 	log        *zap.Logger
@@ -77,29 +77,29 @@
 	deaf       map[string]time.Time // When gateways did not answer a listener, by address.
 }
 
-// NeighboursConfig is the setting of Neighbours.
-type NeighboursConfig struct {
+// PeerExchangeConfig is the setting of Neighbours.
+type PeerExchangeConfig struct {
 	Name         string
 	Domain       string
 	Address      string // Peer listener of this gateway.
 	Seeds        []string
-	InForce      time.Duration // In which a new configuration must be in force.
-	First        bool          // The whole system starts for the first time.
+	EffectTime   time.Duration // In which a new configuration must be in force.
+	FirstStart   bool          // The whole system starts for the first time.
 	SidecarsPort int
 	Decode       func(raw []byte) (*fleet.Config, error) // Reads a configuration's text.
 }
 
-// NewNeighbours returns what a gateway knows of other processes. The function
+// NewPeerExchange returns what a gateway knows of other processes. The function
 // closes its connections.
-func NewNeighbours(cfg NeighboursConfig, g *Gateway, socket *peers.Socket, log *zap.Logger) (n *Neighbours, cleanup func()) {
+func NewPeerExchange(cfg PeerExchangeConfig, g *Gateway, socket *peers.Socket, log *zap.Logger) (n *PeerExchange, cleanup func()) {
 	t := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: borrowTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     peers.ClientIdleTimeout,
 	}
-	n = &Neighbours{
+	n = &PeerExchange{
 		g: g, socket: socket, log: log, decode: cfg.Decode, client: &http.Client{Transport: t},
-		self: cfg.Address, life: time.Now().UnixMilli(), started: time.Now(), first: cfg.First, spread: max(cfg.InForce-turnMargin, 0), name: cfg.Name, domain: cfg.Domain, seeds: cfg.Seeds, port: cfg.SidecarsPort,
+		self: cfg.Address, life: time.Now().UnixMilli(), started: time.Now(), first: cfg.FirstStart, spread: max(cfg.EffectTime-turnMargin, 0), name: cfg.Name, domain: cfg.Domain, seeds: cfg.Seeds, port: cfg.SidecarsPort,
 		heardOf: listenedTo{}, deaf: map[string]time.Time{},
 	}
 	n.roster = roster.New(roster.Gateway{Address: n.self, Domain: n.domain}, n.seeds, n.started)
@@ -108,19 +108,19 @@
 }
 
 // Handler serves the calls of other gateways.
-func (n *Neighbours) Handler() http.Handler {
+func (n *PeerExchange) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pathPublished, n.servePublished)
 	return mux
 }
 
 // Receive takes in a message. One that causes a panic is left out.
-func (n *Neighbours) Receive(from netip.AddrPort, m peers.Message) {
+func (n *PeerExchange) Receive(from netip.AddrPort, m peers.Message) {
 	duty.Contain("message", n.log, n.g.figures.reg, func() { n.receive(from, m) })
 }
 
-func (n *Neighbours) receive(from netip.AddrPort, m peers.Message) {
-	n.g.suspects.Hear(m.Ends, n.g.cfg.Now())
+func (n *PeerExchange) receive(from netip.AddrPort, m peers.Message) {
+	n.g.suspects.MergeEnds(m.Ends, n.g.cfg.Now())
 	n.g.hearLimits(from, m.Limits)
 	if m.Lending != nil {
 		n.hearParts(from, *m.Lending)
@@ -144,7 +144,7 @@
 
 // hear takes in a hello; it reports whether the gateway's process has not spoken before, and
 // what was last heard of an earlier life of it, nil for nothing.
-func (n *Neighbours) hear(h peers.Hello) (fresh bool, before *peers.PreviousIncarnation) {
+func (n *PeerExchange) hear(h peers.Hello) (fresh bool, before *peers.PreviousIncarnation) {
 	known, err := seenOf(h.KnownGateways)
 	if err != nil {
 		n.log.Warn("gateways left out", zap.String("told-by", h.Address), zap.String("error", err.Error()))
@@ -163,7 +163,7 @@
 
 // hearBefore logs what another gateway heard last of this one's earlier life: nothing of
 // that is kept here.
-func (n *Neighbours) hearBefore(h peers.Hello) {
+func (n *PeerExchange) hearBefore(h peers.Hello) {
 	if h.Previous == nil {
 		return
 	}
@@ -176,19 +176,19 @@
 }
 
 // enroll takes a hello into the roster.
-func (n *Neighbours) enroll(h peers.Hello, known []roster.Seen, now time.Time) (fresh bool, before *peers.PreviousIncarnation) {
+func (n *PeerExchange) enroll(h peers.Hello, known []roster.Member, now time.Time) (fresh bool, before *peers.PreviousIncarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Incarnation {
-		before = &peers.PreviousIncarnation{Incarnation: last.Life, AgeMs: last.Age.Milliseconds(), Leaving: last.Left}
+	if last, ok := n.roster.LastDirect(h.Address, now); ok && last.StartedAt < h.Incarnation {
+		before = &peers.PreviousIncarnation{Incarnation: last.StartedAt, AgeMs: last.Age.Milliseconds(), Leaving: last.Stopping}
 	}
-	fresh = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Incarnation, Blind: h.StoreUnreachable, Left: h.Leaving}, now)
-	n.roster.HearOf(known, now)
+	fresh = n.roster.Receive(roster.Gateway{Address: h.Address, Domain: h.Domain, StartedAt: h.Incarnation, StoreUnreachable: h.StoreUnreachable, Stopping: h.Leaving}, now)
+	n.roster.MergeMembers(known, now)
 	return fresh, before
 }
 
 // answer answers a hello, and names the gateways that it asks for.
-func (n *Neighbours) answer(to netip.AddrPort, h peers.Hello, before *peers.PreviousIncarnation) {
+func (n *PeerExchange) answer(to netip.AddrPort, h peers.Hello, before *peers.PreviousIncarnation) {
 	now := time.Now()
 	told := n.asked(h, now)
 	own := n.hello(now)
@@ -201,27 +201,27 @@
 }
 
 // asked returns the gateways that a hello asks for.
-func (n *Neighbours) asked(h peers.Hello, now time.Time) []roster.Seen {
+func (n *PeerExchange) asked(h peers.Hello, now time.Time) []roster.Member {
 	if h.QueriedDomain == "" {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.Answer(h.Domain, h.QueriedDomain, now)
+	return n.roster.AnswerQuery(h.Domain, h.QueriedDomain, now)
 }
 
 // others returns the gateways that are there.
-func (n *Neighbours) others() (list []string) {
+func (n *PeerExchange) others() (list []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, g := range n.roster.There(time.Now()) {
+	for _, g := range n.roster.Alive(time.Now()) {
 		list = append(list, g.Address)
 	}
 	return list
 }
 
 // Run talks to other processes until ctx ends.
-func (n *Neighbours) Run(ctx context.Context) error {
+func (n *PeerExchange) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	duties := duty.New(ctx, n.log, n.g.figures.reg, func(string) { cancel() })
@@ -231,7 +231,7 @@
 	return duties.Wait()
 }
 
-func (n *Neighbours) greetAndBorrow(ctx context.Context) error {
+func (n *PeerExchange) greetAndBorrow(ctx context.Context) error {
 	hello := time.NewTicker(helloEvery)
 	defer hello.Stop()
 	borrow := time.NewTicker(borrowEvery)
@@ -257,16 +257,16 @@
 
 // listed returns a channel that is closed when the view changes, as long as sidecars may
 // be listed to which no hello has gone; nil later.
-func (n *Neighbours) listed() <-chan struct{} {
+func (n *PeerExchange) listed() <-chan struct{} {
 	if n.subscribed {
 		return nil
 	}
-	return n.g.view.Moved()
+	return n.g.view.Updated()
 }
 
 // greetListed says hello to sidecars as soon as any are listed, so that loads are known
 // from the first moments on: groups that still form are not tried in vain then.
-func (n *Neighbours) greetListed() {
+func (n *PeerExchange) greetListed() {
 	to := n.sidecars()
 	if len(to) == 0 {
 		return
@@ -278,15 +278,15 @@
 // greetUnheard says hello to sidecars while none of them is heard: after an outage of
 // both sides those that were not up yet missed the hello, and what they have to tell is
 // waited for.
-func (n *Neighbours) greetUnheard() {
+func (n *PeerExchange) greetUnheard() {
 	if leaving, _ := n.g.leaving(time.Now()); leaving || n.g.hearsRanks(time.Now()) {
 		return
 	}
-	n.socket.SendAll(addressesOf(roster.Some(n.sidecars(), unheardSidecars, random)), peers.Message{Hello: n.helloToSidecars()})
+	n.socket.SendAll(addressesOf(roster.RandomSubset(n.sidecars(), unheardSidecars, random)), peers.Message{Hello: n.helloToSidecars()})
 }
 
 // hello returns what this gateway tells of itself.
-func (n *Neighbours) hello(now time.Time) *peers.Hello {
+func (n *PeerExchange) hello(now time.Time) *peers.Hello {
 	leaving, _ := n.g.leaving(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -295,30 +295,30 @@
 
 // helloToSidecars returns what sidecars are told of this gateway and of others, which greet
 // other sidecars.
-func (n *Neighbours) helloToSidecars() *peers.Hello {
+func (n *PeerExchange) helloToSidecars() *peers.Hello {
 	now := time.Now()
 	h := n.hello(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.GatewayCount = len(n.roster.There(now)) + 1
+	h.GatewayCount = len(n.roster.Alive(now)) + 1
 	h.KnownGateways = knownOf(first(peers.MaxKnownGateways, n.roster.Sample(now, random)))
 	return h
 }
 
 // greet says hello to gateways and sidecars.
-func (n *Neighbours) greet() {
+func (n *PeerExchange) greet() {
 	now := time.Now()
 	lapsed, greetings, others, heard := n.round(now)
-	n.g.SetOthers(others, heard)
+	n.g.SetOtherGateways(others, heard)
 	n.g.setGateways(n.self, n.others())
 	n.tellLimits()
 	for _, a := range lapsed {
 		n.log.Info("gateway not heard any more", zap.String("address", a))
 	}
-	ends := n.g.suspects.Tell(n.g.cfg.Now()) // All are told the same.
+	ends := n.g.suspects.NextToSend(n.g.cfg.Now()) // All are told the same.
 	h := n.hello(now)
 	for _, greeting := range greetings {
-		h.QueriedDomain = greeting.Asks
+		h.QueriedDomain = greeting.QueryDomain
 		n.socket.SendAll(addresses([]string{greeting.Address}), peers.Message{Hello: h, Ends: ends})
 	}
 	n.greeted++
@@ -331,20 +331,20 @@
 }
 
 // round begins a round of hellos.
-func (n *Neighbours) round(now time.Time) (lapsed []string, greetings []roster.Greeting, others int, heard time.Time) {
+func (n *PeerExchange) round(now time.Time) (lapsed []string, greetings []roster.Hello, others int, heard time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	lapsed = n.roster.Lapse(now)
-	greetings = n.roster.Greet(now, random)
-	return lapsed, greetings, len(n.roster.There(now)), n.roster.LastHeard()
+	lapsed = n.roster.Expire(now)
+	greetings = n.roster.NextHellos(now, random)
+	return lapsed, greetings, len(n.roster.Alive(now)), n.roster.LastReceived()
 }
 
 // greetSidecars says hello to some of the sidecars, and, where this gateway is a hub, to
 // those of its failure domain.
-func (n *Neighbours) greetSidecars(all []sidecar) {
+func (n *PeerExchange) greetSidecars(all []sidecar) {
 	var hub bool
 	duty.Locked(&n.mu, func() { hub = n.roster.IsHub(time.Now()) })
-	to := roster.Some(all, someSidecars, random)
+	to := roster.RandomSubset(all, someSidecars, random)
 	if hub {
 		to = append(to, keep(all, func(s sidecar) bool { return s.domain == n.domain })...)
 	}
@@ -368,7 +368,7 @@
 }
 
 // sidecars returns the sidecars beside listed engines.
-func (n *Neighbours) sidecars() (list []sidecar) {
+func (n *PeerExchange) sidecars() (list []sidecar) {
 	s := n.g.view.State()
 	if s.Config == nil {
 		return nil
--- a/internal/gateway/published.go
+++ b/internal/gateway/published.go
@@ -38,7 +38,7 @@
 }
 
 // servePublished tells another gateway what this one knows.
-func (n *Neighbours) servePublished(w http.ResponseWriter, r *http.Request) {
+func (n *PeerExchange) servePublished(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	q, err := readQuestion(r)
 	if err != nil {
@@ -56,7 +56,7 @@
 		http.Error(w, "nothing known yet", http.StatusServiceUnavailable)
 		return
 	}
-	p := published{Life: n.life, Revision: s.ConfigRevision, Told: n.g.view.Tell(q.after)}
+	p := published{Life: n.life, Revision: s.ConfigRevision, Update: n.g.view.UpdateSince(q.after)}
 	if s.Config != nil {
 		p.Version = s.Config.Version()
 	}
@@ -66,14 +66,14 @@
 	// The age is taken after the state, and the time of holding before it: what is
 	// told may only be newer than it says.
 	p.Held = time.Since(began)
-	p.Age = n.g.view.CheckAge(n.g.cfg.Now())
+	p.Age = n.g.view.ConfirmedAge(n.g.cfg.Now())
 	httpjson.ReplyPacked(w, r, p)
 }
 
 // awaitNews waits until the view changes or is confirmed, at most holdTime, if
 // it holds nothing that is new to the other gateway.
-func (n *Neighbours) awaitNews(ctx context.Context, q question) {
-	moved := n.g.view.Moved()
+func (n *PeerExchange) awaitNews(ctx context.Context, q question) {
+	moved := n.g.view.Updated()
 	s := n.g.view.State()
 	if s.Config != nil && s.Config.Version() > q.version || n.g.view.ChangedSince(q.after) {
 		return
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -16,7 +16,7 @@
 
 // hearLimit takes in what an answer says of its endpoint's rate limit.
 func (q *request) hearLimit(e fleet.Endpoint, a fleet.Answer) {
-	w := throttle.Word{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
+	w := throttle.Report{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
 	switch {
 	case a.HasRateLimit:
 	case a.Signed:
@@ -24,7 +24,7 @@
 	default:
 		return // Only an answer to a request that ran shows that a limit has ended.
 	}
-	if q.g.hearRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.Answered(e.ID, w) }) {
+	if q.g.hearRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.RecordAnswer(e.ID, w) }) {
 		q.g.tellLimitsSoon()
 	}
 }
@@ -48,7 +48,7 @@
 		g.log.Info("endpoint names no rate limit any more", fields...)
 		return true
 	}
-	g.log.Info("endpoint names a rate limit", append(fields, zap.Float64("per-second", now), zap.Int("gateways", g.limits.Gateways()))...)
+	g.log.Info("endpoint names a rate limit", append(fields, zap.Float64("per-second", now), zap.Int("gateways", g.limits.GatewayCount()))...)
 	return true
 }
 
@@ -67,8 +67,8 @@
 			g.log.Warn("rate limit of an endpoint left out", zap.Stringer("told-by", from), zap.Float64("per-second", told.PerSecond), zap.Int64("age-ms", told.AgeMs))
 			continue
 		}
-		w := throttle.Word{Limited: told.Limited, Limit: told.PerSecond, At: g.cfg.Now().Add(-told.Age())}
-		g.hearRateLimit(told.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Hear(throttle.Told{Endpoint: told.Endpoint, Word: w}) })
+		w := throttle.Report{Limited: told.Limited, Limit: told.PerSecond, At: g.cfg.Now().Add(-told.Age())}
+		g.hearRateLimit(told.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Merge(throttle.Update{Endpoint: told.Endpoint, Report: w}) })
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 // toldLimits returns limits as a message tells them.
-func (g *Gateway) toldLimits(pick func(l *throttle.Limits) []throttle.Told) (list []peers.Limit) {
+func (g *Gateway) toldLimits(pick func(l *throttle.Limits) []throttle.Update) (list []peers.Limit) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,7 +99,7 @@
 func (g *Gateway) untoldLimits() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limits.Untold()
+	return g.limits.HasUnsent()
 }
 
 // setGateways tells among which gateways, by their peer listeners, limits are shared.
@@ -134,5 +134,5 @@
 		b = &throttle.Backlog{}
 		g.backlogs[q.service] = b
 	}
-	return b.Next(max(by.rate/float64(g.limits.Gateways()), by.held), g.cfg.Now())
+	return b.Next(max(by.rate/float64(g.limits.GatewayCount()), by.held), g.cfg.Now())
 }
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -26,9 +26,9 @@
 	mostListeners = 8
 )
 
-// Reads reports whether this gateway is one of the few of its domain that read
+// ReadsStore reports whether this gateway is one of the few of its domain that read
 // the store.
-func (n *Neighbours) Reads(able bool) bool {
+func (n *PeerExchange) ReadsStore(able bool) bool {
 	duty.Locked(&n.mu, func() { n.blind = !able })
 	leaving, _ := n.g.leaving(time.Now())
 	if leaving {
@@ -50,13 +50,13 @@
 // has heard of, nearly all gateways would take themselves for one of the few at a
 // start of the whole system. Seeds read, and so does whoever hears nothing from
 // them.
-func (n *Neighbours) settling(now time.Time) bool {
+func (n *PeerExchange) settling(now time.Time) bool {
 	return now.Sub(n.started) < heardFor && len(n.seeds) > 0 && !slices.Contains(n.seeds, n.self)
 }
 
 // readers returns the other gateways of the domain that read the store, in the
 // order in which they do.
-func (n *Neighbours) readers() []string {
+func (n *PeerExchange) readers() []string {
 	list, _ := n.readersThat(true)
 	return list
 }
@@ -64,12 +64,12 @@
 // readersThat returns the other gateways of the domain that can read the store;
 // when there are none and this one cannot either, those that try to. Seeing is
 // false then.
-func (n *Neighbours) readersThat(able bool) (list []string, seeing bool) {
+func (n *PeerExchange) readersThat(able bool) (list []string, seeing bool) {
 	var blind []string
 	var near []roster.Gateway
-	duty.Locked(&n.mu, func() { near = n.roster.Near(time.Now()) })
+	duty.Locked(&n.mu, func() { near = n.roster.SameDomain(time.Now()) })
 	for _, g := range near {
-		if g.Blind {
+		if g.StoreUnreachable {
 			blind = append(blind, g.Address)
 		} else {
 			list = append(list, g.Address)
@@ -84,7 +84,7 @@
 
 // before returns this gateway's place in the order of its failure domain, and those that it
 // may listen to: the one that it is a listener of, and those that read the store.
-func (n *Neighbours) before() (list []string, place int) {
+func (n *PeerExchange) before() (list []string, place int) {
 	all, _ := n.readersThat(false)
 	place, _ = slices.BinarySearch(all, n.self)
 	readers := first(readersPerDomain, all)
@@ -110,14 +110,14 @@
 // hears nothing new, and that of reading.
 const turnMargin = listenTimeout + 300*time.Millisecond
 
-// Follow returns what makes a follower listen to these neighbours.
-func (n *Neighbours) Follow() follow.Listener {
-	return follow.Listener{Reads: n.Reads, Listen: n.Listen, Turn: n.turn, Spread: n.spread}
+// PeerSource returns what makes a follower listen to these neighbours.
+func (n *PeerExchange) PeerSource() follow.PeerSource {
+	return follow.PeerSource{ReadsSource: n.ReadsStore, Fetch: n.FollowPeers, Turn: n.turn, Spread: n.spread}
 }
 
 // turn returns this gateway's place among those of its domain, in the order in which
 // they read the store: 0 for the first.
-func (n *Neighbours) turn() float64 {
+func (n *PeerExchange) turn() float64 {
 	list, _ := n.readersThat(true)
 	before, _ := slices.BinarySearch(list, n.self)
 	return float64(before) / float64(len(list)+1)
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -22,10 +22,10 @@
 	if q.call.HasCallerTimeout {
 		patience = q.call.CallerTimeout
 	}
-	timer := time.NewTimer(time.Until(hold.ForStart(q.arrived, patience)))
+	timer := time.NewTimer(time.Until(hold.UntilConfig(q.arrived, patience)))
 	defer timer.Stop()
 	for {
-		moved := q.g.view.Moved()
+		moved := q.g.view.Updated()
 		if s := q.g.view.State(); s.Config != nil {
 			return s
 		}
@@ -48,7 +48,7 @@
 	if !q.lastTry() || !q.mayTryOn() || q.kept != nil {
 		return e, false
 	}
-	until := q.keptUntil(max(q.turnover.First, q.route.TargetLatency/2))
+	until := q.keptUntil(max(q.turnover.FirstEvent, q.route.TargetLatency/2))
 	if q.allDown && q.opens.After(until) {
 		return e, false // It would wait in vain.
 	}
@@ -72,7 +72,7 @@
 // keptUntil is until when a caller who would not come again can be kept, where a first event
 // takes so long.
 func (q *request) keptUntil(first time.Duration) time.Time {
-	until := hold.ForGroup(q.heardLast(), q.leavesAfter(), first)
+	until := hold.UntilGroupOpen(q.heardLast(), q.leavesAfter(), first)
 	if until.After(q.final) {
 		return q.final
 	}
--- a/internal/gateway/recover_test.go
+++ b/internal/gateway/recover_test.go
@@ -114,7 +114,7 @@
 				r.TargetLatency = 20 * time.Millisecond
 				tc.change(r)
 			}, one, two)
-			s.cfg.RetrySpare = tc.spare
+			s.cfg.RetryFloor = tc.spare
 			time.AfterFunc(200*time.Millisecond, func() {
 				close(one.going)
 				close(two.going)
@@ -132,7 +132,7 @@
 	only := newStreamer(0)
 	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency, r.SilenceTimeout = time.Second, patienceOf }, only)
 	group := func(closed bool) {
-		s.Report(s.addresses[0], balance.Load{Group: "g", Closed: closed, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: closed, PassTime: 20 * time.Millisecond, At: time.Now()})
 	}
 	group(true)
 	g.Expect(s.expectRefused(g, "first", "30000")).To(Equal("2.5"))
@@ -149,7 +149,7 @@
 	g := NewWithT(t)
 	only := newStreamer(0)
 	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency, r.SilenceTimeout = 100*time.Millisecond, 400*time.Millisecond }, only)
-	s.Report(s.addresses[0], balance.Load{Group: "g", Closed: true, At: time.Now().Add(time.Hour)})
+	s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: true, At: time.Now().Add(time.Hour)})
 	s.expectRefused(g, "again", "20000")
 	g.Expect(only.firsts()).To(BeEmpty(), "it did not run")
 }
@@ -158,7 +158,7 @@
 	g := NewWithT(t)
 	s, view, snap := newSiteOf(t, func(*fleet.Route) {}, newStreamer(0))
 	wait := s.begin(g, "early", "")
-	g.Eventually(s.Busy, patienceOf).Should(Equal(1))
+	g.Eventually(s.InFlight, patienceOf).Should(Equal(1))
 	view.Replace(snap, time.Now(), false)
 	wait()
 	s, _, _ = newSiteOf(t, func(*fleet.Route) {})
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -236,7 +236,7 @@
 // keyFresh reports whether the configuration is young enough for the request's
 // key; a key may have been taken away since.
 func (q *request) keyFresh() bool {
-	return q.customer == nil || q.g.view.Age(q.g.cfg.Now()) < q.g.cfg.KeyAge
+	return q.customer == nil || q.g.view.Age(q.g.cfg.Now()) < q.g.cfg.MaxKeyAge
 }
 
 // recheck looks whether the newest configuration still allows the request,
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -116,7 +116,7 @@
 // view is empty.
 func newSiteOf(t *testing.T, change func(r *fleet.Route), endpoints ...http.Handler) (s site, view *follow.View, snap follow.Snapshot) {
 	view = follow.NewView()
-	gw, cleanup := New(Config{KeyAge: time.Hour, RetryWindow: time.Minute, RetrySpare: 1000}, testCodec(), view, zap.NewNop(), metrics.NewRegistry())
+	gw, cleanup := New(Config{MaxKeyAge: time.Hour, RetryWindow: time.Minute, RetryFloor: 1000}, testCodec(), view, zap.NewNop(), metrics.NewRegistry())
 	t.Cleanup(cleanup)
 	s = site{Gateway: gw}
 	route := fleet.Route{
@@ -134,8 +134,8 @@
 		snap.Endpoints = append(snap.Endpoints, fleet.Endpoint{ID: fmt.Sprint(i), Service: "s", Address: s.addresses[i], Slots: slots, Revision: 1, CreatedRevision: 1})
 	}
 	srv := httptest.NewUnstartedServer(gw.Handler())
-	gw.Callers().Attach(srv.Config)
-	srv.Listener = gw.Callers().Listener(srv.Listener)
+	gw.CallerConns().Attach(srv.Config)
+	srv.Listener = gw.CallerConns().Listener(srv.Listener)
 	srv.Start()
 	t.Cleanup(srv.Close)
 	s.url = srv.URL
@@ -144,7 +144,7 @@
 
 // tell reports the load of one endpoint.
 func (s site) tell(i, running int, pace float64) {
-	s.Report(s.addresses[i], balance.Load{Running: running, Group: "g", Pass: 20 * time.Millisecond, Pace: pace, At: time.Now()})
+	s.ReportLoad(s.addresses[i], balance.Load{Running: running, Group: "g", PassTime: 20 * time.Millisecond, Slowdown: pace, At: time.Now()})
 }
 
 // ask sends a caller's request and returns the answer.
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -22,9 +22,9 @@
 	if q.route.TargetLatency <= 0 || !q.route.MayRepeat() || len(q.tried) >= q.route.MaxAttempts {
 		return
 	}
-	x.Watch(upstream.Watch{
-		Limit:  func() time.Duration { return q.eventDue(e, x) },
-		GiveUp: func(silent time.Duration) bool { return q.giveUpSilent(e, silent) },
+	x.Watch(upstream.SilenceWatch{
+		Timeout: func() time.Duration { return q.eventDue(e, x) },
+		Abandon: func(silent time.Duration) bool { return q.giveUpSilent(e, silent) },
 	})
 }
 
@@ -32,7 +32,7 @@
 func (q *request) eventDue(e fleet.Endpoint, x *upstream.Exchange) time.Duration {
 	a := q.answerOf(e)
 	if x.Progress() == upstream.Answered && q.lastRun.events > 0 {
-		return a.Midway()
+		return a.MidStream()
 	}
 	return max(a.BeforeFirst()-time.Since(q.sentAt), 0)
 }
@@ -47,12 +47,12 @@
 
 // answerOf returns what is known of the answer of the try under way.
 func (q *request) answerOf(e fleet.Endpoint) silence.Answer {
-	a := silence.Answer{Target: q.route.TargetLatency, Leaves: q.leavesAfter()}
+	a := silence.Answer{Target: q.route.TargetLatency, CallerTimeout: q.leavesAfter()}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	a.First, a.Pass = q.g.passes.Usual(e.ID)
-	if took := q.g.took[q.service]; took != nil && a.First == 0 {
-		a.First = took.Most()
+	a.FirstEvent, a.PassTime = q.g.passes.TypicalTimes(e.ID)
+	if took := q.g.took[q.service]; took != nil && a.FirstEvent == 0 {
+		a.FirstEvent = took.UpperBound()
 	}
 	return a
 }
--- a/internal/gateway/slow_body_test.go
+++ b/internal/gateway/slow_body_test.go
@@ -118,7 +118,7 @@
 				c.expectEnd(t)
 				_ = c.Close()
 				wait()
-				g.Eventually(s.Busy, patienceOf).Should(BeZero())
+				g.Eventually(s.InFlight, patienceOf).Should(BeZero())
 				g.Expect(s.kept.n.Load()).To(BeZero())
 				g.Expect(runs.Load()).To(BeZero())
 			})
@@ -225,7 +225,7 @@
 		waits      func(s site) bool
 	}{
 		"for the rest of a body": {true, func(s site) bool { return s.kept.n.Load() > 0 }},
-		"for a configuration":    {false, func(s site) bool { return s.Busy() > 0 }},
+		"for a configuration":    {false, func(s site) bool { return s.InFlight() > 0 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -239,13 +239,13 @@
 			c.send(t, head("one", 10*int(patienceOf/time.Millisecond), "Content-Length: 20")+"{}")
 			g.Eventually(func() bool { return tc.waits(s) }, patienceOf).Should(BeTrue())
 			time.Sleep(20 * time.Millisecond) // So that it waits.
-			s.End()
+			s.Terminate()
 			resp := c.answer(t)
 			g.Expect(resp.StatusCode).To(Equal(http.StatusServiceUnavailable))
 			g.Expect(resp.Header.Get("Retry-After")).To(Equal("0.05"))
 			g.Expect(resp.Close).To(BeTrue())
 			c.expectEnd(t)
-			g.Eventually(s.Callers().Open, patienceOf).Should(BeZero())
+			g.Eventually(s.CallerConns().OpenConns, patienceOf).Should(BeZero())
 			g.Expect(runs.Load()).To(BeZero())
 		})
 	}
--- a/internal/gateway/slow_stream_test.go
+++ b/internal/gateway/slow_stream_test.go
@@ -23,7 +23,7 @@
 			if n == event {
 				_, _ = io.WriteString(w, with) // The caller's view is what is tested.
 				w.(http.Flusher).Flush()
-				time.Sleep(UnreadTime + time.Second)
+				time.Sleep(CallerWriteTimeout + time.Second)
 			}
 			if n <= streamEvents {
 				fmt.Fprintf(w, "id: %d\ndata: x\n\n", n)
@@ -56,7 +56,7 @@
 	beginStream(w, r)
 	_, _ = io.WriteString(w, "id: 1\ndata: x\n\nid: 2\nda") // As above.
 	w.(http.Flusher).Flush()
-	time.Sleep(UnreadTime + time.Second)
+	time.Sleep(CallerWriteTimeout + time.Second)
 	panic(http.ErrAbortHandler)
 }
 
@@ -83,9 +83,9 @@
 	s := newSiteWith(t, func(r *fleet.Route) { r.Timeout = patienceOf }, http.HandlerFunc(endless))
 	c := s.dial(t)
 	c.send(t, head("one", int(patienceOf.Milliseconds()), "Content-Length: 0"))
-	g.Eventually(s.Busy, patienceOf).Should(Equal(1))
+	g.Eventually(s.InFlight, patienceOf).Should(Equal(1))
 	began := time.Now()
-	g.Eventually(s.Busy, patienceOf).Should(BeZero())
+	g.Eventually(s.InFlight, patienceOf).Should(BeZero())
 	g.Expect(time.Since(began)).To(BeNumerically("<", patienceOf*3/4), "well before its time is over")
-	g.Eventually(s.Callers().Open, patienceOf).Should(BeZero())
+	g.Eventually(s.CallerConns().OpenConns, patienceOf).Should(BeZero())
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -138,11 +138,11 @@
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if q.events == 0 {
-		q.g.passes.First(e.ID, now.Sub(q.sentAt))
+		q.g.passes.RecordFirstEvent(e.ID, now.Sub(q.sentAt))
 		return
 	}
 	q.pause = max(q.pause, now.Sub(q.lastAt))
-	q.g.passes.Gap(e.ID, now.Sub(q.lastAt), now)
+	q.g.passes.RecordGap(e.ID, now.Sub(q.lastAt), now)
 }
 
 // endStream ends a stream that its endpoint ended as whole.
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -32,53 +32,53 @@
 
 // tellNews tells all other gateways at once of ends that were seen here, until ctx ends.
 // Hellos repeat them, as messages may be lost.
-func (n *Neighbours) tellNews(ctx context.Context) error {
+func (n *PeerExchange) tellNews(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.g.suspects.News():
+		case <-n.g.suspects.Pending():
 		case <-n.g.limitNews:
 		}
 		for n.g.untoldLimits() {
 			n.tellLimits()
 		}
-		for n.g.suspects.Untold() {
-			n.socket.SendAll(addresses(n.others()), peers.Message{Ends: n.g.suspects.Tell(n.g.cfg.Now())})
+		for n.g.suspects.HasUnsent() {
+			n.socket.SendAll(addresses(n.others()), peers.Message{Ends: n.g.suspects.NextToSend(n.g.cfg.Now())})
 		}
 		wait.For(ctx, gatherTime)
 	}
 }
 
 // tellLimits tells all other gateways of rate limits that have changed.
-func (n *Neighbours) tellLimits() {
-	list := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MaxLimits) })
+func (n *PeerExchange) tellLimits() {
+	list := n.g.toldLimits(func(l *throttle.Limits) []throttle.Update { return l.NextUpdates(peers.MaxLimits) })
 	if len(list) > 0 {
 		n.socket.SendAll(addresses(n.others()), peers.Message{Limits: list})
 	}
 }
 
 // tellNewcomer tells a gateway that has just started, or was away, of ends and rate limits.
-func (n *Neighbours) tellNewcomer(to netip.AddrPort) {
-	limits := n.g.toldLimits(func(l *throttle.Limits) []throttle.Told { return l.Named(mostNamed) })
+func (n *PeerExchange) tellNewcomer(to netip.AddrPort) {
+	limits := n.g.toldLimits(func(l *throttle.Limits) []throttle.Update { return l.ActiveLimits(mostNamed) })
 	for part := range slices.Chunk(limits, peers.MaxLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
-	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
+	if list := n.g.suspects.ForNewPeer(n.g.cfg.Now()); len(list) > 0 {
 		n.socket.Send(to, peers.Message{Ends: list})
 	}
 }
 
 // entrust tells some sidecars of ends: they tell gateways that have just started.
-func (n *Neighbours) entrust(sidecars []sidecar) {
-	if list := n.g.suspects.TellOne(n.g.cfg.Now()); len(list) > 0 {
-		n.socket.SendAll(addressesOf(roster.Some(sidecars, entrusted, random)), peers.Message{Ends: list})
+func (n *PeerExchange) entrust(sidecars []sidecar) {
+	if list := n.g.suspects.ForNewPeer(n.g.cfg.Now()); len(list) > 0 {
+		n.socket.SendAll(addressesOf(roster.RandomSubset(sidecars, entrusted, random)), peers.Message{Ends: list})
 	}
 }
 
 // owns reports whether this gateway is the one that tries a request of a key, by the
 // gateways that it knows.
-func (n *Neighbours) owns(k quarantine.Key) bool {
+func (n *PeerExchange) owns(k quarantine.Key) bool {
 	return own.Owner(k.String(), append(n.others(), n.self)) == n.self
 }
 
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -36,7 +36,7 @@
 func (q *request) try(e fleet.Endpoint) result {
 	g := q.g
 	duty.Locked(&g.mu, func() {
-		if age, ok := g.table.Age(e.ID, time.Now()); ok {
+		if age, ok := g.table.LoadAge(e.ID, time.Now()); ok {
 			g.figures.loadAge.Update(age.Milliseconds())
 		}
 		g.table.Start(e.ID)
@@ -69,7 +69,7 @@
 		return unreached
 	}
 	if len(q.tried) == 0 {
-		duty.Locked(&g.mu, func() { g.window(q.service).Request(g.cfg.Now()) })
+		duty.Locked(&g.mu, func() { g.window(q.service).RecordRequest(g.cfg.Now()) })
 	}
 	return q.exchange(e, conn)
 }
@@ -178,7 +178,7 @@
 		q.bad(e, 1, fmt.Sprintf("status %d without signature", resp.StatusCode))
 		return unknown
 	}
-	q.g.suspects.Alive(e.ID, q.wentAt)
+	q.g.suspects.RecordAlive(e.ID, q.wentAt)
 	q.lastRun = endpointRun{endpoint: e.ID, status: resp.StatusCode, framed: x.Framed()}
 	if q.reply.begun() {
 		if err := q.fits(resp, answer); err != nil {
@@ -250,10 +250,10 @@
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() && !q.asksForWeights() {
-		q.g.table.Misplaced(e.ID, time.Now())
+		q.g.table.MarkMisplaced(e.ID, time.Now())
 	}
 	if a.BlamedEndpoint != "" {
-		q.downGroup, q.groupDown, q.downAt = q.g.passes.Group(e.ID), true, time.Now()
+		q.downGroup, q.groupDown, q.downAt = q.g.passes.GroupOf(e.ID), true, time.Now()
 	}
 }
 
@@ -276,7 +276,7 @@
 	}
 	var out time.Duration
 	var ok bool
-	duty.Locked(&q.g.mu, func() { out, ok = q.g.table.Bad(e.ID, weight, time.Now()) })
+	duty.Locked(&q.g.mu, func() { out, ok = q.g.table.RecordFailure(e.ID, weight, time.Now()) })
 	if ok {
 		q.g.log.Warn("endpoint taken out", zap.String("endpoint", e.ID), zap.String("cause", text), zap.Duration("for", out))
 	}
@@ -285,5 +285,5 @@
 func (q *request) good(e fleet.Endpoint) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	q.g.table.Good(e.ID, time.Now())
+	q.g.table.RecordSuccess(e.ID, time.Now())
 }
--- a/internal/gateway/unfinished.go
+++ b/internal/gateway/unfinished.go
@@ -16,7 +16,7 @@
 // connection broke.
 type unfinished struct {
 	key     quarantine.Key
-	sending quarantine.Sending
+	sending quarantine.Knowledge
 	at      time.Time // When it was given up.
 }
 
--- a/internal/gateway/vacate_test.go
+++ b/internal/gateway/vacate_test.go
@@ -121,7 +121,7 @@
 	g.Eventually(begun, patienceOf).Should(BeClosed())
 	g.Expect(s.figures.dialed.Count()).To(BeEquivalentTo(1), "they share a connection")
 	g.Expect(c.Close()).To(Succeed())
-	g.Eventually(s.Busy, patienceOf).Should(BeNumerically("<=", 1), "the first request has ended")
+	g.Eventually(s.InFlight, patienceOf).Should(BeNumerically("<=", 1), "the first request has ended")
 	close(going)
 	g.Expect(other.Wait()).To(Succeed())
 	g.Expect(asked.Load()).To(BeEquivalentTo(1), "it was sent once")
@@ -256,7 +256,7 @@
 				r.Kind = fleet.Repeatable
 				tc.change(r)
 			}, http.HandlerFunc(endpoint))
-			s.cfg.RetrySpare = tc.spare
+			s.cfg.RetryFloor = tc.spare
 			view.Replace(snap, time.Now(), false)
 			for n, want := range []int{http.StatusOK, tc.status} {
 				runs.Store(0)
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -22,14 +22,14 @@
 // of its service. It reports whether there is an endpoint now.
 func (q *request) await(now time.Time) (e fleet.Endpoint, ok bool) {
 	g := q.g
-	until := q.arrived.Add(q.route.TargetLatency - q.turnover.First)
+	until := q.arrived.Add(q.route.TargetLatency - q.turnover.FirstEvent)
 	if q.lastTry() {
-		until = q.keptUntil(q.turnover.First)
+		until = q.keptUntil(q.turnover.FirstEvent)
 	}
 	if until.After(q.final) {
 		until = q.final
 	}
-	w := line.Waiter{ID: g.lastWaiter.Add(1), Class: int(q.class()), Until: until}
+	w := line.Waiter{ID: g.lastWaiter.Add(1), Class: int(q.class()), Deadline: until}
 	if q.customer != nil {
 		w.Customer = q.customer.Name
 	}
@@ -51,7 +51,7 @@
 		now = time.Now()
 		q.waited = now.Sub(q.arrived)
 		var next bool
-		duty.Locked(&g.mu, func() { next = g.line(q.service).First(w.ID, now) })
+		duty.Locked(&g.mu, func() { next = g.line(q.service).IsNext(w.ID, now) })
 		if !next {
 			continue
 		}
@@ -67,10 +67,10 @@
 func (q *request) class() room.Class { return room.ClassOf(q.priority(), q.lastTry()) }
 
 // line returns the line of a service. The caller holds mu.
-func (g *Gateway) line(service string) *line.Line {
+func (g *Gateway) line(service string) *line.Queue {
 	l, ok := g.lines[service]
 	if !ok {
-		l = &line.Line{}
+		l = &line.Queue{}
 		g.lines[service] = l
 	}
 	return l
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -146,7 +146,7 @@
 		if q.lastRun.events == 0 || q.leaves(e) {
 			return false
 		}
-		wait.For(q.ctx, q.g.cfg.EndSettle)
+		wait.For(q.ctx, q.g.cfg.EndCheckDelay)
 	}
 	conn, err := q.g.pool.Get(q.ctx, e.ID, e.Address, onceIdle)
 	if err != nil {
--- a/internal/keepalive/bench_test.go
+++ b/internal/keepalive/bench_test.go
@@ -91,7 +91,7 @@
 				due := time.Now().Add(benchIdle + transitMargin)
 				g.Expect(one.SetDeadline(time.Now().Add(time.Minute))).To(Succeed())
 				b.StartTimer()
-				for s.Open() > 1 {
+				for s.OpenConns() > 1 {
 					began := time.Now()
 					_, err := one.ask()
 					g.Expect(err).NotTo(HaveOccurred())
@@ -102,7 +102,7 @@
 				for _, c := range append(list, one) {
 					g.Expect(c.Close()).To(Succeed())
 				}
-				g.Eventually(s.Open, enough).Should(BeZero())
+				g.Eventually(s.OpenConns, enough).Should(BeZero())
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(late.Microseconds())/1000, "late-ms")
--- a/internal/keepalive/causes_test.go
+++ b/internal/keepalive/causes_test.go
@@ -35,19 +35,19 @@
 			NewWithT(t).Expect(c.send("GET /")).To(Succeed())
 			c.expectCutOff(t)
 		}, SlowHeader, zapcore.InfoLevel},
-		{"caller leaves", roomy(), leave, Left, none},
+		{"caller leaves", roomy(), leave, CallerClosed, none},
 		{"caller leaves with a reset", roomy(), func(t *testing.T, s *site, c *caller) {
 			NewWithT(t).Expect(c.Conn.(*net.TCPConn).SetLinger(0)).To(Succeed())
 			leave(t, s, c)
-		}, Left, none},
+		}, CallerClosed, none},
 		{"caller leaves after some bytes", roomy(), func(t *testing.T, s *site, c *caller) {
 			NewWithT(t).Expect(c.send("GE")).To(Succeed())
 			leave(t, s, c)
-		}, Left, none},
+		}, CallerClosed, none},
 		{"caller leaves within a header", roomy(), func(t *testing.T, s *site, c *caller) {
 			NewWithT(t).Expect(c.send("GET / HTTP/1.1\r\nHost:")).To(Succeed())
 			leave(t, s, c)
-		}, Left, none},
+		}, CallerClosed, none},
 		{"caller asks to close", roomy(), func(t *testing.T, _ *site, c *caller) {
 			NewWithT(t).Expect(c.send("GET / HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")).To(Succeed())
 			_, err := c.read("")
@@ -69,7 +69,7 @@
 			NewWithT(t).Eventually(func() bool { return s.all(stateIdle) }, enough).Should(BeTrue(), "the request before has ended")
 			NewWithT(t).Expect(c.send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\n")).To(Succeed())
 			NewWithT(t).Eventually(func() bool { return s.all(stateActive) }, enough).Should(BeTrue())
-			s.End()
+			s.MarkProcessEnding()
 			NewWithT(t).Expect(s.srv.Close()).To(Succeed())
 			c.expectEnded(t)
 		}, ProcessEnd, zapcore.WarnLevel},
--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -22,17 +22,17 @@
 
 // The causes.
 const (
-	Idle       Cause = "idle"        // Its idle timeout expired.
-	Stopped    Cause = "stop"        // A planned stop closed it.
-	SlowHeader Cause = "slow-header" // A request header did not end in time.
-	Left       Cause = "caller"      // The caller closed it between two requests or in a header.
-	Answered   Cause = "answered"    // The server closed it after or during an answer, also to a malformed request, or the caller closed it during one.
-	ProcessEnd Cause = "process-end" // The process ended while its caller could still use it, or under a request.
-	Crossed    Cause = "crossed"     // Counted in addition: it was closed with unread bytes of a next request.
-	Unused     Cause = "unused"      // Counted in addition: no request was read on it.
+	Idle         Cause = "idle"        // Its idle timeout expired.
+	Stopped      Cause = "stop"        // A planned stop closed it.
+	SlowHeader   Cause = "slow-header" // A request header did not end in time.
+	CallerClosed Cause = "caller"      // The caller closed it between two requests or in a header.
+	Answered     Cause = "answered"    // The server closed it after or during an answer, also to a malformed request, or the caller closed it during one.
+	ProcessEnd   Cause = "process-end" // The process ended while its caller could still use it, or under a request.
+	Crossed      Cause = "crossed"     // Counted in addition: it was closed with unread bytes of a next request.
+	Unused       Cause = "unused"      // Counted in addition: no request was read on it.
 )
 
-var causes = []Cause{Idle, Stopped, SlowHeader, Left, Answered, ProcessEnd, Crossed, Unused}
+var causes = []Cause{Idle, Stopped, SlowHeader, CallerClosed, Answered, ProcessEnd, Crossed, Unused}
 
 // state is the state of a connection.
 type state int32
@@ -140,7 +140,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.end(SlowHeader, idleTimeout{})
 	default:
-		c.end(Left, idleTimeout{})
+		c.end(CallerClosed, idleTimeout{})
 	}
 	return n, err
 }
@@ -157,7 +157,7 @@
 		case n > 0:
 			return n, c.startHeader()
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			c.end(Left, idleTimeout{})
+			c.end(CallerClosed, idleTimeout{})
 			return n, err
 		case c.hasUnread(): // A byte arrived while the machine was suspended or busy.
 			notBefore = time.Now().Add(c.t.cfg.ReadHeaderTimeout)
@@ -284,7 +284,7 @@
 		case s == stateReadingHeader: // Its reader has answered a malformed request.
 			c.cause = Answered
 		default: // Its reader closes it: a caller over TLS leaves with an alert.
-			c.cause = Left
+			c.cause = CallerClosed
 		}
 	}
 	c.t.counts[c.cause].Inc(1)
@@ -293,7 +293,7 @@
 	}
 	var crossed bool
 	switch {
-	case c.cause == Left:
+	case c.cause == CallerClosed:
 		return
 	case c.cause == Answered, c.state() == stateActive: // An answer may be on its way.
 		discarded := c.drain()
--- a/internal/keepalive/hostile_test.go
+++ b/internal/keepalive/hostile_test.go
@@ -127,7 +127,7 @@
 		}
 		return c.Close()
 	})
-	s.expectCauses(t, map[Cause]int{Left: many})
+	s.expectCauses(t, map[Cause]int{CallerClosed: many})
 }
 
 // Guards against the reset of a connection whose last answer is still on its way.
@@ -172,7 +172,7 @@
 		_, err := c.read(id)
 		return err
 	})
-	s.expectCauses(t, map[Cause]int{Left: many})
+	s.expectCauses(t, map[Cause]int{CallerClosed: many})
 }
 
 func TestAnswersAdvertiseAKeepAliveTimeout(t *testing.T) {
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// End marks that the process ends: connections that close under a request count as ended with it.
-func (t *Tracker) End() {
+// MarkProcessEnding marks that the process ends: connections that close under a request count as ended with it.
+func (t *Tracker) MarkProcessEnding() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.atEnd = true
@@ -169,9 +169,9 @@
 	return t.atEnd
 }
 
-// Open returns the number of open connections. In a planned stop it falls to 0 as callers close
+// OpenConns returns the number of open connections. In a planned stop it falls to 0 as callers close
 // them, at the latest when no caller may use one any more.
-func (t *Tracker) Open() int {
+func (t *Tracker) OpenConns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.conns)
--- a/internal/keepalive/moments_test.go
+++ b/internal/keepalive/moments_test.go
@@ -92,7 +92,7 @@
 				return nil
 			})
 			e.log(t)
-			NewWithT(t).Eventually(s.Open, enough).Should(BeZero())
+			NewWithT(t).Eventually(s.OpenConns, enough).Should(BeZero())
 		})
 	}
 }
@@ -135,7 +135,7 @@
 	e.log(t)
 	cancel()
 	NewWithT(t).Expect(storm.Wait()).To(Succeed())
-	NewWithT(t).Eventually(s.Open, enough).Should(BeZero())
+	NewWithT(t).Eventually(s.OpenConns, enough).Should(BeZero())
 }
 
 func TestRequestsAtTheStartOfAPlannedStopAreAnswered(t *testing.T) {
@@ -162,7 +162,7 @@
 			e.log(t)
 			g := NewWithT(t)
 			g.Expect(stop.Wait()).To(Succeed())
-			g.Eventually(s.Open, enough).Should(BeZero(), "the stop ends")
+			g.Eventually(s.OpenConns, enough).Should(BeZero(), "the stop ends")
 			g.Expect(s.count(ProcessEnd)).To(BeZero())
 		})
 	}
@@ -194,7 +194,7 @@
 	})
 	g := NewWithT(t)
 	g.Expect(end.Wait()).To(Succeed())
-	g.Eventually(s.Open, enough).Should(BeZero())
+	g.Eventually(s.OpenConns, enough).Should(BeZero())
 	t.Logf("%d cut, %d not run; %d counted as ended with the process", cut.Load(), notRun.Load(), s.count(ProcessEnd))
 	g.Expect(s.count(Idle) + s.count(Stopped) + s.count(SlowHeader)).To(BeZero())
 }
@@ -212,7 +212,7 @@
 			for i := range list {
 				list[i] = s.dial(t, fmt.Sprint("new", i))
 			}
-			NewWithT(t).Eventually(s.Open, enough).Should(Equal(many))
+			NewWithT(t).Eventually(s.OpenConns, enough).Should(Equal(many))
 			time.Sleep(before)
 			s.Stop(time.Now())
 			each(t, list, func(_ int, c *caller) error {
--- a/internal/keepalive/site_test.go
+++ b/internal/keepalive/site_test.go
@@ -93,7 +93,7 @@
 	t.Cleanup(func() {
 		g.Expect(s.srv.Close()).To(Succeed())
 		g.Expect(group.Wait()).To(MatchError(http.ErrServerClosed))
-		g.Eventually(s.Open, enough).Should(BeZero())
+		g.Eventually(s.OpenConns, enough).Should(BeZero())
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		g.Eventually(func() (n int64) {
@@ -136,7 +136,7 @@
 func (s *site) expectCauses(t testing.TB, want map[Cause]int) {
 	t.Helper()
 	g := NewWithT(t)
-	g.Eventually(s.Open, enough).Should(BeZero())
+	g.Eventually(s.OpenConns, enough).Should(BeZero())
 	for _, c := range causes {
 		g.Eventually(func() int64 { return s.count(c) }, enough).Should(BeEquivalentTo(want[c]), string(c))
 	}
--- a/internal/keepalive/stop_test.go
+++ b/internal/keepalive/stop_test.go
@@ -114,7 +114,7 @@
 		NewWithT(t).Expect(resp.Close).To(BeTrue())
 		NewWithT(t).Expect(resp.Header).NotTo(HaveKey("Keep-Alive"))
 	}
-	NewWithT(t).Eventually(s.tracker.Open).WithTimeout(time.Minute).Should(BeZero())
+	NewWithT(t).Eventually(s.tracker.OpenConns).WithTimeout(time.Minute).Should(BeZero())
 }
 
 // Guards against requests that are lost since their callers may use a connection beyond the end of
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,7 +26,7 @@
 			return nil
 		case h := <-n.hints.Out():
 			var wanted bool
-			duty.Locked(&n.mu, func() { wanted = n.spread.Heard(h.version) == spread.Fetch })
+			duty.Locked(&n.mu, func() { wanted = n.spread.Receive(h.version) == spread.Fetch })
 			if !wanted {
 				continue
 			}
@@ -127,9 +127,9 @@
 	var decision spread.Decision
 	var clash bool
 	duty.Locked(&n.mu, func() {
-		decision = n.spread.Heard(v)
-		n.spread.Seen(v)
-		_, clash = n.spread.Clash()
+		decision = n.spread.Receive(v)
+		n.spread.RecordValid(v)
+		_, clash = n.spread.Conflict()
 	})
 	if decision == spread.Ignore {
 		if clash {
@@ -257,7 +257,7 @@
 	duty.Locked(&n.mu, func() {
 		old = n.spread.Current()
 		adopted = n.spread.Adopt(v)
-		_, clash = n.spread.Clash()
+		_, clash = n.spread.Conflict()
 		if adopted {
 			n.config.Store(c)
 			n.older = append([]olderManifest{{old.Hash, n.manifest}}, n.older[:min(len(n.older), olderManifests-1)]...)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -49,7 +49,7 @@
 // outgoing returns the next message to a peer; the name may be "" when it is
 // not known.
 func (n *Node) outgoing(name string) message {
-	ends := n.suspects.Tell(clock.Now())
+	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return message{Version: n.spread.Current(), Rows: n.table.OutgoingTo(name), Ends: ends}
@@ -88,7 +88,7 @@
 func (n *Node) noticePause(now time.Time) {
 	var woke bool
 	duty.Locked(&n.mu, func() {
-		woke = n.table.Woke(now)
+		woke = n.table.DetectPause(now)
 		if woke {
 			n.life.Apply(eventWoke)
 		}
@@ -103,7 +103,7 @@
 // done on old beliefs.
 func (n *Node) CheckPause(now time.Time) {
 	var paused bool
-	duty.Locked(&n.mu, func() { paused = n.table.Overdue(now) })
+	duty.Locked(&n.mu, func() { paused = n.table.TickOverdue(now) })
 	if paused {
 		n.noticePause(now)
 	}
@@ -135,19 +135,19 @@
 func (n *Node) probe(ctx context.Context, target member.Member) {
 	if n.exchange(ctx, target.Address, target.Name) == nil {
 		var changes []member.Change
-		duty.Locked(&n.mu, func() { changes = n.table.Answered(target.Name, clock.Now()) })
+		duty.Locked(&n.mu, func() { changes = n.table.ProbeAnswered(target.Name, clock.Now()) })
 		n.note(changes)
 		return
 	}
 	var ask []member.Member
-	duty.Locked(&n.mu, func() { ask = n.table.Helpers(target.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { ask = n.table.PickRelays(target.Name, rand.Uint64()) })
 	for _, h := range ask {
 		if n.probeThrough(ctx, h.Address, target.Address) == nil {
 			return
 		}
 	}
 	var changes []member.Change
-	duty.Locked(&n.mu, func() { changes = n.table.Silent(target.Name, clock.Now()) })
+	duty.Locked(&n.mu, func() { changes = n.table.ProbeUnanswered(target.Name, clock.Now()) })
 	n.note(changes)
 }
 
@@ -219,7 +219,7 @@
 
 // receive merges a peer's message.
 func (n *Node) receive(m message) {
-	n.suspects.Hear(m.Ends, clock.Now())
+	n.suspects.MergeEnds(m.Ends, clock.Now())
 	if len(m.Rows) == 0 {
 		return
 	}
@@ -233,7 +233,7 @@
 		denied = n.table.Self().Incarnation != before.Incarnation
 		lost = n.table.Superseded(m.Rows)
 		n.heir = n.heir || lost
-		decision = n.spread.Heard(m.Version)
+		decision = n.spread.Receive(m.Version)
 	})
 	n.note(changes)
 	if denied {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -138,14 +138,14 @@
 		life:     chart.MustLoad("drain").Machine(),
 	}
 	n.table = member.New(member.Config{
-		Interval:     set.GossipInterval,
-		SuspectAfter: set.SuspectAfter,
-		ForgetAfter:  forgetAfter,
-		News:         newsRows,
-		Helpers:      helpers,
+		ProbeInterval:    set.GossipInterval,
+		SuspicionTimeout: set.SuspectAfter,
+		ForgetAfter:      forgetAfter,
+		MaxUpdates:       newsRows,
+		IndirectProbes:   helpers,
 	}, member.Member{
 		Name: set.Name, Role: string(set.Role), Endpoint: set.Endpoint, Domain: set.Domain,
-		Address: set.Advertise, Life: n.start.UnixMilli(),
+		Address: set.Advertise, StartedAt: n.start.UnixMilli(),
 	})
 	return n, nil
 }
@@ -200,16 +200,16 @@
 func (n *Node) ByEndpoint() map[string]member.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.slots != nil && n.slotsStamp == n.table.Stamp() {
+	if n.slots != nil && n.slotsStamp == n.table.ViewVersion() {
 		return n.slots
 	}
 	found := map[string]member.Member{}
 	for _, m := range n.table.Members(func(m member.Member) bool { return m.Endpoint != "" && m.State != member.Dead }) {
-		if old, dup := found[m.Endpoint]; !dup || m.Life > old.Life {
+		if old, dup := found[m.Endpoint]; !dup || m.StartedAt > old.StartedAt {
 			found[m.Endpoint] = m
 		}
 	}
-	n.slots, n.slotsStamp = found, n.table.Stamp()
+	n.slots, n.slotsStamp = found, n.table.ViewVersion()
 	return found
 }
 
@@ -237,7 +237,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.suspects.News():
+		case <-n.suspects.Pending():
 		}
 		n.pushSome()
 		wait.For(ctx, newsPause)
@@ -272,9 +272,9 @@
 func (n *Node) pushSome() {
 	var some []member.Member
 	duty.Locked(&n.mu, func() {
-		some = n.table.Helpers(n.set.Name, rand.Uint64())
+		some = n.table.PickRelays(n.set.Name, rand.Uint64())
 		for range fanOut - helpers {
-			some = append(some, n.table.Helpers(n.set.Name, rand.Uint64())...)
+			some = append(some, n.table.PickRelays(n.set.Name, rand.Uint64())...)
 		}
 	})
 	for _, m := range some {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -97,7 +97,7 @@
 // the time to be fetched.
 func (n *Node) askSome(ctx context.Context) {
 	var some []member.Member
-	duty.Locked(&n.mu, func() { some = n.table.Helpers(n.set.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { some = n.table.PickRelays(n.set.Name, rand.Uint64()) })
 	for _, m := range some {
 		if n.Exchange(ctx, m.Address) == nil && n.awaitConfig(ctx) {
 			return
@@ -173,7 +173,7 @@
 	var leaving bool
 	duty.Locked(&n.mu, func() {
 		before := n.table.Self().Leaving
-		changes = n.table.Seed(rows, clock.Now())
+		changes = n.table.MergePlatformList(rows, clock.Now())
 		leaving = n.table.Self().Leaving && !before
 	})
 	n.note(changes)
--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -210,12 +210,12 @@
 // checkComplete reports whether every rank of the group answered, except possibly the rank that led
 // before, which is then recorded as absent.
 func (l *leader) checkComplete(own rank.Report) bool {
-	l.absent = cutover.None
+	l.absent = cutover.NoRank
 	for r, m := range l.byRank {
 		if m != nil {
 			continue
 		}
-		if l.absent != cutover.None || !l.wasLeader(r, own) || !l.silentEnginesUnreachable(own) {
+		if l.absent != cutover.NoRank || !l.wasLeader(r, own) || !l.silentEnginesUnreachable(own) {
 			return false
 		}
 		l.absent = r
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -34,7 +34,7 @@
 	if !isNew {
 		return
 	}
-	m := peers.Message{Load: load, Ends: s.suspects.TellOne(now)}
+	m := peers.Message{Load: load, Ends: s.suspects.ForNewPeer(now)}
 	if m.Load != nil || len(m.Ends) > 0 {
 		s.socket.Send(from, m)
 	}
@@ -139,10 +139,10 @@
 	if l.shape == nil || l.shape.DecodeTimePerRequest <= 0 {
 		return 0
 	}
-	ranks := make([]passes.Rank, 0, len(l.byRank))
+	ranks := make([]passes.RankReport, 0, len(l.byRank))
 	for _, m := range l.byRank {
 		if m != nil {
-			ranks = append(ranks, passes.Rank{Running: m.report.Running, Pass: pass, Pace: m.report.Slowdown, At: now})
+			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Slowdown, At: now})
 		}
 	}
 	limit, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -104,10 +104,10 @@
 	lead             leadership
 	openChanged      chan struct{} // Holds one element if a change of the group's open state is to be reported.
 	leaderArming     armingState
-	orderTook        estimate.Time    // How long this engine takes to answer an order.
-	announcement     peers.Lead       // What this sidecar announces as the leader.
-	announceTo       []netip.AddrPort // Receivers of the announcement; nil while this sidecar does not lead.
-	groupLoadsSentAt time.Time        // When this sidecar, as the leader, last sent gateways the loads of all ranks.
+	orderTook        estimate.Estimator // How long this engine takes to answer an order.
+	announcement     peers.Lead         // What this sidecar announces as the leader.
+	announceTo       []netip.AddrPort   // Receivers of the announcement; nil while this sidecar does not lead.
+	groupLoadsSentAt time.Time          // When this sidecar, as the leader, last sent gateways the loads of all ranks.
 
 	suspects *suspects.Set // Kept only for gateways that restart.
 	stats    stats
@@ -201,7 +201,7 @@
 // receive handles a message. A message that causes a panic is dropped.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
 	duty.Contain("message", s.log, s.reg, func() {
-		s.suspects.Hear(m.Ends, time.Now())
+		s.suspects.MergeEnds(m.Ends, time.Now())
 		switch {
 		case m.Hello != nil:
 			s.receiveHello(from, *m.Hello)
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -65,7 +65,7 @@
 	part  int // In 100 requests: those that are not served.
 	until time.Time
 
-	asks       standin.Asks // But for its rest.
+	asks       standin.Signals // But for its rest.
 	restsUntil time.Time
 }
 
@@ -73,7 +73,7 @@
 // and what it draws follows from the seed.
 func (e *endpointAt) behave(id string) standin.Behaviour {
 	if strings.HasPrefix(id, crashingID) {
-		return standin.Ends
+		return standin.ExitsProcess
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -285,7 +285,7 @@
 func (s *site) addEndpoint(service, domain string, last int, engine http.Handler) (e *endpointAt, err error) {
 	s.births++
 	e = &endpointAt{name: fmt.Sprintf("%s-%d", service, s.births), service: service, domain: domain, seed: s.cfg.Seed, born: time.Now().UnixMilli()}
-	e.handler = &standin.Endpoint{Name: e.name, Behave: e.behave, Pause: passTime, Engine: engine, Ran: s.ledger.ran, Asks: e.wishes, Arrived: s.ledger.arrived, End: func() { s.end(e) }}
+	e.handler = &standin.Endpoint{Name: e.name, Behave: e.behave, Delay: passTime, Engine: engine, OnRun: s.ledger.ran, Signals: e.wishes, OnArrival: s.ledger.arrived, ExitProcess: func() { s.end(e) }}
 	s.ledger.note(func(l *ledger) { l.domains[e.name] = domain })
 	if e.target, e.srv, err = s.serve(s.ip(last), e.handler); err != nil {
 		return nil, err
@@ -294,7 +294,7 @@
 		return nil, err
 	}
 	s.endpoints = append(s.endpoints, e)
-	return e, s.store.List(e.entry(false))
+	return e, s.store.PutEndpoint(e.entry(false))
 }
 
 // entry returns what the endpoint's present life says of itself. The caller holds the
@@ -317,7 +317,7 @@
 	route := func(name string, k fleet.Kind, to ...fleet.Share) fleet.Route {
 		return fleet.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: k, Timeout: patience, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2, Split: to, Resumable: k == fleet.Streaming}
 	}
-	p := standin.Published{
+	p := standin.PublishedConfig{
 		Version: s.version,
 		Routes: []fleet.Route{
 			route("once", fleet.AtMostOnce, fleet.Share{Service: s.movedTo, Weight: 1}),
@@ -332,10 +332,10 @@
 	for i, keys := range s.keys {
 		p.Customers = append(p.Customers, fleet.Customer{Name: customerName(i), Keys: keys})
 	}
-	p.Idle = s.idle
+	p.IdleTimeout = s.idle
 	defer s.ledger.publishes(s.idle)()
 	s.ledger.note(func(l *ledger) { l.changes = append(l.changes, time.Now()) })
-	return s.store.Publish(p)
+	return s.store.PublishConfig(p)
 }
 
 // aim chooses the customer and the key of a request. One in twenty tries a key
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -24,7 +24,7 @@
 	news chan struct{} // Holds a value while an end waits to be told.
 
 	mu   sync.Mutex // Guards what follows.
-	book *quarantine.Book
+	book *quarantine.History
 }
 
 // New returns an empty set.
@@ -32,8 +32,8 @@
 	return &Set{log: log, held: metrics.GetOrRegisterGauge("quarantine.held", reg), news: make(chan struct{}, 1), book: quarantine.New()}
 }
 
-// News returns a channel that holds a value while something waits to be told.
-func (s *Set) News() <-chan struct{} { return s.news }
+// Pending returns a channel that holds a value while something waits to be told.
+func (s *Set) Pending() <-chan struct{} { return s.news }
 
 // tellSoon notes that something waits to be told.
 func (s *Set) tellSoon() {
@@ -43,36 +43,36 @@
 	}
 }
 
-// Tell returns what to tell all other processes next.
-func (s *Set) Tell(now time.Time) []peers.End {
+// NextToSend returns what to tell all other processes next.
+func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Tell(peers.MaxEnds, now), now)
+	return encode(s.book.NextToSend(peers.MaxEnds, now), now)
 }
 
-// TellOne returns what to tell one process that may know nothing.
-func (s *Set) TellOne(now time.Time) []peers.End {
+// ForNewPeer returns what to tell one process that may know nothing.
+func (s *Set) ForNewPeer(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Gravest(peers.MaxEnds), now)
+	return encode(s.book.MostSevere(peers.MaxEnds), now)
 }
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
 	for _, e := range ends {
-		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Sending), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
+		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Knowledge), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
 	}
 	return list
 }
 
-// Untold reports whether something waits that was never told.
-func (s *Set) Untold() bool {
+// HasUnsent reports whether something waits that was never told.
+func (s *Set) HasUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Untold()
+	return s.book.HasUnsent()
 }
 
-// Hear takes in what another process told.
-func (s *Set) Hear(list []peers.End, now time.Time) {
+// MergeEnds takes in what another process told.
+func (s *Set) MergeEnds(list []peers.End, now time.Time) {
 	if len(list) == 0 {
 		return
 	}
@@ -84,7 +84,7 @@
 			continue
 		}
 		s.add(quarantine.End{
-			Key: quarantine.Key(told.Key), Endpoint: told.Endpoint, Sending: quarantine.Sending(told.Sending), Void: told.Void,
+			Key: quarantine.Key(told.Key), Endpoint: told.Endpoint, Knowledge: quarantine.Knowledge(told.Sending), Void: told.Void,
 			At: now.Add(-time.Duration(told.AgeMs) * time.Millisecond),
 		}, now, now)
 	}
@@ -100,14 +100,14 @@
 // valid reports whether an end that another process tells can be one.
 func valid(e peers.End) bool {
 	return len(e.Key) == len(quarantine.Key{}) && e.Endpoint != "" && len(e.Endpoint) <= longestName &&
-		e.AgeMs >= 0 && e.AgeMs <= oldest.Milliseconds() && quarantine.Sending(e.Sending).Valid()
+		e.AgeMs >= 0 && e.AgeMs <= oldest.Milliseconds() && quarantine.Knowledge(e.Sending).Valid()
 }
 
-// Ended takes in that an endpoint ended under a request of this process.
-func (s *Set) Ended(k quarantine.Key, endpoint string, sending quarantine.Sending, now time.Time) {
+// RecordEnd takes in that an endpoint ended under a request of this process.
+func (s *Set) RecordEnd(k quarantine.Key, endpoint string, sending quarantine.Knowledge, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(quarantine.End{Key: k, Endpoint: endpoint, Sending: sending, At: now}, time.Time{}, now)
+	s.add(quarantine.End{Key: k, Endpoint: endpoint, Knowledge: sending, At: now}, time.Time{}, now)
 	s.tellSoon()
 }
 
@@ -119,7 +119,7 @@
 	}
 	after, left := s.book.Judge(e.Key, now)
 	s.held.Update(int64(s.book.Held(now)))
-	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", told.IsZero()), zap.Stringer("sending", e.Sending),
+	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", told.IsZero()), zap.Stringer("sending", e.Knowledge),
 		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", left)}
 	if after != before {
 		s.log.Warn("endpoint ended under a request", fields...)
@@ -128,37 +128,37 @@
 	s.log.Info("endpoint ended under a request", fields...)
 }
 
-// Sound takes in that a request ran to its end.
-func (s *Set) Sound(key func() quarantine.Key) {
+// RecordSuccess takes in that a request ran to its end.
+func (s *Set) RecordSuccess(key func() quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.Sound(key()) {
+	if s.book.Empty() || !s.book.RecordCompletion(key()) {
 		return
 	}
 	s.log.Info("request is sound although endpoints ended under it", zap.Stringer("key", key()))
 	s.tellSoon()
 }
 
-// Alive takes in that an endpoint answered what was sent to it at a moment.
-func (s *Set) Alive(endpoint string, sentAt time.Time) {
+// RecordAlive takes in that an endpoint answered what was sent to it at a moment.
+func (s *Set) RecordAlive(endpoint string, sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.Alive(endpoint, sentAt) {
+	if s.book.Empty() || !s.book.RecordAnswer(endpoint, sentAt) {
 		return
 	}
 	s.log.Info("endpoint lives on although it was taken to have ended", zap.String("endpoint", endpoint))
 	s.tellSoon()
 }
 
-// Sending returns what is known of a request that is sent now. The key is worked out only
+// SendingState returns what is known of a request that is sent now. The key is worked out only
 // where any is known, as it costs a hash of the body.
-func (s *Set) Sending(key func() quarantine.Key, now time.Time) quarantine.Sending {
+func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
-		return quarantine.Unknowing
+		return quarantine.NoKnownEnd
 	}
-	return s.book.Sending(key(), now)
+	return s.book.KnowledgeOf(key(), now)
 }
 
 // Judge returns whether a request may be sent, and for how long it is still held.
@@ -171,11 +171,11 @@
 	return s.book.Judge(key(), now)
 }
 
-// Begin begins a trial; it reports false while another one is under way.
-func (s *Set) Begin(k quarantine.Key, now, until time.Time) bool {
+// BeginTrial begins a trial; it reports false while another one is under way.
+func (s *Set) BeginTrial(k quarantine.Key, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Begin(k, now, until)
+	return s.book.BeginTrial(k, now, until)
 }
 
 // EndTrial ends a trial that showed nothing.
@@ -185,8 +185,8 @@
 	s.book.EndTrial(k)
 }
 
-// Forget drops what has lapsed.
-func (s *Set) Forget(now time.Time) {
+// Expire drops what has lapsed.
+func (s *Set) Expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Forget(now)
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -27,8 +27,8 @@
 // twoEnds returns a set that has seen a request end an endpoint, and one more after that.
 func twoEnds() *Set {
 	s := newSet()
-	s.Ended(key, "e-0", s.Sending(theKey, now.Add(-time.Minute)), now.Add(-time.Minute))
-	s.Ended(key, "e-1", s.Sending(theKey, now), now)
+	s.RecordEnd(key, "e-0", s.SendingState(theKey, now.Add(-time.Minute)), now.Add(-time.Minute))
+	s.RecordEnd(key, "e-1", s.SendingState(theKey, now), now)
 	return s
 }
 
@@ -41,28 +41,28 @@
 	g := NewWithT(t)
 	first, second := twoEnds(), newSet()
 	assertVerdict(g, first, quarantine.Held)
-	second.Hear(first.Tell(now), now)
+	second.MergeEnds(first.NextToSend(now), now)
 	assertVerdict(g, second, quarantine.Held)
 
-	first.Sound(theKey)
-	g.Expect(first.News()).To(Receive())
-	second.Hear(first.Tell(now), now)
+	first.RecordSuccess(theKey)
+	g.Expect(first.Pending()).To(Receive())
+	second.MergeEnds(first.NextToSend(now), now)
 	assertVerdict(g, second, quarantine.Free)
 }
 
 func TestNewsIsToldOnceToAll(t *testing.T) {
 	g := NewWithT(t)
 	s := twoEnds()
-	g.Expect(s.News()).To(Receive())
-	g.Expect(s.News()).NotTo(Receive(), "one word for all that waits")
-	g.Expect(s.Untold()).To(BeTrue())
-	told := s.Tell(now)
+	g.Expect(s.Pending()).To(Receive())
+	g.Expect(s.Pending()).NotTo(Receive(), "one word for all that waits")
+	g.Expect(s.HasUnsent()).To(BeTrue())
+	told := s.NextToSend(now)
 	g.Expect(told).To(HaveLen(2))
-	g.Expect(s.Untold()).To(BeFalse())
+	g.Expect(s.HasUnsent()).To(BeFalse())
 	other := newSet()
-	other.Hear(told, now)
-	g.Expect(other.Untold()).To(BeFalse(), "whoever saw it tells all")
-	g.Expect(other.News()).NotTo(Receive())
+	other.MergeEnds(told, now)
+	g.Expect(other.HasUnsent()).To(BeFalse(), "whoever saw it tells all")
+	g.Expect(other.Pending()).NotTo(Receive())
 }
 
 // An end keeps its age on its way from one process to the next, or it would never lapse.
@@ -70,13 +70,13 @@
 	g := NewWithT(t)
 	const age = 5 * time.Minute
 	s := twoEnds()
-	told := s.Tell(now.Add(age))
+	told := s.NextToSend(now.Add(age))
 	for _, e := range told {
 		g.Expect(e.AgeMs).To(BeElementOf(age.Milliseconds(), (age + time.Minute).Milliseconds()))
 	}
 	other := newSet()
-	other.Hear(told, now)
-	g.Expect(other.Tell(now)).To(ConsistOf(told))
+	other.MergeEnds(told, now)
+	g.Expect(other.NextToSend(now)).To(ConsistOf(told))
 }
 
 func TestWhatCannotBeAnEndIsLeftOut(t *testing.T) {
@@ -92,8 +92,8 @@
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
 			s := newSet()
-			s.Hear([]peers.End{bad}, now)
-			g.Expect(s.Tell(now)).To(BeEmpty())
+			s.MergeEnds([]peers.End{bad}, now)
+			g.Expect(s.NextToSend(now)).To(BeEmpty())
 		})
 	}
 }
@@ -102,25 +102,25 @@
 	g := NewWithT(t)
 	s := newSet()
 	for _, e := range []string{"e-0", "e-1", "e-2"} { // All at once.
-		s.Ended(key, e, quarantine.Unknowing, now.Add(-time.Minute))
+		s.RecordEnd(key, e, quarantine.NoKnownEnd, now.Add(-time.Minute))
 	}
 	assertVerdict(g, s, quarantine.Trial)
 	until := now.Add(time.Second)
-	g.Expect(s.Begin(key, now, until)).To(BeTrue())
-	g.Expect(s.Begin(key, now, until)).To(BeFalse())
+	g.Expect(s.BeginTrial(key, now, until)).To(BeTrue())
+	g.Expect(s.BeginTrial(key, now, until)).To(BeFalse())
 	s.EndTrial(key)
-	g.Expect(s.Begin(key, now, until)).To(BeTrue())
-	s.Ended(key, "e-3", quarantine.OnTrial, now)
+	g.Expect(s.BeginTrial(key, now, until)).To(BeTrue())
+	s.RecordEnd(key, "e-3", quarantine.OnTrial, now)
 	assertVerdict(g, s, quarantine.Held)
 }
 
 func TestWhatLivesOnIsToldToAll(t *testing.T) {
 	g := NewWithT(t)
 	first, second := twoEnds(), newSet()
-	second.Hear(first.Tell(now), now)
-	second.Alive("e-1", now.Add(time.Millisecond))
+	second.MergeEnds(first.NextToSend(now), now)
+	second.RecordAlive("e-1", now.Add(time.Millisecond))
 	assertVerdict(g, second, quarantine.Free)
-	g.Expect(second.News()).To(Receive())
-	first.Hear(second.Tell(now), now)
+	g.Expect(second.Pending()).To(Receive())
+	first.MergeEnds(second.NextToSend(now), now)
 	assertVerdict(g, first, quarantine.Free)
 }
--- a/internal/upstream/churn_test.go
+++ b/internal/upstream/churn_test.go
@@ -158,7 +158,7 @@
 			case <-over:
 				return nil
 			case <-ticker.C:
-				p.Forget(func(string) bool { return i%2 == 0 })
+				p.CloseIdle(func(string) bool { return i%2 == 0 })
 			}
 		}
 	})
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -115,7 +115,7 @@
 const maxSurplusBody = 1 << 20
 
 // Watch has reads of the answer end with ErrSilent when it is silent for too long.
-func (x *Exchange) Watch(w Watch) { x.conn.in.watch, x.conn.in.deadline = &w, x.deadline }
+func (x *Exchange) Watch(w SilenceWatch) { x.conn.in.watch, x.conn.in.deadline = &w, x.deadline }
 
 // Head reads the head of the answer. Answers that are not ours, as told by the
 // function, are read and dropped.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -156,9 +156,9 @@
 	p.idle[c.endpoint] = append(list, c)
 }
 
-// Forget closes the idle connections of endpoints that are not to be kept, and
+// CloseIdle closes the idle connections of endpoints that are not to be kept, and
 // those that have been idle for too long.
-func (p *Pool) Forget(keep func(endpoint string) bool) {
+func (p *Pool) CloseIdle(keep func(endpoint string) bool) {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/silence.go
+++ b/internal/upstream/silence.go
@@ -14,18 +14,18 @@
 // ErrSilent means that a watch gave an answer up. The connection is of no more use.
 var ErrSilent = errors.New("the answer was silent for too long")
 
-// Watch looks after the silence of an answer. Its functions are called by whoever reads
+// SilenceWatch looks after the silence of an answer. Its functions are called by whoever reads
 // the answer, within a read.
-type Watch struct {
-	Limit  func() time.Duration            // For how long nothing may come from now on.
-	GiveUp func(silent time.Duration) bool // Whether the answer is given up after so long; else it is waited for.
+type SilenceWatch struct {
+	Timeout func() time.Duration            // For how long nothing may come from now on.
+	Abandon func(silent time.Duration) bool // Whether the answer is given up after so long; else it is waited for.
 }
 
 // input reads from a connection. A watch is kept here, below all that reads ahead, since
 // only here it is known that nothing has come.
 type input struct {
 	nc       net.Conn
-	watch    *Watch // Nil when nobody looks after silence.
+	watch    *SilenceWatch // Nil when nobody looks after silence.
 	deadline time.Time
 	unacked  atomic.Bool // It was ended since nothing is acknowledged.
 }
@@ -47,7 +47,7 @@
 		return in.nc.Read(p)
 	}
 	began := time.Now()
-	until := began.Add(in.watch.Limit())
+	until := began.Add(in.watch.Timeout())
 	if !until.Before(in.deadline) {
 		return in.nc.Read(p)
 	}
@@ -55,7 +55,7 @@
 		return 0, err
 	}
 	n, err = in.nc.Read(p)
-	if silent := n == 0 && errors.Is(err, os.ErrDeadlineExceeded); silent && in.watch.GiveUp(time.Since(began)) {
+	if silent := n == 0 && errors.Is(err, os.ErrDeadlineExceeded); silent && in.watch.Abandon(time.Since(began)) {
 		return 0, ErrSilent
 	} else if silent {
 		in.watch, n, err = nil, 0, nil
--- a/internal/upstream/silence_test.go
+++ b/internal/upstream/silence_test.go
@@ -67,7 +67,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			x, r := exchangeWith(t, tc.answer)
-			x.Watch(Watch{Limit: func() time.Duration { return 50 * time.Millisecond }, GiveUp: func(time.Duration) bool { return true }})
+			x.Watch(SilenceWatch{Timeout: func() time.Duration { return 50 * time.Millisecond }, Abandon: func(time.Duration) bool { return true }})
 			_, err := x.Head(r, anyAnswer)
 			if err == nil {
 				_, err = x.ReadWhole(1 << 10)
@@ -88,7 +88,7 @@
 		write(c, "1\r\nb\r\n0\r\n\r\n")
 	})
 	times := 0
-	x.Watch(Watch{Limit: func() time.Duration { return 20 * time.Millisecond }, GiveUp: func(time.Duration) bool {
+	x.Watch(SilenceWatch{Timeout: func() time.Duration { return 20 * time.Millisecond }, Abandon: func(time.Duration) bool {
 		times++
 		asked <- struct{}{}
 		return false
@@ -111,7 +111,7 @@
 		g.Expect(c.(*net.TCPConn).SetLinger(0)).To(Succeed())
 		g.Expect(c.Close()).To(Succeed())
 	})
-	x.Watch(Watch{Limit: func() time.Duration { return 20 * time.Millisecond }, GiveUp: func(time.Duration) bool { return false }})
+	x.Watch(SilenceWatch{Timeout: func() time.Duration { return 20 * time.Millisecond }, Abandon: func(time.Duration) bool { return false }})
 	_, err := x.Head(r, anyAnswer)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = x.ReadWhole(1 << 10)
