--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -30,9 +30,8 @@
 	return t
 }
 
-// reportGatewayCount records from how many gateways a sidecar receives hellos. That many share the
-// capacity of the endpoint beside the sidecar, including those from which this gateway has not
-// received a hello.
+// reportGatewayCount records how many gateways a sidecar knows. That many share the capacity of the
+// endpoint beside the sidecar, including those from which this gateway has not received a hello.
 func (g *Gateway) reportGatewayCount(n int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -27,7 +27,7 @@
 	limited               metrics.Gauge        // Endpoints that have announced a rate limit.
 	sentToLimited         metrics.Counter      // Requests sent to endpoints that have announced a rate limit.
 	throttled             metrics.Counter      // Requests refused because all endpoints were at their rate limits.
-	partsAsked            metrics.Counter      // Requests to other gateways for parts of their rate limits.
+	partsAsked            metrics.Counter      // Requests to other gateways for their parts of rate limits.
 	partsBorrowed         metrics.Counter      // Grants of such parts that were received.
 	partsLent             metrics.Counter      // Grants of such parts that were sent.
 	partsInvalid          metrics.Counter      // Messages about parts that were ignored as invalid.
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -36,8 +36,8 @@
 }
 
 // lend requests parts of rate limits from other gateways and returns them, until ctx is done. A
-// part consists of tokens of another gateway's share of an endpoint's rate limit, lent for a
-// limited time.
+// part is another gateway's share of an endpoint's rate limit, with its tokens, lent for a limited
+// time.
 func (n *PeerExchange) lend(ctx context.Context) error {
 	for {
 		select {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -39,7 +39,7 @@
 	closedReused    string          // Endpoint that only closed a reused connection under the last attempt; "" for none.
 	notes           []string        // Result of each attempt, for the log.
 	mayHaveRun      bool            // An endpoint may have run it.
-	fallback        *fallbackAnswer // First error answer of an endpoint; nil if none.
+	fallback        *fallbackAnswer // Newest error answer that was held back to try another endpoint; nil if none.
 	groupRejected   bool            // A whole group of ranks rejected it.
 	allGroupsDown   bool            // All groups of ranks are closed.
 	groupOpensAt    time.Time       // When the first of them is expected to open again.
@@ -223,7 +223,8 @@
 }
 
 // maxRejectAge is the configuration age up to which the configuration counts as the newest when a
-// request is rejected because of it: the duration of one long poll for changes.
+// request is rejected because of it. A long poll of the store lasts up to 1 s and confirms the
+// configuration as of its start, so the age reaches about 2 s while the store answers.
 const maxRejectAge = 2200 * time.Millisecond
 
 // rejectIfConfigCurrent rejects a request if the configuration that excludes it is certainly the
--- a/internal/gateway/short_stream_test.go
+++ b/internal/gateway/short_stream_test.go
@@ -34,8 +34,8 @@
 // received such answers on days on which many endpoints cut answers while others answered 500. A
 // stream had sent events to its caller when its run was cut, and the request continued at a second
 // endpoint, the last that its route allowed, which answered 500 at once. The gateway passed that
-// answer on as its own: its head had no effect, since a head had been sent, its body was empty, and
-// the server completed the chunked answer.
+// answer on as the answer to the request: its head had no effect, since a head had been sent, its
+// body was empty, and the server completed the chunked answer.
 //
 // This was seen 11 times on one day. The log lines of these 11 requests, and no others, had the
 // status 200 of a first endpoint, a last run that answered 500 without any event, and an answer
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -70,9 +70,9 @@
 }
 
 // mayMoveElsewhere reports whether the current attempt could be continued at another endpoint. The
-// request already counts as in flight and needs no additional capacity: while a group was full,
-// such requests were held at a rank on a frozen instance until their callers left, although the
-// rank accepted them again once it resumed.
+// request already counts as in flight and needs no additional capacity: otherwise a full group
+// keeps such requests at a rank on a frozen instance until their callers leave, and the rank still
+// accepts them when it resumes.
 func (q *request) mayMoveElsewhere() bool {
 	if !q.stillAllowed(q.reply.begun()) {
 		return false
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -121,7 +121,7 @@
 	PassMs  int        `cbor:"3,keyasint,omitempty"`
 	Forward bool       `cbor:"4,keyasint,omitempty"` // As in Load.
 	Ranks   []RankLoad `cbor:"5,keyasint"`           // At most MaxRankLoads.
-	// Epoch and Gateways are as in Load.
+	// Epoch and GatewayCount are as in Load.
 	Epoch        uint64 `cbor:"6,keyasint,omitempty"`
 	GatewayCount int    `cbor:"7,keyasint,omitempty"`
 	// LimitPerRank is how many requests a rank may hold on average; 0 if unknown.
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -52,7 +52,7 @@
 	return isNew
 }
 
-// addKnown records that another gateway last received a report from the gateway at the given time.
+// addKnown records that another gateway last received a hello from the gateway at the given time.
 func (s *subscribers) addKnown(address netip.AddrPort, domain string, at time.Time) {
 	if g, _ := s.getOrAdd(address, domain); at.After(g.lastHello) {
 		g.lastHello = at
