--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -143,7 +143,7 @@
 	next := j.env.Offset
 	out := &frameWriter{w: w, rc: rc, id: wire.EventID{Request: j.name, Endpoint: j.env.Endpoint, Offset: next}, last: time.Now()}
 	defer j.keepAlive(out)()
-	left := j.agent.node.Left()
+	left := j.agent.node.Leaving()
 	for {
 		select {
 		case <-left:
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -68,7 +68,7 @@
 		now:       clock.Now,
 		limits:    &limits{node: n, byCustomer: map[string]*customerLimit{}},
 	}
-	n.OnGone(e.tracker.cancelRequests)
+	n.OnDead(e.tracker.cancelRequests)
 	return e
 }
 
