--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package agent is the endpoint role: the one small process beside an engine
-// or a plain service, and the only way in to it. It has the last word on
-// admission, on what may run once, and on draining. It chooses no endpoint and
-// serves no callers.
+// Package agent implements the endpoint role: the single process that runs beside an engine
+// or a plain service and forwards all requests to it. It makes the final decision on
+// admission, on whether a request that may run only once may start, and on draining. It does
+// not select endpoints and does not serve callers.
 package agent
 
 import (
@@ -27,44 +27,44 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// Times and sizes that no operator needs to set.
+// Intervals and capacities that are not configurable.
 const (
-	tickEvery   = 50 * time.Millisecond
-	stateEvery  = 250 * time.Millisecond
-	idWindow    = 2 * time.Minute
-	idCapacity  = 200000
-	answerBytes = 16 << 20
-	agePerStep  = 2 * time.Second
+	tickInterval    = 50 * time.Millisecond
+	stateInterval   = 250 * time.Millisecond
+	attemptWindow   = 2 * time.Minute
+	attemptCapacity = 200000
+	maxAnswerBytes  = 16 << 20
+	agePerStep      = 2 * time.Second
 )
 
-// Agent serves one endpoint.
+// Agent forwards requests to one endpoint, an engine or a plain service.
 type Agent struct {
 	node    *node.Node
 	engine  *adapter.Engine  // Nil beside a plain service.
 	service *adapter.Service // Nil beside an engine.
 
-	orders     sync.Mutex // Held while an order about the expert map is passed on.
-	fence      uint64     // Highest ballot passed on.
-	fenceKnown bool       // The engine's own fence has been read.
+	orderMu    sync.Mutex // Held while an order about the expert map is forwarded.
+	fence      uint64     // Highest ballot forwarded.
+	fenceKnown bool       // The engine's fence has been read.
 	endedAt    time.Time  // When the endpoint's process was last found to have ended; guarded by mu.
 
-	mu      sync.Mutex
-	queue   *admit.Queue
-	ids     *once.Table            // Attempts of requests, for "not run".
-	keys    *once.Table            // Idempotency keys.
-	waiting map[string]chan ticket // By attempt; exactly those in queue's waiting list.
-	step    uint64                 // Engine's step number by its last report.
-	moved   time.Time              // When step last changed, or when nothing ran.
-	stalled bool
-	rests   *backoff.Set // Of the endpoint, under its own name.
+	mu            sync.Mutex
+	queue         *admit.Queue
+	attempts      *once.Table              // Attempts of requests; allows the answer "not run".
+	keys          *once.Table              // Idempotency keys.
+	waiting       map[string]chan decision // By attempt id; exactly the requests in queue's waiting list.
+	step          uint64                   // Engine's step number in its last report.
+	stepChangedAt time.Time                // When step last changed; initially the start of the process.
+	stalled       bool
+	backoffs      *backoff.Set // Backoff that the endpoint requested, under its own name.
 }
 
-// ticket is the queue's word on one waiting request.
-type ticket struct {
+// decision is the queue's decision on one waiting request.
+type decision struct {
 	refusal *wire.Refusal // Nil when the request may start.
 }
 
-// New returns an agent beside an engine or a service; one of them is nil.
+// New returns an agent for an engine or a service; one of them is nil.
 func New(n *node.Node, engine *adapter.Engine, service *adapter.Service) *Agent {
 	set := n.Settings()
 	target := set.StepTarget
@@ -79,21 +79,21 @@
 			Capacity: set.Queue, MinLimit: set.MinLimit, MaxLimit: set.MaxLimit,
 			StepTarget: target, AgePerStep: agePerStep,
 		}),
-		ids: once.New(once.Config{
-			Started: n.Started(), Skew: set.ClockSkew, Window: idWindow, Capacity: idCapacity,
+		attempts: once.New(once.Config{
+			Started: n.Started(), Skew: set.ClockSkew, Window: attemptWindow, Capacity: attemptCapacity,
 			SentOnce: true,
 		}),
 		keys: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyWindow,
-			Capacity: set.Keys, AnswerBytes: answerBytes,
+			Capacity: set.Keys, AnswerBytes: maxAnswerBytes,
 		}),
-		waiting: map[string]chan ticket{},
-		moved:   n.Started(),
-		rests:   backoff.New(),
+		waiting:       map[string]chan decision{},
+		stepChangedAt: n.Started(),
+		backoffs:      backoff.New(),
 	}
 }
 
-// Handler returns the peer listener's handlers.
+// Handler returns the HTTP handler of the peer listener.
 func (a *Agent) Handler() http.Handler {
 	mux := a.node.PeerMux()
 	mux.HandleFunc("POST "+wire.PathRun, a.serveRun)
@@ -105,7 +105,7 @@
 	return mux
 }
 
-// Run does the agent's duties until ctx ends.
+// Run runs the agent's background tasks until ctx ends.
 func (a *Agent) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -113,23 +113,23 @@
 	d.Go("tick", a.tick)
 	if a.engine != nil {
 		d.Go("observe", a.observe)
-		d.Go("map", func(ctx context.Context) error { return newMapper(a).run(ctx) })
+		d.Go("map", func(ctx context.Context) error { return newMapController(a).run(ctx) })
 	}
 	return d.Wait()
 }
 
-// tick gives up what can no longer start in time, and what waits when the
-// planned stop begins.
+// tick evicts queued requests that can no longer start in time, and all queued requests when
+// the planned stop begins.
 func (a *Agent) tick(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	left := a.node.Left()
+	leaving := a.node.Left()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-left:
-			left = nil
+		case <-leaving:
+			leaving = nil
 			a.apply(func() admit.Actions { return a.queue.Leave() })
 		case <-ticker.C:
 			a.apply(func() admit.Actions { return a.queue.Tick(time.Now()) })
@@ -137,31 +137,31 @@
 	}
 }
 
-// apply takes a decision of the queue and tells those who wait.
+// apply calls decide, which runs the queue, and notifies the waiting requests of the result.
 func (a *Agent) apply(decide func() admit.Actions) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tell(decide())
+	a.notify(decide())
 }
 
-// tell passes actions to the waiting requests; a.mu is held.
-func (a *Agent) tell(actions admit.Actions) {
+// notify delivers actions to the waiting requests. The caller holds mu.
+func (a *Agent) notify(actions admit.Actions) {
 	for _, r := range actions.Start {
-		a.answer(r.ID, ticket{})
+		a.deliver(r.ID, decision{})
 	}
 	for _, r := range actions.Refuse {
-		a.answer(r.Request.ID, ticket{refusal: refusalOf(r)})
+		a.deliver(r.Request.ID, decision{refusal: queueRefusal(r)})
 	}
 }
 
-func (a *Agent) answer(id string, t ticket) {
+func (a *Agent) deliver(id string, d decision) {
 	if c, ok := a.waiting[id]; ok {
 		delete(a.waiting, id)
-		c <- t // Holds one ticket; it never blocks.
+		c <- d // The channel has room for one decision, so this never blocks.
 	}
 }
 
-func refusalOf(r admit.Refusal) *wire.Refusal {
+func queueRefusal(r admit.Refusal) *wire.Refusal {
 	status := http.StatusServiceUnavailable
 	if r.Reason == admit.ReasonDeadline {
 		status = http.StatusGatewayTimeout
@@ -169,38 +169,38 @@
 	return wire.Refuse(status, r.After, string(r.Reason))
 }
 
-// observe reads the engine's report and notices when its group stands still.
+// observe polls the engine's report and detects when its group stalls.
 func (a *Agent) observe(ctx context.Context) error {
-	return wait.Every(ctx, stateEvery, func() {
+	return wait.Every(ctx, stateInterval, func() {
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		s, err := a.engine.State(call)
-		a.takeReport(s, err, time.Now())
+		a.handleReport(s, err, time.Now())
 	})
 }
 
-func (a *Agent) takeReport(s adapter.EngineState, err error, now time.Time) {
+func (a *Agent) handleReport(s adapter.EngineState, err error, now time.Time) {
 	var changed, stalled bool
 	duty.Locked(&a.mu, func() {
 		if err == nil && s.Step != a.step {
-			a.step, a.moved = s.Step, now
-			step := time.Duration(s.StepMS * float64(time.Millisecond))
-			a.tell(a.queue.Observe(step, now))
+			a.step, a.stepChangedAt = s.Step, now
+			stepTime := time.Duration(s.StepMS * float64(time.Millisecond))
+			a.notify(a.queue.Observe(stepTime, now))
 		}
-		was := a.stalled
-		a.stalled = now.Sub(a.moved) >= a.node.Settings().StallAfter
-		changed = was != a.stalled
+		wasStalled := a.stalled
+		a.stalled = now.Sub(a.stepChangedAt) >= a.node.Settings().StallAfter
+		changed = wasStalled != a.stalled
 		stalled = a.stalled
 	})
 	switch {
 	case changed && stalled:
-		a.node.Trail().Add(audit.Stalled, a.node.Settings().Endpoint, "engine's step number stands still")
+		a.node.Trail().Add(audit.Stalled, a.node.Settings().Endpoint, "step number of the engine does not advance")
 	case changed:
-		a.node.Trail().Add(audit.Stalled, a.node.Settings().Endpoint, "engine goes on")
+		a.node.Trail().Add(audit.Stalled, a.node.Settings().Endpoint, "step number of the engine advances again")
 	}
 }
 
-// Load returns what the agent knows of its endpoint.
+// Load returns the load of the endpoint as the agent knows it.
 func (a *Agent) Load() wire.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -215,44 +215,45 @@
 		MeanStepMS:       float64(a.queue.Step()) / float64(time.Millisecond),
 		StepNumber:       a.step,
 		Stalled:          a.stalled,
-		BackoffMS:        a.restLeft().Milliseconds(),
+		BackoffMS:        a.remainingBackoff().Milliseconds(),
 		Leaving:          a.node.State() == node.Draining || a.node.State() == node.Stopped,
 	}
 }
 
-// endpoint names the agent's endpoint, whose lives it does not tell apart.
-func (a *Agent) endpoint() backoff.Life { return backoff.Life{Name: a.node.Settings().Endpoint} }
+// backoffKey returns the key of the endpoint in backoffs. It has no start time, because the agent does not
+// distinguish successive processes of its endpoint.
+func (a *Agent) backoffKey() backoff.Life { return backoff.Life{Name: a.node.Settings().Endpoint} }
 
-// rest takes in that the endpoint wants nothing for a while.
-func (a *Agent) rest(d time.Duration) {
+// recordBackoff records that the endpoint asked to be sent nothing for the time d.
+func (a *Agent) recordBackoff(d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	var news bool
-	duty.Locked(&a.mu, func() { news = a.rests.Rest(a.endpoint(), d, clock.Now()) })
-	if news {
+	var began bool
+	duty.Locked(&a.mu, func() { began = a.backoffs.Rest(a.backoffKey(), d, clock.Now()) })
+	if began {
 		a.count("endpoint.rests")
 		a.node.Log().Info("endpoint requests backoff", zap.Duration("for", d))
 	}
 }
 
-// restLeft returns how much is left of the endpoint's rest. The caller holds mu.
-func (a *Agent) restLeft() time.Duration {
-	left, _ := a.rests.Resting(a.endpoint(), clock.Now())
-	return left
+// remainingBackoff returns the time until the endpoint's backoff ends. The caller holds mu.
+func (a *Agent) remainingBackoff() time.Duration {
+	remaining, _ := a.backoffs.Resting(a.backoffKey(), clock.Now())
+	return remaining
 }
 
-// refuseInRest refuses what the endpoint has asked not to get now; nil when it does not rest.
+// backoffRefusal returns the refusal of a request while the endpoint is backing off, or nil.
 // The caller holds mu.
-func (a *Agent) refuseInRest() *wire.Refusal {
-	if left := a.restLeft(); left > 0 {
-		return wire.Refuse(http.StatusServiceUnavailable, left, "the endpoint has asked for rest")
+func (a *Agent) backoffRefusal() *wire.Refusal {
+	if remaining := a.remainingBackoff(); remaining > 0 {
+		return wire.Refuse(http.StatusServiceUnavailable, remaining, "the endpoint has asked for rest")
 	}
 	return nil
 }
 
-// Busy returns the number of requests that run or wait.
-func (a *Agent) Busy() int {
+// InFlight returns the number of requests that are running or queued.
+func (a *Agent) InFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queue.Running() + a.queue.Waiting()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -31,25 +31,24 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// bench is one agent in this process, with functions in place of its endpoint.
-type bench struct {
-	t     *testing.T
-	agent *Agent
-	url   string
-	slot  string
+// harness is an agent in the test process, with functions in place of its endpoint.
+type harness struct {
+	t        *testing.T
+	agent    *Agent
+	url      string
+	endpoint string
 }
 
-// newBench starts an agent and waits until it takes in requests; change may edit
-// its settings.
-func newBench(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) *bench {
+// newHarness starts an agent and waits until it accepts requests; change may edit its settings.
+func newHarness(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) *harness {
 	t.Helper()
-	b, n := startBench(t, change, engine, service)
+	b, n := startHarness(t, change, engine, service)
 	gomega.NewWithT(t).Eventually(n.Refusal, "20s").Should(gomega.BeNil())
 	return b
 }
 
-// startBench starts an agent with its node.
-func startBench(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) (*bench, *node.Node) {
+// startHarness starts an agent and its node, and returns at once.
+func startHarness(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) (*harness, *node.Node) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	layout, err := example.New(example.RefundDesk, example.Small, 0)
@@ -83,10 +82,10 @@
 		srv.Close()
 		_ = group.Wait()
 	})
-	return &bench{t, a, srv.URL, p.Endpoint}, n
+	return &harness{t, a, srv.URL, p.Endpoint}, n
 }
 
-// answer is what an entry sees.
+// answer is the answer that an entry receives.
 type answer struct {
 	status  int
 	outcome wire.Outcome
@@ -94,8 +93,8 @@
 	err     error
 }
 
-func (b *bench) send(env wire.Envelope, body string) answer {
-	env.Endpoint, env.Weight = b.slot, 1
+func (b *harness) send(env wire.Envelope, body string) answer {
+	env.Endpoint, env.Weight = b.endpoint, 1
 	if env.ID == "" {
 		env.ID = ident.New() + "~1"
 	}
@@ -115,29 +114,29 @@
 	return wire.Envelope{Kind: wire.KindCall, Method: http.MethodPost, Path: "/payments/pay", Key: key, NoRetry: true, Customer: "c"}
 }
 
-// counter is a service that counts its runs and may be held.
-type counter struct {
-	mu   sync.Mutex
-	runs int
-	hold chan struct{}
-	err  error
+// countingService is a service that counts its runs, and blocks each until block is closed if that is not nil.
+type countingService struct {
+	mu    sync.Mutex
+	runs  int
+	block chan struct{}
+	err   error
 }
 
-// count returns the runs so far.
-func (c *counter) count() int {
+// count returns the number of runs so far.
+func (c *countingService) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.runs
 }
 
-func (c *counter) service() *adapter.Service {
+func (c *countingService) service() *adapter.Service {
 	return &adapter.Service{Do: func(context.Context, adapter.Call) (adapter.Reply, error) {
 		c.mu.Lock()
 		c.runs++
-		hold, err := c.hold, c.err
+		block, err := c.block, c.err
 		c.mu.Unlock()
-		if hold != nil {
-			<-hold
+		if block != nil {
+			<-block
 		}
 		return adapter.Reply{Status: http.StatusOK, Type: "text/plain", Body: []byte("paid")}, err
 	}}
@@ -145,27 +144,27 @@
 
 func TestCopiesOfAnAttemptRunOnce(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &counter{hold: make(chan struct{})}
-	b := newBench(t, nil, nil, c.service())
+	c := &countingService{block: make(chan struct{})}
+	b := newHarness(t, nil, nil, c.service())
 	env := call("")
 	env.ID = ident.New() + "~1"
 	first := make(chan answer, 1)
-	var beside sync.WaitGroup
-	beside.Go(func() { first <- b.send(env, "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(1))
-	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Unknown), "a copy while it runs")
-	close(c.hold)
+	var wg sync.WaitGroup
+	wg.Go(func() { first <- b.send(env, "") })
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(1))
+	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Unknown), "a duplicate while the first copy runs")
+	close(c.block)
 	g.Expect((<-first).outcome).To(gomega.Equal(wire.Done))
-	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Unknown), "a copy that comes late")
+	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Unknown), "a duplicate after the first copy has finished")
 	g.Expect(c.count()).To(gomega.Equal(1))
-	beside.Wait()
+	wg.Wait()
 }
 
-func TestKeyIsTheCustomersOwn(t *testing.T) {
+func TestKeysAreScopedToTheCustomer(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &counter{}
-	b := newBench(t, nil, nil, c.service())
-	key := ident.NewKey(b.slot).String()
+	c := &countingService{}
+	b := newHarness(t, nil, nil, c.service())
+	key := ident.NewKey(b.endpoint).String()
 	g.Expect(b.send(call(key), "x").outcome).To(gomega.Equal(wire.Done))
 	g.Expect(b.send(call(key), "x").body).To(gomega.Equal("paid"))
 	g.Expect(c.count()).To(gomega.Equal(1))
@@ -173,54 +172,54 @@
 	other := call(key)
 	other.Customer = "d"
 	g.Expect(b.send(other, "x").outcome).To(gomega.Equal(wire.Done))
-	g.Expect(c.count()).To(gomega.Equal(2), "another customer's request with the same key is another request")
+	g.Expect(c.count()).To(gomega.Equal(2), "the same key of another customer is another key")
 }
 
 func TestOutcomes(t *testing.T) {
 	check := func(name string, err error, want wire.Outcome, again wire.Outcome) {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			c := &counter{err: err}
-			b := newBench(t, nil, nil, c.service())
-			env := call(ident.NewKey(b.slot).String())
+			c := &countingService{err: err}
+			b := newHarness(t, nil, nil, c.service())
+			env := call(ident.NewKey(b.endpoint).String())
 			g.Expect(b.send(env, "").outcome).To(gomega.Equal(want))
 			g.Expect(b.send(env, "").outcome).To(gomega.Equal(again))
 		})
 	}
 	check("service answers", nil, wire.Done, wire.Done)
-	check("service breaks off", errors.New("broken"), wire.Unknown, wire.Unknown)
+	check("service aborts its answer", errors.New("broken"), wire.Unknown, wire.Unknown)
 }
 
-func TestAKeyMintedAsSoonAsTheAgentTakesInIsNotDoubtful(t *testing.T) {
+func TestKeyMintedAtTheFirstAdmissionRuns(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &counter{}
-	b, n := startBench(t, nil, nil, c.service())
+	c := &countingService{}
+	b, n := startHarness(t, nil, nil, c.service())
 	for deadline := time.Now().Add(20 * time.Second); n.Refusal() != nil && time.Now().Before(deadline); {
-		time.Sleep(10 * time.Microsecond) // Within the millisecond to which keys tell their time.
+		time.Sleep(10 * time.Microsecond) // Keys have a resolution of a millisecond; the key is minted within it.
 	}
-	env := call(ident.NewKey(b.slot).String())
+	env := call(ident.NewKey(b.endpoint).String())
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Done))
 }
 
-func TestNotRunIsNeverSaidAfterTheSend(t *testing.T) {
+func TestNotRunIsNeverReportedAfterTheSend(t *testing.T) {
 	g := gomega.NewWithT(t)
-	gone := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")})
-	b := newBench(t, nil, nil, gone)
-	env := call(ident.NewKey(b.slot).String())
-	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "nobody listens: nothing was sent")
-	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "and the key is free again")
+	unreachable := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")})
+	b := newHarness(t, nil, nil, unreachable)
+	env := call(ident.NewKey(b.endpoint).String())
+	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "no listener, so nothing was sent")
+	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "the key can be used again")
 
-	once := &counter{}
+	counting := &countingService{}
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-		once.mu.Lock()
-		once.runs++
-		once.mu.Unlock()
+		counting.mu.Lock()
+		counting.runs++
+		counting.mu.Unlock()
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(srv.Close)
-	b = newBench(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")}))
+	b = newHarness(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")}))
 	g.Expect(b.send(call(""), "").outcome).To(gomega.Equal(wire.Unknown))
-	g.Expect(once.count()).To(gomega.Equal(1))
+	g.Expect(counting.count()).To(gomega.Equal(1))
 }
 
 func closedPort(t *testing.T) string {
@@ -231,35 +230,35 @@
 	return l.Addr().String()
 }
 
-func TestFullQueuesRefuseAsNotRun(t *testing.T) {
+func TestFullTablesRefuseAsNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &counter{hold: make(chan struct{})}
-	b := newBench(t, func(s *settings.Settings) { s.Queue, s.MinLimit, s.MaxLimit, s.Keys = 1, 1, 1, 2 }, nil, c.service())
-	var beside sync.WaitGroup
+	c := &countingService{block: make(chan struct{})}
+	b := newHarness(t, func(s *settings.Settings) { s.Queue, s.MinLimit, s.MaxLimit, s.Keys = 1, 1, 1, 2 }, nil, c.service())
+	var wg sync.WaitGroup
 	answers := make(chan answer, 2)
 	for i := range 2 {
-		beside.Go(func() { answers <- b.send(call(ident.NewKey(b.slot).String()), fmt.Sprint(i)) })
+		wg.Go(func() { answers <- b.send(call(ident.NewKey(b.endpoint).String()), fmt.Sprint(i)) })
 	}
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(2))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(2))
 	refused := b.send(call(""), "")
 	g.Expect(refused.outcome).To(gomega.Equal(wire.NotRun))
 	g.Expect(refused.body).To(gomega.ContainSubstring("queue full"))
 	g.Expect(refused.body).To(gomega.ContainSubstring("retry_after_ms"))
-	keyed := b.send(call(ident.NewKey(b.slot).String()), "")
+	keyed := b.send(call(ident.NewKey(b.endpoint).String()), "")
 	g.Expect(keyed.outcome).To(gomega.Equal(wire.NotRun))
 	g.Expect(keyed.body).To(gomega.ContainSubstring("no room to remember the key"))
-	close(c.hold)
-	beside.Wait()
+	close(c.block)
+	wg.Wait()
 	for range 2 {
 		g.Expect((<-answers).outcome).To(gomega.Equal(wire.Done))
 	}
 	g.Expect(c.count()).To(gomega.Equal(2))
 }
 
-func TestTombstoneForbidsALateAttempt(t *testing.T) {
+func TestTombstoneRejectsALateAttempt(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &counter{}
-	b := newBench(t, nil, nil, c.service())
+	c := &countingService{}
+	b := newHarness(t, nil, nil, c.service())
 	env := call("")
 	env.ID = ident.New() + "~1"
 	raw, _ := json.Marshal(wire.OutcomeRequest{ID: env.ID})
@@ -269,30 +268,30 @@
 	g.Expect(json.NewDecoder(resp.Body).Decode(&reply)).To(gomega.Succeed())
 	_ = resp.Body.Close()
 	g.Expect(reply.Outcome).To(gomega.Equal(wire.NotRun))
-	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "the attempt comes after all")
+	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "the attempt arrives after the query for its outcome")
 	g.Expect(c.count()).To(gomega.BeZero())
 }
 
-func TestLeavingRefusesWhatWaitsAndEndsWhatRuns(t *testing.T) {
+func TestLeaveRejectsQueuedAndFinishesRunningRequests(t *testing.T) {
 	g := gomega.NewWithT(t)
-	c := &counter{hold: make(chan struct{})}
-	b := newBench(t, func(s *settings.Settings) { s.MinLimit, s.MaxLimit = 1, 1 }, nil, c.service())
-	var beside sync.WaitGroup
-	runs, waits := make(chan answer, 1), make(chan answer, 1)
-	beside.Go(func() { runs <- b.send(call(""), "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(1))
-	beside.Go(func() { waits <- b.send(call(""), "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(2))
+	c := &countingService{block: make(chan struct{})}
+	b := newHarness(t, func(s *settings.Settings) { s.MinLimit, s.MaxLimit = 1, 1 }, nil, c.service())
+	var wg sync.WaitGroup
+	running, queued := make(chan answer, 1), make(chan answer, 1)
+	wg.Go(func() { running <- b.send(call(""), "") })
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(1))
+	wg.Go(func() { queued <- b.send(call(""), "") })
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(2))
 	b.agent.node.Leave("test")
-	g.Expect((<-waits).outcome).To(gomega.Equal(wire.NotRun), "what waits hears at once")
+	g.Expect((<-queued).outcome).To(gomega.Equal(wire.NotRun), "queued requests are refused at once")
 	g.Expect(b.send(call(""), "").outcome).To(gomega.Equal(wire.NotRun))
-	close(c.hold)
-	g.Expect((<-runs).outcome).To(gomega.Equal(wire.Done))
-	beside.Wait()
+	close(c.block)
+	g.Expect((<-running).outcome).To(gomega.Equal(wire.Done))
+	wg.Wait()
 }
 
-// engineOf is an engine whose stream is the given text.
-func engineOf(stream func(g adapter.Generate) string) *adapter.Engine {
+// engineWithStream returns an engine whose stream is the text that stream returns.
+func engineWithStream(stream func(g adapter.Generate) string) *adapter.Engine {
 	return &adapter.Engine{
 		Generate: func(_ context.Context, g adapter.Generate) (io.ReadCloser, error) {
 			return io.NopCloser(strings.NewReader(stream(g))), nil
@@ -303,10 +302,10 @@
 	}
 }
 
-// stream has an agent pass on what its engine says, and returns what an entry sees.
-func stream(t *testing.T, says func(id string) string) (*bench, answer) {
+// streamThrough sends the engine's output through an agent and returns the answer that an entry receives.
+func streamThrough(t *testing.T, output func(id string) string) (*harness, answer) {
 	t.Helper()
-	b := newBench(t, nil, engineOf(func(q adapter.Generate) string { return says(q.ID) }), nil)
+	b := newHarness(t, nil, engineWithStream(func(q adapter.Generate) string { return output(q.ID) }), nil)
 	return b, b.send(wire.Envelope{Kind: wire.KindStream, Customer: "c"}, `{"prompt":"p","max_tokens":2}`)
 }
 
@@ -314,14 +313,14 @@
 	return string(wire.AppendFrame(nil, wire.EventID{Request: id, Endpoint: "engine", Offset: offset}, event, []byte(data)))
 }
 
-func TestForeignLateAndDoubledTokensAreDropped(t *testing.T) {
+func TestForeignLateAndDuplicateTokensAreDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	b, got := stream(t, func(id string) string {
+	b, got := streamThrough(t, func(id string) string {
 		return frame(id, 0, "", `"a"`) + frame("another~1", 1, "", `"x"`) + frame(id, 0, "", `"a"`) +
 			frame(id, 2, "", `"c"`) + frame(id, 1, "", `"b"`) + frame(id, 2, wire.EventEnd, "{}")
 	})
 	g.Expect(got.err).NotTo(gomega.HaveOccurred())
-	g.Expect(strings.Count(got.body, "data: ")).To(gomega.Equal(3), "two tokens and the end")
+	g.Expect(strings.Count(got.body, "data: ")).To(gomega.Equal(3), "two tokens and the end event")
 	g.Expect(got.body).NotTo(gomega.ContainSubstring(`"x"`))
 	records, _ := b.agent.node.Trail().Records()
 	stray := 0
@@ -330,40 +329,40 @@
 			stray++
 		}
 	}
-	g.Expect(stray).To(gomega.Equal(3), "each is on the audit trail")
+	g.Expect(stray).To(gomega.Equal(3), "one audit record for each dropped token")
 }
 
-func TestStreamWithoutItsEndBreaksOff(t *testing.T) {
-	_, got := stream(t, func(id string) string { return frame(id, 0, "", `"a"`) })
-	gomega.NewWithT(t).Expect(got.err).To(gomega.HaveOccurred(), "a short answer must not look whole")
+func TestStreamWithoutEndEventIsAborted(t *testing.T) {
+	_, got := streamThrough(t, func(id string) string { return frame(id, 0, "", `"a"`) })
+	gomega.NewWithT(t).Expect(got.err).To(gomega.HaveOccurred(), "a truncated answer must not look complete")
 }
 
-func TestOnlyTheEnginesLastEventEndsAStream(t *testing.T) {
+func TestOnlyTheEndEventOfTheEngineEndsAStream(t *testing.T) {
 	for _, one := range []struct {
 		name string
 		last func(id string) string // What the engine sends after one token.
 	}{
-		{"an event that is no token, then the end", func(id string) string {
+		{"an event that is not a token, then the end event", func(id string) string {
 			return frame(id, 1, "error", `{"error":"out of memory"}`) + frame(id, 2, wire.EventEnd, "{}")
 		}},
-		{"an event that is no token, then the end in its place", func(id string) string {
+		{"an event that is not a token, then the end event with its offset", func(id string) string {
 			return frame(id, 1, "error", `{"error":"out of memory"}`) + frame(id, 1, wire.EventEnd, "{}")
 		}},
-		{"an agent's own event, then the end", func(id string) string {
+		{"an event that only agents send, then the end event", func(id string) string {
 			return frame(id, 1, wire.EventAlive, "{}") + frame(id, 2, wire.EventEnd, "{}")
 		}},
-		{"an end out of its place", func(id string) string { return frame(id, 2, wire.EventEnd, "{}") }},
-		{"another request's end", func(string) string { return frame("another~1", 1, wire.EventEnd, "{}") }},
-		{"an end without an id", func(string) string { return "event: end\ndata: {}\n\n" }},
-		{"half an end", func(id string) string { return strings.TrimSuffix(frame(id, 1, wire.EventEnd, "{}"), "\n") }},
-		{"an end inside a token", func(id string) string {
+		{"an end event out of sequence", func(id string) string { return frame(id, 2, wire.EventEnd, "{}") }},
+		{"the end event of another request", func(string) string { return frame("another~1", 1, wire.EventEnd, "{}") }},
+		{"an end event without an id", func(string) string { return "event: end\ndata: {}\n\n" }},
+		{"a truncated end event", func(id string) string { return strings.TrimSuffix(frame(id, 1, wire.EventEnd, "{}"), "\n") }},
+		{"an end event inside a token", func(id string) string {
 			return "id: " + id + "/engine/1\ndata: \"b\"\ndata:\ndata: id: " + id + "/engine/2\ndata: event: end\ndata: data: {}\n\n"
 		}},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			_, got := stream(t, func(id string) string { return frame(id, 0, "", `"a"`) + one.last(id) })
-			g.Expect(got.err).To(gomega.HaveOccurred(), "a short answer must not look whole")
+			_, got := streamThrough(t, func(id string) string { return frame(id, 0, "", `"a"`) + one.last(id) })
+			g.Expect(got.err).To(gomega.HaveOccurred(), "a truncated answer must not look complete")
 			frames := wire.NewFrameReader(strings.NewReader(got.body))
 			for f, err := frames.Next(); err == nil; f, err = frames.Next() {
 				g.Expect(f.Event).NotTo(gomega.Equal(wire.EventEnd))
@@ -372,9 +371,9 @@
 	}
 }
 
-func TestWhatComesAfterTheEnginesEndIsDropped(t *testing.T) {
+func TestEventsAfterTheEndEventAreDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, got := stream(t, func(id string) string {
+	_, got := streamThrough(t, func(id string) string {
 		return frame(id, 0, "", `"a"`) + frame(id, 1, wire.EventEnd, "{}") + frame(id, 1, "", `"late"`) + frame(id, 1, wire.EventEnd, "{}")
 	})
 	g.Expect(got.err).NotTo(gomega.HaveOccurred())
@@ -382,30 +381,30 @@
 	g.Expect(got.body).NotTo(gomega.ContainSubstring("late"))
 }
 
-// Guards against a fault of the agent's own that closes a connection under a request, keeps its
-// place, or leaves open whether it ran.
-func TestAPanicIsAnswered(t *testing.T) {
+// Guards against a panic in the agent that closes the connection during a request, leaves the
+// request counted as in flight, or does not report whether it ran.
+func TestPanicIsAnswered(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		inject  func(a *Agent)
 		outcome wire.Outcome
 	}{
-		{"before it is sent", func(a *Agent) {
-			duty.Locked(&a.mu, func() { a.ids = nil })
+		{"before the request is sent", func(a *Agent) {
+			duty.Locked(&a.mu, func() { a.attempts = nil })
 		}, wire.NotRun},
-		{"after it was sent", func(a *Agent) {
+		{"after the request was sent", func(a *Agent) {
 			a.service.Do = func(context.Context, adapter.Call) (adapter.Reply, error) { panic("a fault") }
 		}, wire.Unknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			b := newBench(t, nil, nil, (&counter{}).service())
+			b := newHarness(t, nil, nil, (&countingService{}).service())
 			tc.inject(b.agent)
 			got := b.send(call(""), "")
 			g.Expect(got.err).NotTo(gomega.HaveOccurred())
 			g.Expect(got.status).To(gomega.Equal(http.StatusInternalServerError))
 			g.Expect(got.outcome).To(gomega.Equal(tc.outcome))
-			g.Eventually(b.agent.Busy, "20s").Should(gomega.BeZero())
+			g.Eventually(b.agent.InFlight, "20s").Should(gomega.BeZero())
 		})
 	}
 }
--- a/internal/agent/ended.go
+++ b/internal/agent/ended.go
@@ -12,47 +12,47 @@
 )
 
 const (
-	// endedTimeout bounds the question whether the endpoint's process has ended, which is
-	// on the same instance.
-	endedTimeout = 200 * time.Millisecond
-	// oneEnd is for how long what breaks off is put down to the same end: requests at a
-	// process break off together as it ends, and it takes longer to start again.
-	oneEnd = time.Second
+	// endCheckTimeout bounds the check whether the endpoint's process has ended. The process
+	// runs on the same instance.
+	endCheckTimeout = 200 * time.Millisecond
+	// sameEndWindow is the time in which aborted answers are attributed to the same end of the
+	// process: its requests are all aborted together, and a restart takes longer than that.
+	sameEndWindow = time.Second
 )
 
-// ended returns the end of the endpoint's process, nil if that lives on.
-func (a *Agent) ended() *wire.Ended {
-	var look func(ctx context.Context) bool
+// detectEnd returns the end of the endpoint's process, or nil if the process is still running.
+func (a *Agent) detectEnd() *wire.Ended {
+	var hasEnded func(ctx context.Context) bool
 	if a.service != nil {
-		look = a.service.Ended
+		hasEnded = a.service.Ended
 	} else {
-		look = a.engine.Ended
+		hasEnded = a.engine.Ended
 	}
-	if look == nil || a.node.Refusal() != nil { // A process that is stopped as planned is no fault of a request.
+	if hasEnded == nil || a.node.Refusal() != nil { // No request is to blame for a planned stop.
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endedTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), endCheckTimeout)
 	defer cancel()
-	if !look(ctx) {
+	if !hasEnded(ctx) {
 		return nil
 	}
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if now.Sub(a.endedAt) > oneEnd {
+	if now.Sub(a.endedAt) > sameEndWindow {
 		a.endedAt = now
 	}
 	return &wire.Ended{Incarnation: a.node.Settings().Endpoint + "@" + strconv.FormatInt(a.endedAt.UnixMilli(), 10)}
 }
 
-// tellEnded tells the entry, before the stream breaks off, that the engine has ended.
-func (f *frameWriter) tellEnded(offset int, e *wire.Ended) {
+// writeEnded reports to the entry that the engine's process has ended, before the stream is aborted.
+func (f *frameWriter) writeEnded(offset int, e *wire.Ended) {
 	if e == nil {
 		return
 	}
 	raw, err := json.Marshal(e)
 	if err != nil {
-		return // An Ended always has a JSON form.
+		return // An Ended can always be encoded.
 	}
-	_ = f.write(offset, wire.EventProcessEnded, raw) // The stream breaks off anyhow.
+	_ = f.write(offset, wire.EventProcessEnded, raw) // The stream is aborted in any case.
 }
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -24,52 +24,52 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// Times of a switch.
+// Times and step margins of a map switch.
 const (
-	idleCheck      = time.Second            // Between two looks whether the group is to be rebalanced.
-	resendEvery    = 100 * time.Millisecond // Orders that were not confirmed are sent again.
-	switchLimit    = time.Minute            // After which a coordinator gives up; another ballot may follow.
-	undecidedLimit = 10 * time.Second       // After which a switch that is not decided is given up.
-	firstMargin    = 16                     // Engine steps from the newest one heard of to the switch.
-	maxMargin      = 4096
+	idleInterval     = time.Second            // Between checks whether rebalancing of the group is configured.
+	resendInterval   = 100 * time.Millisecond // Pause before unconfirmed orders are sent again.
+	switchTimeout    = time.Minute            // Until switchMap stops trying; a later sample may start another ballot.
+	undecidedTimeout = 10 * time.Second       // Until an undecided switch is aborted.
+	initialMargin    = 16                     // Engine steps between the newest reported step and the switch.
+	maxMargin        = 4096
 )
 
-// mapper decides on and drives switches of its group's expert map, while its
-// agent is the one that does so: the lowest living rank, as it sees the group.
-// Two of them at once are harmless.
-type mapper struct {
+// mapController plans and coordinates switches of its group's expert map while its agent is
+// the coordinator: the one with the lowest rank alive, in the agent's own view of the group.
+// Two coordinators at the same time are harmless.
+type mapController struct {
 	agent   *Agent
-	planner *rebalance.Planner // Nil until the group is known.
+	planner *rebalance.Planner // Nil before the first sample of the group.
 	shape   rebalance.Shape
-	maps    map[uint64]rebalance.Map // By version; the map in force must be known to plan from it.
+	maps    map[uint64]rebalance.Map // By version; a plan needs the content of the active map.
 	ballot  uint64
 	margin  uint64
 }
 
-func newMapper(a *Agent) *mapper {
-	return &mapper{agent: a, margin: firstMargin, maps: map[uint64]rebalance.Map{}}
+func newMapController(a *Agent) *mapController {
+	return &mapController{agent: a, margin: initialMargin, maps: map[uint64]rebalance.Map{}}
 }
 
-// run looks at the group once a sample.
-func (m *mapper) run(ctx context.Context) error {
+// run handles one load sample of the group per rebalance interval, until ctx ends.
+func (m *mapController) run(ctx context.Context) error {
 	for {
-		every := idleCheck
+		interval := idleInterval
 		if s, ok := m.group(); ok && s.Rebalance > 0 {
-			every = s.Rebalance
-			if m.leads(s) {
-				m.sample(ctx, s)
+			interval = s.Rebalance
+			if m.isCoordinator(s) {
+				m.handleSample(ctx, s)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// group returns the published group that this agent's endpoint belongs to.
-func (m *mapper) group() (s *published.Service, ok bool) {
+// group returns the published group of this agent's endpoint.
+func (m *mapController) group() (s *published.Service, ok bool) {
 	c, ok := m.agent.node.Config()
 	if !ok {
 		return nil, false
@@ -78,12 +78,12 @@
 	return s, ok && s.IsGroup()
 }
 
-// leads reports whether this agent is the lowest living rank of the group.
-func (m *mapper) leads(s *published.Service) bool {
-	living := m.agent.node.ByEndpoint()
+// isCoordinator reports whether this agent's endpoint has the lowest rank alive in the group.
+func (m *mapController) isCoordinator(s *published.Service) bool {
+	alive := m.agent.node.ByEndpoint()
 	lowest := published.Endpoint{Rank: -1}
 	for _, e := range s.Endpoints {
-		p, ok := living[e.Name]
+		p, ok := alive[e.Name]
 		if ok && p.State == member.Alive && (lowest.Rank < 0 || e.Rank < lowest.Rank) {
 			lowest = e
 		}
@@ -91,21 +91,21 @@
 	return lowest.Name == m.agent.node.Settings().Endpoint
 }
 
-// sample takes in one report and switches the map if that pays.
-func (m *mapper) sample(ctx context.Context, s *published.Service) {
+// handleSample reads one report of the expert load and switches the map if that is worthwhile.
+func (m *mapController) handleSample(ctx context.Context, s *published.Service) {
 	call, cancel := context.WithTimeout(ctx, time.Second)
 	load, err := m.agent.engine.Experts(call)
 	cancel()
 	if err != nil || len(load.Tokens) != s.Layers || len(load.Tokens[0]) != s.Experts {
-		return // A gap in the reports, or a report of another shape: nothing is decided on it.
+		return // The report is missing or has another shape; no decision is based on it.
 	}
-	m.prepare(s)
+	m.ensurePlanner(s)
 	m.planner.Observe(load.Sample, load.Tokens)
-	state, ok := m.askOwn(ctx)
+	state, ok := m.ownRankState(ctx)
 	if !ok {
 		return
 	}
-	current, ok := m.inForce(ctx, state.Map)
+	current, ok := m.activeMap(ctx, state.Map)
 	if !ok {
 		return
 	}
@@ -113,18 +113,18 @@
 	if !ok {
 		return
 	}
-	version, ok := m.drive(ctx, s, plan.Map)
+	version, ok := m.switchMap(ctx, s, plan.Map)
 	if ok {
 		m.maps = map[uint64]rebalance.Map{version: plan.Map}
 		m.planner.Switched()
 		m.agent.node.Trail().Add(audit.MapSwitch, s.Name,
-			fmt.Sprintf("version %d decided: %d experts moved, %.1f%% of the step time expected", version, plan.Transfers, 100*plan.Gain))
+			fmt.Sprintf("version %d decided: %d expert transfers, expected gain %.1f%% of the step time", version, plan.Transfers, 100*plan.Gain))
 	}
 }
 
-// inForce returns the content of the map in force. One that another coordinator
-// made is read back from the engine, so that a plan starts from what is loaded.
-func (m *mapper) inForce(ctx context.Context, version uint64) (current rebalance.Map, ok bool) {
+// activeMap returns the content of the active map. A map made by another coordinator is read
+// back from the engine, so that a plan starts from the experts that are loaded.
+func (m *mapController) activeMap(ctx context.Context, version uint64) (current rebalance.Map, ok bool) {
 	if current, ok = m.maps[version]; ok {
 		return current, true
 	}
@@ -132,7 +132,7 @@
 	defer cancel()
 	c, err := m.agent.engine.Map(ctx)
 	if err != nil || c.Version != version {
-		return nil, false // It has just changed; the next sample asks again.
+		return nil, false // The map has just changed; the next sample reads it again.
 	}
 	for _, layer := range c.Experts {
 		current = append(current, layer)
@@ -144,8 +144,8 @@
 	return current, true
 }
 
-// prepare makes a planner when the group is seen first or has changed shape.
-func (m *mapper) prepare(s *published.Service) {
+// ensurePlanner creates a planner for a new group or for one whose shape has changed.
+func (m *mapController) ensurePlanner(s *published.Service) {
 	shape := rebalance.Shape{Ranks: len(s.Endpoints), Experts: s.Experts, Slots: s.Slots}
 	if m.planner != nil && shape == m.shape {
 		return
@@ -162,8 +162,8 @@
 	})
 }
 
-// askOwn reads the state of the agent's own rank, without a new promise.
-func (m *mapper) askOwn(ctx context.Context) (r mapswitch.Rank, ok bool) {
+// ownRankState reads the state of the agent's own rank. The order has ballot 0 and raises no fence.
+func (m *mapController) ownRankState(ctx context.Context) (r mapswitch.Rank, ok bool) {
 	reply, err := m.agent.engine.Order(ctx, adapter.MapOrder{Order: mapswitch.Order{Kind: mapswitch.Ask}})
 	if err != nil {
 		return r, false
@@ -172,8 +172,8 @@
 	return reply.State, true
 }
 
-// nextBallot returns a ballot above all heard of that no other rank makes.
-func (m *mapper) nextBallot(s *published.Service) uint64 {
+// nextBallot returns a ballot that is above every ballot seen and that no other rank generates.
+func (m *mapController) nextBallot(s *published.Service) uint64 {
 	own := uint64(0)
 	for _, e := range s.Endpoints {
 		if e.Name == m.agent.node.Settings().Endpoint {
@@ -184,14 +184,14 @@
 	return m.ballot
 }
 
-// drive runs one coordinator, and another with more margin when the step it
-// chose had already begun. It returns the version that was decided.
-func (m *mapper) drive(ctx context.Context, s *published.Service, next rebalance.Map) (version uint64, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, switchLimit)
+// switchMap runs a coordinator, and another one with twice the margin when the step chosen for
+// the switch had already begun. It returns the version that was decided.
+func (m *mapController) switchMap(ctx context.Context, s *published.Service, next rebalance.Map) (version uint64, ok bool) {
+	ctx, cancel := context.WithTimeout(ctx, switchTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
 		c := mapswitch.NewCoordinator(m.nextBallot(s), len(s.Endpoints), m.margin)
-		c = m.complete(ctx, s, c, next)
+		c = m.runCoordinator(ctx, s, c, next)
 		switch c.Phase {
 		case mapswitch.Done:
 			return c.Plan.Version, true
@@ -200,7 +200,7 @@
 		case mapswitch.Beaten:
 			return 0, false
 		case mapswitch.GivenUp:
-			m.agent.node.Trail().Add(audit.MapSwitch, s.Name, "switch given up: a rank does not answer")
+			m.agent.node.Trail().Add(audit.MapSwitch, s.Name, "switch aborted: a rank does not answer")
 			return 0, false
 		}
 	}
@@ -208,39 +208,39 @@
 	return 0, false
 }
 
-// complete sends a coordinator's orders until it is over or ctx ends.
-func (m *mapper) complete(ctx context.Context, s *published.Service, c mapswitch.Coordinator, next rebalance.Map) mapswitch.Coordinator {
+// runCoordinator sends the coordinator's orders until the coordinator is over or ctx ends.
+func (m *mapController) runCoordinator(ctx context.Context, s *published.Service, c mapswitch.Coordinator, next rebalance.Map) mapswitch.Coordinator {
 	started := time.Now()
 	for !c.Over() && ctx.Err() == nil {
-		if time.Since(started) > undecidedLimit {
-			if next, aborts, ok := c.GiveUp(); ok {
-				m.send(ctx, s, aborts, nil) // A rank that misses it is freed by the next ballot.
-				return next
+		if time.Since(started) > undecidedTimeout {
+			if aborted, aborts, ok := c.GiveUp(); ok {
+				m.sendOrders(ctx, s, aborts, nil) // A rank that misses the abort is released by the next ballot.
+				return aborted
 			}
 		}
 		orders := c.Resend()
 		phase := c.Phase
-		for _, r := range m.send(ctx, s, orders, next) {
+		for _, r := range m.sendOrders(ctx, s, orders, next) {
 			c, _ = c.Handle(r)
 			m.ballot = max(m.ballot, r.State.Fence)
 		}
 		if c.Phase == phase {
 			select {
 			case <-ctx.Done():
-			case <-time.After(resendEvery):
+			case <-time.After(resendInterval):
 			}
 		}
 	}
 	return c
 }
 
-// send gives orders to the agents of the ranks and returns the answers that
-// came.
-func (m *mapper) send(ctx context.Context, s *published.Service, orders []mapswitch.Order, next rebalance.Map) (replies []mapswitch.Reply) {
+// sendOrders sends orders to the agents of the ranks and returns the replies received within
+// one second.
+func (m *mapController) sendOrders(ctx context.Context, s *published.Service, orders []mapswitch.Order, next rebalance.Map) (replies []mapswitch.Reply) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	living := m.agent.node.ByEndpoint()
-	got := make([]*mapswitch.Reply, len(orders))
+	alive := m.agent.node.ByEndpoint()
+	received := make([]*mapswitch.Reply, len(orders))
 	g := &errgroup.Group{}
 	for i, o := range orders {
 		msg := adapter.MapOrder{Order: o}
@@ -252,16 +252,16 @@
 		g.Go(func() error {
 			duty.Contain("order", m.agent.node.Log(), m.agent.node.Metrics(), func() {
 				var r mapswitch.Reply
-				peer, ok := living[endpointOfRank(s, o.Rank)]
+				peer, ok := alive[endpointOfRank(s, o.Rank)]
 				if ok && m.agent.node.Call(ctx, peer.Address, wire.PathSwitch, msg, &r) == nil {
-					got[i] = &r
+					received[i] = &r
 				}
 			})
-			return nil // Whoever is silent is sent the order again.
+			return nil // The order is sent again to a rank without a reply.
 		})
 	}
 	_ = g.Wait()
-	for _, r := range got {
+	for _, r := range received {
 		if r != nil {
 			replies = append(replies, *r)
 		}
@@ -269,7 +269,7 @@
 	return replies
 }
 
-// endpointOfRank finds a rank's slot; ranks are numbered in their order.
+// endpointOfRank returns the name of the endpoint with the given rank, or "" if there is none.
 func endpointOfRank(s *published.Service, rank int) string {
 	for _, e := range s.Endpoints {
 		if e.Rank == rank {
@@ -279,8 +279,8 @@
 	return ""
 }
 
-// serveSwitch takes an order from the coordinator of the group. A process that
-// was paused passes nothing on before it knows that it has not been replaced.
+// serveSwitch handles an order from the coordinator of the group. A process that was paused
+// forwards no orders until it knows that it has not been replaced.
 func (a *Agent) serveSwitch(w http.ResponseWriter, r *http.Request) {
 	var o adapter.MapOrder
 	if !node.ReadJSON(w, r, &o) {
@@ -291,7 +291,7 @@
 		http.Error(w, "process was paused", http.StatusServiceUnavailable)
 		return
 	}
-	reply, err := a.order(r.Context(), o)
+	reply, err := a.forwardOrder(r.Context(), o)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadGateway)
 		return
@@ -299,23 +299,23 @@
 	httpjson.Reply(w, reply)
 }
 
-// mayOrder is the guard of an engine that checks no fences: orders go only while
-// this process holds the lease on its slot.
-func (a *Agent) mayOrder(now time.Time) bool {
+// mayForwardOrders reports whether orders may be sent to the engine. An engine that does not
+// check fences receives orders only while this process holds the lease on its slot.
+func (a *Agent) mayForwardOrders(now time.Time) bool {
 	return a.node.Settings().Fences || a.node.Holds(now)
 }
 
-// errNoLease refuses an order for want of the lease on the slot.
+// errNoLease is returned for an order when this process does not hold the lease on its slot.
 var errNoLease = errors.New("no lease on the slot: the engine checks no fences")
 
-// order passes an order on unless its ballot is below one that was passed on
-// before. Not every engine checks fences; an agent that starts anew reads the
-// highest one back before its first order. Orders go one at a time, so that
-// none overtakes the check.
-func (a *Agent) order(ctx context.Context, o adapter.MapOrder) (r mapswitch.Reply, err error) {
-	a.orders.Lock()
-	defer a.orders.Unlock()
-	if !a.mayOrder(clock.Now()) {
+// forwardOrder forwards an order to the engine unless its ballot is below one forwarded before.
+// The agent checks this because not every engine checks fences; after a restart it reads the
+// engine's fence back before its first order. Orders are forwarded one at a time, so that none
+// overtakes the check.
+func (a *Agent) forwardOrder(ctx context.Context, o adapter.MapOrder) (r mapswitch.Reply, err error) {
+	a.orderMu.Lock()
+	defer a.orderMu.Unlock()
+	if !a.mayForwardOrders(clock.Now()) {
 		return r, errNoLease
 	}
 	if !a.fenceKnown {
@@ -326,9 +326,9 @@
 		a.fence, a.fenceKnown = own.State.Fence, true
 	}
 	if o.Ballot < a.fence {
-		refused := mapswitch.Reply{Kind: o.Kind, Ballot: o.Ballot, Rank: o.Rank, Plan: o.Plan}
-		refused.State.Fence = a.fence
-		return refused, nil
+		rejection := mapswitch.Reply{Kind: o.Kind, Ballot: o.Ballot, Rank: o.Rank, Plan: o.Plan}
+		rejection.State.Fence = a.fence
+		return rejection, nil
 	}
 	a.fence = o.Ballot
 	return a.engine.Order(ctx, o)
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -36,7 +36,7 @@
 	eventBreak  chart.Event = "break"
 )
 
-// States of the chart "request" that end a life.
+// Final states of the chart "request".
 const (
 	stateNotRun  chart.State = "not-run"
 	stateDone    chart.State = "done"
@@ -45,20 +45,20 @@
 
 var requestChart = chart.MustLoad("request")
 
-// job is one request at the agent.
+// job is one attempt of a request at the agent.
 type job struct {
-	agent *Agent
-	env   *wire.Envelope
-	body  []byte
-	life  *chart.Machine
-	name  string // Request id and attempt; the name of the mark.
-	key   string // Name of the key's mark, "" when there is none.
-	held  bool   // The job holds a place at the endpoint.
+	agent     *Agent
+	env       *wire.Envelope
+	body      []byte
+	machine   *chart.Machine
+	attemptID string // Request id and attempt number; the name in Agent.attempts.
+	keyName   string // Name in Agent.keys; "" when the request has no key.
+	admitted  bool   // The queue has started the job, which counts against the concurrency limit.
 }
 
-// attemptTime reads the time in an attempt's name: its id is a UUIDv7.
-func attemptTime(name string) (t time.Time, err error) {
-	id, _, _ := strings.Cut(name, "~")
+// attemptTime returns the time in an attempt id. The request id in it is a UUIDv7.
+func attemptTime(attemptID string) (t time.Time, err error) {
+	id, _, _ := strings.Cut(attemptID, "~")
 	u, err := uuid.Parse(id)
 	if err != nil || u.Version() != 7 {
 		return t, errors.Newf("request id %.80q is not a UUIDv7", id)
@@ -67,74 +67,75 @@
 	return time.Unix(sec, nsec), nil
 }
 
-// serveRun takes a request from an entry to its end, also where a fault of the agent's own ends it.
+// serveRun handles a request from an entry. A panic in the agent still gets an answer with an outcome, and
+// the attempt gets a final state.
 func (a *Agent) serveRun(w http.ResponseWriter, r *http.Request) {
-	out := &headed{ResponseWriter: w}
-	var j *job // Nil until it was accepted.
-	whole := true
-	returned := a.contained(func() {
+	out := &headerTracker{ResponseWriter: w}
+	var j *job // Nil until the request is accepted.
+	complete := true
+	returned := a.contain(func() {
 		var refusal *wire.Refusal
 		if j, refusal = a.accept(w, r); refusal != nil {
 			a.refuse(out, refusal)
 			return
 		}
-		whole = j.run(out, r)
+		complete = j.run(out, r)
 	})
 	if !returned {
-		whole = !out.sent && a.contained(func() { a.refuse(out, j.fault()) })
+		complete = !out.headerSent && a.contain(func() { a.refuse(out, j.internalError()) })
 	}
-	if !whole {
-		panic(http.ErrAbortHandler) // The entry must see that the answer broke off.
+	if !complete {
+		panic(http.ErrAbortHandler) // The entry must see that the answer is truncated.
 	}
 }
 
-// contained calls do and reports whether it returned.
-func (a *Agent) contained(do func()) (returned bool) {
+// contain calls do, recovers from a panic in it, and reports whether it returned normally.
+func (a *Agent) contain(do func()) (returned bool) {
 	return duty.Contain("request", a.node.Log(), a.node.Metrics(), do)
 }
 
-// headed notes whether the head of an answer has gone out.
-type headed struct {
+// headerTracker records whether the header of an answer has been sent.
+type headerTracker struct {
 	http.ResponseWriter
-	sent bool
+	headerSent bool
 }
 
-// WriteHeader is part of http.ResponseWriter.
-func (h *headed) WriteHeader(status int) {
-	h.sent = true
+// WriteHeader implements http.ResponseWriter.
+func (h *headerTracker) WriteHeader(status int) {
+	h.headerSent = true
 	h.ResponseWriter.WriteHeader(status)
 }
 
-// Write is part of http.ResponseWriter.
-func (h *headed) Write(p []byte) (n int, err error) {
-	h.sent = true
+// Write implements http.ResponseWriter.
+func (h *headerTracker) Write(p []byte) (n int, err error) {
+	h.headerSent = true
 	return h.ResponseWriter.Write(p)
 }
 
-// FlushError is for http.ResponseController.
-func (h *headed) FlushError() error {
-	h.sent = true
+// FlushError is called by http.ResponseController.
+func (h *headerTracker) FlushError() error {
+	h.headerSent = true
 	return http.NewResponseController(h.ResponseWriter).Flush()
 }
 
-// Unwrap is for http.ResponseController.
-func (h *headed) Unwrap() http.ResponseWriter { return h.ResponseWriter }
+// Unwrap is called by http.ResponseController.
+func (h *headerTracker) Unwrap() http.ResponseWriter { return h.ResponseWriter }
 
-// run runs an accepted request; it reports false if its answer must be broken off.
-func (j *job) run(w http.ResponseWriter, r *http.Request) (whole bool) {
+// run runs an accepted request. It reports false if the answer must be aborted.
+func (j *job) run(w http.ResponseWriter, r *http.Request) (complete bool) {
 	a := j.agent
 	if refusal := j.admit(r.Context()); refusal != nil {
-		j.end(eventRefuse)
+		j.applyFinal(eventRefuse)
 		a.refuse(w, refusal)
 		return true
 	}
 	defer j.release()
-	if refusal := j.lastCheck(time.Now()); refusal != nil {
-		j.end(eventRefuse)
+	if refusal := j.checkBeforeSend(time.Now()); refusal != nil {
+		j.applyFinal(eventRefuse)
 		a.refuse(w, refusal)
 		return true
 	}
-	j.life.Apply(eventSend)
+	j.machine.Apply(eventSend)
 	if a.engine != nil {
 		return j.stream(w, r)
 	}
@@ -142,15 +143,15 @@
 	return true
 }
 
-// fault ends a job that a fault of the agent's own broke off, and returns its refusal; the job
-// is nil where it was not accepted.
-func (j *job) fault() *wire.Refusal {
+// internalError ends a job after a panic in the agent and returns its refusal. The job is nil if the
+// request was not accepted.
+func (j *job) internalError() *wire.Refusal {
 	const cause = "fault of the agent"
 	if j == nil {
 		return wire.Refuse(http.StatusInternalServerError, 0, cause)
 	}
-	j.end(eventBreak)
-	if j.life.State() == stateNotRun {
+	j.applyFinal(eventBreak)
+	if j.machine.State() == stateNotRun {
 		return wire.Refuse(http.StatusInternalServerError, 0, cause)
 	}
 	return wire.Doubt(http.StatusInternalServerError, cause)
@@ -162,8 +163,7 @@
 	refusal.Write(w)
 }
 
-// accept reads the request and marks it. Until a job is returned nothing is
-// marked that stays.
+// accept reads the request and registers it. Unless it is accepted, no record of it stays behind.
 func (a *Agent) accept(w http.ResponseWriter, r *http.Request) (j *job, refusal *wire.Refusal) {
 	if refusal := a.node.Refusal(); refusal != nil {
 		return nil, refusal
@@ -182,14 +182,14 @@
 	if err != nil {
 		return nil, wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
-	j = &job{agent: a, env: env, body: body, life: requestChart.Machine(), name: env.ID}
-	return j, j.mark(time.Now())
+	j = &job{agent: a, env: env, body: body, machine: requestChart.Machine(), attemptID: env.ID}
+	return j, j.register(time.Now())
 }
 
-// mark enters the attempt and the key, before anything is sent on.
-func (j *job) mark(now time.Time) *wire.Refusal {
+// register records the attempt and the idempotency key, before anything is sent to the endpoint.
+func (j *job) register(now time.Time) *wire.Refusal {
 	a := j.agent
-	at, err := attemptTime(j.name)
+	at, err := attemptTime(j.attemptID)
 	if err != nil {
 		return wire.Refuse(http.StatusBadRequest, 0, err.Error())
 	}
@@ -204,43 +204,43 @@
 	if a.stalled {
 		return wire.Refuse(http.StatusServiceUnavailable, time.Second, "engine group stands still")
 	}
-	if refusal := a.refuseInRest(); refusal != nil {
+	if refusal := a.backoffRefusal(); refusal != nil {
 		return refusal
 	}
-	if v, _ := a.ids.Begin(j.name, 0, at, now); v != once.Run {
-		return refusalOfAttempt(v)
+	if v, _ := a.attempts.Begin(j.attemptID, 0, at, now); v != once.Run {
+		return attemptRefusal(v)
 	}
 	if j.env.Key == "" {
 		return nil
 	}
 	if key.Owner() != j.env.Endpoint {
-		a.ids.Release(j.name)
+		a.attempts.Release(j.attemptID)
 		return wire.Refuse(http.StatusMisdirectedRequest, 0, "another endpoint owns the key")
 	}
-	name := j.env.Customer + "/" + key.String() // A customer's keys are its own.
+	name := j.env.Customer + "/" + key.String() // Each customer has a key namespace of its own.
 	v, answer := a.keys.Begin(name, j.digest(), key.Minted(), now)
 	if v != once.Run {
-		a.ids.Release(j.name)
-		return refusalOfKey(v, answer)
+		a.attempts.Release(j.attemptID)
+		return keyRefusal(v, answer)
 	}
-	j.key = name
+	j.keyName = name
 	return nil
 }
 
-// digest tells whether two requests are the same.
+// digest returns a hash of the method, path and body, to detect a key that is reused for another request.
 func (j *job) digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{j.env.Method, "\x00", j.env.Path, "\x00"} {
-		_, _ = d.WriteString(part) // A Digest never fails.
+		_, _ = d.WriteString(part) // Writes to a Digest never fail.
 	}
 	_, _ = d.Write(j.body)
 	return d.Sum64()
 }
 
-// refusalOfAttempt answers a copy of an attempt, or one too old to judge. The
-// entry sends each attempt once, so that a copy is a late or doubled message.
-func refusalOfAttempt(v once.Verdict) *wire.Refusal {
+// attemptRefusal returns the refusal of a duplicate attempt, or of one too old to be recognized
+// as new. The entry sends each attempt once, so that a duplicate is a late or doubled message.
+func attemptRefusal(v once.Verdict) *wire.Refusal {
 	switch v {
 	case once.Refused:
 		return wire.Refuse(http.StatusConflict, 0, "attempt was given up before")
@@ -253,9 +253,9 @@
 	}
 }
 
-// refusalOfKey answers a key that may not start. A kept answer is given again
-// as it was.
-func refusalOfKey(v once.Verdict, answer *once.Answer) *wire.Refusal {
+// keyRefusal returns the refusal of a request whose idempotency key does not allow it to start.
+// A stored answer is replayed unchanged.
+func keyRefusal(v once.Verdict, answer *once.Answer) *wire.Refusal {
 	switch v {
 	case once.Repeat:
 		return &wire.Refusal{Outcome: wire.Done, Status: answer.Status, Reason: "answer of the first run",
@@ -275,27 +275,27 @@
 	}
 }
 
-// admit waits for the queue's word. It returns at once when the caller goes.
+// admit waits for the queue's decision. It returns at once when the caller disconnects.
 func (j *job) admit(ctx context.Context) *wire.Refusal {
 	a := j.agent
 	req := admit.Request{
-		ID: j.name, Customer: j.env.Customer, Weight: j.env.Weight,
+		ID: j.attemptID, Customer: j.env.Customer, Weight: j.env.Weight,
 		Priority: j.env.Priority, Arrived: time.Now(),
 	}
 	if d, ok := j.env.Deadline(); ok {
 		req.Deadline = d
 	}
-	c := make(chan ticket, 1)
+	c := make(chan decision, 1)
 	duty.Locked(&a.mu, func() {
-		a.waiting[j.name] = c
-		a.tell(a.queue.Offer(req, req.Arrived))
+		a.waiting[j.attemptID] = c
+		a.notify(a.queue.Offer(req, req.Arrived))
 	})
-	j.life.Apply(eventQueue)
+	j.machine.Apply(eventQueue)
 	select {
 	case t := <-c:
 		if t.refusal == nil {
-			j.held = true
-			j.life.Apply(eventStart)
+			j.admitted = true
+			j.machine.Apply(eventStart)
 		}
 		return t.refusal
 	case <-ctx.Done():
@@ -303,22 +303,22 @@
 	}
 }
 
-// abandon takes the job out of the queue after its caller has gone.
+// abandon removes the job from the queue after its caller has disconnected.
 func (j *job) abandon() *wire.Refusal {
 	a := j.agent
 	duty.Locked(&a.mu, func() {
-		waiting := a.queue.Cancel(j.name)
-		delete(a.waiting, j.name)
+		waiting := a.queue.Cancel(j.attemptID)
+		delete(a.waiting, j.attemptID)
 		if !waiting {
-			a.tell(a.queue.Done(j.name, time.Now())) // It was just let in.
+			a.notify(a.queue.Done(j.attemptID, time.Now())) // The queue has just started the job.
 		}
 	})
 	return wire.Refuse(http.StatusServiceUnavailable, 0, "caller has gone")
 }
 
-// lastCheck judges once more right before the send: the process may have been
+// checkBeforeSend repeats the checks right before the request is sent: the process may have been
 // paused since it read the request.
-func (j *job) lastCheck(now time.Time) *wire.Refusal {
+func (j *job) checkBeforeSend(now time.Time) *wire.Refusal {
 	j.agent.node.CheckPause(clock.Now())
 	if s := j.agent.node.State(); s == node.Doubting {
 		return wire.Refuse(http.StatusServiceUnavailable, time.Second, "process was paused")
@@ -328,41 +328,41 @@
 	}
 	j.agent.mu.Lock()
 	defer j.agent.mu.Unlock()
-	return j.agent.refuseInRest() // It may have asked while the request waited.
+	return j.agent.backoffRefusal() // The endpoint may have requested it while the job was queued.
 }
 
-// end applies the last event and settles the marks by where it led.
-func (j *job) end(e chart.Event) {
-	j.life.Apply(e)
+// applyFinal applies the last event and updates the records of the attempt and the key to the final state.
+func (j *job) applyFinal(e chart.Event) {
+	j.machine.Apply(e)
 	a := j.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	switch j.life.State() {
+	switch j.machine.State() {
 	case stateNotRun:
-		a.ids.Deny(j.name)
-		a.keys.Release(j.key)
+		a.attempts.Deny(j.attemptID)
+		a.keys.Release(j.keyName)
 	case stateDone:
-		a.ids.Lose(j.name)
-		a.keys.Lose(j.key) // Unless its answer was kept.
+		a.attempts.Lose(j.attemptID)
+		a.keys.Lose(j.keyName) // No effect if the answer was stored.
 	case stateUnknown:
-		a.ids.Lose(j.name)
-		a.keys.Lose(j.key)
+		a.attempts.Lose(j.attemptID)
+		a.keys.Lose(j.keyName)
 	}
 }
 
-// release gives the place at the endpoint back.
+// release reports to the queue that the job no longer runs, so that another one may start.
 func (j *job) release() {
-	if !j.held {
+	if !j.admitted {
 		return
 	}
 	a := j.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.tell(a.queue.Done(j.name, time.Now()))
+	a.notify(a.queue.Done(j.attemptID, time.Now()))
 }
 
-// call runs the request at a plain service. It goes on when the entry has
-// gone, so that the outcome of what cannot be repeated is known.
+// call runs the request at a plain service. It continues after the entry has disconnected, so
+// that the outcome of a request that must not be retried is known.
 func (j *job) call(w http.ResponseWriter, r *http.Request) {
 	a := j.agent
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), j.timeout())
@@ -373,35 +373,35 @@
 	})
 	switch {
 	case adapter.NotSent(err):
-		j.end(eventRefuse)
+		j.applyFinal(eventRefuse)
 		a.refuse(w, wire.Refuse(http.StatusServiceUnavailable, time.Second, "service cannot be reached"))
 		return
 	case err != nil:
-		j.end(eventBreak)
+		j.applyFinal(eventBreak)
 		doubt := wire.Doubt(http.StatusBadGateway, "service gave no whole answer")
-		doubt.Ended = a.ended()
+		doubt.Ended = a.detectEnd()
 		a.refuse(w, doubt)
 		return
 	}
-	a.rest(reply.Rest)
-	j.finishKey(once.Answer{Status: reply.Status, Type: reply.Type, Body: reply.Body})
-	j.end(eventFinish)
+	a.recordBackoff(reply.Rest)
+	j.storeAnswer(once.Answer{Status: reply.Status, Type: reply.Type, Body: reply.Body})
+	j.applyFinal(eventFinish)
 	a.count("calls.done")
 	h := w.Header()
 	h.Set(wire.HeaderOutcome, string(wire.Done))
-	h.Set(wire.HeaderRequest, j.name)
+	h.Set(wire.HeaderRequest, j.attemptID)
 	h.Set(wire.HeaderLoad, wire.EncodeLoad(a.Load()))
 	h.Set("Content-Type", reply.Type)
 	h.Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
-	_, _ = w.Write(reply.Body) // The entry may be gone; the outcome is kept.
+	_, _ = w.Write(reply.Body) // The entry may have disconnected; the outcome is stored.
 }
 
-func (j *job) finishKey(answer once.Answer) {
+func (j *job) storeAnswer(answer once.Answer) {
 	a := j.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.keys.Finish(j.key, answer)
+	a.keys.Finish(j.keyName, answer)
 }
 
 func (j *job) timeout() time.Duration {
@@ -413,7 +413,8 @@
 	return 30 * time.Second
 }
 
-// serveOutcome answers an entry that lost the link after a send.
+// serveOutcome handles the query for the outcome of an attempt whose connection the entry lost after
+// sending it.
 func (a *Agent) serveOutcome(w http.ResponseWriter, r *http.Request) {
 	var q wire.OutcomeRequest
 	if !node.ReadJSON(w, r, &q) {
@@ -425,7 +426,7 @@
 		return
 	}
 	var s once.State
-	duty.Locked(&a.mu, func() { s = a.ids.Tombstone(q.ID, at, time.Now()) })
+	duty.Locked(&a.mu, func() { s = a.attempts.Tombstone(q.ID, at, time.Now()) })
 	reply := wire.OutcomeReply{Outcome: wire.Unknown}
 	if s == once.Tombstoned {
 		reply.Outcome = wire.NotRun
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -18,64 +18,63 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// stream runs the request at the engine and relays its tokens under the id of
-// the request. Tokens that are not the next one are dropped and counted. It reports false if the
-// stream broke off.
-func (j *job) stream(w http.ResponseWriter, r *http.Request) (whole bool) {
+// stream runs the request at the engine and relays its tokens under the id of the request.
+// Tokens out of sequence are dropped and counted. It reports false if the stream was aborted.
+func (j *job) stream(w http.ResponseWriter, r *http.Request) (complete bool) {
 	a := j.agent
 	var g adapter.Generate
 	if err := json.Unmarshal(j.body, &g); err != nil {
-		j.end(eventRefuse)
+		j.applyFinal(eventRefuse)
 		a.refuse(w, wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error()))
 		return true
 	}
-	g.ID, g.Priority, g.From = j.name, j.env.Priority, j.env.Offset
-	j.bringCache(r.Context())
+	g.ID, g.Priority, g.From = j.attemptID, j.env.Priority, j.env.Offset
+	j.importCache(r.Context())
 	in, err := a.engine.Generate(r.Context(), g)
 	switch {
 	case adapter.NotSent(err) || adapter.Status(err) == http.StatusServiceUnavailable:
-		j.end(eventRefuse)
-		rest := adapter.Rest(err)
-		a.rest(rest)
-		a.refuse(w, wire.Refuse(http.StatusServiceUnavailable, cmp.Or(rest, time.Second), "engine cannot be reached or takes nothing"))
+		j.applyFinal(eventRefuse)
+		backoffTime := adapter.Rest(err)
+		a.recordBackoff(backoffTime)
+		a.refuse(w, wire.Refuse(http.StatusServiceUnavailable, cmp.Or(backoffTime, time.Second), "engine cannot be reached or takes nothing"))
 		return true
 	case err != nil:
-		j.end(eventBreak)
+		j.applyFinal(eventBreak)
 		doubt := wire.Doubt(http.StatusBadGateway, "engine gave no answer")
-		doubt.Ended = a.ended()
+		doubt.Ended = a.detectEnd()
 		a.refuse(w, doubt)
 		return true
 	}
 	defer func() { _ = in.Close() }()
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
-	h.Set(wire.HeaderRequest, j.name)
+	h.Set(wire.HeaderRequest, j.attemptID)
 	h.Set(wire.HeaderLoad, wire.EncodeLoad(a.Load()))
 	rc := http.NewResponseController(w)
 	_ = rc.Flush()
 	if j.relay(w, rc, in) {
-		j.end(eventFinish)
+		j.applyFinal(eventFinish)
 		a.count("streams.done")
 		return true
 	}
-	j.end(eventBreak)
+	j.applyFinal(eventBreak)
 	a.count("streams.broken")
 	return false
 }
 
-// frameWriter writes frames to the entry. Two goroutines use it: the relay, and
-// a timer that tells that the engine is alive when no token came for a while.
+// frameWriter writes frames to the entry. Two goroutines use it: the relay, and a timer that
+// reports that the engine is alive when no token has been sent for a while.
 type frameWriter struct {
-	mu   sync.Mutex
-	w    io.Writer
-	rc   *http.ResponseController
-	id   wire.EventID
-	buf  []byte
-	last time.Time
-	done bool // The handler has returned: w must not be used any more.
+	mu        sync.Mutex
+	w         io.Writer
+	rc        *http.ResponseController
+	id        wire.EventID
+	buf       []byte
+	lastWrite time.Time
+	closed    bool // The handler has returned, and w must not be used any more.
 }
 
-// write sends one frame; offset is the place of the token that is due.
+// write sends one frame; offset is that of the next token.
 func (f *frameWriter) write(offset int, event string, data []byte) (err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -83,7 +82,7 @@
 }
 
 func (f *frameWriter) writeLocked(offset int, event string, data []byte, now time.Time) (err error) {
-	f.id.Offset, f.last = offset, now
+	f.id.Offset, f.lastWrite = offset, now
 	f.buf = wire.AppendFrame(f.buf[:0], f.id, event, data)
 	if _, err := f.w.Write(f.buf); err != nil {
 		return err
@@ -91,41 +90,41 @@
 	return f.rc.Flush()
 }
 
-// alive writes a frame without a token if nothing was written for the time d.
-func (f *frameWriter) alive(d time.Duration) {
+// writeAlive writes a frame without a token if nothing has been written for the time d.
+func (f *frameWriter) writeAlive(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now := time.Now(); !f.done && now.Sub(f.last) >= d {
-		_ = f.writeLocked(f.id.Offset, wire.EventAlive, nil, now) // A lost link shows at the next token.
+	if now := time.Now(); !f.closed && now.Sub(f.lastWrite) >= d {
+		_ = f.writeLocked(f.id.Offset, wire.EventAlive, nil, now) // A lost connection shows at the next token.
 	}
 }
 
-// close ends the use of the handler's writer.
+// close stops keep-alive frames, because the handler's writer must not be used after it returns.
 func (f *frameWriter) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.done = true
+	f.closed = true
 }
 
-// keepAlive tells the entry that the engine is at work while its step number
-// advances. The function returned ends it.
-func (j *job) keepAlive(f *frameWriter) (stop func()) {
-	every := j.agent.node.Settings().StallAfter / 4
+// startKeepAlive reports to the entry that the engine is alive, as long as its step number
+// advances. The returned function stops it.
+func (j *job) startKeepAlive(f *frameWriter) (stop func()) {
+	interval := j.agent.node.Settings().StallAfter / 4
 	var timer *time.Timer
 	var mu sync.Mutex
 	stopped := false
 	mu.Lock()
 	defer mu.Unlock()
-	timer = time.AfterFunc(every, func() {
-		j.agent.contained(func() {
+	timer = time.AfterFunc(interval, func() {
+		j.agent.contain(func() {
 			if !j.agent.Load().Stalled {
-				f.alive(every)
+				f.writeAlive(interval)
 			}
 		})
 		mu.Lock()
 		defer mu.Unlock()
 		if !stopped {
-			timer.Reset(every)
+			timer.Reset(interval)
 		}
 	})
 	return func() {
@@ -137,28 +136,28 @@
 	}
 }
 
-// relay copies the tokens of an engine and reports whether the answer is whole.
-func (j *job) relay(w io.Writer, rc *http.ResponseController, in io.Reader) (whole bool) {
+// relay copies the tokens of an engine and reports whether the answer is complete.
+func (j *job) relay(w io.Writer, rc *http.ResponseController, in io.Reader) (complete bool) {
 	frames := wire.NewFrameReader(in)
 	next := j.env.Offset
-	out := &frameWriter{w: w, rc: rc, id: wire.EventID{Request: j.name, Endpoint: j.env.Endpoint, Offset: next}, last: time.Now()}
-	defer j.keepAlive(out)()
-	left := j.agent.node.Left()
+	out := &frameWriter{w: w, rc: rc, id: wire.EventID{Request: j.attemptID, Endpoint: j.env.Endpoint, Offset: next}, lastWrite: time.Now()}
+	defer j.startKeepAlive(out)()
+	leaving := j.agent.node.Left()
 	for {
 		select {
-		case <-left:
-			left = nil
-			_ = out.write(next, wire.EventLeaving, nil) // A lost link shows at the next token.
+		case <-leaving:
+			leaving = nil
+			_ = out.write(next, wire.EventLeaving, nil) // A lost connection shows at the next token.
 		default:
 		}
 		f, err := frames.Next()
 		if err != nil {
-			out.tellEnded(next, j.agent.ended())
+			out.writeEnded(next, j.agent.detectEnd())
 			return false
 		}
 		got, err := wire.ParseEventID(f.ID)
-		if err != nil || got.Request != j.name || got.Offset != next {
-			j.agent.node.Trail().Add(audit.StrayAnswer, j.name, "engine sent "+f.ID)
+		if err != nil || got.Request != j.attemptID || got.Offset != next {
+			j.agent.node.Trail().Add(audit.StrayAnswer, j.attemptID, "engine sent "+f.ID)
 			continue
 		}
 		data := f.Data
@@ -166,8 +165,8 @@
 		case "":
 		case wire.EventEnd:
 			data = []byte(wire.EncodeLoad(j.agent.Load()))
-		default: // Passed on, an engine's failure would count as a token.
-			j.agent.node.Trail().Add(audit.StrayAnswer, j.name, "engine sent the event "+f.Event)
+		default: // If relayed, an error event of the engine would count as a token.
+			j.agent.node.Trail().Add(audit.StrayAnswer, j.attemptID, "engine sent the event "+f.Event)
 			return false
 		}
 		if err := out.write(next, f.Event, data); err != nil {
@@ -180,16 +179,16 @@
 	}
 }
 
-// bringCache gives the engine the KV cache of a stream that moves here, if the
-// agent it comes from still has it. Without it the prompt is computed again.
-func (j *job) bringCache(ctx context.Context) {
+// importCache loads the KV cache of a stream that moves to this endpoint into the engine, if
+// the previous agent still has it. Otherwise the engine recomputes the prompt.
+func (j *job) importCache(ctx context.Context) {
 	if j.env.CacheAddress == "" {
 		return
 	}
 	a := j.agent
 	cache, err := a.node.PeerGet(ctx, j.env.CacheAddress, wire.PathCache+url.PathEscape(j.env.CacheAttemptID))
 	if err == nil {
-		err = a.engine.Import(ctx, j.name, cache)
+		err = a.engine.Import(ctx, j.attemptID, cache)
 	}
 	if err != nil {
 		a.count("caches.lost")
@@ -198,7 +197,7 @@
 	a.count("caches.moved")
 }
 
-// serveCache gives the KV cache of a request to the agent that it moves to.
+// serveCache returns the KV cache of a request to the agent that the request moves to.
 func (a *Agent) serveCache(w http.ResponseWriter, r *http.Request) {
 	cache, err := a.engine.Export(r.Context(), r.PathValue("id"))
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -120,7 +120,7 @@
 	if d.entry != nil {
 		return d.entry.Busy()
 	}
-	return d.agent.Busy()
+	return d.agent.InFlight()
 }
 
 // Run serves until a planned stop is complete or ctx ends, which cuts off requests in flight. The
