--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -123,7 +123,7 @@
 func (a *Agent) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	leaving := a.node.Left()
+	leaving := a.node.Leaving()
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -302,7 +302,7 @@
 // mayForwardOrders reports whether orders may be sent to the engine. An engine that does not
 // check fences receives orders only while this process holds the lease on its slot.
 func (a *Agent) mayForwardOrders(now time.Time) bool {
-	return a.node.Settings().Fences || a.node.Holds(now)
+	return a.node.Settings().Fences || a.node.HoldsLease(now)
 }
 
 // errNoLease is returned for an order when this process does not hold the lease on its slot.
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -142,7 +142,7 @@
 	next := j.env.Offset
 	out := &frameWriter{w: w, rc: rc, id: wire.EventID{Request: j.attemptID, Endpoint: j.env.Endpoint, Offset: next}, lastWrite: time.Now()}
 	defer j.startKeepAlive(out)()
-	leaving := j.agent.node.Left()
+	leaving := j.agent.node.Leaving()
 	for {
 		select {
 		case <-leaving:
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -68,7 +68,7 @@
 		now:     clock.Now,
 		limits:  &limits{node: n, all: map[string]*held{}},
 	}
-	n.OnGone(e.tracker.gone)
+	n.OnDead(e.tracker.gone)
 	return e
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,7 +18,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// fetch takes in newer generations, one after another.
+// fetch fetches and adopts newer generations that hints name, one after another.
 func (n *Node) fetch(ctx context.Context) error {
 	for {
 		select {
@@ -30,52 +30,52 @@
 			if !wanted {
 				continue
 			}
-			if err := n.take(ctx, h.from); err != nil {
+			if err := n.fetchFrom(ctx, h.from); err != nil {
 				n.log.Sugar().Warnw("generation not fetched", "from", h.from, "error", err)
 			}
 		}
 	}
 }
 
-// source reads the manifest and the values of one place.
+// source reads a manifest and its values from a peer or from the configuration service.
 type source struct {
 	name     string
 	manifest func(ctx context.Context) (m published.Manifest, err error)
-	// values reads some of the missing values, at least one.
+	// values reads at least one of the missing values.
 	values func(ctx context.Context, missing []published.Entry) (values [][]byte, err error)
 }
 
-// source returns a peer as a source, or the configuration service for "".
+// source returns the source for a peer's address, or that for the configuration service if address is "".
 func (n *Node) source(address string) source {
 	if address == "" {
 		return source{
 			name:     "configuration service",
-			manifest: n.manifestOfService,
+			manifest: n.manifestFromService,
 			values: func(ctx context.Context, missing []published.Entry) ([][]byte, error) {
-				v, err := n.conf.Get(ctx, missing[0].Key)
+				v, err := n.configService.Get(ctx, missing[0].Key)
 				return [][]byte{v}, err
 			},
 		}
 	}
 	return source{
 		name:     address,
-		manifest: func(ctx context.Context) (published.Manifest, error) { return n.manifestOfPeer(ctx, address) },
+		manifest: func(ctx context.Context) (published.Manifest, error) { return n.manifestFromPeer(ctx, address) },
 		values: func(ctx context.Context, missing []published.Entry) ([][]byte, error) {
-			return n.valuesOfPeer(ctx, address, missing)
+			return n.valuesFromPeer(ctx, address, missing)
 		},
 	}
 }
 
-func (n *Node) manifestOfService(ctx context.Context) (m published.Manifest, err error) {
-	raw, err := n.conf.Get(ctx, published.ManifestKey)
+func (n *Node) manifestFromService(ctx context.Context) (m published.Manifest, err error) {
+	raw, err := n.configService.Get(ctx, published.ManifestKey)
 	if err != nil {
 		return m, err
 	}
 	return published.ParseManifest(raw)
 }
 
-// manifestOfPeer asks for the difference from what the node has.
-func (n *Node) manifestOfPeer(ctx context.Context, address string) (m published.Manifest, err error) {
+// manifestFromPeer requests the peer's manifest as the difference from the node's own.
+func (n *Node) manifestFromPeer(ctx context.Context, address string) (m published.Manifest, err error) {
 	var own published.Manifest
 	var version published.Version
 	duty.Locked(&n.mu, func() { own, version = n.manifest, n.spread.Current() })
@@ -86,7 +86,7 @@
 	return published.ParseTold(raw, own)
 }
 
-// PeerGet reads a path of a peer's listener, for at most a second.
+// PeerGet reads a path of a peer's listener, with a timeout of callTimeout.
 func (n *Node) PeerGet(ctx context.Context, address, path string) (raw []byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -107,71 +107,71 @@
 	return raw, err
 }
 
-// take fetches, judges and adopts what a place has.
-func (n *Node) take(ctx context.Context, from string) (err error) {
+// fetchFrom fetches the generation of a peer or of the configuration service, and adopts it if it is newer and valid.
+func (n *Node) fetchFrom(ctx context.Context, from string) (err error) {
 	src := n.source(from)
 	m, err := src.manifest(ctx)
 	if err != nil {
 		return err
 	}
-	return n.takeManifest(ctx, src, m)
+	return n.handleManifest(ctx, src, m)
 }
 
-// takeManifest judges a manifest and adopts its generation if that is newer.
-func (n *Node) takeManifest(ctx context.Context, src source, m published.Manifest) (err error) {
+// handleManifest verifies a manifest and adopts its generation if that is newer and valid.
+func (n *Node) handleManifest(ctx context.Context, src source, m published.Manifest) (err error) {
 	v := m.Version()
-	if err := m.Verify(n.set.OperatorKey); err != nil {
+	if err := m.Verify(n.cfg.OperatorKey); err != nil {
 		n.trail.Add(audit.ConfigRefused, generationName(v), err.Error()+", from "+src.name)
 		return err
 	}
 	var decision spread.Decision
-	var clash bool
+	var conflict bool
 	duty.Locked(&n.mu, func() {
 		decision = n.spread.Heard(v)
 		n.spread.Seen(v)
-		_, clash = n.spread.Clash()
+		_, conflict = n.spread.Clash()
 	})
 	if decision == spread.Ignore {
-		if clash {
-			n.noteClash(v)
+		if conflict {
+			n.recordConflict(v)
 		}
 		return nil
 	}
 	byHash, err := n.fetchValues(ctx, src, m)
 	if err != nil {
-		return err // Not whole; a later hint tries again.
+		return err // Some values are missing; a later hint triggers another attempt.
 	}
-	return n.judge(v, m, byHash, src.name)
+	return n.parseAndAdopt(v, m, byHash, src.name)
 }
 
 func generationName(v published.Version) string {
 	return fmt.Sprintf("generation %d (%.8s)", v.Generation, v.Hash)
 }
 
-func (n *Node) noteClash(v published.Version) {
-	var again bool
+func (n *Node) recordConflict(v published.Version) {
+	var known bool
 	duty.Locked(&n.mu, func() {
-		again = n.clash == v
-		n.clash = v
+		known = n.lastConflict == v
+		n.lastConflict = v
 	})
-	if again {
+	if known {
 		return
 	}
 	n.trail.Add(audit.ConfigClash, generationName(v), "another manifest has the same generation; publish a higher one")
 }
 
-// maxAsked and maxToldBytes bound one exchange of values, so that question and
-// answer fit into a message.
+// maxRequestedValues and maxReplyBytes bound one exchange of values, so that the request and the
+// reply each fit into a message.
 const (
-	maxAsked     = 2000
-	maxToldBytes = published.MaxValueBytes / 2
+	maxRequestedValues = 2000
+	maxReplyBytes      = published.MaxValueBytes / 2
 )
 
-func (n *Node) valuesOfPeer(ctx context.Context, address string, missing []published.Entry) (values [][]byte, err error) {
+func (n *Node) valuesFromPeer(ctx context.Context, address string, missing []published.Entry) (values [][]byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*callTimeout)
 	defer cancel()
 	var q wire.ValuesRequest
-	for _, e := range missing[:min(len(missing), maxAsked)] {
+	for _, e := range missing[:min(len(missing), maxRequestedValues)] {
 		q.Hashes = append(q.Hashes, e.Hash)
 	}
 	var reply wire.ValuesReply
@@ -179,20 +179,20 @@
 	return reply.Values, err
 }
 
-// serveValues tells a peer as many of the values it asks for as fit. A single
-// one is told whatever its size.
+// serveValues sends a peer as many of the requested values as fit into the reply. The first one is
+// sent whatever its size.
 func (n *Node) serveValues(w http.ResponseWriter, r *http.Request) {
 	var q wire.ValuesRequest
 	if !ReadJSON(w, r, &q) {
 		return
 	}
-	var held map[string][]byte
-	duty.Locked(&n.mu, func() { held = n.values })
+	var own map[string][]byte
+	duty.Locked(&n.mu, func() { own = n.values })
 	reply := wire.ValuesReply{}
 	size := 0
 	for _, h := range q.Hashes {
-		v, ok := held[h]
-		if !ok || size > 0 && size+len(v) > maxToldBytes {
+		v, ok := own[h]
+		if !ok || size > 0 && size+len(v) > maxReplyBytes {
 			continue
 		}
 		size += len(v)
@@ -201,8 +201,8 @@
 	httpjson.Reply(w, reply)
 }
 
-// fetchValues gets the values that are not held already. Each is known by its
-// hash, wherever it comes from.
+// fetchValues fetches the values that the node does not have yet. The hash identifies a value,
+// regardless of its source.
 func (n *Node) fetchValues(ctx context.Context, src source, m published.Manifest) (byHash map[string][]byte, err error) {
 	byHash = map[string][]byte{}
 	duty.Locked(&n.mu, func() {
@@ -213,7 +213,7 @@
 		}
 	})
 	for {
-		missing := lacking(m, byHash)
+		missing := missingEntries(m, byHash)
 		if len(missing) == 0 {
 			return byHash, nil
 		}
@@ -224,14 +224,14 @@
 		for _, v := range values {
 			byHash[published.HashOf(v)] = v
 		}
-		if len(lacking(m, byHash)) == len(missing) {
+		if len(missingEntries(m, byHash)) == len(missing) {
 			return nil, errors.Newf("%s does not have the manifest's value of %s", src.name, missing[0].Key)
 		}
 	}
 }
 
-// lacking lists the entries of m whose values are not in byHash.
-func lacking(m published.Manifest, byHash map[string][]byte) (missing []published.Entry) {
+// missingEntries returns the entries of m whose values are not in byHash.
+func missingEntries(m published.Manifest, byHash map[string][]byte) (missing []published.Entry) {
 	for _, e := range m.Body.Entries {
 		if _, ok := byHash[e.Hash]; !ok {
 			missing = append(missing, e)
@@ -240,8 +240,8 @@
 	return missing
 }
 
-// judge parses a whole generation and adopts or refuses it.
-func (n *Node) judge(v published.Version, m published.Manifest, byHash map[string][]byte, from string) (err error) {
+// parseAndAdopt parses a complete generation and adopts it, or rejects it if it is invalid.
+func (n *Node) parseAndAdopt(v published.Version, m published.Manifest, byHash map[string][]byte, from string) (err error) {
 	byKey := make(map[string][]byte, len(byHash))
 	for _, e := range m.Body.Entries {
 		byKey[e.Key] = byHash[e.Hash]
@@ -253,44 +253,44 @@
 		return err
 	}
 	var old published.Version
-	var adopted, clash bool
+	var adopted, conflict bool
 	duty.Locked(&n.mu, func() {
 		old = n.spread.Current()
 		adopted = n.spread.Adopt(v)
-		_, clash = n.spread.Clash()
+		_, conflict = n.spread.Clash()
 		if adopted {
 			n.config.Store(c)
-			n.older = append([]olderManifest{{old.Hash, n.manifest}}, n.older[:min(len(n.older), olderManifests-1)]...)
+			n.olderManifests = append([]olderManifest{{old.Hash, n.manifest}}, n.olderManifests[:min(len(n.olderManifests), maxOlderManifests-1)]...)
 			n.manifest, n.values = m, byHash
-			n.life.Apply(eventConfigured)
+			n.machine.Apply(eventConfigured)
 		}
 	})
-	if clash {
-		n.noteClash(v)
+	if conflict {
+		n.recordConflict(v)
 	}
 	if adopted {
 		n.trail.Add(audit.ConfigAdopted, generationName(v), "from "+from+", after "+generationName(old))
-		n.pushSome()
+		n.pushToPeers()
 	}
 	return nil
 }
 
-// olderManifests is how many manifests are kept to tell differences from.
-const olderManifests = 4
+// maxOlderManifests is the number of older manifests that are kept to compute differences from.
+const maxOlderManifests = 4
 
-// olderManifest is a manifest that was in force, under its hash.
+// olderManifest is a manifest that was in effect before, with its hash.
 type olderManifest struct {
 	hash     string
 	manifest published.Manifest
 }
 
-// serveManifest tells a peer the manifest, as a difference if what the peer has
-// is still known here.
+// serveManifest sends a peer the manifest, as a difference if this node still has the manifest that
+// the peer holds.
 func (n *Node) serveManifest(w http.ResponseWriter, r *http.Request) {
 	var m published.Manifest
 	var v published.Version
 	var older []olderManifest
-	duty.Locked(&n.mu, func() { m, v, older = n.manifest, n.spread.Current(), n.older })
+	duty.Locked(&n.mu, func() { m, v, older = n.manifest, n.spread.Current(), n.olderManifests })
 	if v.Generation == 0 {
 		http.Error(w, "no generation yet", http.StatusNotFound)
 		return
--- a/internal/node/ends_test.go
+++ b/internal/node/ends_test.go
@@ -23,17 +23,17 @@
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 )
 
-// bareNode is a node that talks to nobody by itself.
-func bareNode(t *testing.T) *Node {
+// isolatedNode returns a node that is not running, and thus sends nothing by itself.
+func isolatedNode(t *testing.T) *Node {
 	t.Helper()
 	n, err := New(&settings.Settings{Name: "n", GossipInterval: time.Second}, zap.NewNop())
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return n
 }
 
-// peer answers each request with the same bytes and then ends the connection in
-// order, as it ends with a process.
-func peer(t *testing.T, answer string) (address string) {
+// abortingPeer starts a peer that answers each request with the same bytes and then closes the
+// connection gracefully, as at the end of a process.
+func abortingPeer(t *testing.T, response string) (address string) {
 	t.Helper()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -41,7 +41,7 @@
 		if err != nil {
 			panic(err)
 		}
-		_, _ = rw.WriteString(answer)
+		_, _ = rw.WriteString(response)
 		_ = rw.Flush()
 		_ = c.Close()
 	}))
@@ -49,8 +49,8 @@
 	return srv.Listener.Addr().String()
 }
 
-func TestWhatAPeerGivesIsWholeOrAFault(t *testing.T) {
-	large := func(n int) string {
+func TestTruncatedAnswerOfAPeerIsAnError(t *testing.T) {
+	sized := func(n int) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", n, strings.Repeat("x", n))
 	}
 	for _, one := range []struct {
@@ -61,26 +61,26 @@
 		{"with a length", "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf", false},
 		{"in chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", false},
 		{"without a length", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf", false},
-		{"as large as the bound", large(published.MaxValueBytes), true},
-		{"larger than the bound", large(published.MaxValueBytes + 2), false},
+		{"as large as the limit", sized(published.MaxValueBytes), true},
+		{"larger than the limit", sized(published.MaxValueBytes + 2), false},
 	} {
 		t.Run(one.name, func(t *testing.T) {
-			_, err := bareNode(t).PeerGet(context.Background(), peer(t, one.answer), "/")
+			_, err := isolatedNode(t).PeerGet(context.Background(), abortingPeer(t, one.answer), "/")
 			NewWithT(t).Expect(err == nil).To(Equal(one.whole), "%v", err)
 		})
 		if one.whole {
-			continue // Text is no reply to a call.
+			continue // Not JSON, so not a valid reply to a call.
 		}
 		t.Run("call, "+one.name, func(t *testing.T) {
 			var reply any
-			err := bareNode(t).Call(context.Background(), peer(t, one.answer), "/", struct{}{}, &reply)
+			err := isolatedNode(t).Call(context.Background(), abortingPeer(t, one.answer), "/", struct{}{}, &reply)
 			NewWithT(t).Expect(err).To(HaveOccurred())
 		})
 	}
 }
 
-func TestOperatorsAnswersHaveALength(t *testing.T) {
-	n := bareNode(t)
+func TestOperatorAnswersHaveAContentLength(t *testing.T) {
+	n := isolatedNode(t)
 	for i := range 200 {
 		metrics.GetOrRegisterCounter(fmt.Sprint("some.counter.", i), n.Metrics()).Inc(1)
 	}
@@ -96,10 +96,10 @@
 	}
 }
 
-// Guards against a fault in telling one peer that ends the process.
-func TestAFaultInTellingAPeerIsContained(t *testing.T) {
+// Guards against a panic while a message is pushed to one peer that ends the process.
+func TestPanicInAPushIsContained(t *testing.T) {
 	g := NewWithT(t)
-	n := bareNode(t)
+	n := isolatedNode(t)
 	n.suspects = nil
 	ctx, cancel := context.WithCancel(context.Background())
 	var pushing errgroup.Group
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -30,15 +30,15 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// message is what peers exchange: the generation in force and news of members.
-// The first row is the sender.
+// message is what peers exchange: the generation in effect and updates on members. The first row
+// is the sender.
 type message struct {
 	Version published.Version `json:"version"`
 	Rows    []member.Member   `json:"rows"`
-	Ends    []peers.End       `json:"ends,omitempty"` // Ends of endpoints' processes under requests.
+	Ends    []peers.End       `json:"ends,omitempty"` // Ends of endpoints' processes during requests.
 }
 
-// sender returns who a message says that it is from.
+// sender returns the sender that a message claims.
 func (m message) sender() (h trust.Holder) {
 	if len(m.Rows) > 0 {
 		h = trust.Holder{Role: m.Rows[0].Role, Domain: m.Rows[0].Domain, Name: m.Rows[0].Name}
@@ -46,8 +46,7 @@
 	return h
 }
 
-// outgoing returns the next message to a peer; the name may be "" when it is
-// not known.
+// outgoing returns the next message to a peer. The name is "" when it is not known.
 func (n *Node) outgoing(name string) message {
 	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
@@ -55,25 +54,24 @@
 	return message{Version: n.spread.Current(), Rows: n.table.OutgoingTo(name), Ends: ends}
 }
 
-// Suspects returns what is known of requests under which endpoints ended. Every process
-// keeps and tells it, entries act by it.
+// Suspects returns what is known of requests during which endpoints ended. Every process stores and
+// sends it, but only entries act on it.
 func (n *Node) Suspects() *suspects.Set { return n.suspects }
 
-// gossip probes one peer an interval. A late tick means that the process was
-// paused.
+// gossip probes one peer per interval. A late tick means that the process was paused.
 func (n *Node) gossip(ctx context.Context) error {
 	g := &errgroup.Group{}
 	g.SetLimit(8)
-	defer func() { _ = g.Wait() }() // Probes return no errors.
-	return wait.Every(ctx, n.set.GossipInterval, func() {
-		n.noticePause(clock.Now())
+	defer func() { _ = g.Wait() }() // Probes never return an error.
+	return wait.Every(ctx, n.cfg.GossipInterval, func() {
+		n.detectPause(clock.Now())
 		var p member.Probe
 		var changes []member.Change
 		var ok bool
 		duty.Locked(&n.mu, func() { p, changes, ok = n.table.Tick(clock.Now(), rand.Uint64()) })
-		n.note(changes)
+		n.recordChanges(changes)
 		if !ok {
-			n.confirm() // Nobody to ask: there is no other view.
+			n.recordContact() // There is no peer whose view could differ.
 			return
 		}
 		g.TryGo(func() error {
@@ -83,75 +81,75 @@
 	})
 }
 
-// noticePause takes the node out of service when its clock jumped, until a
-// peer has told it what it is believed to be.
-func (n *Node) noticePause(now time.Time) {
-	var woke bool
+// detectPause takes the node out of service if its clock has jumped, until a peer has reported
+// which state it believes the node to be in.
+func (n *Node) detectPause(now time.Time) {
+	var paused bool
 	duty.Locked(&n.mu, func() {
-		woke = n.table.Woke(now)
-		if woke {
-			n.life.Apply(eventWoke)
+		paused = n.table.Woke(now)
+		if paused {
+			n.machine.Apply(eventWoke)
 		}
 	})
-	if woke {
-		n.trail.Add(audit.Woke, n.set.Name, "clock jumped between two ticks")
-		n.pushSome()
+	if paused {
+		n.trail.Add(audit.Woke, n.cfg.Name, "clock jumped between two ticks")
+		n.pushToPeers()
 	}
 }
 
-// CheckPause looks for a pause right now, before something that must not be
-// done on old beliefs.
+// CheckPause checks for a pause immediately, before an action that must not be based on an
+// outdated view.
 func (n *Node) CheckPause(now time.Time) {
 	var paused bool
 	duty.Locked(&n.mu, func() { paused = n.table.Overdue(now) })
 	if paused {
-		n.noticePause(now)
+		n.detectPause(now)
 	}
 }
 
-// confirm takes note that others have heard from the node.
-func (n *Node) confirm() {
+// recordContact records that a peer has just received a message of the node, or that there is no peer.
+func (n *Node) recordContact() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.life.Apply(eventConfirmed)
-	n.heard = clock.Now()
+	n.machine.Apply(eventConfirmed)
+	n.lastContact = clock.Now()
 }
 
-// Lease is how long after its last word with a peer a process may still act as
-// the one that fills its slot; one that starts anew waits as long.
-func (n *Node) Lease() time.Duration { return 3 * n.set.GossipInterval }
+// Lease returns how long after its last contact with a peer a process may still act as the holder of
+// its slot. A process that starts waits for the same time.
+func (n *Node) Lease() time.Duration { return 3 * n.cfg.GossipInterval }
 
-// Holds reports whether the process may give orders in the name of its slot: it
-// has spoken with a peer, or found itself alone, within the lease, is not
-// superseded, and an earlier process in its slot has lost its own lease.
-func (n *Node) Holds(now time.Time) bool {
+// HoldsLease reports whether the process may act for its slot: it has exchanged messages with a
+// peer, or had no peer to contact, within the lease, it is not superseded, and the lease of an earlier process
+// in its slot has expired.
+func (n *Node) HoldsLease(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	sound := !n.heir && n.life.State() != Doubting && n.life.State() != Stopped
-	return sound && now.Sub(n.heard) < n.Lease() && now.Sub(n.start) >= n.Lease()
+	valid := !n.superseded && n.machine.State() != Doubting && n.machine.State() != Stopped
+	return valid && now.Sub(n.lastContact) < n.Lease() && now.Sub(n.startedAt) >= n.Lease()
 }
 
-// probe exchanges messages with the target, through helpers when it is silent.
+// probe exchanges messages with the target, through relays if the target does not answer.
 func (n *Node) probe(ctx context.Context, target member.Member) {
 	if n.exchange(ctx, target.Address, target.Name) == nil {
 		var changes []member.Change
 		duty.Locked(&n.mu, func() { changes = n.table.Answered(target.Name, clock.Now()) })
-		n.note(changes)
+		n.recordChanges(changes)
 		return
 	}
-	var ask []member.Member
-	duty.Locked(&n.mu, func() { ask = n.table.Helpers(target.Name, rand.Uint64()) })
-	for _, h := range ask {
-		if n.probeThrough(ctx, h.Address, target.Address) == nil {
+	var relays []member.Member
+	duty.Locked(&n.mu, func() { relays = n.table.Helpers(target.Name, rand.Uint64()) })
+	for _, h := range relays {
+		if n.probeVia(ctx, h.Address, target.Address) == nil {
 			return
 		}
 	}
 	var changes []member.Change
 	duty.Locked(&n.mu, func() { changes = n.table.Silent(target.Name, clock.Now()) })
-	n.note(changes)
+	n.recordChanges(changes)
 }
 
-// Exchange sends a message to a peer and merges its answer.
+// Exchange sends a message to a peer and merges the reply.
 func (n *Node) Exchange(ctx context.Context, address string) (err error) {
 	return n.exchange(ctx, address, "")
 }
@@ -164,23 +162,23 @@
 		return err
 	}
 	n.receive(reply)
-	n.confirm()
+	n.recordContact()
 	return nil
 }
 
-func (n *Node) probeThrough(ctx context.Context, helper, target string) error {
+func (n *Node) probeVia(ctx context.Context, relay, target string) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
-	return n.Call(ctx, helper, wire.PathProbe, probeRequest{Address: target}, nil)
+	return n.Call(ctx, relay, wire.PathProbe, probeRequest{Address: target}, nil)
 }
 
-// probeRequest asks a helper to exchange messages with a third process.
+// probeRequest asks a relay to exchange messages with a third process.
 type probeRequest struct {
 	Address string `json:"address"`
 }
 
-// Call posts a JSON message to a peer and decodes the answer into reply, if
-// that is not nil. Messages are harmless to repeat.
+// Call posts a JSON message to a peer and decodes the answer into reply, unless that is nil. Messages
+// are idempotent.
 func (n *Node) Call(ctx context.Context, address, path string, msg, reply any) (err error) {
 	defer func() { err = errors.Wrapf(err, "call %s%s", address, path) }()
 	raw, err := json.Marshal(msg)
@@ -199,10 +197,10 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 200)) // The status says enough.
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, 200)) // On an error, the status alone suffices.
 		return errors.Newf("%s: %s", resp.Status, text)
 	}
-	body, err := adapter.ReadWhole(resp, 2*published.MaxValueBytes) // A value in JSON grows by a third.
+	body, err := adapter.ReadWhole(resp, 2*published.MaxValueBytes) // Base64 in JSON adds a third.
 	if err != nil {
 		return err
 	}
@@ -217,32 +215,32 @@
 	metrics.GetOrRegisterCounter(name, n.reg).Inc(by)
 }
 
-// receive merges a peer's message.
+// receive merges a message from a peer.
 func (n *Node) receive(m message) {
 	n.suspects.MergeEnds(m.Ends, clock.Now())
 	if len(m.Rows) == 0 {
 		return
 	}
 	var changes []member.Change
-	var leaving, denied, lost bool
+	var leaving, refuted, replaced bool
 	var decision spread.Decision
 	duty.Locked(&n.mu, func() {
 		before := n.table.Self()
 		changes = n.table.Merge(m.Rows, clock.Now())
 		leaving = n.table.Self().Leaving && !before.Leaving
-		denied = n.table.Self().Incarnation != before.Incarnation
-		lost = n.table.Superseded(m.Rows)
-		n.heir = n.heir || lost
+		refuted = n.table.Self().Incarnation != before.Incarnation
+		replaced = n.table.Superseded(m.Rows)
+		n.superseded = n.superseded || replaced
 		decision = n.spread.Heard(m.Version)
 	})
-	n.note(changes)
-	if denied {
-		n.pushSome() // Before those who believe it give the process up.
+	n.recordChanges(changes)
+	if refuted {
+		n.pushToPeers() // Before the peers that believe it declare this process dead.
 	}
 	if leaving {
-		n.Leave("a peer has it as leaving")
+		n.Leave("a peer reports this process as leaving")
 	}
-	if lost {
+	if replaced {
 		n.Leave("a later process has the same name or slot")
 	}
 	if decision != 0 {
@@ -250,8 +248,8 @@
 	}
 }
 
-// note puts changes of members on the audit trail.
-func (n *Node) note(changes []member.Change) {
+// recordChanges adds changes of members to the audit trail and calls onDead for dead ones.
+func (n *Node) recordChanges(changes []member.Change) {
 	for _, c := range changes {
 		text := c.Member.State.String()
 		if c.Member.Leaving {
@@ -262,12 +260,12 @@
 		}
 		n.trail.Add(audit.MemberChanged, c.Member.Name, text+": "+c.Cause)
 		if c.Member.State == member.Dead {
-			n.gone(c.Member)
+			n.onDead(c.Member)
 		}
 	}
 }
 
-// push tells peers at once what should not wait for the next probe.
+// push exchanges messages with the peers queued by pushToPeers, without waiting for the next probe.
 func (n *Node) push(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(8)
@@ -278,7 +276,7 @@
 		case m := <-n.pushes.Out():
 			g.Go(func() error {
 				duty.Contain("push", n.log, n.reg, func() {
-					_ = n.Exchange(ctx, m.Address) // A silent peer is the probes' matter.
+					_ = n.Exchange(ctx, m.Address) // Probes detect a peer that does not answer.
 				})
 				return nil
 			})
@@ -286,7 +284,7 @@
 	}
 }
 
-// PeerMux returns the handlers that every role has on its peer listener.
+// PeerMux returns the handlers that every role registers on its peer listener.
 func (n *Node) PeerMux() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+wire.PathGossip, n.serveGossip)
@@ -326,8 +324,8 @@
 	httpjson.Reply(w, struct{}{})
 }
 
-// ReadJSON decodes a bounded message from a peer; on a fault it answers and
-// reports false.
+// ReadJSON decodes a message of bounded size from a peer. On an error it sends the answer and returns
+// false.
 func ReadJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxMessageBytes))
 	if err == nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package node is what every process of the system does, whatever its role: it
-// keeps the view of its peers and the published configuration, tells both on,
-// and answers operators. It takes decisions only through the packages under
-// internal/decide and serves no callers.
+// Package node implements the part that all processes of the system share, whatever their role: it
+// maintains the view of the peers and the published configuration, propagates both, and serves the
+// operators' listener. Its decisions are made by the packages under internal/decide. It does not serve
+// callers.
 package node
 
 import (
@@ -35,7 +35,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// Events of the chart "drain".
+// Events of the chart "drain". The event woke means that the process was paused.
 const (
 	eventConfigured chart.Event = "configured"
 	eventLeave      chart.Event = "leave"
@@ -48,65 +48,64 @@
 const (
 	Starting chart.State = "starting"
 	Serving  chart.State = "serving"
-	Doubting chart.State = "doubting"
+	Doubting chart.State = "doubting" // Paused before; admits nothing until a peer has confirmed its state.
 	Draining chart.State = "draining"
 	Stopped  chart.State = "stopped"
 )
 
-// Sizes and times that no operator needs to set.
+// Capacities and times that are not configurable.
 const (
-	newsRows    = 12
-	helpers     = 2
-	fanOut      = 3 // Peers told at once of a new generation or of leaving.
-	hintRing    = 64
-	pushRing    = 64
-	forgetAfter = time.Hour
-	callTimeout = time.Second
+	updatesPerMessage = 12
+	probeRelays       = 2
+	pushFanout        = 3 // Peers to which a new generation or a planned stop is sent immediately.
+	hintCapacity      = 64
+	pushCapacity      = 64
+	forgetAfter       = time.Hour
+	callTimeout       = time.Second
 )
 
-// hint says where a newer generation may be had.
+// hint names a source that may have a newer generation.
 type hint struct {
 	from    string // Peer address; "" for the configuration service.
 	version published.Version
 }
 
-// Node is the shared part of a process.
+// Node is the part of a process that does not depend on its role.
 type Node struct {
-	set   *settings.Settings
-	log   *zap.Logger
-	reg   metrics.Registry
-	trail *audit.Trail
-	creds *trust.Credentials
-	peers *http.Client
-	conf  *adapter.ConfigService
-	list  *adapter.Instances
-	start time.Time
+	cfg           *settings.Settings
+	log           *zap.Logger
+	reg           metrics.Registry
+	trail         *audit.Trail
+	creds         *trust.Credentials
+	peers         *http.Client
+	configService *adapter.ConfigService
+	instances     *adapter.Instances
+	startedAt     time.Time
 
 	suspects *suspects.Set
 
-	config atomic.Pointer[published.Config] // Nil until the first generation is adopted.
-	hints  *ring.Queue[hint]                // Full: refused; the next message hints again.
-	pushes *ring.Queue[member.Member]       // Full: refused; gossip tells it later.
-	left   chan struct{}                    // Closed when the planned stop begins.
-	gone   func(member.Member)              // Told of each member that is given up; set before Run.
-
-	mu       sync.Mutex
-	table    *member.Table
-	spread   *spread.State
-	manifest published.Manifest
-	older    []olderManifest   // The ones before manifest, newest first.
-	values   map[string][]byte // By hash; exactly those of manifest.
-	life     *chart.Machine
-	clash    published.Version // Newest clash on the trail.
-	heard    time.Time         // Last word with a peer, or of being alone.
-	heir     bool              // A later process has the name or the slot.
-
-	slots      map[string]member.Member // What ByEndpoint returned at slotsStamp.
-	slotsStamp uint64
+	config  atomic.Pointer[published.Config] // Nil until the first generation is adopted.
+	hints   *ring.Queue[hint]                // When it is full, a hint is dropped; the next message brings another one.
+	pushes  *ring.Queue[member.Member]       // When it is full, a push is dropped; gossip sends the content later.
+	leaving chan struct{}                    // Closed when the planned stop begins.
+	onDead  func(member.Member)              // Called with each member that is declared dead; set before Run.
+
+	mu             sync.Mutex
+	table          *member.Table
+	spread         *spread.State
+	manifest       published.Manifest
+	olderManifests []olderManifest   // Those in effect before manifest, newest first.
+	values         map[string][]byte // By hash; exactly the values of manifest.
+	machine        *chart.Machine
+	lastConflict   published.Version // Manifest of the newest conflict on the audit trail.
+	lastContact    time.Time         // When messages were last exchanged with a peer, or no peer was known.
+	superseded     bool              // A later process has the same name or slot.
+
+	byEndpoint        map[string]member.Member // Result of ByEndpoint for the view byEndpointVersion.
+	byEndpointVersion uint64
 }
 
-// New returns a node that is started by Run. The name, role and addresses come
-// from set.
+// New returns a node, which Run starts. The name, role and addresses come from set.
 func New(set *settings.Settings, log *zap.Logger) (n *Node, err error) {
 	defer func() { err = errors.Wrap(err, "node") }()
 	reg := metrics.NewRegistry()
@@ -118,90 +117,90 @@
 	transport.TLSClientConfig = creds.Client()
 	direct := &http.Client{Transport: adapter.NewTransport(set.Source)}
 	n = &Node{
-		set:    set,
-		log:    log,
-		reg:    reg,
-		trail:  audit.New(set.Name, log, reg),
-		creds:  creds,
-		peers:  &http.Client{Transport: transport},
-		conf:   adapter.NewConfigService(set.ConfigService, direct),
-		list:   adapter.NewInstances(set.Instances, direct),
-		start:  time.Now(),
-		hints:  ring.NewQueue[hint](hintRing),
-		pushes: ring.NewQueue[member.Member](pushRing),
-		left:   make(chan struct{}),
-		gone:   func(member.Member) {},
-		spread: spread.New(),
-		values: map[string][]byte{},
+		cfg:           set,
+		log:           log,
+		reg:           reg,
+		trail:         audit.New(set.Name, log, reg),
+		creds:         creds,
+		peers:         &http.Client{Transport: transport},
+		configService: adapter.NewConfigService(set.ConfigService, direct),
+		instances:     adapter.NewInstances(set.Instances, direct),
+		startedAt:     time.Now(),
+		hints:         ring.NewQueue[hint](hintCapacity),
+		pushes:        ring.NewQueue[member.Member](pushCapacity),
+		leaving:       make(chan struct{}),
+		onDead:        func(member.Member) {},
+		spread:        spread.New(),
+		values:        map[string][]byte{},
 
 		suspects: suspects.New(log, reg),
-		life:     chart.MustLoad("drain").Machine(),
+		machine:  chart.MustLoad("drain").Machine(),
 	}
 	n.table = member.New(member.Config{
 		Interval:     set.GossipInterval,
 		SuspectAfter: set.SuspectAfter,
 		ForgetAfter:  forgetAfter,
-		News:         newsRows,
-		Helpers:      helpers,
+		News:         updatesPerMessage,
+		Helpers:      probeRelays,
 	}, member.Member{
 		Name: set.Name, Role: string(set.Role), Endpoint: set.Endpoint, Domain: set.Domain,
-		Address: set.Advertise, Life: n.start.UnixMilli(),
+		Address: set.Advertise, Life: n.startedAt.UnixMilli(),
 	})
 	return n, nil
 }
 
-// Settings returns the node's own settings.
-func (n *Node) Settings() *settings.Settings { return n.set }
+// Settings returns the node's settings.
+func (n *Node) Settings() *settings.Settings { return n.cfg }
 
 // Log returns the node's log.
 func (n *Node) Log() *zap.Logger { return n.log }
 
-// Metrics returns the node's registry.
+// Metrics returns the node's metrics registry.
 func (n *Node) Metrics() metrics.Registry { return n.reg }
 
 // Trail returns the node's audit trail.
 func (n *Node) Trail() *audit.Trail { return n.trail }
 
-// Credentials returns what the node shows to peers and asks of them.
+// Credentials returns the TLS credentials that the node uses and requires of peers.
 func (n *Node) Credentials() *trust.Credentials { return n.creds }
 
-// Started returns the start of the process.
-func (n *Node) Started() time.Time { return n.start }
+// Started returns the time at which the process started.
+func (n *Node) Started() time.Time { return n.startedAt }
 
-// Config returns the generation in force; ok is false before the first one.
+// Config returns the generation in effect; ok is false before the first one is adopted.
 func (n *Node) Config() (c *published.Config, ok bool) {
 	c = n.config.Load()
 	return c, c != nil
 }
 
-// State returns the place in the chart "drain".
+// State returns the node's state in the chart "drain".
 func (n *Node) State() chart.State {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.life.State()
+	return n.machine.State()
 }
 
-// Left is closed when the planned stop begins.
-func (n *Node) Left() <-chan struct{} { return n.left }
+// Leaving returns a channel that is closed when the planned stop begins.
+func (n *Node) Leaving() <-chan struct{} { return n.leaving }
 
-// OnGone sets the function that is told of each member that is given up. It
-// must be called before Run.
-func (n *Node) OnGone(f func(member.Member)) { n.gone = f }
+// OnDead sets the function that is called with each member that is declared dead. It must be called
+// before Run.
+func (n *Node) OnDead(f func(member.Member)) { n.onDead = f }
 
-// Members lists the members that satisfy keep, the node itself included.
+// Members returns the members that satisfy keep, including the node itself.
 func (n *Node) Members(keep func(member.Member) bool) []member.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.table.Members(keep)
 }
 
-// ByEndpoint finds the living members that fill slots, by slot. When two claim
-// one slot, the later life has it. The map is shared and must not be changed.
+// ByEndpoint returns the members that hold slots and are not dead, by slot. If two members claim a
+// slot, the process that started later holds it. The map is shared and must not be modified.
 func (n *Node) ByEndpoint() map[string]member.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.slots != nil && n.slotsStamp == n.table.Stamp() {
-		return n.slots
+	if n.byEndpoint != nil && n.byEndpointVersion == n.table.Stamp() {
+		return n.byEndpoint
 	}
 	found := map[string]member.Member{}
 	for _, m := range n.table.Members(func(m member.Member) bool { return m.Endpoint != "" && m.State != member.Dead }) {
@@ -209,11 +208,11 @@
 			found[m.Endpoint] = m
 		}
 	}
-	n.slots, n.slotsStamp = found, n.table.Stamp()
+	n.byEndpoint, n.byEndpointVersion = found, n.table.Stamp()
 	return found
 }
 
-// Run does the node's duties until ctx ends.
+// Run runs the node's background tasks until ctx ends.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -223,80 +222,79 @@
 	d.Go("fetch", n.fetch)
 	d.Go("watch", n.watch)
 	d.Go("read-list", n.readList)
-	d.Go("tell-news", n.tellNews)
+	d.Go("tell-news", n.pushSuspects)
 	return d.Wait()
 }
 
-// newsPause is the least time between two pushes of ends: those under which one process
-// ended come together.
-const newsPause = 10 * time.Millisecond
+// suspectsInterval is the minimum time between two pushes of process ends. When a process ends during
+// several requests, their reports arrive together and are sent in one push.
+const suspectsInterval = 10 * time.Millisecond
 
-// tellNews has ends that were seen here told to a few peers at once; gossip tells all.
-func (n *Node) tellNews(ctx context.Context) error {
+// pushSuspects immediately pushes process ends seen by this node to a few peers; gossip spreads them to all.
+func (n *Node) pushSuspects(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-n.suspects.Pending():
 		}
-		n.pushSome()
-		wait.For(ctx, newsPause)
+		n.pushToPeers()
+		wait.For(ctx, suspectsInterval)
 	}
 }
 
-// Leave begins the planned stop: peers are told and Left is closed.
+// Leave begins the planned stop: the node informs peers and closes the channel of Leaving.
 func (n *Node) Leave(cause string) {
 	var changed bool
 	duty.Locked(&n.mu, func() {
-		changed = n.life.Apply(eventLeave)
+		changed = n.machine.Apply(eventLeave)
 		n.table.Leave()
 	})
 	if !changed {
 		return
 	}
-	n.trail.Add(audit.Drain, n.set.Name, cause)
-	close(n.left)
-	n.pushSome()
+	n.trail.Add(audit.Drain, n.cfg.Name, cause)
+	close(n.leaving)
+	n.pushToPeers()
 }
 
-// Idle takes note that nothing runs any more; it reports whether the planned
-// stop is complete.
-func (n *Node) Idle() bool {
+// MarkIdle records that no requests are in flight. It reports whether the planned stop is complete.
+func (n *Node) MarkIdle() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.life.Apply(eventIdle)
-	return n.life.State() == Stopped
+	n.machine.Apply(eventIdle)
+	return n.machine.State() == Stopped
 }
 
-// pushSome asks the duty push to tell a few peers at once.
-func (n *Node) pushSome() {
-	var some []member.Member
+// pushToPeers queues a few random peers for the task push, which exchanges messages with them.
+func (n *Node) pushToPeers() {
+	var targets []member.Member
 	duty.Locked(&n.mu, func() {
-		some = n.table.Helpers(n.set.Name, rand.Uint64())
-		for range fanOut - helpers {
-			some = append(some, n.table.Helpers(n.set.Name, rand.Uint64())...)
+		targets = n.table.Helpers(n.cfg.Name, rand.Uint64())
+		for range pushFanout - probeRelays {
+			targets = append(targets, n.table.Helpers(n.cfg.Name, rand.Uint64())...)
 		}
 	})
-	for _, m := range some {
+	for _, m := range targets {
 		n.pushes.Offer(m)
 	}
 }
 
-// Refusal returns why the node takes in nothing new, or nil when it does.
+// Refusal returns the reason why the node admits no new requests, or nil if it does.
 func (n *Node) Refusal() *wire.Refusal {
 	switch n.State() {
 	case Serving:
-		if early := n.set.ClockSkew + ident.KeyGrain - time.Since(n.start); early > 0 {
-			// Keys minted now cannot yet be told from those of an earlier life.
+		if early := n.cfg.ClockSkew + ident.KeyGrain - time.Since(n.startedAt); early > 0 {
+			// Keys minted now may be indistinguishable from keys of an earlier process.
 			return wire.Refuse(http.StatusServiceUnavailable, early, "process has just started")
 		}
 		return nil
 	case Starting:
 		return wire.Refuse(http.StatusServiceUnavailable, time.Second, "no configuration yet")
 	case Doubting:
-		return wire.Refuse(http.StatusServiceUnavailable, n.set.GossipInterval, "process was paused")
+		return wire.Refuse(http.StatusServiceUnavailable, n.cfg.GossipInterval, "process was paused")
 	default:
-		return wire.Refuse(http.StatusServiceUnavailable, n.set.GossipInterval, "instance is leaving")
+		return wire.Refuse(http.StatusServiceUnavailable, n.cfg.GossipInterval, "instance is leaving")
 	}
 }
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -28,7 +28,7 @@
 	PathStatus  = "/status"
 )
 
-// Status is what a process believes.
+// Status is the view that a process has of itself and its peers.
 type Status struct {
 	Name     string             `json:"name"`
 	Role     string             `json:"role"`
@@ -36,32 +36,32 @@
 	Endpoint string             `json:"endpoint,omitempty"`
 	State    chart.State        `json:"state"`
 	Version  published.Version  `json:"version"`
-	Clash    *published.Version `json:"clash,omitempty"`
+	Conflict *published.Version `json:"clash,omitempty"`
 	UptimeS  float64            `json:"uptime_s"`
 	Pid      int                `json:"pid"`
 	Build    build.Info         `json:"build"`
 	Members  []member.Member    `json:"members"`
 }
 
-// AuditReport is the newest part of a trail.
+// AuditReport holds the newest records of an audit trail.
 type AuditReport struct {
-	Dropped uint64         `json:"dropped"` // Older records, which are in the log only.
+	Dropped uint64         `json:"dropped"` // Number of older records, which are in the log only.
 	Records []audit.Record `json:"records"`
 }
 
-// Status returns what the node believes now.
+// Status returns the node's current view of itself and its peers.
 func (n *Node) Status() Status {
 	members := n.Members(func(member.Member) bool { return true })
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	s := Status{
-		Name: n.set.Name, Role: string(n.set.Role), Domain: n.set.Domain, Endpoint: n.set.Endpoint,
-		State: n.life.State(), Version: n.spread.Current(),
-		UptimeS: time.Since(n.start).Seconds(), Members: members,
+		Name: n.cfg.Name, Role: string(n.cfg.Role), Domain: n.cfg.Domain, Endpoint: n.cfg.Endpoint,
+		State: n.machine.State(), Version: n.spread.Current(),
+		UptimeS: time.Since(n.startedAt).Seconds(), Members: members,
 		Pid: os.Getpid(), Build: build.Read(),
 	}
 	if v, ok := n.spread.Clash(); ok {
-		s.Clash = &v
+		s.Conflict = &v
 	}
 	return s
 }
@@ -70,14 +70,14 @@
 func (n *Node) OperatorsMux() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write([]byte("ok\n")) // The reader may be gone.
+		_, _ = w.Write([]byte("ok\n")) // The client may have disconnected.
 	})
 	mux.HandleFunc("GET "+PathReady, func(w http.ResponseWriter, _ *http.Request) {
 		if refusal := n.Refusal(); refusal != nil {
 			http.Error(w, refusal.Reason, http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = w.Write([]byte("ready\n")) // The reader may be gone.
+		_, _ = w.Write([]byte("ready\n")) // The client may have disconnected.
 	})
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
 		var text bytes.Buffer
@@ -89,7 +89,7 @@
 		httpjson.Reply(w, AuditReport{Dropped: dropped, Records: records})
 	})
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, _ *http.Request) { httpjson.Reply(w, n.Status()) })
-	if n.set.Pprof {
+	if n.cfg.Pprof {
 		mux.HandleFunc("GET /debug/pprof/", pprof.Index)
 		mux.HandleFunc("GET /debug/pprof/profile", pprof.Profile)
 		mux.HandleFunc("GET /debug/pprof/trace", pprof.Trace)
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -16,35 +16,35 @@
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 )
 
-// watchers is how many processes of a failure domain watch the configuration
-// service; the others hear from peers.
-const watchers = 2
+// watchersPerDomain is the number of processes per failure domain that watch the configuration
+// service. The others receive changes from peers.
+const watchersPerDomain = 2
 
-// maxWatchPause bounds the wait after a failed call to the platform.
-const maxWatchPause = 5 * time.Second
+// maxWatchBackoff bounds the wait after a failed call to the platform.
+const maxWatchBackoff = 5 * time.Second
 
-// watch follows the configuration service while the node is one of the
-// watchers of its failure domain.
+// watch watches the configuration service while the node is one of the watchers of its failure
+// domain.
 func (n *Node) watch(ctx context.Context) error {
 	n.bootstrap(ctx)
-	pause := n.set.GossipInterval
-	seen := n.manifestHash() // Hash of what the service showed last, which may be stale.
+	backoff := n.cfg.GossipInterval
+	seen := n.manifestHash() // Hash of the manifest that the service returned last, which may be stale.
 	for ctx.Err() == nil {
 		if !n.isWatcher() {
-			wait.For(ctx, n.set.GossipInterval)
+			wait.For(ctx, n.cfg.GossipInterval)
 			continue
 		}
-		raw, err := n.conf.Wait(ctx, published.ManifestKey, seen)
+		raw, err := n.configService.Wait(ctx, published.ManifestKey, seen)
 		if err == nil && raw != nil {
-			err = n.takeWatched(ctx, raw)
+			err = n.handleWatched(ctx, raw)
 		}
 		if err != nil {
 			n.count("config.watch-failed", 1)
-			wait.For(ctx, pause)
-			pause = min(maxWatchPause, 2*pause)
+			wait.For(ctx, backoff)
+			backoff = min(maxWatchBackoff, 2*backoff)
 			continue
 		}
-		pause = n.set.GossipInterval
+		backoff = n.cfg.GossipInterval
 		if raw != nil {
 			seen = published.HashOf(raw)
 		}
@@ -52,85 +52,85 @@
 	return nil
 }
 
-// takeWatched takes in what a watch of the configuration service showed.
-func (n *Node) takeWatched(ctx context.Context, raw []byte) (err error) {
+// handleWatched handles a manifest received by watching the configuration service.
+func (n *Node) handleWatched(ctx context.Context, raw []byte) (err error) {
 	m, err := published.ParseManifest(raw)
 	if err != nil {
 		return err
 	}
-	return n.takeManifest(ctx, n.source(""), m)
+	return n.handleManifest(ctx, n.source(""), m)
 }
 
-// bootstrap asks peers for the highest generation before the service, which
-// may be stale, is trusted.
+// bootstrap queries peers for the highest generation before it relies on the configuration service,
+// which may be stale.
 func (n *Node) bootstrap(ctx context.Context) {
-	for _, address := range n.set.Seeds {
-		if address != n.set.Advertise {
-			_ = n.Exchange(ctx, address) // Whoever is silent now is heard later.
+	for _, address := range n.cfg.Seeds {
+		if address != n.cfg.Advertise {
+			_ = n.Exchange(ctx, address) // A peer that does not answer now is reached later.
 		}
 	}
 	n.readListOnce(ctx)
 	for range bootstrapRounds {
-		n.askSome(ctx)
+		n.exchangeWithPeers(ctx)
 		if _, ok := n.Config(); ok || n.isFirst(firstReaders, func(member.Member) bool { return true }) {
 			break
 		}
-		wait.For(ctx, n.set.GossipInterval)
+		wait.For(ctx, n.cfg.GossipInterval)
 	}
 	if _, ok := n.Config(); ok {
 		return
 	}
-	if err := n.take(ctx, ""); err != nil {
-		n.log.Sugar().Warnw("configuration service not read at the start", "error", err)
+	if err := n.fetchFrom(ctx, ""); err != nil {
+		n.log.Sugar().Warnw("cannot read configuration service at startup", "error", err)
 	}
 }
 
-// bootstrapRounds is how often a process that is not among the first readers
-// asks peers before it reads the configuration service by itself: when all
-// restart at once, a few read every value, and the others have them from peers.
+// bootstrapRounds is how many times a process that is not among the firstReaders queries peers before
+// it reads the configuration service itself. Thus, when all processes restart at once, a few read
+// every value from the service and the others fetch them from peers.
 const (
 	bootstrapRounds = 5
 	firstReaders    = 2
 )
 
-// askSome exchanges messages with a few random peers and gives what they have
-// the time to be fetched.
-func (n *Node) askSome(ctx context.Context) {
-	var some []member.Member
-	duty.Locked(&n.mu, func() { some = n.table.Helpers(n.set.Name, rand.Uint64()) })
-	for _, m := range some {
+// exchangeWithPeers exchanges messages with a few random peers and waits for the generations that
+// they name to be fetched.
+func (n *Node) exchangeWithPeers(ctx context.Context) {
+	var targets []member.Member
+	duty.Locked(&n.mu, func() { targets = n.table.Helpers(n.cfg.Name, rand.Uint64()) })
+	for _, m := range targets {
 		if n.Exchange(ctx, m.Address) == nil && n.awaitConfig(ctx) {
 			return
 		}
 	}
 }
 
-// awaitConfig waits for a generation that a peer has named, for a moment.
+// awaitConfig waits up to half a gossip interval for a generation that a peer has named, while hints are queued.
 func (n *Node) awaitConfig(ctx context.Context) bool {
 	for range 10 {
 		if _, ok := n.Config(); ok || n.hints.Len() == 0 {
 			return ok
 		}
-		wait.For(ctx, n.set.GossipInterval/20)
+		wait.For(ctx, n.cfg.GossipInterval/20)
 	}
 	return false
 }
 
-// isWatcher reports whether the node is among the first of its failure domain
-// in rendezvous order. Wrong views cost extra reads only.
+// isWatcher reports whether the node is among the first of its failure domain in rendezvous hash
+// order. An incorrect view of the members only costs extra reads.
 func (n *Node) isWatcher() bool {
-	return n.isFirst(watchers, func(m member.Member) bool { return m.Domain == n.set.Domain })
+	return n.isFirst(watchersPerDomain, func(m member.Member) bool { return m.Domain == n.cfg.Domain })
 }
 
-// isFirst reports whether the node is among the first so many in rendezvous
-// order of the members that satisfy near.
-func (n *Node) isFirst(first int, near func(member.Member) bool) bool {
-	mine := own.Score("watch", n.set.Name)
+// isFirst reports whether the node is among the first count members, in rendezvous hash order, of those
+// that satisfy eligible.
+func (n *Node) isFirst(count int, eligible func(member.Member) bool) bool {
+	ownScore := own.Score("watch", n.cfg.Name)
 	ahead := n.Members(func(m member.Member) bool {
-		return m.State != member.Dead && !m.Leaving && m.Name != n.set.Name && near(m) &&
-			own.Score("watch", m.Name) > mine
+		return m.State != member.Dead && !m.Leaving && m.Name != n.cfg.Name && eligible(m) &&
+			own.Score("watch", m.Name) > ownScore
 	})
-	return len(ahead) < first
+	return len(ahead) < count
 }
 
 func (n *Node) manifestHash() string {
@@ -142,11 +142,11 @@
 	return published.HashOf(n.manifest.Encode())
 }
 
-// readList follows the platform's list while the node is a watcher.
+// readList polls the platform's list of instances while the node is a watcher.
 func (n *Node) readList(ctx context.Context) error {
 	rows := 0
 	for ctx.Err() == nil {
-		wait.For(ctx, max(n.set.GossipInterval, time.Duration(rows)*listPerRow))
+		wait.For(ctx, max(n.cfg.GossipInterval, time.Duration(rows)*listIntervalPerRow))
 		if n.isWatcher() {
 			rows = n.readListOnce(ctx)
 		}
@@ -154,13 +154,13 @@
 	return nil
 }
 
-// listPerRow spaces reads of the list by its length: at some 150 bytes a row it
-// keeps them to 4 KB a second.
-const listPerRow = 40 * time.Millisecond
+// listIntervalPerRow is the interval between reads of the list, per row of the list. At about 150 bytes
+// per row it limits the reads to 4 KB per second.
+const listIntervalPerRow = 40 * time.Millisecond
 
-// readListOnce takes the list in and returns its length.
+// readListOnce reads the list, merges it into the members, and returns its length.
 func (n *Node) readListOnce(ctx context.Context) (length int) {
-	list, err := n.list.List(ctx)
+	list, err := n.instances.List(ctx)
 	if err != nil {
 		n.count("list.failed", 1)
 		return 0
@@ -176,9 +176,9 @@
 		changes = n.table.Seed(rows, clock.Now())
 		leaving = n.table.Self().Leaving && !before
 	})
-	n.note(changes)
+	n.recordChanges(changes)
 	if leaving {
-		n.Leave("the platform's list has it as leaving")
+		n.Leave("the platform lists this process as leaving")
 	}
 	return len(list)
 }
