--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -54,8 +54,8 @@
 func (m *mapController) run(ctx context.Context) error {
 	for {
 		interval := idleInterval
-		if s, ok := m.group(); ok && s.Rebalance > 0 {
-			interval = s.Rebalance
+		if s, ok := m.group(); ok && s.RebalanceInterval > 0 {
+			interval = s.RebalanceInterval
 			if m.isCoordinator(s) {
 				m.handleSample(ctx, s)
 			}
@@ -158,7 +158,7 @@
 		Shape: shape, Layers: s.Layers, ExpertBytes: s.ExpertBytes,
 		StoreRate: s.StoreRate, HourlyBytes: s.HourlyBytes,
 		Prices:     rebalance.Prices{Skew: p.SkewPrice, Move: p.MovePrice},
-		SampleTime: s.Rebalance.Seconds(), MaxAge: 5,
+		SampleTime: s.RebalanceInterval.Seconds(), MaxAge: 5,
 	})
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return m, err
 	}
-	return published.ParseTold(raw, own)
+	return published.ParseUpdate(raw, own)
 }
 
 // PeerGet reads a path of a peer's listener, with a timeout of callTimeout.
@@ -299,9 +299,9 @@
 	for _, old := range older {
 		if have != "" && old.hash == have {
 			d := m.DeltaFrom(old.manifest)
-			httpjson.Reply(w, published.Told{Delta: &d})
+			httpjson.Reply(w, published.ManifestUpdate{Delta: &d})
 			return
 		}
 	}
-	httpjson.Reply(w, published.Told{Whole: &m})
+	httpjson.Reply(w, published.ManifestUpdate{Full: &m})
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -299,7 +299,7 @@
 	if !ReadJSON(w, r, &m) {
 		return
 	}
-	if err := n.creds.Claims(r.TLS, m.sender()); err != nil {
+	if err := n.creds.VerifyClaim(r.TLS, m.sender()); err != nil {
 		n.trail.Add(audit.PeerRefused, r.RemoteAddr, err.Error())
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package policy compiles and runs the short programs that operators publish:
-// who goes first, what may be retried, and when work may move. Programs are in
-// CEL, are type-checked before they are published and have a bounded cost at
-// run time. The package reads no files and keeps no state.
+// Package policy compiles and evaluates the short programs that operators publish: they determine the
+// priority of a request, whether it may be retried, and whether it may be moved. Programs are written in
+// CEL, type-checked before they are published, and have a bounded cost at run time. The package reads no
+// files and keeps no state.
 package policy
 
 import (
@@ -14,35 +14,34 @@
 	"github.com/google/cel-go/common/types/ref"
 )
 
-// costLimit bounds one run of a program, in CEL cost units.
+// costLimit bounds one evaluation of a program, in CEL cost units.
 const costLimit = 2000
 
-// Defaults that stand in for a program that is missing or fails at run time.
+// Results that are used when a program is missing or fails at run time, and bounds of results.
 const (
 	DefaultPriority = 0
 	DefaultRetry    = false
 	DefaultMove     = true
-	// MaxPriority is the highest priority a program may give; others are cut
-	// to it.
+	// MaxPriority is the highest priority; higher results of a program are reduced to it.
 	MaxPriority = 100
 )
 
-// Request is what a program sees.
+// Request holds the input variables of a program.
 type Request struct {
 	Customer   string // Name of the customer.
 	Service    string // Model or service name.
-	Class      string // The caller's Canvaspulley-Class header, "" when absent.
+	Class      string // Value of the caller's Canvaspulley-Class header; "" when absent.
 	Method     string // HTTP method.
-	Path       string // Path the caller asked for.
+	Path       string // Path that the caller requested.
 	Repeatable bool   // Whether the request may run more than once.
-	DeadlineMS int64  // Time left until the caller's deadline; 0 when there is none.
+	DeadlineMS int64  // Milliseconds left until the caller's deadline; 0 when there is none.
 	Attempt    int64  // Attempts already made.
-	Reason     string // Why the last attempt failed, or why work would move.
+	Reason     string // Why the last attempt failed, or why the request would be moved.
 	Tokens     int64  // Tokens already sent to the caller.
 }
 
-// Set is the compiled programs of one policy. A Set is immutable.
-type Set struct {
+// Compiled holds the compiled programs of one policy. A Compiled is immutable.
+type Compiled struct {
 	priority cel.Program
 	retry    cel.Program
 	move     cel.Program
@@ -63,17 +62,17 @@
 	)
 })
 
-// compile type-checks one program; an empty text gives a nil program, which
-// stands for the default.
-func compile(text string, want *cel.Type) (p cel.Program, err error) {
-	if text == "" {
+// compile compiles and type-checks one program. It returns a nil program, which stands for the default,
+// when source is empty.
+func compile(source string, want *cel.Type) (p cel.Program, err error) {
+	if source == "" {
 		return nil, nil
 	}
 	env, err := newEnv()
 	if err != nil {
 		return nil, err
 	}
-	ast, issues := env.Compile(text)
+	ast, issues := env.Compile(source)
 	if issues.Err() != nil {
 		return nil, issues.Err()
 	}
@@ -83,38 +82,38 @@
 	return env.Program(ast, cel.CostLimit(costLimit))
 }
 
-// Texts holds the three programs of a policy as published.
-type Texts struct {
-	Priority string // Gives an int; a higher one goes first.
-	Retry    string // Gives a bool; asked only when repeating is safe at all.
-	Move     string // Gives a bool; asked before a running stream is moved.
+// Sources holds the source code of the three programs of a policy, as published.
+type Sources struct {
+	Priority string // Returns an int; a request with a higher one is served first.
+	Retry    string // Returns a bool; evaluated only when a retry is safe.
+	Move     string // Returns a bool; evaluated before a running stream is moved.
 }
 
-// Fault is a program that does not compile.
-type Fault struct {
+// CompileFault describes a program that does not compile.
+type CompileFault struct {
 	Key  string
 	Text string
 }
 
-// New compiles the programs; faults lists every one that does not compile.
-func New(texts Texts) (s *Set, faults []Fault) {
-	s = &Set{}
-	for _, one := range []struct {
+// New compiles the programs; faults lists each program that does not compile.
+func New(sources Sources) (s *Compiled, faults []CompileFault) {
+	s = &Compiled{}
+	for _, entry := range []struct {
 		key  string
 		text string
 		want *cel.Type
 		dst  *cel.Program
 	}{
-		{"priority", texts.Priority, cel.IntType, &s.priority},
-		{"retry", texts.Retry, cel.BoolType, &s.retry},
-		{"move", texts.Move, cel.BoolType, &s.move},
+		{"priority", sources.Priority, cel.IntType, &s.priority},
+		{"retry", sources.Retry, cel.BoolType, &s.retry},
+		{"move", sources.Move, cel.BoolType, &s.move},
 	} {
-		p, err := compile(one.text, one.want)
+		p, err := compile(entry.text, entry.want)
 		if err != nil {
-			faults = append(faults, Fault{one.key, err.Error()})
+			faults = append(faults, CompileFault{entry.key, err.Error()})
 			continue
 		}
-		*one.dst = p
+		*entry.dst = p
 	}
 	return s, faults
 }
@@ -129,9 +128,9 @@
 	return v, err
 }
 
-// Priority says how early r goes, between 0 and MaxPriority. On an error the
-// default is returned beside it.
-func (s *Set) Priority(r Request) (n int, err error) {
+// Priority returns the priority of r, between 0 and MaxPriority. With an error it also returns the
+// default.
+func (s *Compiled) Priority(r Request) (n int, err error) {
 	if s == nil || s.priority == nil {
 		return DefaultPriority, nil
 	}
@@ -141,38 +140,38 @@
 	}
 	i, ok := v.Value().(int64)
 	if !ok {
-		return DefaultPriority, errors.Newf("priority program gave %v", v)
+		return DefaultPriority, errors.Newf("priority program returned %v", v)
 	}
 	return int(min(max(i, 0), MaxPriority)), nil
 }
 
-// Retry says whether r may be sent again. It is asked only when that is safe.
-func (s *Set) Retry(r Request) (ok bool, err error) {
+// Retry reports whether r may be sent again. It is called only when a retry is safe.
+func (s *Compiled) Retry(r Request) (ok bool, err error) {
 	if s == nil {
 		return DefaultRetry, nil
 	}
 	return evalBool(s.retry, r, DefaultRetry, "retry")
 }
 
-// Move says whether the running request r may go on elsewhere.
-func (s *Set) Move(r Request) (ok bool, err error) {
+// Move reports whether the running request r may be moved to another endpoint.
+func (s *Compiled) Move(r Request) (ok bool, err error) {
 	if s == nil {
 		return DefaultMove, nil
 	}
 	return evalBool(s.move, r, DefaultMove, "move")
 }
 
-func evalBool(p cel.Program, r Request, def bool, name string) (ok bool, err error) {
+func evalBool(p cel.Program, r Request, fallback bool, name string) (ok bool, err error) {
 	if p == nil {
-		return def, nil
+		return fallback, nil
 	}
 	v, err := eval(p, r)
 	if err != nil {
-		return def, errors.Wrapf(err, "%s program", name)
+		return fallback, errors.Wrapf(err, "%s program", name)
 	}
 	ok, isBool := v.Value().(bool)
 	if !isBool {
-		return def, errors.Newf("%s program gave %v", name, v)
+		return fallback, errors.Newf("%s program returned %v", name, v)
 	}
 	return ok, nil
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,13 +11,13 @@
 
 func TestPrograms(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, faults := New(Texts{Priority: `class == "kiosk" ? 9 : -5`, Retry: `attempt < 3`, Move: `tokens < 10`})
+	s, faults := New(Sources{Priority: `class == "kiosk" ? 9 : -5`, Retry: `attempt < 3`, Move: `tokens < 10`})
 	g.Expect(faults).To(gomega.BeEmpty())
 	high, err := s.Priority(Request{Class: "kiosk"})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(high).To(gomega.Equal(9))
 	low, _ := s.Priority(Request{})
-	g.Expect(low).To(gomega.Equal(0), "cut to the lowest priority")
+	g.Expect(low).To(gomega.Equal(0), "raised to the lowest priority")
 	retry, _ := s.Retry(Request{Attempt: 3})
 	g.Expect(retry).To(gomega.BeFalse())
 	move, _ := s.Move(Request{Tokens: 9})
@@ -26,7 +26,7 @@
 
 func TestFaultsAreListedTogether(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, faults := New(Texts{Priority: `true`, Retry: `1`, Move: `unknown > 1`})
+	_, faults := New(Sources{Priority: `true`, Retry: `1`, Move: `unknown > 1`})
 	g.Expect(faults).To(gomega.HaveLen(3))
 }
 
@@ -34,7 +34,7 @@
 	check := func(name, text string) {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			s, faults := New(Texts{Priority: text, Retry: text + " == 1"})
+			s, faults := New(Sources{Priority: text, Retry: text + " == 1"})
 			g.Expect(faults).To(gomega.BeEmpty())
 			n, err := s.Priority(Request{Attempt: 0})
 			g.Expect(err).To(gomega.HaveOccurred())
@@ -45,7 +45,7 @@
 		})
 	}
 	check("divides by zero", `1 / attempt`)
-	check("costs too much", `[1,2,3,4,5,6,7,8,9,10].map(a, [1,2,3,4,5,6,7,8,9,10].map(b, [1,2,3,4,5,6,7,8,9,10].map(c, a*b*c).size()).size()).size()`)
+	check("exceeds the cost limit", `[1,2,3,4,5,6,7,8,9,10].map(a, [1,2,3,4,5,6,7,8,9,10].map(b, [1,2,3,4,5,6,7,8,9,10].map(c, a*b*c).size()).size()).size()`)
 }
 
 func FuzzPolicy(f *testing.F) {
@@ -54,9 +54,9 @@
 	f.Add(`[1,2].exists(x, x == attempt)`)
 	f.Add(strings.Repeat("(", 500))
 	f.Fuzz(func(_ *testing.T, text string) {
-		s, faults := New(Texts{Retry: text})
+		s, faults := New(Sources{Retry: text})
 		if len(faults) == 0 {
-			_, _ = s.Retry(Request{Class: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa!"}) // It must return.
+			_, _ = s.Retry(Request{Class: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa!"}) // Must terminate and not panic.
 		}
 	})
 }
--- a/internal/published/build.go
+++ b/internal/published/build.go
@@ -8,13 +8,13 @@
 	"github.com/canvaspulley/canvaspulley/internal/inifile"
 )
 
-// New parses and judges one generation. All faults are returned together.
+// New parses and checks one generation. The error lists all faults.
 func New(v Version, values map[string][]byte) (c *Config, err error) {
 	return Next(nil, v, values)
 }
 
-// Next is New for the generation that follows old: values that did not change
-// are not parsed again. old may be nil.
+// Next is like New for the generation that follows old: values that have not changed are not parsed
+// again. old may be nil.
 func Next(old *Config, v Version, values map[string][]byte) (c *Config, err error) {
 	c = &Config{
 		version:   v,
@@ -45,7 +45,7 @@
 	return keys
 }
 
-// reuse returns what a value says, from the old generation if it is the same.
+// reuse returns the parsed value, taken from the old generation if the value has not changed.
 func reuse(old *Config, key string, value []byte) *parsed {
 	hash := HashOf(value)
 	if old != nil {
@@ -56,18 +56,17 @@
 	return parse(key, hash, value)
 }
 
-// add puts what one value says in its place and returns the faults that show
-// only beside other values.
+// add adds one parsed value to c and returns its conflicts with values added before.
 func (c *Config) add(key string, p *parsed) (faults inifile.Problems) {
-	clash := func(section, item, text string) {
+	addFault := func(section, item, text string) {
 		faults = append(faults, inifile.Problem{File: key, Section: section, Key: item, Text: text})
 	}
 	switch {
 	case p.customer != nil:
 		c.byName[p.customer.Name] = p.customer
-		for _, h := range p.customer.Hashes {
+		for _, h := range p.customer.KeyHashes {
 			if other, dup := c.customers[h]; dup {
-				clash(kindCustomer, "key-hash", "is also a key of customer "+other.Name)
+				addFault(kindCustomer, "key-hash", "is also a key of customer "+other.Name)
 			}
 			c.customers[h] = p.customer
 		}
@@ -77,17 +76,17 @@
 		c.services = append(c.services, p.service)
 		for _, e := range p.service.Endpoints {
 			if other, dup := c.endpoints[e.Name]; dup {
-				clash("endpoint "+e.Name, "", "is also an endpoint of "+other.Name)
+				addFault("endpoint "+e.Name, "", "is also an endpoint of "+other.Name)
 			}
 			c.endpoints[e.Name] = p.service
 		}
-	case p.entries > 0:
-		c.entries = p.entries
+	case p.maxEntries > 0:
+		c.maxEntries = p.maxEntries
 	}
 	return faults
 }
 
-// crossCheck judges what no single file can show.
+// crossCheck checks references and paths across all values and returns the faults.
 func (c *Config) crossCheck() (faults inifile.Problems) {
 	known := map[string]bool{}
 	paths := map[string]string{}
--- a/internal/published/delta.go
+++ b/internal/published/delta.go
@@ -8,44 +8,44 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Delta is a manifest told as the difference from an older one, so that a
-// change of one value does not send the whole list to every process. The
-// signature is that of the whole manifest and is checked after Apply.
+// Delta is a manifest encoded as the difference from an older one, so that after a change of one value
+// the full list need not be sent to every process. The signature is that of the full manifest and is
+// verified after Apply.
 type Delta struct {
 	Base       string   `json:"base"` // Hash of the older manifest.
 	Generation uint64   `json:"generation"`
 	Parent     string   `json:"parent"`
 	Set        []Entry  `json:"set"`  // New and changed entries, in order of key.
-	Drop       []string `json:"drop"` // Keys that are gone.
+	Drop       []string `json:"drop"` // Keys that were removed.
 	Signature  []byte   `json:"signature"`
 }
 
-// DeltaFrom returns m as the difference from old.
+// DeltaFrom returns the difference from old to m.
 func (m Manifest) DeltaFrom(old Manifest) Delta {
 	d := Delta{Base: old.Version().Hash, Generation: m.Body.Generation, Parent: m.Body.Parent, Signature: m.Signature}
-	was, is := old.Body.Entries, m.Body.Entries
-	for len(was) > 0 || len(is) > 0 {
+	oldEntries, newEntries := old.Body.Entries, m.Body.Entries
+	for len(oldEntries) > 0 || len(newEntries) > 0 {
 		switch {
-		case len(is) == 0 || len(was) > 0 && was[0].Key < is[0].Key:
-			d.Drop = append(d.Drop, was[0].Key)
-			was = was[1:]
-		case len(was) == 0 || is[0].Key < was[0].Key:
-			d.Set = append(d.Set, is[0])
-			is = is[1:]
+		case len(newEntries) == 0 || len(oldEntries) > 0 && oldEntries[0].Key < newEntries[0].Key:
+			d.Drop = append(d.Drop, oldEntries[0].Key)
+			oldEntries = oldEntries[1:]
+		case len(oldEntries) == 0 || newEntries[0].Key < oldEntries[0].Key:
+			d.Set = append(d.Set, newEntries[0])
+			newEntries = newEntries[1:]
 		default:
-			if is[0] != was[0] {
-				d.Set = append(d.Set, is[0])
+			if newEntries[0] != oldEntries[0] {
+				d.Set = append(d.Set, newEntries[0])
 			}
-			was, is = was[1:], is[1:]
+			oldEntries, newEntries = oldEntries[1:], newEntries[1:]
 		}
 	}
 	return d
 }
 
-// Apply makes the whole manifest again. The caller verifies it.
+// Apply returns the full manifest, restored from d and old. The caller verifies its signature.
 func (d Delta) Apply(old Manifest) (m Manifest, err error) {
 	if old.Version().Hash != d.Base {
-		return m, errors.New("delta is from another manifest")
+		return m, errors.New("delta applies to another manifest")
 	}
 	m.Signature = d.Signature
 	m.Body = Body{Generation: d.Generation, Parent: d.Parent}
@@ -71,27 +71,27 @@
 	return m, nil
 }
 
-// Told is how one process tells another its manifest: whole or as a delta.
-type Told struct {
-	Whole *Manifest `json:"whole,omitempty"`
+// ManifestUpdate is the message in which a process sends its manifest to another one: in full or as a delta.
+type ManifestUpdate struct {
+	Full  *Manifest `json:"whole,omitempty"`
 	Delta *Delta    `json:"delta,omitempty"`
 }
 
-// ParseTold decodes what a peer told and makes the whole manifest of it.
-func ParseTold(raw []byte, own Manifest) (m Manifest, err error) {
+// ParseUpdate decodes a ManifestUpdate of a peer and returns the full manifest. A delta is applied to own.
+func ParseUpdate(raw []byte, own Manifest) (m Manifest, err error) {
 	defer func() { err = errors.Wrap(err, "manifest of a peer") }()
-	var t Told
+	var u ManifestUpdate
 	if len(raw) > MaxValueBytes {
 		return m, errors.Newf("%d bytes is larger than %d", len(raw), MaxValueBytes)
 	}
-	if err := json.Unmarshal(raw, &t); err != nil {
+	if err := json.Unmarshal(raw, &u); err != nil {
 		return m, err
 	}
 	switch {
-	case t.Whole != nil:
-		return *t.Whole, nil
-	case t.Delta != nil:
-		return t.Delta.Apply(own)
+	case u.Full != nil:
+		return *u.Full, nil
+	case u.Delta != nil:
+		return u.Delta.Apply(own)
 	}
-	return m, errors.New("neither whole nor delta")
+	return m, errors.New("neither a full manifest nor a delta")
 }
--- a/internal/published/manifest.go
+++ b/internal/published/manifest.go
@@ -15,17 +15,17 @@
 // ManifestKey is the key of the manifest in the configuration service.
 const ManifestKey = "manifest"
 
-// MaxValueBytes is the largest value that the configuration service holds.
+// MaxValueBytes is the size limit of a value in the configuration service.
 const MaxValueBytes = 1 << 20
 
-// Version orders published generations: by number first, and two manifests of
-// the same number by hash, so that every node ends on the same one.
+// Version orders published generations: by number, and manifests of the same number by hash, so that
+// all nodes converge on the same one.
 type Version struct {
 	Generation uint64 `json:"generation"`
 	Hash       string `json:"hash"` // Hex SHA-256 of the manifest body.
 }
 
-// Newer reports whether v goes before w.
+// Newer reports whether v supersedes w.
 func (v Version) Newer(w Version) bool {
 	if v.Generation != w.Generation {
 		return v.Generation > w.Generation
@@ -42,11 +42,11 @@
 // Body is the part of a manifest that is signed.
 type Body struct {
 	Generation uint64  `json:"generation"`
-	Parent     string  `json:"parent"` // Hash of the manifest it was made from; "" for the first.
+	Parent     string  `json:"parent"` // Hash of the manifest that this one was derived from; "" for the first.
 	Entries    []Entry `json:"entries"`
 }
 
-// Manifest is the signed list of everything one generation consists of.
+// Manifest is the signed list of all values of one generation.
 type Manifest struct {
 	Body      Body   `json:"body"`
 	Signature []byte `json:"signature"` // Ed25519 over the JSON of Body.
@@ -58,9 +58,9 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// text is the exact bytes that are hashed and signed. The codec writes struct
-// fields in order, so that equal bodies have equal texts.
-func (b Body) text() []byte {
+// signedBytes returns the bytes that are hashed and signed. The JSON encoder writes struct fields in
+// order, so that equal bodies have equal bytes.
+func (b Body) signedBytes() []byte {
 	raw, err := json.Marshal(b)
 	if err != nil {
 		panic(err) // A Body holds only strings and numbers.
@@ -68,24 +68,24 @@
 	return raw
 }
 
-// Version returns the place of m in the order of generations.
+// Version returns the generation number and the hash of m.
 func (m Manifest) Version() Version {
-	return Version{Generation: m.Body.Generation, Hash: HashOf(m.Body.text())}
+	return Version{Generation: m.Body.Generation, Hash: HashOf(m.Body.signedBytes())}
 }
 
-// Pack makes a signed manifest over values.
+// Pack returns a signed manifest of values.
 func Pack(generation uint64, parent string, values map[string][]byte, key ed25519.PrivateKey) Manifest {
 	b := Body{Generation: generation, Parent: parent}
 	for k, v := range values {
 		b.Entries = append(b.Entries, Entry{Key: k, Hash: HashOf(v)})
 	}
 	sort.Slice(b.Entries, func(i, j int) bool { return b.Entries[i].Key < b.Entries[j].Key })
-	return Manifest{Body: b, Signature: ed25519.Sign(key, b.text())}
+	return Manifest{Body: b, Signature: ed25519.Sign(key, b.signedBytes())}
 }
 
-// Verify checks the signature and the form of m.
+// Verify checks the signature of m and that its keys are in order.
 func (m Manifest) Verify(pub ed25519.PublicKey) (err error) {
-	if len(pub) != ed25519.PublicKeySize || !ed25519.Verify(pub, m.Body.text(), m.Signature) {
+	if len(pub) != ed25519.PublicKeySize || !ed25519.Verify(pub, m.Body.signedBytes(), m.Signature) {
 		return errors.Newf("manifest of generation %d: signature does not match", m.Body.Generation)
 	}
 	last := ""
@@ -109,7 +109,7 @@
 	return m, nil
 }
 
-// Encode returns m as it is published.
+// Encode returns m in the encoding in which it is published.
 func (m Manifest) Encode() []byte {
 	raw, err := json.Marshal(m)
 	if err != nil {
--- a/internal/published/parse.go
+++ b/internal/published/parse.go
@@ -13,18 +13,18 @@
 	"github.com/canvaspulley/canvaspulley/internal/policy"
 )
 
-// parsed is what one value says. It depends on nothing but the value, so that
-// it can be used again in the next generation; it is never changed.
+// parsed is the content of one value. It depends only on the key and the value and is immutable, so
+// that the next generation can reuse it.
 type parsed struct {
-	hash     string
-	customer *Customer // At most one of these is set.
-	policy   *Policy
-	service  *Service
-	entries  int
-	faults   inifile.Problems
+	hash       string
+	customer   *Customer // At most one of customer, policy, service and maxEntries is set.
+	policy     *Policy
+	service    *Service
+	maxEntries int
+	faults     inifile.Problems
 }
 
-// parse reads one value and notes all its faults.
+// parse parses one value and collects all its faults.
 func parse(key, hash string, value []byte) *parsed {
 	p := &parsed{hash: hash}
 	f, err := inifile.Parse(key, value)
@@ -54,7 +54,7 @@
 	case kindGroup, kindService:
 		p.readService(kind, name, f)
 	case kindSite:
-		p.entries = f.Int(kindSite, "entries", 0, 1, 100000)
+		p.maxEntries = f.Int(kindSite, "entries", 0, 1, 100000)
 	default:
 		f.Fault("", "", "unknown kind %q", kind)
 	}
@@ -62,19 +62,19 @@
 
 func (p *parsed) readCustomer(name string, f *inifile.File) {
 	cust := &Customer{
-		Name:     name,
-		Hashes:   f.Words(kindCustomer, "key-hash"),
-		Policy:   f.String(kindCustomer, "policy", ""),
-		Rate:     f.Float(kindCustomer, "rate", 0, 0, 1e6),
-		Weight:   f.Float(kindCustomer, "weight", 1, 0.01, 1000),
-		Services: f.Words(kindCustomer, "services"),
+		Name:      name,
+		KeyHashes: f.Words(kindCustomer, "key-hash"),
+		Policy:    f.String(kindCustomer, "policy", ""),
+		Rate:      f.Float(kindCustomer, "rate", 0, 0, 1e6),
+		Weight:    f.Float(kindCustomer, "weight", 1, 0.01, 1000),
+		Services:  f.Words(kindCustomer, "services"),
 	}
 	p.customer = cust
 	cust.Burst = f.Float(kindCustomer, "burst", max(1, cust.Rate), 1, 1e6)
-	if len(cust.Hashes) == 0 {
+	if len(cust.KeyHashes) == 0 {
 		f.Fault(kindCustomer, "key-hash", "must be set")
 	}
-	for _, h := range cust.Hashes {
+	for _, h := range cust.KeyHashes {
 		if raw, err := hex.DecodeString(h); err != nil || len(raw) != 32 {
 			f.Fault(kindCustomer, "key-hash", "%q is not a hex SHA-256", h)
 		}
@@ -84,7 +84,7 @@
 func (p *parsed) readPolicy(name string, f *inifile.File) {
 	pol := &Policy{
 		Name: name,
-		Texts: policy.Texts{
+		Sources: policy.Sources{
 			Priority: f.String(kindPolicy, "priority", ""),
 			Retry:    f.String(kindPolicy, "retry", ""),
 			Move:     f.String(kindPolicy, "move", ""),
@@ -93,8 +93,8 @@
 		SkewPrice:  f.Float(kindPolicy, "skew-price", 1, 0, 1e6),
 		MovePrice:  f.Float(kindPolicy, "move-price", 1, 0, 1e6),
 	}
-	var faults []policy.Fault
-	pol.Programs, faults = policy.New(pol.Texts)
+	var faults []policy.CompileFault
+	pol.Programs, faults = policy.New(pol.Sources)
 	for _, one := range faults {
 		f.Fault(kindPolicy, one.Key, "%s", one.Text)
 	}
@@ -111,7 +111,7 @@
 		s.ExpertBytes = f.Float(kind, "expert-bytes", 50e6, 1, 1e12)
 		s.StoreRate = f.Float(kind, "store-rate", 0, 0, 1e15)
 		s.HourlyBytes = f.Float(kind, "hourly-bytes", 0, 0, 1e18)
-		s.Rebalance = f.Duration(kind, "rebalance-every", 0)
+		s.RebalanceInterval = f.Duration(kind, "rebalance-every", 0)
 		s.Policy = f.String(kind, "policy", "")
 	} else {
 		s.Path = f.Required(kind, "path")
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package published is the configuration that operators publish: customers,
-// policies, model groups and services, as many small INI values under one
-// signed manifest. It parses and judges; it does not fetch, store or spread,
-// and the daemon and the command-line tool run the very same checks.
+// Package published implements the configuration that operators publish: customers, policies, model
+// groups and services, as many small INI values under one signed manifest. It parses and checks the
+// configuration, but does not fetch, store or distribute it. The daemon and the command-line tool run
+// exactly the same checks.
 package published
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/policy"
 )
 
-// Kinds of published keys: the part before the slash.
+// Kinds of published values: the part of a key before the slash.
 const (
 	kindCustomer = "customer"
 	kindPolicy   = "policy"
@@ -25,17 +25,17 @@
 
 // Customer is one caller of the operator's services.
 type Customer struct {
-	Name     string
-	Hashes   []string // Hex SHA-256 of accepted bearer keys.
-	Policy   string
-	Rate     float64 // Requests a second over all entries; 0 means no limit.
-	Burst    float64 // Requests that may come at once.
-	Weight   float64 // Share in the fair queue, above 0.
-	Services []string
+	Name      string
+	KeyHashes []string // Hex SHA-256 hashes of the accepted bearer keys.
+	Policy    string
+	Rate      float64 // Requests per second over all entries; 0 means no limit.
+	Burst     float64 // Requests that may arrive at once.
+	Weight    float64 // Weight in the fair queue, above 0.
+	Services  []string
 }
 
-// May reports whether the customer may call the named service or model.
-func (c *Customer) May(service string) bool {
+// MayCall reports whether the customer may call the named service or model. An empty list of services allows all.
+func (c *Customer) MayCall(service string) bool {
 	if len(c.Services) == 0 {
 		return true
 	}
@@ -47,39 +47,39 @@
 	return false
 }
 
-// Policy is one published policy with its compiled programs.
+// Policy is a published policy with its compiled programs.
 type Policy struct {
 	Name       string
-	Programs   *policy.Set
-	Texts      policy.Texts
+	Programs   *policy.Compiled
+	Sources    policy.Sources
 	RetryShare float64 // Retries allowed per success.
-	SkewPrice  float64 // Value of one percent of step-time skew for an hour.
+	SkewPrice  float64 // Value of one percent of step-time skew for one hour, in the unit of MovePrice.
 	MovePrice  float64 // Price of one gigabyte of moved experts.
 }
 
-// Endpoint is one published slot that a model rank or a service fills.
+// Endpoint is a published slot that a model rank or an instance of a service fills.
 type Endpoint struct {
 	Name   string
 	Domain string // Failure domain.
 	Rank   int    // Rank within the group; 0 for services.
 }
 
-// Service is something callers can ask for: a model group or a plain service.
+// Service is a model group or a plain service.
 type Service struct {
-	Name          string
-	Model         string // Model that the group serves; "" for plain services.
-	Path          string // Path prefix of a plain service; "" for groups.
-	NotRepeatable []string
-	Timeout       time.Duration
-	Endpoints     []Endpoint // Ordered by name.
-	Experts       int        // A layer.
-	Slots         int        // Experts that a rank holds, a layer.
-	Layers        int
-	ExpertBytes   float64
-	StoreRate     float64       // Bytes a second that the weight store gives the group; 0 when not published.
-	HourlyBytes   float64       // Byte budget of moves an hour; 0 for none.
-	Rebalance     time.Duration // Time of a sample of expert load; 0 leaves the map alone.
-	Policy        string        // Whose prices weigh skew against moves.
+	Name              string
+	Model             string // Model that the group serves; "" for plain services.
+	Path              string // Path prefix of a plain service; "" for groups.
+	NotRepeatable     []string
+	Timeout           time.Duration
+	Endpoints         []Endpoint // Ordered by name.
+	Experts           int        // Per layer.
+	Slots             int        // Experts that a rank can hold, per layer.
+	Layers            int
+	ExpertBytes       float64
+	StoreRate         float64       // Bytes per second that the weight store delivers to the group; 0 when not published.
+	HourlyBytes       float64       // Budget of bytes moved per hour; 0 for no limit.
+	RebalanceInterval time.Duration // Sampling interval of the expert load; 0 disables rebalancing.
+	Policy            string        // Policy with the prices that weigh skew against moves.
 }
 
 // IsGroup reports whether s is a group of model ranks.
@@ -95,26 +95,26 @@
 	return true
 }
 
-// Config is one whole generation. A Config is immutable.
+// Config is one complete generation. A Config is immutable.
 type Config struct {
-	version   Version
-	customers map[string]*Customer // By bearer key hash.
-	byName    map[string]*Customer
-	policies  map[string]*Policy
-	services  []*Service // Ordered by name.
-	endpoints map[string]*Service
-	entries   int                // Most entry instances at a time; 0 when not published.
-	parsed    map[string]*parsed // By key: what each value says.
+	version    Version
+	customers  map[string]*Customer // By bearer key hash.
+	byName     map[string]*Customer
+	policies   map[string]*Policy
+	services   []*Service // Ordered by name.
+	endpoints  map[string]*Service
+	maxEntries int                // Maximum number of entry instances at a time; 0 when not published.
+	parsed     map[string]*parsed // By key.
 }
 
-// Entries returns the most entry instances that run at a time; limits are split
-// by it. It is 0 when the operators did not say.
-func (c *Config) Entries() int { return c.entries }
+// MaxEntries returns the maximum number of entry instances that run at a time, by which limits are
+// divided. It is 0 when the operators have not published one.
+func (c *Config) MaxEntries() int { return c.maxEntries }
 
-// Version returns the generation that c is.
+// Version returns the version of the generation c.
 func (c *Config) Version() Version { return c.version }
 
-// CustomerByHash finds the customer of a bearer key hash.
+// CustomerByHash returns the customer of a bearer key hash.
 func (c *Config) CustomerByHash(hash string) (cust *Customer, ok bool) {
 	cust, ok = c.customers[hash]
 	return cust, ok
@@ -126,7 +126,7 @@
 	return cust, ok
 }
 
-// Customers lists every customer once, ordered by name.
+// Customers returns all customers, ordered by name.
 func (c *Config) Customers() []*Customer {
 	list := make([]*Customer, 0, len(c.byName))
 	for _, cust := range c.byName {
@@ -136,8 +136,7 @@
 	return list
 }
 
-// Policy returns the named policy, or an empty one whose programs are the
-// defaults.
+// Policy returns the named policy, or an empty one with the default programs.
 func (c *Config) Policy(name string) *Policy {
 	if p, ok := c.policies[name]; ok {
 		return p
@@ -145,7 +144,7 @@
 	return &Policy{Name: name}
 }
 
-// Groups lists the groups that serve a model.
+// Groups returns the groups that serve a model.
 func (c *Config) Groups(model string) []*Service {
 	var list []*Service
 	for _, s := range c.services {
@@ -156,7 +155,7 @@
 	return list
 }
 
-// ServiceByPath finds the plain service with the longest matching prefix.
+// ServiceByPath returns the plain service with the longest path prefix that matches.
 func (c *Config) ServiceByPath(path string) (s *Service, ok bool) {
 	best := -1
 	for _, one := range c.services {
@@ -167,11 +166,11 @@
 	return s, s != nil
 }
 
-// ServiceOf finds the service that an endpoint belongs to.
+// ServiceOf returns the service that an endpoint belongs to.
 func (c *Config) ServiceOf(endpoint string) (s *Service, ok bool) {
 	s, ok = c.endpoints[endpoint]
 	return s, ok
 }
 
-// Services lists all groups and services, ordered by name.
+// Services returns all groups and plain services, ordered by name.
 func (c *Config) Services() []*Service { return c.services }
--- a/internal/published/published_test.go
+++ b/internal/published/published_test.go
@@ -25,41 +25,41 @@
 	})
 }
 
-func TestNextJudgesAsNewDoes(t *testing.T) {
+func TestNextReportsTheSameFaultsAsNew(t *testing.T) {
 	g := gomega.NewWithT(t)
-	values := design()
+	values := designSizeValues()
 	old, err := New(Version{Generation: 1}, values)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	values["customer/twin.ini"] = values["customer/customer-0003.ini"]
 	values["policy/policy-05.ini"] = []byte("[policy]\nretry = 1\n")
 	delete(values, "policy/policy-06.ini")
-	_, whole := New(Version{Generation: 2}, values)
-	_, next := Next(old, Version{Generation: 2}, values)
-	g.Expect(whole).To(gomega.HaveOccurred())
-	g.Expect(next).To(gomega.MatchError(whole.Error()), "the same faults, in the same order")
+	_, fromNew := New(Version{Generation: 2}, values)
+	_, fromNext := Next(old, Version{Generation: 2}, values)
+	g.Expect(fromNew).To(gomega.HaveOccurred())
+	g.Expect(fromNext).To(gomega.MatchError(fromNew.Error()), "the same faults, in the same order")
 }
 
 func key(seed string) ed25519.PrivateKey {
 	return ed25519.NewKeyFromSeed([]byte(strings.Repeat(seed, ed25519.SeedSize)))
 }
 
-func TestManifestIsTheOperatorsWord(t *testing.T) {
+func TestManifestVerifiesOnlyWhatWasSigned(t *testing.T) {
 	g := gomega.NewWithT(t)
 	values := map[string][]byte{"policy/a.ini": []byte("[policy]\n"), "policy/b.ini": []byte("[policy]\n")}
 	m := Pack(3, "", values, key("a"))
 	pub := key("a").Public().(ed25519.PublicKey)
 	g.Expect(m.Verify(pub)).To(gomega.Succeed())
-	g.Expect(m.Verify(key("b").Public().(ed25519.PublicKey))).NotTo(gomega.Succeed(), "another's key")
+	g.Expect(m.Verify(key("b").Public().(ed25519.PublicKey))).NotTo(gomega.Succeed(), "the key of another operator")
 	changed := m
 	changed.Body.Generation = 4
-	g.Expect(changed.Verify(pub)).NotTo(gomega.Succeed(), "a changed number")
-	again, err := ParseManifest(m.Encode())
+	g.Expect(changed.Verify(pub)).NotTo(gomega.Succeed(), "a changed generation")
+	decoded, err := ParseManifest(m.Encode())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	g.Expect(again.Version()).To(gomega.Equal(m.Version()), "the hash survives the wire")
-	g.Expect(Pack(3, "", values, key("a")).Version()).To(gomega.Equal(m.Version()), "and is the same each time")
+	g.Expect(decoded.Version()).To(gomega.Equal(m.Version()), "the hash does not change with encoding")
+	g.Expect(Pack(3, "", values, key("a")).Version()).To(gomega.Equal(m.Version()), "the hash is deterministic")
 }
 
-func TestDeltaMakesTheWholeAgain(t *testing.T) {
+func TestDeltaRestoresTheManifest(t *testing.T) {
 	values := func(names ...string) map[string][]byte {
 		m := map[string][]byte{}
 		for _, n := range names {
@@ -70,29 +70,29 @@
 	changed := values("a", "b", "c")
 	changed["policy/b"] = []byte("other")
 	for name, pair := range map[string][2]map[string][]byte{
-		"changed":        {values("a", "b", "c"), changed},
-		"added in front": {values("b"), values("a", "b")},
-		"added behind":   {values("a"), values("a", "b", "c")},
-		"dropped":        {values("a", "b", "c"), values("b")},
-		"all new":        {values("a", "b"), values("c", "d")},
-		"the same":       {values("a"), values("a")},
+		"changed":            {values("a", "b", "c"), changed},
+		"added at the front": {values("b"), values("a", "b")},
+		"added at the end":   {values("a"), values("a", "b", "c")},
+		"dropped":            {values("a", "b", "c"), values("b")},
+		"all new":            {values("a", "b"), values("c", "d")},
+		"the same":           {values("a"), values("a")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			old, m := Pack(1, "", pair[0], key("a")), Pack(2, "", pair[1], key("a"))
-			again, err := m.DeltaFrom(old).Apply(old)
+			restored, err := m.DeltaFrom(old).Apply(old)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			g.Expect(again.Version()).To(gomega.Equal(m.Version()))
-			g.Expect(again.Verify(key("a").Public().(ed25519.PublicKey))).To(gomega.Succeed())
+			g.Expect(restored.Version()).To(gomega.Equal(m.Version()))
+			g.Expect(restored.Verify(key("a").Public().(ed25519.PublicKey))).To(gomega.Succeed())
 			_, err = m.DeltaFrom(old).Apply(m)
-			g.Expect(err).To(gomega.HaveOccurred(), "from another manifest")
+			g.Expect(err).To(gomega.HaveOccurred(), "applied to another manifest")
 		})
 	}
 }
 
-// design is a generation of the design size: 1,600 customers, 21 policies, 21
-// groups of 124 endpoints.
-func design() map[string][]byte {
+// designSizeValues returns a generation of the size that the system is designed for: 1,600 customers,
+// 21 policies, and 21 groups of 124 endpoints.
+func designSizeValues() map[string][]byte {
 	values := map[string][]byte{}
 	for i := range 1600 {
 		values[fmt.Sprintf("customer/customer-%04d.ini", i)] = fmt.Appendf(nil,
@@ -110,10 +110,10 @@
 	return values
 }
 
-// BenchmarkDesign measures what a generation of the design size costs to judge
-// and to hold, and what is told of a change of one value.
+// BenchmarkDesign measures the time to parse and check a generation of the design size, the memory that
+// it occupies, and the bytes sent after a change of one value.
 func BenchmarkDesign(b *testing.B) {
-	values := design()
+	values := designSizeValues()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -127,15 +127,15 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	start := time.Now()
-	const again = 20
-	for i := range again {
+	const changes = 20
+	for i := range changes {
 		values["customer/customer-0007.ini"] = fmt.Appendf(nil, "[customer]\nkey-hash = %064x\nrate = %d\n", 7, i)
 		var err error
 		if c, err = Next(c, Version{}, values); err != nil {
 			b.Fatal(err)
 		}
 	}
-	b.ReportMetric(float64(time.Since(start).Microseconds())/1000/again, "ms/change")
+	b.ReportMetric(float64(time.Since(start).Microseconds())/1000/changes, "ms/change")
 	old := Pack(1, "", values, key("a"))
 	values["customer/customer-0007.ini"] = []byte("[customer]\n")
 	m := Pack(2, old.Version().Hash, values, key("a"))
@@ -168,6 +168,6 @@
 	f.Add("policy/a.ini", "[policy\n=\n")
 	f.Add("policy/a.ini", "[policy]\nretry = [1,2].all(x, [1,2].all(y, x == y))\n")
 	f.Fuzz(func(_ *testing.T, name, text string) {
-		_, _ = New(Version{}, map[string][]byte{name: []byte(text)}) // It must return.
+		_, _ = New(Version{}, map[string][]byte{name: []byte(text)}) // Must terminate and not panic.
 	})
 }
--- a/internal/trust/authority.go
+++ b/internal/trust/authority.go
@@ -17,17 +17,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// backdate is how far before its making a certificate is good, so that clocks
-// may differ.
+// backdate is how long before its creation a certificate becomes valid, to tolerate differences between
+// clocks.
 const backdate = time.Minute
 
-// Authority is a small site's certificate authority.
+// Authority is the certificate authority of a small site.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority and returns it also as PEM.
+// NewAuthority creates an authority and returns it together with its PEM encoding.
 func NewAuthority(now time.Time, valid time.Duration) (a *Authority, certPEM, keyPEM []byte, err error) {
 	defer func() { err = errors.Wrap(err, "make authority") }()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -49,7 +49,7 @@
 	return a, certPEM, keyPEM, err
 }
 
-// LoadAuthority reads an authority from PEM.
+// LoadAuthority decodes an authority from PEM.
 func LoadAuthority(certPEM, keyPEM []byte) (a *Authority, err error) {
 	pair, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Issue makes a certificate for a holder.
+// Issue issues a certificate for a holder.
 func (a *Authority) Issue(h Holder, now time.Time, valid time.Duration) (certPEM, keyPEM []byte, err error) {
 	defer func() { err = errors.Wrapf(err, "certificate for %s", h.Name) }()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/trust/trust.go
+++ b/internal/trust/trust.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package trust is the mutual TLS between the system's processes and towards
-// operators. Certificates come from files that are read again when they
-// change. A certificate names its holder in a URI, role and failure domain
-// included; the package judges that name and opens no connections.
+// Package trust configures mutual TLS between the processes of the system and with operators. It reads
+// certificates from files, and reads them again when they change. A certificate names its holder in a
+// URI with role and failure domain. The package verifies that name; it opens no connections.
 package trust
 
 import (
@@ -18,28 +17,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// scheme is the scheme of the URI that names a holder.
-const scheme = "canvaspulley"
+// uriScheme is the scheme of the URI that names the holder of a certificate.
+const uriScheme = "canvaspulley"
 
-// RoleOperator is the role in the certificates of people.
+// RoleOperator is the role in certificates of human operators.
 const RoleOperator = "operator"
 
-// Holder is who a certificate belongs to.
+// Holder is the process or operator that a certificate belongs to.
 type Holder struct {
 	Role   string
 	Domain string // Failure domain; "any" for operators.
 	Name   string
 }
 
-// URI returns the name that goes into a certificate.
+// URI returns the URI that names h in a certificate.
 func (h Holder) URI() *url.URL {
-	return &url.URL{Scheme: scheme, Host: h.Domain, Path: "/" + h.Role + "/" + h.Name}
+	return &url.URL{Scheme: uriScheme, Host: h.Domain, Path: "/" + h.Role + "/" + h.Name}
 }
 
-// HolderOf reads the holder from a certificate.
+// HolderOf returns the holder named in a certificate.
 func HolderOf(c *x509.Certificate) (h Holder, err error) {
 	for _, u := range c.URIs {
-		if u.Scheme != scheme {
+		if u.Scheme != uriScheme {
 			continue
 		}
 		role, name, ok := strings.Cut(strings.TrimPrefix(u.Path, "/"), "/")
@@ -50,11 +49,10 @@
 	return h, errors.New("certificate names no holder")
 }
 
-// Claims checks that the other side of a connection is who its message says: a
-// process speaks for itself only, in its own role and failure domain. Without
-// TLS there is nothing to check.
-func (c *Credentials) Claims(s *tls.ConnectionState, claimed Holder) (err error) {
-	if !c.On() {
+// VerifyClaim checks that the peer of a connection is the sender that its message claims: a process may
+// only send messages in its own name, role and failure domain. Without TLS nothing is checked.
+func (c *Credentials) VerifyClaim(s *tls.ConnectionState, claimed Holder) (err error) {
+	if !c.Enabled() {
 		return nil
 	}
 	if s == nil || len(s.PeerCertificates) == 0 {
@@ -70,42 +68,42 @@
 	return nil
 }
 
-// recheck is how long a read of the files is good for.
-const recheck = time.Second
+// recheckInterval is the minimum time between checks whether the files have changed.
+const recheckInterval = time.Second
 
-// Credentials is what a process shows and asks for. The zero set of files
-// turns TLS off.
+// Credentials holds the certificate that a process presents and the authorities that it requires of
+// peers. Empty file names disable TLS.
 type Credentials struct {
 	ca, cert, key string
 
-	mu     sync.Mutex
-	looked time.Time
-	stamp  time.Time // Newest change among the files when they were read.
-	pair   *tls.Certificate
-	pool   *x509.CertPool
+	mu        sync.Mutex
+	checkedAt time.Time
+	modTime   time.Time // Newest modification time of the files when they were read.
+	pair      *tls.Certificate
+	pool      *x509.CertPool
 }
 
-// Load reads the files; three empty names give credentials without TLS.
+// Load reads the files. Empty file names give credentials without TLS.
 func Load(ca, cert, key string) (c *Credentials, err error) {
 	c = &Credentials{ca: ca, cert: cert, key: key}
-	if !c.On() {
+	if !c.Enabled() {
 		return c, nil
 	}
-	return c, c.read()
+	return c, c.reload()
 }
 
-// On reports whether TLS is in use.
-func (c *Credentials) On() bool { return c.ca != "" }
+// Enabled reports whether TLS is enabled.
+func (c *Credentials) Enabled() bool { return c.ca != "" }
 
-// Scheme returns the URL scheme of peers.
+// Scheme returns the URL scheme for connections to peers.
 func (c *Credentials) Scheme() string {
-	if c.On() {
+	if c.Enabled() {
 		return "https"
 	}
 	return "http"
 }
 
-func (c *Credentials) read() (err error) {
+func (c *Credentials) reload() (err error) {
 	defer func() { err = errors.Wrap(err, "credentials") }()
 	pair, err := tls.LoadX509KeyPair(c.cert, c.key)
 	if err != nil {
@@ -119,11 +117,11 @@
 	if !pool.AppendCertsFromPEM(raw) {
 		return errors.Newf("%s holds no certificate", c.ca)
 	}
-	c.pair, c.pool, c.stamp = &pair, pool, c.newest()
+	c.pair, c.pool, c.modTime = &pair, pool, c.newestModTime()
 	return nil
 }
 
-func (c *Credentials) newest() (t time.Time) {
+func (c *Credentials) newestModTime() (t time.Time) {
 	for _, name := range []string{c.ca, c.cert, c.key} {
 		if fi, err := os.Stat(name); err == nil && fi.ModTime().After(t) {
 			t = fi.ModTime()
@@ -132,28 +130,28 @@
 	return t
 }
 
-// current returns the credentials, read again if the files have changed. Files
-// that cannot be read leave the old credentials in use.
+// current returns the certificate and the pool of authorities, read again if the files have changed. If
+// a file cannot be read, the previous ones stay in use.
 func (c *Credentials) current() (pair *tls.Certificate, pool *x509.CertPool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := time.Now(); now.Sub(c.looked) > recheck {
-		c.looked = now
-		if c.newest().After(c.stamp) {
-			_ = c.read()
+	if now := time.Now(); now.Sub(c.checkedAt) > recheckInterval {
+		c.checkedAt = now
+		if c.newestModTime().After(c.modTime) {
+			_ = c.reload()
 		}
 	}
 	return c.pair, c.pool
 }
 
-// Client returns the TLS settings towards peers, nil without TLS.
+// Client returns the TLS configuration for connections to peers, or nil without TLS.
 func (c *Credentials) Client() *tls.Config {
-	if !c.On() {
+	if !c.Enabled() {
 		return nil
 	}
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
-		InsecureSkipVerify: true, // verify below checks the chain and the holder instead of a host name.
+		InsecureSkipVerify: true, // verify checks the chain and the holder instead of a host name.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			pair, _ := c.current()
 			return pair, nil
@@ -164,10 +162,10 @@
 	}
 }
 
-// Server returns the TLS settings of a listener that lets in the given roles;
-// nil without TLS. refused is told of each connection that is turned away.
-func (c *Credentials) Server(refused func(error), roles ...string) *tls.Config {
-	if !c.On() {
+// Server returns the TLS configuration of a listener that accepts the given roles, or nil without TLS.
+// onRefused is called for each connection whose certificate verify refuses.
+func (c *Credentials) Server(onRefused func(error), roles ...string) *tls.Config {
+	if !c.Enabled() {
 		return nil
 	}
 	return &tls.Config{
@@ -180,14 +178,14 @@
 		VerifyConnection: func(s tls.ConnectionState) error {
 			err := c.verify(s, x509.ExtKeyUsageClientAuth, roles...)
 			if err != nil {
-				refused(err)
+				onRefused(err)
 			}
 			return err
 		},
 	}
 }
 
-// verify checks the chain, the dates and the holder of the other side.
+// verify checks the chain, the validity period and the role of the peer's certificate.
 func (c *Credentials) verify(s tls.ConnectionState, usage x509.ExtKeyUsage, roles ...string) (err error) {
 	defer func() { err = errors.Wrap(err, "peer refused") }()
 	if len(s.PeerCertificates) == 0 {
@@ -211,5 +209,5 @@
 			return nil
 		}
 	}
-	return errors.Newf("role %q of %s is not let in here", h.Role, h.Name)
+	return errors.Newf("role %q of %s is not accepted here", h.Role, h.Name)
 }
--- a/internal/trust/trust_test.go
+++ b/internal/trust/trust_test.go
@@ -18,7 +18,7 @@
 	"github.com/onsi/gomega"
 )
 
-// issue writes a holder's certificate and the CA's to a folder and returns the
+// issue writes a holder's certificate and the CA certificate to a directory and returns the
 // credentials.
 func issue(t *testing.T, dir string, ca *Authority, caPEM []byte, h Holder, from time.Time, valid time.Duration) *Credentials {
 	t.Helper()
@@ -41,8 +41,7 @@
 	return ca, pem
 }
 
-// listen serves with the credentials and returns the address and the count of
-// refusals.
+// listen starts a server with the credentials and returns its URL and the number of refused connections.
 func listen(t *testing.T, c *Credentials, roles ...string) (url string, refused *atomic.Int32) {
 	t.Helper()
 	refused = &atomic.Int32{}
@@ -65,7 +64,7 @@
 	return err
 }
 
-func TestEachWrongCredentialAtEachListener(t *testing.T) {
+func TestListenersRefuseWrongCredentials(t *testing.T) {
 	ca, pem := newAuthority(t)
 	foreign, foreignPEM := newAuthority(t)
 	server := issue(t, t.TempDir(), ca, pem, Holder{"endpoint", "krk-a", "agent"}, time.Now(), time.Hour)
@@ -79,7 +78,7 @@
 		"no holder": issue(t, t.TempDir(), ca, pem, Holder{"", "", "nobody"}, now, time.Hour).Client(),
 		"nothing":   {InsecureSkipVerify: true},
 	}
-	clients["foreign"].VerifyConnection = nil // Whoever breaks in does not mind who is there.
+	clients["foreign"].VerifyConnection = nil // An attacker does not verify the server.
 	for listener, roles := range map[string][]string{"peers": {"entry", "endpoint"}, "operators": {RoleOperator}} {
 		url, refused := listen(t, server, roles...)
 		for name, cfg := range clients {
@@ -92,29 +91,29 @@
 					return
 				}
 				g.Expect(err).To(gomega.HaveOccurred())
-				if name != "nothing" { // Without a certificate TLS itself refuses.
-					g.Expect(refused.Load()).To(gomega.Equal(before+1), "each refusal is told")
+				if name != "nothing" { // Without a certificate the TLS handshake fails before verify.
+					g.Expect(refused.Load()).To(gomega.Equal(before+1), "onRefused is called for each refusal")
 				}
 			})
 		}
 	}
 }
 
-func TestAProcessSpeaksForItselfOnly(t *testing.T) {
+func TestClaimMustMatchTheCertificate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ca, pem := newAuthority(t)
 	mine := Holder{"entry", "krk-a", "entry"}
 	c := issue(t, t.TempDir(), ca, pem, mine, time.Now(), time.Hour)
 	pair, _ := c.current()
 	s := &tls.ConnectionState{PeerCertificates: []*x509.Certificate{pair.Leaf}}
-	g.Expect(c.Claims(s, mine)).To(gomega.Succeed())
+	g.Expect(c.VerifyClaim(s, mine)).To(gomega.Succeed())
 	for _, other := range []Holder{{"entry", "krk-b", "entry"}, {"endpoint", "krk-a", "entry"}, {"entry", "krk-a", "other"}, {}} {
-		g.Expect(c.Claims(s, other)).NotTo(gomega.Succeed())
+		g.Expect(c.VerifyClaim(s, other)).NotTo(gomega.Succeed())
 	}
-	g.Expect(c.Claims(nil, mine)).NotTo(gomega.Succeed())
+	g.Expect(c.VerifyClaim(nil, mine)).NotTo(gomega.Succeed())
 }
 
-func TestClientRefusesAWrongServer(t *testing.T) {
+func TestClientRefusesWrongServer(t *testing.T) {
 	ca, pem := newAuthority(t)
 	foreign, foreignPEM := newAuthority(t)
 	client := issue(t, t.TempDir(), ca, pem, Holder{"entry", "krk-a", "entry"}, time.Now(), time.Hour).Client()
@@ -129,7 +128,7 @@
 	}
 }
 
-func TestCertificatesAreReadAgain(t *testing.T) {
+func TestCertificatesAreReloaded(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ca, pem := newAuthority(t)
 	dir := t.TempDir()
@@ -139,7 +138,7 @@
 	later := time.Now().Add(time.Minute)
 	g.Expect(os.Chtimes(filepath.Join(dir, "agent.crt"), later, later)).To(gomega.Succeed())
 	server.mu.Lock()
-	server.looked = time.Time{}
+	server.checkedAt = time.Time{}
 	server.mu.Unlock()
 	second, _ := server.current()
 	g.Expect(second.Leaf.SerialNumber).NotTo(gomega.Equal(first.Leaf.SerialNumber))
@@ -147,8 +146,8 @@
 	later = later.Add(time.Minute)
 	g.Expect(os.Chtimes(filepath.Join(dir, "agent.crt"), later, later)).To(gomega.Succeed())
 	server.mu.Lock()
-	server.looked = time.Time{}
+	server.checkedAt = time.Time{}
 	server.mu.Unlock()
 	third, _ := server.current()
-	g.Expect(third.Leaf.SerialNumber).To(gomega.Equal(second.Leaf.SerialNumber), "a faulty file leaves the old one in use")
+	g.Expect(third.Leaf.SerialNumber).To(gomega.Equal(second.Leaf.SerialNumber), "the old certificate stays in use while the file is invalid")
 }
