--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -29,12 +29,12 @@
 
 // Intervals and capacities that are not configurable.
 const (
-	tickInterval    = 50 * time.Millisecond
-	stateInterval   = 250 * time.Millisecond
-	attemptWindow   = 2 * time.Minute
-	attemptCapacity = 200000
-	maxAnswerBytes  = 16 << 20
-	agePerStep      = 2 * time.Second
+	tickInterval         = 50 * time.Millisecond
+	observeInterval      = 250 * time.Millisecond // Between reads of the engine's report.
+	attemptWindow        = 2 * time.Minute        // How long attempts are remembered.
+	attemptCapacity      = 200000                 // Number of attempts remembered.
+	maxStoredAnswerBytes = 16 << 20               // Total of the answers stored for idempotency keys.
+	waitPerPriority      = 2 * time.Second        // Waiting time that raises the priority of a request by one.
 )
 
 // Agent forwards requests to one endpoint, an engine or a plain service.
@@ -77,7 +77,7 @@
 		service: service,
 		queue: admit.New(admit.Config{
 			Capacity: set.Queue, MinLimit: set.MinLimit, MaxLimit: set.MaxLimit,
-			StepTarget: target, AgePerStep: agePerStep,
+			StepTarget: target, AgePerStep: waitPerPriority,
 		}),
 		attempts: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: attemptWindow, Capacity: attemptCapacity,
@@ -85,7 +85,7 @@
 		}),
 		keys: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyWindow,
-			Capacity: set.Keys, AnswerBytes: maxAnswerBytes,
+			Capacity: set.Keys, AnswerBytes: maxStoredAnswerBytes,
 		}),
 		waiting:       map[string]chan decision{},
 		stepChangedAt: n.Started(),
@@ -171,7 +171,7 @@
 
 // observe polls the engine's report and detects when its group stalls.
 func (a *Agent) observe(ctx context.Context) error {
-	return wait.Every(ctx, stateInterval, func() {
+	return wait.Every(ctx, observeInterval, func() {
 		call, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
 		s, err := a.engine.State(call)
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -208,7 +208,7 @@
 	return 0, false
 }
 
-// runCoordinator sends the coordinator's orders until the coordinator is over or ctx ends.
+// runCoordinator sends the coordinator's orders until its switch is over or ctx ends.
 func (m *mapController) runCoordinator(ctx context.Context, s *published.Service, c mapswitch.Coordinator, next rebalance.Map) mapswitch.Coordinator {
 	started := time.Now()
 	for !c.Over() && ctx.Err() == nil {
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -119,9 +119,9 @@
 // its slot. A process that starts waits for the same time.
 func (n *Node) Lease() time.Duration { return 3 * n.cfg.GossipInterval }
 
-// HoldsLease reports whether the process may act for its slot: it has exchanged messages with a
-// peer, or had no peer to contact, within the lease, it is not superseded, and the lease of an earlier process
-// in its slot has expired.
+// HoldsLease reports whether the process may give orders for its slot: it has exchanged messages with a
+// peer, or had no peer to contact, within the lease, it is not superseded, and the lease of an earlier
+// process in its slot has expired.
 func (n *Node) HoldsLease(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -139,8 +139,8 @@
 	}
 	var relays []member.Member
 	duty.Locked(&n.mu, func() { relays = n.table.Helpers(target.Name, rand.Uint64()) })
-	for _, h := range relays {
-		if n.probeVia(ctx, h.Address, target.Address) == nil {
+	for _, relay := range relays {
+		if n.probeVia(ctx, relay.Address, target.Address) == nil {
 			return
 		}
 	}
@@ -235,7 +235,7 @@
 	})
 	n.recordChanges(changes)
 	if refuted {
-		n.pushToPeers() // Before the peers that believe it declare this process dead.
+		n.pushToPeers() // Reaches peers before they declare this process dead.
 	}
 	if leaving {
 		n.Leave("a peer reports this process as leaving")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -48,7 +48,7 @@
 const (
 	Starting chart.State = "starting"
 	Serving  chart.State = "serving"
-	Doubting chart.State = "doubting" // Paused before; admits nothing until a peer has confirmed its state.
+	Doubting chart.State = "doubting" // The process was paused; it admits nothing until it has contacted a peer.
 	Draining chart.State = "draining"
 	Stopped  chart.State = "stopped"
 )
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -22,7 +22,7 @@
 	DefaultPriority = 0
 	DefaultRetry    = false
 	DefaultMove     = true
-	// MaxPriority is the highest priority; higher results of a program are reduced to it.
+	// MaxPriority is the highest priority; results of a program are limited to the range from 0 to it.
 	MaxPriority = 100
 )
 
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -67,9 +67,9 @@
 // Service is a model group or a plain service.
 type Service struct {
 	Name              string
-	Model             string // Model that the group serves; "" for plain services.
-	Path              string // Path prefix of a plain service; "" for groups.
-	NotRepeatable     []string
+	Model             string   // Model that the group serves; "" for plain services.
+	Path              string   // Path prefix of a plain service; "" for groups.
+	NotRepeatable     []string // HTTP methods whose calls must not run more than once.
 	Timeout           time.Duration
 	Endpoints         []Endpoint // Ordered by name.
 	Experts           int        // Per layer.
