--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -77,15 +77,15 @@
 		service: service,
 		queue: admit.New(admit.Config{
 			Capacity: set.Queue, MinLimit: set.MinLimit, MaxLimit: set.MaxLimit,
-			StepTarget: target, AgePerStep: waitPerPriority,
+			StepTarget: target, AgingInterval: waitPerPriority,
 		}),
 		attempts: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: attemptWindow, Capacity: attemptCapacity,
-			SentOnce: true,
+			NeverResent: true,
 		}),
 		keys: once.New(once.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyWindow,
-			Capacity: set.Keys, AnswerBytes: maxStoredAnswerBytes,
+			Capacity: set.Keys, MaxAnswerBytes: maxStoredAnswerBytes,
 		}),
 		waiting:       map[string]chan decision{},
 		stepChangedAt: n.Started(),
@@ -166,7 +166,7 @@
 	if r.Reason == admit.ReasonDeadline {
 		status = http.StatusGatewayTimeout
 	}
-	return wire.Refuse(status, r.After, string(r.Reason))
+	return wire.Refuse(status, r.RetryAfter, string(r.Reason))
 }
 
 // observe polls the engine's report and detects when its group stalls.
@@ -185,7 +185,7 @@
 		if err == nil && s.Step != a.step {
 			a.step, a.stepChangedAt = s.Step, now
 			stepTime := time.Duration(s.StepMS * float64(time.Millisecond))
-			a.notify(a.queue.Observe(stepTime, now))
+			a.notify(a.queue.ObserveStep(stepTime, now))
 		}
 		wasStalled := a.stalled
 		a.stalled = now.Sub(a.stepChangedAt) >= a.node.Settings().StallAfter
@@ -212,7 +212,7 @@
 		Running:          a.queue.Running(),
 		Queued:           a.queue.Waiting(),
 		ConcurrencyLimit: a.queue.Limit(),
-		MeanStepMS:       float64(a.queue.Step()) / float64(time.Millisecond),
+		MeanStepMS:       float64(a.queue.StepTime()) / float64(time.Millisecond),
 		StepNumber:       a.step,
 		Stalled:          a.stalled,
 		BackoffMS:        a.remainingBackoff().Milliseconds(),
@@ -222,7 +222,9 @@
 
 // backoffKey returns the key of the endpoint in backoffs. It has no start time, because the agent does not
 // distinguish successive processes of its endpoint.
-func (a *Agent) backoffKey() backoff.Life { return backoff.Life{Name: a.node.Settings().Endpoint} }
+func (a *Agent) backoffKey() backoff.Process {
+	return backoff.Process{Name: a.node.Settings().Endpoint}
+}
 
 // recordBackoff records that the endpoint asked to be sent nothing for the time d.
 func (a *Agent) recordBackoff(d time.Duration) {
@@ -230,7 +232,7 @@
 		return
 	}
 	var began bool
-	duty.Locked(&a.mu, func() { began = a.backoffs.Rest(a.backoffKey(), d, clock.Now()) })
+	duty.Locked(&a.mu, func() { began = a.backoffs.Backoff(a.backoffKey(), d, clock.Now()) })
 	if began {
 		a.count("endpoint.rests")
 		a.node.Log().Info("endpoint requests backoff", zap.Duration("for", d))
@@ -239,7 +241,7 @@
 
 // remainingBackoff returns the time until the endpoint's backoff ends. The caller holds mu.
 func (a *Agent) remainingBackoff() time.Duration {
-	remaining, _ := a.backoffs.Resting(a.backoffKey(), clock.Now())
+	remaining, _ := a.backoffs.BackingOff(a.backoffKey(), clock.Now())
 	return remaining
 }
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -138,7 +138,7 @@
 		if block != nil {
 			<-block
 		}
-		return adapter.Reply{Status: http.StatusOK, Type: "text/plain", Body: []byte("paid")}, err
+		return adapter.Reply{Status: http.StatusOK, MediaType: "text/plain", Body: []byte("paid")}, err
 	}}
 }
 
@@ -203,7 +203,7 @@
 
 func TestNotRunIsNeverReportedAfterTheSend(t *testing.T) {
 	g := gomega.NewWithT(t)
-	unreachable := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")})
+	unreachable := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleUseTransport("")})
 	b := newHarness(t, nil, nil, unreachable)
 	env := call(ident.NewKey(b.endpoint).String())
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "no listener, so nothing was sent")
@@ -217,7 +217,7 @@
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(srv.Close)
-	b = newHarness(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")}))
+	b = newHarness(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleUseTransport("")}))
 	g.Expect(b.send(call(""), "").outcome).To(gomega.Equal(wire.Unknown))
 	g.Expect(counting.count()).To(gomega.Equal(1))
 }
--- a/internal/agent/ended_test.go
+++ b/internal/agent/ended_test.go
@@ -77,10 +77,10 @@
 				base := abortingEndpoint(t, ends, tc.head)
 				var a answer
 				if tc.engine {
-					b := newHarness(t, nil, adapter.NewEngine(base, &http.Client{Transport: adapter.NewSingleTransport("")}), nil)
+					b := newHarness(t, nil, adapter.NewEngine(base, &http.Client{Transport: adapter.NewSingleUseTransport("")}), nil)
 					a = b.send(wire.Envelope{Kind: wire.KindStream, Customer: "c"}, string(generate))
 				} else {
-					once := &http.Client{Transport: adapter.NewSingleTransport("")}
+					once := &http.Client{Transport: adapter.NewSingleUseTransport("")}
 					b := newHarness(t, nil, nil, adapter.NewService(base, once, once))
 					a = b.send(call(""), "x")
 				}
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -116,7 +116,7 @@
 	version, ok := m.switchMap(ctx, s, plan.Map)
 	if ok {
 		m.maps = map[uint64]rebalance.Map{version: plan.Map}
-		m.planner.Switched()
+		m.planner.MapSwitched()
 		m.agent.node.Trail().Add(audit.MapSwitch, s.Name,
 			fmt.Sprintf("version %d decided: %d expert transfers, expected gain %.1f%% of the step time", version, plan.Transfers, 100*plan.Gain))
 	}
@@ -163,7 +163,7 @@
 }
 
 // ownRankState reads the state of the agent's own rank. The order has ballot 0 and raises no fence.
-func (m *mapController) ownRankState(ctx context.Context) (r mapswitch.Rank, ok bool) {
+func (m *mapController) ownRankState(ctx context.Context) (r mapswitch.RankState, ok bool) {
 	reply, err := m.agent.engine.Order(ctx, adapter.MapOrder{Order: mapswitch.Order{Kind: mapswitch.Ask}})
 	if err != nil {
 		return r, false
@@ -211,9 +211,9 @@
 // runCoordinator sends the coordinator's orders until its switch is over or ctx ends.
 func (m *mapController) runCoordinator(ctx context.Context, s *published.Service, c mapswitch.Coordinator, next rebalance.Map) mapswitch.Coordinator {
 	started := time.Now()
-	for !c.Over() && ctx.Err() == nil {
+	for !c.Ended() && ctx.Err() == nil {
 		if time.Since(started) > undecidedTimeout {
-			if aborted, aborts, ok := c.GiveUp(); ok {
+			if aborted, aborts, ok := c.AbortSwitch(); ok {
 				m.sendOrders(ctx, s, aborts, nil) // A rank that misses the abort is released by the next ballot.
 				return aborted
 			}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -257,10 +257,10 @@
 // A stored answer is replayed unchanged.
 func keyRefusal(v once.Verdict, answer *once.Answer) *wire.Refusal {
 	switch v {
-	case once.Repeat:
+	case once.Replay:
 		return &wire.Refusal{Outcome: wire.Done, Status: answer.Status, Reason: "answer of the first run",
 			Replay: &wire.Replay{ContentType: answer.Type, Body: answer.Body}}
-	case once.Busy:
+	case once.InProgress:
 		r := wire.Doubt(http.StatusConflict, "a request with this key is running")
 		r.RetryAfterMS = time.Second.Milliseconds()
 		return r
@@ -342,11 +342,11 @@
 		a.attempts.Deny(j.attemptID)
 		a.keys.Release(j.keyName)
 	case stateDone:
-		a.attempts.Lose(j.attemptID)
-		a.keys.Lose(j.keyName) // No effect if the answer was stored.
+		a.attempts.SetOutcomeUnknown(j.attemptID)
+		a.keys.SetOutcomeUnknown(j.keyName) // No effect if the answer was stored.
 	case stateUnknown:
-		a.attempts.Lose(j.attemptID)
-		a.keys.Lose(j.keyName)
+		a.attempts.SetOutcomeUnknown(j.attemptID)
+		a.keys.SetOutcomeUnknown(j.keyName)
 	}
 }
 
@@ -368,8 +368,8 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), j.timeout())
 	defer cancel()
 	reply, err := a.service.Do(ctx, adapter.Call{
-		Method: j.env.Method, Path: j.env.Path, Type: j.env.ContentType, Key: j.env.Key,
-		Body: j.body, Once: j.env.NoRetry,
+		Method: j.env.Method, Path: j.env.Path, MediaType: j.env.ContentType, Key: j.env.Key,
+		Body: j.body, SendOnce: j.env.NoRetry,
 	})
 	switch {
 	case adapter.NotSent(err):
@@ -383,15 +383,15 @@
 		a.refuse(w, doubt)
 		return
 	}
-	a.recordBackoff(reply.Rest)
-	j.storeAnswer(once.Answer{Status: reply.Status, Type: reply.Type, Body: reply.Body})
+	a.recordBackoff(reply.Backoff)
+	j.storeAnswer(once.Answer{Status: reply.Status, Type: reply.MediaType, Body: reply.Body})
 	j.applyFinal(eventFinish)
 	a.count("calls.done")
 	h := w.Header()
 	h.Set(wire.HeaderOutcome, string(wire.Done))
 	h.Set(wire.HeaderRequest, j.attemptID)
 	h.Set(wire.HeaderLoad, wire.EncodeLoad(a.Load()))
-	h.Set("Content-Type", reply.Type)
+	h.Set("Content-Type", reply.MediaType)
 	h.Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
 	_, _ = w.Write(reply.Body) // The entry may have disconnected; the outcome is stored.
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -34,7 +34,7 @@
 	switch {
 	case adapter.NotSent(err) || adapter.Status(err) == http.StatusServiceUnavailable:
 		j.applyFinal(eventRefuse)
-		backoffTime := adapter.Rest(err)
+		backoffTime := adapter.Backoff(err)
 		a.recordBackoff(backoffTime)
 		a.refuse(w, wire.Refuse(http.StatusServiceUnavailable, cmp.Or(backoffTime, time.Second), "engine cannot be reached or takes nothing"))
 		return true
--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -36,9 +36,9 @@
 
 // Refusal is a request that was given up, and when to come back.
 type Refusal struct {
-	Request Request
-	Reason  Reason
-	After   time.Duration
+	Request    Request
+	Reason     Reason
+	RetryAfter time.Duration
 }
 
 // Actions is what the caller must do: start these, refuse those, at once.
@@ -49,11 +49,11 @@
 
 // Config bounds a Queue.
 type Config struct {
-	Capacity   int           // Waiting requests held at most.
-	MinLimit   int           // Lowest concurrency the limit falls to, at least 1.
-	MaxLimit   int           // Highest concurrency.
-	StepTarget time.Duration // Step time above which concurrency falls; 0 keeps it fixed.
-	AgePerStep time.Duration // Waiting time that raises the priority by one.
+	Capacity      int           // Waiting requests held at most.
+	MinLimit      int           // Lowest concurrency the limit falls to, at least 1.
+	MaxLimit      int           // Highest concurrency.
+	StepTarget    time.Duration // Step time above which concurrency falls; 0 keeps it fixed.
+	AgingInterval time.Duration // Waiting time that raises the priority by one.
 }
 
 // hold smoothing and adaptation constants.
@@ -100,8 +100,8 @@
 // Limit returns the present concurrency limit.
 func (q *Queue) Limit() int { return int(q.limit) }
 
-// Step returns the running mean of the step time.
-func (q *Queue) Step() time.Duration { return q.step }
+// StepTime returns the running mean of the step time.
+func (q *Queue) StepTime() time.Duration { return q.step }
 
 // Offer takes in a request and returns what to do now. The request itself is
 // in Start or in Refuse, or waits.
@@ -204,9 +204,9 @@
 	return a
 }
 
-// Observe takes in the time of one engine step and adapts the limit to it. A
+// ObserveStep takes in the time of one engine step and adapts the limit to it. A
 // lower limit cuts nothing that runs.
-func (q *Queue) Observe(step time.Duration, now time.Time) (a Actions) {
+func (q *Queue) ObserveStep(step time.Duration, now time.Time) (a Actions) {
 	if q.step == 0 {
 		q.step = step
 	}
@@ -230,10 +230,10 @@
 
 // aged is the priority of r, raised with the time it has waited.
 func (q *Queue) aged(r Request, now time.Time) int {
-	if q.cfg.AgePerStep <= 0 {
+	if q.cfg.AgingInterval <= 0 {
 		return r.Priority
 	}
-	return r.Priority + int(now.Sub(r.Arrived)/q.cfg.AgePerStep)
+	return r.Priority + int(now.Sub(r.Arrived)/q.cfg.AgingInterval)
 }
 
 // before reports whether a goes before b.
--- a/internal/decide/admit/admit_test.go
+++ b/internal/decide/admit/admit_test.go
@@ -45,7 +45,7 @@
 func TestOrder(t *testing.T) {
 	check := func(name string, want []string, offer func(q *Queue)) {
 		t.Run(name, func(t *testing.T) {
-			q := full(Config{Capacity: 100, AgePerStep: time.Second})
+			q := full(Config{Capacity: 100, AgingInterval: time.Second})
 			offer(q)
 			gomega.NewWithT(t).Expect(order(q, start.Add(10*time.Millisecond))).To(gomega.Equal(want))
 		})
@@ -76,7 +76,7 @@
 
 func TestBatchEndsAtLast(t *testing.T) {
 	g := gomega.NewWithT(t)
-	q := full(Config{Capacity: 100, AgePerStep: time.Second})
+	q := full(Config{Capacity: 100, AgingInterval: time.Second})
 	q.Offer(request("batch", "a"), start)
 	now := start.Add(10 * time.Second)
 	r := request("kiosk", "b")
@@ -115,7 +115,7 @@
 	a := q.Offer(request("b1", "b"), start)
 	g.Expect(a.Refuse).To(gomega.HaveLen(1))
 	g.Expect(a.Refuse[0].Request.ID).To(gomega.Equal("a3"))
-	g.Expect(a.Refuse[0].After).To(gomega.BeNumerically(">", 0), "told when to come back")
+	g.Expect(a.Refuse[0].RetryAfter).To(gomega.BeNumerically(">", 0), "told when to come back")
 }
 
 func TestDeadlineThatCannotBeMetIsRefusedAtOnce(t *testing.T) {
@@ -143,7 +143,7 @@
 	// Each sequence adds a millisecond to the step: 44 fit.
 	for range 400 {
 		now = now.Add(100 * time.Millisecond)
-		q.Observe(time.Duration(q.Running())*time.Millisecond, now)
+		q.ObserveStep(time.Duration(q.Running())*time.Millisecond, now)
 		for q.Running() > q.Limit() {
 			for id := range q.running {
 				q.Done(id, now)
@@ -163,7 +163,7 @@
 	now := start
 	for range 50 {
 		now = now.Add(time.Second)
-		g.Expect(q.Observe(time.Second, now).Refuse).To(gomega.BeEmpty())
+		g.Expect(q.ObserveStep(time.Second, now).Refuse).To(gomega.BeEmpty())
 	}
 	g.Expect(q.Limit()).To(gomega.BeNumerically("<", 8))
 	g.Expect(q.Running()).To(gomega.Equal(8))
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -17,16 +17,16 @@
 	trialTime = 10 * time.Second
 )
 
-// Life is one run of an endpoint's process.
-type Life struct {
-	Name string
-	Born int64 // Unix milliseconds; 0 when not told.
+// Process is one run of an endpoint's process.
+type Process struct {
+	Name  string
+	Start int64 // Unix milliseconds; 0 when not told.
 }
 
 // said reports whether what the endpoint of the life's name said at a moment was said by that
 // life or a later one. An answer may come of a life that is not listed yet.
-func (l Life) said(at time.Time) bool {
-	return !at.IsZero() && (l.Born == 0 || at.UnixMilli() >= l.Born)
+func (l Process) said(at time.Time) bool {
+	return !at.IsZero() && (l.Start == 0 || at.UnixMilli() >= l.Start)
 }
 
 // pause is what is known of the endpoint of one name.
@@ -56,10 +56,10 @@
 	return p
 }
 
-// Rest takes in that an endpoint wants nothing for so long. It reports false where it rests
+// Backoff takes in that an endpoint wants nothing for so long. It reports false where it rests
 // already.
-func (s *Set) Rest(l Life, d time.Duration, now time.Time) (news bool) {
-	_, resting := s.Resting(l, now)
+func (s *Set) Backoff(l Process, d time.Duration, now time.Time) (news bool) {
+	_, resting := s.BackingOff(l, now)
 	p := s.of(l.Name)
 	if !l.said(p.restedAt) {
 		p.until, p.trial = time.Time{}, false // Of an earlier life.
@@ -72,22 +72,22 @@
 	return !resting
 }
 
-// Leave takes in that an endpoint leaves. It reports false where that is known.
-func (s *Set) Leave(l Life, now time.Time) (news bool) {
+// MarkLeaving takes in that an endpoint leaves. It reports false where that is known.
+func (s *Set) MarkLeaving(l Process, now time.Time) (news bool) {
 	news = !s.Leaving(l)
 	s.of(l.Name).leftAt = now
 	return news
 }
 
-// Sent notes that a request goes to an endpoint.
-func (s *Set) Sent(l Life, now time.Time) {
+// RecordSent notes that a request goes to an endpoint.
+func (s *Set) RecordSent(l Process, now time.Time) {
 	if p := s.by[l.Name]; p != nil && p.trial {
 		p.until = now.Add(trialTime)
 	}
 }
 
-// Answered takes in an answer that asks for no rest, to a request that was sent at a moment.
-func (s *Set) Answered(l Life, sentAt time.Time) {
+// RecordAnswer takes in an answer that asks for no rest, to a request that was sent at a moment.
+func (s *Set) RecordAnswer(l Process, sentAt time.Time) {
 	// A trial ends trialTime after it was sent.
 	if p := s.by[l.Name]; p != nil && p.trial && !sentAt.Before(p.until.Add(-trialTime)) {
 		p.trial, p.until = false, sentAt
@@ -95,13 +95,13 @@
 }
 
 // Leaving reports whether an endpoint has said that it leaves.
-func (s *Set) Leaving(l Life) bool {
+func (s *Set) Leaving(l Process) bool {
 	p := s.by[l.Name]
 	return p != nil && l.said(p.leftAt)
 }
 
-// Resting returns how much is left of an endpoint's rest; ok is false when it rests no more.
-func (s *Set) Resting(l Life, now time.Time) (left time.Duration, ok bool) {
+// BackingOff returns how much is left of an endpoint's rest; ok is false when it rests no more.
+func (s *Set) BackingOff(l Process, now time.Time) (left time.Duration, ok bool) {
 	p := s.by[l.Name]
 	if p == nil || !l.said(p.restedAt) || !now.Before(p.until) {
 		return 0, false
--- a/internal/decide/backoff/backoff_test.go
+++ b/internal/decide/backoff/backoff_test.go
@@ -14,11 +14,11 @@
 }
 
 // one is the only life of an endpoint.
-var one = Life{Name: "i-1"}
+var one = Process{Name: "i-1"}
 
 func assertResting(t *testing.T, s *Set, now, left float64) {
 	t.Helper()
-	got, ok := s.Resting(one, at(now))
+	got, ok := s.BackingOff(one, at(now))
 	NewWithT(t).Expect(ok).To(Equal(left > 0))
 	NewWithT(t).Expect(got.Seconds()).To(BeNumerically("~", left, 0.001))
 }
@@ -26,12 +26,12 @@
 func TestARestLastsAsLongAsTheLastOneThatWasAskedFor(t *testing.T) {
 	g := NewWithT(t)
 	s := New()
-	g.Expect(s.Rest(one, 3*time.Second, at(0))).To(BeTrue())
-	g.Expect(s.Rest(one, time.Second, at(1))).To(BeFalse(), "it rests already")
+	g.Expect(s.Backoff(one, 3*time.Second, at(0))).To(BeTrue())
+	g.Expect(s.Backoff(one, time.Second, at(1))).To(BeFalse(), "it rests already")
 	assertResting(t, s, 1, 2)
-	g.Expect(s.Rest(one, 3*time.Second, at(1))).To(BeFalse())
+	g.Expect(s.Backoff(one, 3*time.Second, at(1))).To(BeFalse())
 	assertResting(t, s, 1, 3)
-	s.Answered(one, at(0.5)) // Of a request that was under way.
+	s.RecordAnswer(one, at(0.5)) // Of a request that was under way.
 	assertResting(t, s, 3.9, 0.1)
 	assertResting(t, s, 4, 0)
 	s.Forget(func(string) bool { return true }, at(4))
@@ -42,23 +42,23 @@
 	longest := longestRest.Seconds()
 	trial := trialTime.Seconds()
 	s := New()
-	s.Rest(one, 365*24*time.Hour, at(0))
+	s.Backoff(one, 365*24*time.Hour, at(0))
 	assertResting(t, s, longest-1, 1)
 	assertResting(t, s, longest, 0)
 	s.Forget(func(string) bool { return true }, at(longest))
-	s.Sent(one, at(longest))
+	s.RecordSent(one, at(longest))
 	assertResting(t, s, longest, trial)
-	s.Answered(one, at(longest-1)) // Sent before.
+	s.RecordAnswer(one, at(longest-1)) // Sent before.
 	assertResting(t, s, longest, trial)
 	t.Run("no answer", func(t *testing.T) {
 		assertResting(t, s, longest+trial, 0)
-		s.Sent(one, at(longest+trial))
+		s.RecordSent(one, at(longest+trial))
 		assertResting(t, s, longest+trial, trial)
 	})
 	t.Run("answered", func(t *testing.T) {
-		s.Answered(one, at(longest+trial))
+		s.RecordAnswer(one, at(longest+trial))
 		assertResting(t, s, longest+trial, 0)
-		s.Sent(one, at(longest+trial))
+		s.RecordSent(one, at(longest+trial))
 		assertResting(t, s, longest+trial, 0)
 	})
 }
@@ -66,9 +66,9 @@
 func TestLeavingIsForGood(t *testing.T) {
 	g := NewWithT(t)
 	s := New()
-	g.Expect(s.Leave(one, at(0))).To(BeTrue())
-	g.Expect(s.Leave(one, at(0))).To(BeFalse())
-	s.Answered(one, at(1))
+	g.Expect(s.MarkLeaving(one, at(0))).To(BeTrue())
+	g.Expect(s.MarkLeaving(one, at(0))).To(BeFalse())
+	s.RecordAnswer(one, at(1))
 	s.Forget(func(string) bool { return true }, at(1e6))
 	g.Expect(s.Leaving(one)).To(BeTrue())
 	resting, leaving := s.Counts(at(1))
@@ -81,15 +81,15 @@
 // Guards against requests to an endpoint that leaves whose second life was listed only after an
 // answer of it had said so.
 func TestWhatALifeAsksForHoldsUntilALaterOne(t *testing.T) {
-	born := func(seconds float64) Life { return Life{Name: "i-1", Born: at(seconds).UnixMilli()} }
+	born := func(seconds float64) Process { return Process{Name: "i-1", Start: at(seconds).UnixMilli()} }
 	for _, tc := range []struct {
 		name string
-		ask  func(s *Set, l Life, now time.Time) bool
-		asks func(s *Set, l Life, now time.Time) bool
+		ask  func(s *Set, l Process, now time.Time) bool
+		asks func(s *Set, l Process, now time.Time) bool
 	}{
-		{"leaving", func(s *Set, l Life, now time.Time) bool { return s.Leave(l, now) }, func(s *Set, l Life, _ time.Time) bool { return s.Leaving(l) }},
-		{"rest", func(s *Set, l Life, now time.Time) bool { return s.Rest(l, time.Minute, now) }, func(s *Set, l Life, now time.Time) bool {
-			_, ok := s.Resting(l, now)
+		{"leaving", func(s *Set, l Process, now time.Time) bool { return s.MarkLeaving(l, now) }, func(s *Set, l Process, _ time.Time) bool { return s.Leaving(l) }},
+		{"rest", func(s *Set, l Process, now time.Time) bool { return s.Backoff(l, time.Minute, now) }, func(s *Set, l Process, now time.Time) bool {
+			_, ok := s.BackingOff(l, now)
 			return ok
 		}},
 	} {
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -15,15 +15,15 @@
 
 // Load is what an endpoint's report says.
 type Load struct {
-	Born    int64         // When the life that tells it began, Unix milliseconds; 0 when not told.
-	Running int           // Requests at work.
-	Waiting int           // Requests in its queue.
-	Group   string        // Of ranks that stand and fall together; "" for none.
-	Epoch   uint64        // Of the group; another one when it has formed anew.
-	Closed  bool          // It serves nothing now, as when its group is broken.
-	Pass    time.Duration // Time between two events of its streams; 0 when not told.
-	Pace    float64       // Above 1 when it is slow; 0 when not told.
-	At      time.Time     // When the report was made, by this process's clock.
+	StartedAt int64         // When the life that tells it began, Unix milliseconds; 0 when not told.
+	Running   int           // Requests at work.
+	Waiting   int           // Requests in its queue.
+	Group     string        // Of ranks that stand and fall together; "" for none.
+	Epoch     uint64        // Of the group; another one when it has formed anew.
+	Closed    bool          // It serves nothing now, as when its group is broken.
+	PassTime  time.Duration // Time between two events of its streams; 0 when not told.
+	Slowdown  float64       // Above 1 when it is slow; 0 when not told.
+	At        time.Time     // When the report was made, by this process's clock.
 }
 
 // Times and limits of judgement.
@@ -94,13 +94,13 @@
 // reports false for one of an earlier life, which is left out.
 func (t *Table) Report(id string, l Load) (counts bool) {
 	e := t.of(id)
-	switch fleet.CompareLives(e.born, l.Born) {
+	switch fleet.CompareIncarnations(e.born, l.StartedAt) {
 	case -1:
 		return false
 	case 1:
 		*e = endpoint{own: e.own}
 	}
-	e.born = max(e.born, l.Born)
+	e.born = max(e.born, l.StartedAt)
 	if l.At.Before(e.load.At) {
 		return true
 	}
@@ -139,17 +139,17 @@
 	return max(e.load.Running+e.load.Waiting+e.own-e.ownThen, e.own)
 }
 
-// Age returns how long ago an endpoint's load was told; ok is false when it never was.
-func (t *Table) Age(id string, now time.Time) (age time.Duration, ok bool) {
+// LoadAge returns how long ago an endpoint's load was told; ok is false when it never was.
+func (t *Table) LoadAge(id string, now time.Time) (age time.Duration, ok bool) {
 	at := t.of(id).load.At
 	return now.Sub(at), !at.IsZero()
 }
 
-// Busy estimates the requests at an endpoint.
-func (t *Table) Busy(id string, now time.Time) int { return t.of(id).busy(now) }
+// Outstanding estimates the requests at an endpoint.
+func (t *Table) Outstanding(id string, now time.Time) int { return t.of(id).busy(now) }
 
-// Down reports whether every candidate whose load is known serves nothing now.
-func (t *Table) Down(list []Candidate, now time.Time) bool {
+// AllClosed reports whether every candidate whose load is known serves nothing now.
+func (t *Table) AllClosed(list []Candidate, now time.Time) bool {
 	known := false
 	for _, c := range list {
 		e := t.of(c.ID)
@@ -164,8 +164,8 @@
 	return known
 }
 
-// Heard returns when one of the candidates was last heard, zero when none ever was.
-func (t *Table) Heard(list []Candidate) (at time.Time) {
+// LastReport returns when one of the candidates was last heard, zero when none ever was.
+func (t *Table) LastReport(list []Candidate) (at time.Time) {
 	for _, c := range list {
 		if e := t.by[c.ID]; e != nil && e.load.At.After(at) {
 			at = e.load.At
@@ -201,8 +201,8 @@
 	return serving, len(open) > 0
 }
 
-// LastWord returns when any endpoint was last heard, zero when none ever was.
-func (t *Table) LastWord() (at time.Time) {
+// LastReportOfAny returns when any endpoint was last heard, zero when none ever was.
+func (t *Table) LastReportOfAny() (at time.Time) {
 	for _, e := range t.by {
 		if e.load.At.After(at) {
 			at = e.load.At
@@ -237,8 +237,8 @@
 	e.weighed = now
 }
 
-// Good notes an outcome that an endpoint is not to blame for.
-func (t *Table) Good(id string, now time.Time) {
+// RecordSuccess notes an outcome that an endpoint is not to blame for.
+func (t *Table) RecordSuccess(id string, now time.Time) {
 	e := t.of(id)
 	e.age(now)
 	e.good++
@@ -249,9 +249,9 @@
 	}
 }
 
-// Bad notes a failure that an endpoint is to blame for. Weight is 1 for a plain
+// RecordFailure notes a failure that an endpoint is to blame for. Weight is 1 for a plain
 // failure. It reports whether the endpoint is taken out, and for how long.
-func (t *Table) Bad(id string, weight float64, now time.Time) (out time.Duration, ok bool) {
+func (t *Table) RecordFailure(id string, weight float64, now time.Time) (out time.Duration, ok bool) {
 	e := t.of(id)
 	e.age(now)
 	e.bad += weight
@@ -271,9 +271,9 @@
 	return out, true
 }
 
-// Misplaced notes that another endpoint answers at an endpoint's address: it is
+// MarkMisplaced notes that another endpoint answers at an endpoint's address: it is
 // out until the list tells of the change.
-func (t *Table) Misplaced(id string, now time.Time) {
+func (t *Table) MarkMisplaced(id string, now time.Time) {
 	e := t.of(id)
 	e.outUntil = now.Add(misplacedOut)
 	e.gone = true
@@ -290,13 +290,13 @@
 
 // Candidate is an endpoint that may be chosen.
 type Candidate struct {
-	ID    string
-	Near  bool // In the failure domain of the process.
-	Slow  bool // Still cold after its start.
-	Paced bool // It is cold and bears few requests a second.
-	Spent bool // It is paced and has got all that this process may send to it for now.
-	Slots int  // Requests that it runs at once; 0 when not told.
-	Base  int  // Requests whose work equals that of a pass without any; 0 where there are no passes.
+	ID          string
+	SameDomain  bool // In the failure domain of the process.
+	Cold        bool // Still cold after its start.
+	ColdLimited bool // It is cold and bears few requests a second.
+	BudgetSpent bool // It is paced and has got all that this process may send to it for now.
+	Slots       int  // Requests that it runs at once; 0 when not told.
+	FixedCost   int  // Requests whose work equals that of a pass without any; 0 where there are no passes.
 }
 
 // Pick returns the index of the least busy candidate that is not out and not spent, ok
@@ -315,7 +315,7 @@
 	if !ok {
 		index, ok = t.least(list, random, now, false)
 	}
-	if ok && list[index].Base > 0 {
+	if ok && list[index].FixedCost > 0 {
 		index = t.fill(list, index, random, now)
 	}
 	return index, ok
@@ -356,7 +356,7 @@
 	for i, c := range list {
 		e := t.of(c.ID)
 		s := t.score(e, c, now)
-		if c.Spent || i != least && (s < floor || s >= floor+slowScore/2 || now.Before(e.outUntil) || e.trial && e.own > 0) {
+		if c.BudgetSpent || i != least && (s < floor || s >= floor+slowScore/2 || now.Before(e.outUntil) || e.trial && e.own > 0) {
 			continue
 		}
 		scores = append(scores, s)
@@ -395,7 +395,7 @@
 	best, ties := 0, 0
 	for i, c := range list {
 		e := t.of(c.ID)
-		if c.Spent || e.gone && now.Before(e.outUntil) {
+		if c.BudgetSpent || e.gone && now.Before(e.outUntil) {
 			continue
 		}
 		if judge && (now.Before(e.outUntil) || e.trial && e.own > 0) {
@@ -429,16 +429,16 @@
 func (t *Table) score(e *endpoint, c Candidate, now time.Time) int {
 	fresh := now.Sub(e.load.At) <= reportAge
 	busy := e.busy(now)
-	if c.Base > 0 && (!fresh || c.Paced) {
+	if c.FixedCost > 0 && (!fresh || c.ColdLimited) {
 		// What is not heard, and what is empty since it has just started, gets no more
 		// than its part of the work.
 		busy = max(busy, t.usual)
 	}
 	s := busy * scoreUnit
-	if fresh && e.load.Pace > 1 {
+	if fresh && e.load.Slowdown > 1 {
 		// A slow rank holds up every pass of its group, even with little to do.
-		s = int(float64(s+scoreUnit*(1+c.Base))*min(e.load.Pace, slowestScore)) - scoreUnit*(1+c.Base)
-		if c.Base > 0 && e.load.Pace*float64(c.Base) > float64(c.Base+c.Slots) {
+		s = int(float64(s+scoreUnit*(1+c.FixedCost))*min(e.load.Slowdown, slowestScore)) - scoreUnit*(1+c.FixedCost)
+		if c.FixedCost > 0 && e.load.Slowdown*float64(c.FixedCost) > float64(c.FixedCost+c.Slots) {
 			s += slowScore // Even idle it takes longer than the others when full.
 		}
 	}
@@ -448,10 +448,10 @@
 	if at, ok := t.closed[e.load.Group]; ok && !fresh && now.Sub(at) <= reportAge {
 		s += silentScore // Its group is down, and it cannot even be heard.
 	}
-	if !c.Near {
+	if !c.SameDomain {
 		s += farScore
 	}
-	if c.Slow || c.Paced {
+	if c.Cold || c.ColdLimited {
 		s += coldScore
 	}
 	return s
--- a/internal/decide/balance/balance_test.go
+++ b/internal/decide/balance/balance_test.go
@@ -43,12 +43,12 @@
 	table := New()
 	table.Start("a")
 	table.Report("a", Load{Running: 5, At: start})
-	g.Expect(table.Busy("a", start)).To(Equal(5))
+	g.Expect(table.Outstanding("a", start)).To(Equal(5))
 	table.Start("a")
-	g.Expect(table.Busy("a", start)).To(Equal(6))
+	g.Expect(table.Outstanding("a", start)).To(Equal(6))
 	table.End("a")
 	table.End("a")
-	g.Expect(table.Busy("a", start)).To(Equal(4))
+	g.Expect(table.Outstanding("a", start)).To(Equal(4))
 }
 
 func TestFailuresTakeAnEndpointOutAndATrialBringsItBack(t *testing.T) {
@@ -58,17 +58,17 @@
 	table.Start("b")
 	table.Start("c")
 	for range failLimit - 1 {
-		_, out := table.Bad("a", 1, start)
+		_, out := table.RecordFailure("a", 1, start)
 		g.Expect(out).To(BeFalse())
 	}
-	d, out := table.Bad("a", 1, start)
+	d, out := table.RecordFailure("a", 1, start)
 	g.Expect(out).To(BeTrue())
 	g.Expect(picked(g, table, list, start)).NotTo(Equal("a"))
 	back := start.Add(d + time.Millisecond)
 	g.Expect(picked(g, table, list, back)).To(Equal("a"))
 	table.Start("a")
 	g.Expect(picked(g, table, list, back)).NotTo(Equal("a"), "one trial at a time")
-	longer, out := table.Bad("a", 1, back)
+	longer, out := table.RecordFailure("a", 1, back)
 	g.Expect(out).To(BeTrue(), "the trial failed")
 	g.Expect(longer).To(BeNumerically(">", d))
 }
@@ -79,7 +79,7 @@
 	list := candidates("a", "b")
 	for _, id := range []string{"a", "b"} {
 		for range failLimit {
-			table.Bad(id, 1, start)
+			table.RecordFailure(id, 1, start)
 		}
 	}
 	_, ok := table.Pick(list, first, start)
@@ -89,7 +89,7 @@
 func TestMisplacedEndpointsAreNeverTried(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
-	table.Misplaced("a", start)
+	table.MarkMisplaced("a", start)
 	_, ok := table.Pick(candidates("a"), first, start)
 	g.Expect(ok).To(BeFalse())
 }
@@ -106,8 +106,8 @@
 func TestASlowRankGetsNothingWhileOthersAreThere(t *testing.T) {
 	g := NewWithT(t)
 	table := New()
-	list := []Candidate{{ID: "slow", Slots: 12, Base: 5}, {ID: "a", Slots: 12, Base: 5}, {ID: "b", Slots: 12, Base: 5}}
-	table.Report("slow", Load{Pace: 5, At: start})
+	list := []Candidate{{ID: "slow", Slots: 12, FixedCost: 5}, {ID: "a", Slots: 12, FixedCost: 5}, {ID: "b", Slots: 12, FixedCost: 5}}
+	table.Report("slow", Load{Slowdown: 5, At: start})
 	table.Report("a", Load{Running: 12, Waiting: 8, At: start})
 	table.Report("b", Load{Running: 12, Waiting: 8, At: start})
 	r := rand.New(rand.NewPCG(1, 1))
@@ -126,7 +126,7 @@
 	loads := []int{2, 6, 6, 7, 7, 8, 5, 6, 6, 7, 6, 6}
 	for i, n := range loads {
 		id := string(rune('a' + i))
-		list = append(list, Candidate{ID: id, Slots: 12, Base: 5})
+		list = append(list, Candidate{ID: id, Slots: 12, FixedCost: 5})
 		table.Report(id, Load{Running: n, At: start})
 	}
 	r := rand.New(rand.NewPCG(1, 1))
@@ -176,7 +176,7 @@
 			for id, l := range tc.loads {
 				b.Report(id, l)
 			}
-			NewWithT(t).Expect(b.Down(list, now)).To(Equal(tc.want))
+			NewWithT(t).Expect(b.AllClosed(list, now)).To(Equal(tc.want))
 		})
 	}
 }
@@ -188,18 +188,18 @@
 	now := time.Now()
 	table := New()
 	for range 5 {
-		table.Bad("one", 1, now)
+		table.RecordFailure("one", 1, now)
 	}
 	list := []Candidate{{ID: "one"}, {ID: "two"}, {ID: "three"}}
-	table.Report("one", Load{Born: 5, At: now})
+	table.Report("one", Load{StartedAt: 5, At: now})
 	table.Report("two", Load{Running: 1, At: now})
 	table.Report("three", Load{Running: 1, At: now})
 	i, ok := table.Pick(list, func(int) int { return 0 }, now)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(list[i].ID).NotTo(Equal("one"), "it is out")
-	g.Expect(table.Report("one", Load{Born: 7, At: now})).To(BeTrue())
+	g.Expect(table.Report("one", Load{StartedAt: 7, At: now})).To(BeTrue())
 	i, _ = table.Pick(list, func(int) int { return 0 }, now)
 	g.Expect(list[i].ID).To(Equal("one"))
-	g.Expect(table.Report("one", Load{Born: 5, Running: 99, At: now.Add(time.Second)})).To(BeFalse())
-	g.Expect(table.Busy("one", now)).To(BeZero())
+	g.Expect(table.Report("one", Load{StartedAt: 5, Running: 99, At: now.Add(time.Second)})).To(BeFalse())
+	g.Expect(table.Outstanding("one", now)).To(BeZero())
 }
--- a/internal/decide/balance/outage.go
+++ b/internal/decide/balance/outage.go
@@ -37,7 +37,7 @@
 type outages struct {
 	down   map[string]outage    // By group.
 	opened map[string]time.Time // Since when a group is heard to serve; those that ever were.
-	took   estimate.Time
+	took   estimate.Estimator
 }
 
 func newOutages() outages {
@@ -89,9 +89,9 @@
 	return ok && now.Sub(at) < openSurge
 }
 
-// Opens returns when the first of the groups of the candidates, which are all down, is
+// ExpectedOpen returns when the first of the groups of the candidates, which are all down, is
 // expected to serve again.
-func (t *Table) Opens(list []Candidate, now time.Time) (at time.Time) {
+func (t *Table) ExpectedOpen(list []Candidate, now time.Time) (at time.Time) {
 	for _, c := range list {
 		group := t.of(c.ID).load.Group
 		if group == "" {
--- a/internal/decide/balance/outage_test.go
+++ b/internal/decide/balance/outage_test.go
@@ -16,7 +16,7 @@
 
 // opensAfter returns how long after start the group is expected to open.
 func opensAfter(t *Table, now time.Duration) time.Duration {
-	return t.Opens(candidates("a"), start.Add(now)).Sub(start)
+	return t.ExpectedOpen(candidates("a"), start.Add(now)).Sub(start)
 }
 
 func TestWhenAGroupIsExpectedToOpen(t *testing.T) {
--- a/internal/decide/cold/cold.go
+++ b/internal/decide/cold/cold.go
@@ -15,10 +15,10 @@
 
 import "time"
 
-// Terms is what is published of the cold endpoints of a service.
-type Terms struct {
-	Time time.Duration // For which one is cold after a start.
-	Rate float64       // Requests a second that it bears meanwhile, from all gateways; 0 for no bound.
+// Params is what is published of the cold endpoints of a service.
+type Params struct {
+	Period time.Duration // For which one is cold after a start.
+	Rate   float64       // Requests a second that it bears meanwhile, from all gateways; 0 for no bound.
 }
 
 // fewestSenders is among how many gateways the rate is shared at least: one that has
@@ -47,26 +47,26 @@
 // SetSenders tells among how many gateways, this one among them, endpoints share.
 func (p *Pacer) SetSenders(n int) { p.senders = max(n, fewestSenders) }
 
-// Told takes in that an endpoint said it stays cold for so long.
-func (p *Pacer) Told(id string, left time.Duration, now time.Time) {
+// MarkCold takes in that an endpoint said it stays cold for so long.
+func (p *Pacer) MarkCold(id string, left time.Duration, now time.Time) {
 	if until := now.Add(left); left > 0 && until.After(p.until[id]) {
 		p.until[id] = until
 	}
 }
 
-// Began takes in that an endpoint, or each rank of a group, may have started just now:
+// Started takes in that an endpoint, or each rank of a group, may have started just now:
 // it is taken as cold for as long as a start makes it.
-func (p *Pacer) Began(name string, t Terms, now time.Time) { p.Told(name, t.Time, now) }
+func (p *Pacer) Started(name string, t Params, now time.Time) { p.MarkCold(name, t.Period, now) }
 
-// Opened takes in the epoch that a group says it is open in. In another one than before
+// RecordGroupOpen takes in the epoch that a group says it is open in. In another one than before
 // the group has formed anew, which follows from the start of at least one of its ranks.
-func (p *Pacer) Opened(group string, epoch uint64, t Terms, now time.Time) {
+func (p *Pacer) RecordGroupOpen(group string, epoch uint64, t Params, now time.Time) {
 	if group == "" || t.Rate <= 0 {
 		return
 	}
 	if had, ok := p.epochs[group]; !ok || had != epoch {
 		p.epochs[group] = epoch
-		p.Began(group, t, now)
+		p.Started(group, t, now)
 	}
 }
 
@@ -75,14 +75,14 @@
 	return now.Before(p.until[id]) || group != "" && now.Before(p.until[group])
 }
 
-// Due reports whether this gateway may send one more request to a cold endpoint.
+// MaySend reports whether this gateway may send one more request to a cold endpoint.
 // Random returns a number from 0 up to 1.
-func (p *Pacer) Due(id string, t Terms, random func() float64, now time.Time) bool {
+func (p *Pacer) MaySend(id string, t Params, random func() float64, now time.Time) bool {
 	return t.Rate <= 0 || p.part(id, t, random, now).tokens >= 1
 }
 
-// Sent notes that a request goes to a cold endpoint.
-func (p *Pacer) Sent(id string, t Terms, random func() float64, now time.Time) {
+// RecordSent notes that a request goes to a cold endpoint.
+func (p *Pacer) RecordSent(id string, t Params, random func() float64, now time.Time) {
 	if t.Rate > 0 {
 		p.part(id, t, random, now).tokens--
 	}
@@ -94,12 +94,12 @@
 const paceShare = 0.8
 
 // Rate returns how many requests a second this gateway may send to a cold endpoint.
-func (p *Pacer) Rate(t Terms) float64 { return paceShare * t.Rate / float64(p.senders) }
+func (p *Pacer) Rate(t Params) float64 { return paceShare * t.Rate / float64(p.senders) }
 
 // part brings what may be sent to an endpoint up to date. It begins with a part of a
 // request that chance gives: with whole ones, as many requests as there are gateways
 // would come at once, which is more than an endpoint bears in a second.
-func (p *Pacer) part(id string, t Terms, random func() float64, now time.Time) *part {
+func (p *Pacer) part(id string, t Params, random func() float64, now time.Time) *part {
 	at, ok := p.parts[id]
 	if !ok {
 		at = &part{tokens: random(), at: now}
--- a/internal/decide/cold/cold_test.go
+++ b/internal/decide/cold/cold_test.go
@@ -13,7 +13,7 @@
 
 var (
 	start = time.Unix(1000, 0)
-	terms = Terms{Time: 3 * time.Second, Rate: 23}
+	terms = Params{Period: 3 * time.Second, Rate: 23}
 )
 
 func half() float64 { return 0.5 }
@@ -26,22 +26,22 @@
 		cold  bool
 	}{
 		{"nothing is told", func(*Pacer) {}, 0, false},
-		{"it says so", func(p *Pacer) { p.Told("a", time.Second, start) }, 900 * time.Millisecond, true},
-		{"it said so", func(p *Pacer) { p.Told("a", time.Second, start) }, time.Second, false},
+		{"it says so", func(p *Pacer) { p.MarkCold("a", time.Second, start) }, 900 * time.Millisecond, true},
+		{"it said so", func(p *Pacer) { p.MarkCold("a", time.Second, start) }, time.Second, false},
 		{"a later word does not shorten what was told", func(p *Pacer) {
-			p.Began("a", terms, start)
-			p.Told("a", 0, start)
+			p.Started("a", terms, start)
+			p.MarkCold("a", 0, start)
 		}, 2 * time.Second, true},
-		{"its group is heard for the first time", func(p *Pacer) { p.Opened("g", 4, terms, start) }, time.Second, true},
+		{"its group is heard for the first time", func(p *Pacer) { p.RecordGroupOpen("g", 4, terms, start) }, time.Second, true},
 		{"its group formed anew", func(p *Pacer) {
-			p.Opened("g", 4, terms, start.Add(-time.Minute))
-			p.Opened("g", 5, terms, start)
+			p.RecordGroupOpen("g", 4, terms, start.Add(-time.Minute))
+			p.RecordGroupOpen("g", 5, terms, start)
 		}, time.Second, true},
 		{"its group goes on", func(p *Pacer) {
-			p.Opened("g", 4, terms, start.Add(-time.Minute))
-			p.Opened("g", 4, terms, start)
+			p.RecordGroupOpen("g", 4, terms, start.Add(-time.Minute))
+			p.RecordGroupOpen("g", 4, terms, start)
 		}, time.Second, false},
-		{"its service knows no cold endpoints", func(p *Pacer) { p.Opened("g", 4, Terms{}, start) }, 0, false},
+		{"its service knows no cold endpoints", func(p *Pacer) { p.RecordGroupOpen("g", 4, Params{}, start) }, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := New()
@@ -54,15 +54,15 @@
 func TestAPartIsNeverMoreThanARequestAhead(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	one := Terms{Time: terms.Time, Rate: 23 / paceShare} // One request a second each.
+	one := Params{Period: terms.Period, Rate: 23 / paceShare} // One request a second each.
 	p.SetSenders(23)
-	g.Expect(p.Due("a", one, half, start)).To(BeFalse())
+	g.Expect(p.MaySend("a", one, half, start)).To(BeFalse())
 	g.Expect(p.Rate(one)).To(BeNumerically("~", 1, 1e-9))
 	later := start.Add(time.Minute)
-	g.Expect(p.Due("a", one, half, later)).To(BeTrue())
-	p.Sent("a", one, half, later)
-	g.Expect(p.Due("a", one, half, later.Add(900*time.Millisecond))).To(BeFalse())
-	g.Expect(p.Due("a", one, half, later.Add(time.Second))).To(BeTrue())
+	g.Expect(p.MaySend("a", one, half, later)).To(BeTrue())
+	p.RecordSent("a", one, half, later)
+	g.Expect(p.MaySend("a", one, half, later.Add(900*time.Millisecond))).To(BeFalse())
+	g.Expect(p.MaySend("a", one, half, later.Add(time.Second))).To(BeTrue())
 }
 
 // play has gateways that started together send to one endpoint as much as each may, and
@@ -78,8 +78,8 @@
 	for ms := range 4000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		for _, p := range pacers {
-			if p.Due("a", terms, chance, now) {
-				p.Sent("a", terms, chance, now)
+			if p.MaySend("a", terms, chance, now) {
+				p.RecordSent("a", terms, chance, now)
 				arrived = append(arrived, now)
 			}
 		}
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -53,39 +53,39 @@
 // Machine drives the map of one group in one epoch. The zero value is of no
 // use; New makes one.
 type Machine struct {
-	Ranks   int
-	Self    int
-	absence Absence
-	Epoch   uint64
-	Fence   uint64
-	Phase   Phase
-	Version uint64 // Of the switch under way.
-	Step    uint64 // Pass at which it comes into force.
-	Newest  uint64 // Highest version heard of.
-	done    []bool // Ranks that have confirmed the phase.
-	clear   rank.Arming
-	held    []uint64 // By rank, what is to be let go.
-	layout  [][][]int
+	Ranks          int
+	Self           int
+	absence        Absence
+	Epoch          uint64
+	Fence          uint64
+	Phase          Phase
+	Version        uint64 // Of the switch under way.
+	Step           uint64 // Pass at which it comes into force.
+	HighestVersion uint64 // Highest version heard of.
+	done           []bool // Ranks that have confirmed the phase.
+	clear          rank.Arming
+	held           []uint64 // By rank, what is to be let go.
+	layout         [][][]int
 
 	conflicts int  // Holds refused in this switch.
 	spent     bool // Version was taken back: an order to do so may still come late, so it is not armed again.
 
-	Gained int // Switches that came into force.
-	GaveUp int
+	Completed int // Switches that came into force.
+	Aborted   int
 }
 
-// None is no rank.
-const None = -1
+// NoRank is no rank.
+const NoRank = -1
 
 // Absence is what is known of the leader before, if it alone does not answer.
 type Absence struct {
-	Rank  int         // None when all answer.
-	Sure  bool        // Armed is sure, and the rank will not be armed from now on.
-	Armed rank.Arming // Of its own rank; zero when it is not armed.
+	Rank        int         // None when all answer.
+	ArmingKnown bool        // Armed is sure, and the rank will not be armed from now on.
+	Armed       rank.Arming // Of its own rank; zero when it is not armed.
 }
 
-// Nobody is absent.
-var Nobody = Absence{Rank: None}
+// NoAbsence is absent.
+var NoAbsence = Absence{Rank: NoRank}
 
 // Holder returns the rank at which a leader holds passes, and which arms the
 // leader's own: the one that leads after it, should it fail.
@@ -107,7 +107,7 @@
 func (m *Machine) enter(p Phase) {
 	m.Phase = p
 	m.done = make([]bool, m.Ranks)
-	if m.absence.Rank != None {
+	if m.absence.Rank != NoRank {
 		m.done[m.absence.Rank] = true
 	}
 }
@@ -216,7 +216,7 @@
 func (m *Machine) holdLater() {
 	m.conflicts++
 	if m.conflicts > mostConflicts {
-		m.GaveUp++
+		m.Aborted++
 		m.enter(Settling)
 		return
 	}
@@ -246,7 +246,7 @@
 		m.enter(Going)
 		m.onlyHolder()
 	case Going:
-		m.Gained++
+		m.Completed++
 		m.enter(Settling)
 	case Undoing:
 		m.enter(Freeing)
@@ -284,7 +284,7 @@
 		if r.Epoch != m.Epoch || !r.Open {
 			return false
 		}
-		m.Newest = max(m.Newest, r.Map, r.Prepared, r.Armed.Version)
+		m.HighestVersion = max(m.HighestVersion, r.Map, r.Prepared, r.Armed.Version)
 	}
 	if m.Phase == Settling || m.Phase == Ready {
 		m.settle(reports)
@@ -312,9 +312,9 @@
 		}
 	}
 	switch {
-	case m.absence.Rank != None && !m.mayEnd(armed == asked, held):
+	case m.absence.Rank != NoRank && !m.mayEnd(armed == asked, held):
 		return
-	case m.absence.Rank != None && armed == asked && m.absence.Armed != m.clear:
+	case m.absence.Rank != NoRank && armed == asked && m.absence.Armed != m.clear:
 		m.enter(Clearing)
 	case armed > 0 && armed < asked && held > 0:
 		m.enter(Clearing)
@@ -337,11 +337,11 @@
 	if holds != 1 || m.held[Holder(m.absence.Rank)] == 0 {
 		return false
 	}
-	return !allArmed || m.absence.Sure
+	return !allArmed || m.absence.ArmingKnown
 }
 
-// Absent returns the rank that was absent when the machine was made, or None.
-func (m *Machine) Absent() int { return m.absence.Rank }
+// AbsentRank returns the rank that was absent when the machine was made, or None.
+func (m *Machine) AbsentRank() int { return m.absence.Rank }
 
 // alike reports whether all ranks tell the same map.
 func (m *Machine) alike(reports []rank.Report) bool {
@@ -353,8 +353,8 @@
 	return true
 }
 
-// Copied reports whether every rank has the prepared map's experts.
-func (m *Machine) Copied(reports []rank.Report) bool {
+// AllPrepared reports whether every rank has the prepared map's experts.
+func (m *Machine) AllPrepared(reports []rank.Report) bool {
 	for _, r := range reports {
 		if r.Prepared != m.Version || m.Version == 0 || m.spent {
 			return false
@@ -363,18 +363,18 @@
 	return true
 }
 
-// Begin prepares a map, given by set and rank, from Ready.
-func (m *Machine) Begin(version uint64, layout [][][]int) {
-	if m.Phase != Ready || version <= m.Newest {
+// StartPreparing prepares a map, given by set and rank, from Ready.
+func (m *Machine) StartPreparing(version uint64, layout [][][]int) {
+	if m.Phase != Ready || version <= m.HighestVersion {
 		return
 	}
-	m.Version, m.layout, m.Newest = version, layout, version
+	m.Version, m.layout, m.HighestVersion = version, layout, version
 	m.spent = false
 	m.enter(Preparing)
 }
 
-// Switch brings the prepared map into force at a pass, from Ready.
-func (m *Machine) Switch(step uint64) {
+// SwitchAt brings the prepared map into force at a pass, from Ready.
+func (m *Machine) SwitchAt(step uint64) {
 	if m.Phase != Ready || m.spent {
 		return
 	}
@@ -384,14 +384,14 @@
 	m.onlyHolder()
 }
 
-// GiveUp takes an arming that does not come to an end back.
-func (m *Machine) GiveUp() {
+// Abort takes an arming that does not come to an end back.
+func (m *Machine) Abort() {
 	switch m.Phase {
 	case Preparing:
-		m.GaveUp++
+		m.Aborted++
 		m.enter(Settling)
 	case Holding: // A hold whose answer was lost may stand: it is let go.
-		m.GaveUp++
+		m.Aborted++
 		m.enter(Freeing)
 		m.onlyHolder()
 	case Arming:
@@ -400,7 +400,7 @@
 }
 
 func (m *Machine) giveUp() {
-	m.GaveUp++
+	m.Aborted++
 	m.spent = true
 	m.Fence++ // Armings that are still on their way are refused from here on.
 	m.enter(Undoing)
--- a/internal/decide/cutover/search_test.go
+++ b/internal/decide/cutover/search_test.go
@@ -53,7 +53,7 @@
 }
 
 // absence is what the second leader, which is that rank, says of the first.
-func (o ownArming) absence() Absence { return Absence{Rank: 0, Sure: !o.lost, Armed: o.armed} }
+func (o ownArming) absence() Absence { return Absence{Rank: 0, ArmingKnown: !o.lost, Armed: o.armed} }
 
 // story tells the states that led to w.
 func (w *world) story() (s string) {
@@ -143,7 +143,7 @@
 func (w *world) key() string {
 	s := fmt.Sprint(w.step, w.epoch, w.restart, w.ranks, w.late, w.asleep, w.own, w.budget, w.began, w.newest)
 	for _, m := range w.leaders {
-		s += fmt.Sprint(m.Self, m.Epoch, m.absence, m.Fence, m.Phase, m.Version, m.Step, m.Newest, m.done, m.clear, m.held, m.spent)
+		s += fmt.Sprint(m.Self, m.Epoch, m.absence, m.Fence, m.Phase, m.Version, m.Step, m.HighestVersion, m.done, m.clear, m.held, m.spent)
 	}
 	return s
 }
@@ -196,7 +196,7 @@
 	if w.budget > 0 && i == 0 && len(w.leaders) == 1 { // It stops for a while and another one takes over.
 		c := w.clone()
 		c.budget--
-		c.leaders = append(c.leaders, New(searchRanks, second, Nobody, w.leaders[0].Epoch, c.leaders[0].Fence+10))
+		c.leaders = append(c.leaders, New(searchRanks, second, NoAbsence, w.leaders[0].Epoch, c.leaders[0].Fence+10))
 		list = append(list, c)
 		c = w.clone() // The same with its instance, which another one notices.
 		c.budget--
@@ -211,12 +211,12 @@
 	}
 	if m := w.leaders[i]; m.Epoch != w.epoch { // It sees the new epoch at some time, and goes on until then.
 		c := w.clone()
-		c.leaders[i] = New(searchRanks, m.Self, Nobody, w.epoch, m.Fence+10)
+		c.leaders[i] = New(searchRanks, m.Self, NoAbsence, w.epoch, m.Fence+10)
 		list = append(list, c)
 	}
-	if m := w.leaders[i]; m.Absent() != None && !w.asleep { // It answers again: all are asked from now on.
+	if m := w.leaders[i]; m.AbsentRank() != NoRank && !w.asleep { // It answers again: all are asked from now on.
 		c := w.clone()
-		c.leaders[i] = New(searchRanks, m.Self, Nobody, m.Epoch, m.Fence+10)
+		c.leaders[i] = New(searchRanks, m.Self, NoAbsence, m.Epoch, m.Fence+10)
 		list = append(list, c)
 	}
 	switch m := w.leaders[i]; m.Phase {
@@ -235,7 +235,7 @@
 		if w.budget > 0 {
 			c := w.clone()
 			c.budget--
-			c.leaders[i].GiveUp()
+			c.leaders[i].Abort()
 			list = append(list, c)
 		}
 	}
@@ -294,16 +294,16 @@
 
 // ready begins the next switch, or brings a prepared one into force.
 func (w *world) ready(m *Machine) {
-	if m.Copied(w.reports()) {
+	if m.AllPrepared(w.reports()) {
 		if w.step+2 <= mostStep && m.Step < mostStep {
-			m.Switch(w.step + 2)
+			m.SwitchAt(w.step + 2)
 		}
 		return
 	}
 	if w.began < mostBegun {
 		w.began++
 		w.newest++
-		m.Begin(max(w.newest, m.Newest+1), nil)
+		m.StartPreparing(max(w.newest, m.HighestVersion+1), nil)
 		w.newest = max(w.newest, m.Version)
 	}
 }
@@ -311,7 +311,7 @@
 // search visits every reachable world and returns the first that is broken.
 func search(faults int, restart restart, spoil func(m *Machine, orders []rank.Order)) (seen int, broken string) {
 	first := &world{ranks: make([]ranktest.State, searchRanks), epoch: 1, restart: restart, budget: faults}
-	first.leaders = []*Machine{New(searchRanks, 0, Nobody, 1, 1)}
+	first.leaders = []*Machine{New(searchRanks, 0, NoAbsence, 1, 1)}
 	visited := map[string]bool{first.key(): true}
 	queue := []*world{first}
 	for len(queue) > 0 {
@@ -397,8 +397,8 @@
 			}
 		})},
 		{"the holder arms the leader's rank after all", func(m *Machine, orders []rank.Order) {
-			if m.Absent() != None {
-				m.absence.Sure, m.absence.Armed = true, rank.Arming{}
+			if m.AbsentRank() != NoRank {
+				m.absence.ArmingKnown, m.absence.Armed = true, rank.Arming{}
 			}
 		}},
 		{"the own rank is armed first", func(m *Machine, orders []rank.Order) {
@@ -420,7 +420,7 @@
 // behind for ever.
 func TestHoldsAreLetGo(t *testing.T) {
 	g := NewWithT(t)
-	m := New(searchRanks, 1, Nobody, 1, 20)
+	m := New(searchRanks, 1, NoAbsence, 1, 20)
 	w := &world{ranks: make([]ranktest.State, searchRanks), epoch: 1, leaders: []*Machine{m}}
 	w.ranks[0].HeldPass = 3 // Of a leader that is gone, after two of three were armed.
 	w.ranks[0].Prepared, w.ranks[1].Prepared, w.ranks[2].Prepared = 7, 7, 7
@@ -457,9 +457,9 @@
 		{"none is armed", nil, Absence{}, true, 0},
 		{"one of the others is armed", []int{1}, Absence{}, true, 0},
 		{"all others are armed, and who knows of the last", []int{1, 2}, Absence{}, false, 0},
-		{"all others are armed, and surely not the last", []int{1, 2}, Absence{Sure: true}, true, 0},
-		{"all are armed", []int{0, 1, 2}, Absence{Sure: true, Armed: rank.Arming{Version: 7, Step: 3}}, true, 7},
-		{"the last was armed for a pass before", []int{1, 2}, Absence{Sure: true, Armed: rank.Arming{Version: 6, Step: 2}}, true, 0},
+		{"all others are armed, and surely not the last", []int{1, 2}, Absence{ArmingKnown: true}, true, 0},
+		{"all are armed", []int{0, 1, 2}, Absence{ArmingKnown: true, Armed: rank.Arming{Version: 7, Step: 3}}, true, 7},
+		{"the last was armed for a pass before", []int{1, 2}, Absence{ArmingKnown: true, Armed: rank.Arming{Version: 6, Step: 2}}, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/decide/demand/demand.go
+++ b/internal/decide/demand/demand.go
@@ -32,17 +32,17 @@
 	Sets    int
 	Experts int // A set.
 	Ranks   int
-	// Memory is the time over which counts are smoothed: long against the time
+	// SmoothingTime is the time over which counts are smoothed: long against the time
 	// between two prompts, short against the time of a request.
-	Memory time.Duration
+	SmoothingTime time.Duration
 }
 
 // judged is the part of the ranks whose counts must be there for a shift to be
 // judged by them: ranks differ in what their requests are about.
 const judged = 0.7
 
-// Follower follows the demand of one group.
-type Follower struct {
+// Tracker follows the demand of one group.
+type Tracker struct {
 	cfg     Config
 	load    [][]float64 // Smoothed counts by set and expert; nil before the first.
 	at      time.Time   // When load was last brought up to date.
@@ -54,14 +54,14 @@
 }
 
 // New returns a follower that has heard nothing.
-func New(cfg Config) *Follower {
-	return &Follower{cfg: cfg, usual: noDistance}
+func New(cfg Config) *Tracker {
+	return &Tracker{cfg: cfg, usual: noDistance}
 }
 
-// Learn brings the smoothed counts up to date with the newest ones, set by set,
+// Update brings the smoothed counts up to date with the newest ones, set by set,
 // which are the sum of those of so many ranks. It reports whether demand is now
 // known to have shifted. Counts of another size than configured are left out.
-func (f *Follower) Learn(counts []uint64, ranks int, now time.Time) (shifted bool) {
+func (f *Tracker) Update(counts []uint64, ranks int, now time.Time) (shifted bool) {
 	if ranks == 0 || len(counts) != f.cfg.Sets*f.cfg.Experts {
 		return false
 	}
@@ -93,7 +93,7 @@
 }
 
 // bySet returns counts by set and expert.
-func (f *Follower) bySet(counts []uint64) [][]float64 {
+func (f *Tracker) bySet(counts []uint64) [][]float64 {
 	list := make([][]float64, f.cfg.Sets)
 	for k := range list {
 		list[k] = make([]float64, f.cfg.Experts)
@@ -106,9 +106,9 @@
 
 // smooth mixes the newest counts in. Soon after a shift all counts since weigh
 // alike, so that the first ones do not count for more than the rest.
-func (f *Follower) smooth(newest [][]float64, now time.Time) {
+func (f *Tracker) smooth(newest [][]float64, now time.Time) {
 	passed := now.Sub(f.at).Seconds()
-	weight := 1 - math.Exp(-passed/f.cfg.Memory.Seconds())
+	weight := 1 - math.Exp(-passed/f.cfg.SmoothingTime.Seconds())
 	if all := now.Sub(f.since).Seconds(); all > 0 {
 		weight = max(weight, passed/(all+passed))
 	}
@@ -142,22 +142,22 @@
 	return sum
 }
 
-// Load returns the smoothed counts by set and expert, nil before the first. The
+// Smoothed returns the smoothed counts by set and expert, nil before the first. The
 // caller must not change them.
-func (f *Follower) Load() [][]float64 { return f.load }
+func (f *Tracker) Smoothed() [][]float64 { return f.load }
 
-// Suspect reports whether the newest counts lie so far off that a shift may
+// ShiftSuspected reports whether the newest counts lie so far off that a shift may
 // have come, which is not yet sure.
-func (f *Follower) Suspect() bool { return f.suspect }
+func (f *Tracker) ShiftSuspected() bool { return f.suspect }
 
 // Shifts returns how many shifts were noticed.
-func (f *Follower) Shifts() int { return f.shifts }
+func (f *Tracker) Shifts() int { return f.shifts }
 
-// Left says how much longer demand may be expected to stay as it is: what was
+// ExpectedRemaining says how much longer demand may be expected to stay as it is: what was
 // left, in the mean, of the earlier spans between shifts that lasted as long as
 // this one has. A span that is longer than all before, or the first one, is
 // expected to last as long again as it has.
-func (f *Follower) Left(now time.Time) time.Duration {
+func (f *Tracker) ExpectedRemaining(now time.Time) time.Duration {
 	passed := now.Sub(f.since)
 	sum, n := time.Duration(0), time.Duration(0)
 	for _, s := range f.spans {
--- a/internal/decide/demand/demand_test.go
+++ b/internal/decide/demand/demand_test.go
@@ -61,7 +61,7 @@
 
 // script feeds a follower with one pass a look and returns the time of each
 // shift that it noticed, from the start.
-func script(f *Follower, s *source, looks int, shiftAt ...int) (noticed []time.Duration) {
+func script(f *Tracker, s *source, looks int, shiftAt ...int) (noticed []time.Duration) {
 	start := time.Unix(1000, 0)
 	for n := range looks {
 		for _, at := range shiftAt {
@@ -70,15 +70,15 @@
 			}
 		}
 		now := start.Add(time.Duration(n) * look)
-		if f.Learn(s.passOf(ranks), ranks, now) {
+		if f.Update(s.passOf(ranks), ranks, now) {
 			noticed = append(noticed, now.Sub(start))
 		}
 	}
 	return noticed
 }
 
-func newFollower() *Follower {
-	return New(Config{Sets: sets, Experts: experts, Ranks: ranks, Memory: 450 * time.Millisecond})
+func newFollower() *Tracker {
+	return New(Config{Sets: sets, Experts: experts, Ranks: ranks, SmoothingTime: 450 * time.Millisecond})
 }
 
 func TestShiftsAreNoticedAndNothingElse(t *testing.T) {
@@ -102,10 +102,10 @@
 	now := time.Unix(1000, 0).Add(60 * look)
 	odd := newSource(4)
 	odd.shift()
-	g.Expect(f.Learn(odd.passOf(ranks), ranks, now)).To(BeFalse())
-	g.Expect(f.Suspect()).To(BeTrue())
-	g.Expect(f.Learn(s.passOf(ranks), ranks, now.Add(look))).To(BeFalse())
-	g.Expect(f.Suspect()).To(BeFalse())
+	g.Expect(f.Update(odd.passOf(ranks), ranks, now)).To(BeFalse())
+	g.Expect(f.ShiftSuspected()).To(BeTrue())
+	g.Expect(f.Update(s.passOf(ranks), ranks, now.Add(look))).To(BeFalse())
+	g.Expect(f.ShiftSuspected()).To(BeFalse())
 }
 
 func TestLoadAfterAShiftHoldsNothingFromBefore(t *testing.T) {
@@ -121,7 +121,7 @@
 			fresh[i/experts][i%experts] += float64(n)
 		}
 	}
-	g.Expect(distance(f.Load(), fresh)).To(BeNumerically("<", 0.06))
+	g.Expect(distance(f.Smoothed(), fresh)).To(BeNumerically("<", 0.06))
 }
 
 func TestHowLongDemandIsExpectedToStay(t *testing.T) {
@@ -141,7 +141,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f.spans = tc.spans
-			NewWithT(t).Expect(f.Left(at.Add(tc.passed))).To(Equal(tc.want))
+			NewWithT(t).Expect(f.ExpectedRemaining(at.Add(tc.passed))).To(Equal(tc.want))
 		})
 	}
 }
@@ -149,8 +149,8 @@
 func TestCountsOfAnotherShapeAreLeftOut(t *testing.T) {
 	g := NewWithT(t)
 	f := newFollower()
-	g.Expect(f.Learn(make([]uint64, 3), ranks, time.Unix(1000, 0))).To(BeFalse())
-	g.Expect(f.Load()).To(BeNil())
+	g.Expect(f.Update(make([]uint64, 3), ranks, time.Unix(1000, 0))).To(BeFalse())
+	g.Expect(f.Smoothed()).To(BeNil())
 }
 
 func TestFewRanksDoNotTellOfAShift(t *testing.T) {
@@ -165,8 +165,8 @@
 			script(f, s, 60)
 			s.shift()
 			now := time.Unix(1000, 0).Add(60 * look)
-			g.Expect(f.Learn(s.passOf(tc.heard), tc.heard, now)).To(BeFalse(), "it may be one odd window")
-			g.Expect(f.Learn(s.passOf(tc.heard), tc.heard, now.Add(look))).To(Equal(tc.want))
+			g.Expect(f.Update(s.passOf(tc.heard), tc.heard, now)).To(BeFalse(), "it may be one odd window")
+			g.Expect(f.Update(s.passOf(tc.heard), tc.heard, now.Add(look))).To(Equal(tc.want))
 		})
 	}
 }
--- a/internal/decide/estimate/estimate.go
+++ b/internal/decide/estimate/estimate.go
@@ -10,9 +10,9 @@
 // estimate of round trips.
 const offs = 2
 
-// Time is a smoothed time and its smoothed deviation. The zero value is of no use;
+// Estimator is a smoothed time and its smoothed deviation. The zero value is of no use;
 // New makes one.
-type Time struct {
+type Estimator struct {
 	weight float64 // Of the newest one.
 	known  bool
 	mean   time.Duration
@@ -21,10 +21,10 @@
 
 // New returns an estimate that knows nothing yet, in which the newest time has a
 // weight above 0 and up to 1.
-func New(weight float64) Time { return Time{weight: weight} }
+func New(weight float64) Estimator { return Estimator{weight: weight} }
 
 // Add takes in one more time.
-func (t *Time) Add(d time.Duration) {
+func (t *Estimator) Add(d time.Duration) {
 	if !t.known {
 		t.known, t.mean = true, d
 		return
@@ -35,10 +35,10 @@
 }
 
 // Known reports whether any time was taken in.
-func (t *Time) Known() bool { return t.known }
+func (t *Estimator) Known() bool { return t.known }
 
 // Mean returns the smoothed time, 0 when nothing is known.
-func (t *Time) Mean() time.Duration { return t.mean }
+func (t *Estimator) Mean() time.Duration { return t.mean }
 
-// Most returns the time within which nearly all lie.
-func (t *Time) Most() time.Duration { return t.mean + offs*t.off }
+// UpperBound returns the time within which nearly all lie.
+func (t *Estimator) UpperBound() time.Duration { return t.mean + offs*t.off }
--- a/internal/decide/estimate/estimate_test.go
+++ b/internal/decide/estimate/estimate_test.go
@@ -28,7 +28,7 @@
 			}
 			g.Expect(e.Known()).To(Equal(len(tc.times) > 0))
 			g.Expect(e.Mean()).To(Equal(tc.mean * time.Millisecond))
-			g.Expect(e.Most()).To(Equal(tc.most * time.Millisecond))
+			g.Expect(e.UpperBound()).To(Equal(tc.most * time.Millisecond))
 		})
 	}
 }
--- a/internal/decide/hold/hold.go
+++ b/internal/decide/hold/hold.go
@@ -21,15 +21,15 @@
 	silentShare = 0.95
 )
 
-// ForStart returns until when a request that came at a moment waits for the first
+// UntilConfig returns until when a request that came at a moment waits for the first
 // configuration.
-func ForStart(arrived time.Time, patience time.Duration) time.Time {
+func UntilConfig(arrived time.Time, patience time.Duration) time.Time {
 	return arrived.Add(min(startTime, time.Duration(startShare*float64(patience))))
 }
 
-// ForGroup returns until when a request waits for a group of ranks to open, whose caller
+// UntilGroupOpen returns until when a request waits for a group of ranks to open, whose caller
 // last heard something at a moment and leaves after so long a silence; first is how long
 // a first event takes.
-func ForGroup(heard time.Time, leaves, first time.Duration) time.Time {
+func UntilGroupOpen(heard time.Time, leaves, first time.Duration) time.Time {
 	return heard.Add(time.Duration(silentShare*float64(leaves)) - first)
 }
--- a/internal/decide/hold/hold_test.go
+++ b/internal/decide/hold/hold_test.go
@@ -18,13 +18,13 @@
 		{0, 0},
 	} {
 		g := NewWithT(t)
-		g.Expect(ForStart(arrived, tc.patience).Sub(arrived)).To(Equal(tc.kept))
+		g.Expect(UntilConfig(arrived, tc.patience).Sub(arrived)).To(Equal(tc.kept))
 	}
 }
 
 func TestForGroupEndsBeforeTheCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
-	until := ForGroup(arrived, 2*time.Second, 300*time.Millisecond)
+	until := UntilGroupOpen(arrived, 2*time.Second, 300*time.Millisecond)
 	g.Expect(until.Add(300*time.Millisecond).Sub(arrived)).To(BeNumerically("<", 2*time.Second), "its first event still comes in time")
 	g.Expect(until.Sub(arrived)).To(BeNumerically(">", 1500*time.Millisecond))
 }
--- a/internal/decide/limit/bucket.go
+++ b/internal/decide/limit/bucket.go
@@ -25,14 +25,14 @@
 	return &Bucket{rate: rate, burst: burst, tokens: min(max(tokens, 0), burst), at: now}
 }
 
-// Holds reports whether there is a token to take.
-func (b *Bucket) Holds(now time.Time) bool {
+// HasToken reports whether there is a token to take.
+func (b *Bucket) HasToken(now time.Time) bool {
 	b.refill(now)
 	return b.tokens >= 1
 }
 
-// GiveBack gives back a token that was taken and not used.
-func (b *Bucket) GiveBack() { b.tokens = min(b.tokens+1, b.burst) }
+// ReturnToken gives back a token that was taken and not used.
+func (b *Bucket) ReturnToken() { b.tokens = min(b.tokens+1, b.burst) }
 
 // Tokens returns how many tokens the bucket holds.
 func (b *Bucket) Tokens(now time.Time) float64 {
@@ -46,8 +46,8 @@
 	b.tokens = min(max(b.tokens+n, 0), b.burst)
 }
 
-// Set changes rate and burst from now on; tokens above the burst are lost.
-func (b *Bucket) Set(rate, burst float64, now time.Time) {
+// SetRate changes rate and burst from now on; tokens above the burst are lost.
+func (b *Bucket) SetRate(rate, burst float64, now time.Time) {
 	b.refill(now)
 	b.rate, b.burst = rate, burst
 	b.tokens = min(b.tokens, burst)
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -37,11 +37,11 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				for range rapid.IntRange(0, 60).Draw(t, "requests") {
-					shares[a].Count()
+					shares[a].CountRequest()
 				}
 			case 1, 2:
 				b := rapid.IntRange(0, entries-1).Draw(t, "lender")
-				want := shares[a].Want(now)
+				want := shares[a].Shortfall(now)
 				if want == 0 || a == b {
 					continue
 				}
@@ -87,9 +87,9 @@
 	for range 20 {
 		now = now.Add(200 * time.Millisecond)
 		for range 18 {
-			busy.Count()
+			busy.CountRequest()
 		}
-		if w := busy.Want(now); w > 0 {
+		if w := busy.Shortfall(now); w > 0 {
 			busy.Borrow(quiet.Lend(w, now), now)
 		}
 	}
--- a/internal/decide/limit/share.go
+++ b/internal/decide/limit/share.go
@@ -46,11 +46,11 @@
 	return &Share{entitled: entitled, at: now}
 }
 
-// Entitle changes the entitlement, when a new configuration is in force.
-func (s *Share) Entitle(rate float64) { s.entitled = rate }
+// SetEntitlement changes the entitlement, when a new configuration is in force.
+func (s *Share) SetEntitlement(rate float64) { s.entitled = rate }
 
-// Count takes note of a request, let in or not.
-func (s *Share) Count() { s.counted++ }
+// CountRequest takes note of a request, let in or not.
+func (s *Share) CountRequest() { s.counted++ }
 
 // refresh drops leases that are over and folds the count into the demand.
 func (s *Share) refresh(now time.Time) {
@@ -87,9 +87,9 @@
 	return max(0, s.entitled-sum(s.lent)+sum(s.borrowed))
 }
 
-// Want returns how much the entry should borrow, 0 when it has enough. What it
+// Shortfall returns how much the entry should borrow, 0 when it has enough. What it
 // holds for less than half a lease more is asked for again in time.
-func (s *Share) Want(now time.Time) float64 {
+func (s *Share) Shortfall(now time.Time) float64 {
 	s.refresh(now)
 	lasting := 0.0
 	for _, l := range s.borrowed {
--- a/internal/decide/line/line.go
+++ b/internal/decide/line/line.go
@@ -17,7 +17,7 @@
 	ID       uint64
 	Class    int       // Those of a lower one go first.
 	Customer string    // Whose request it is; "" for nobody's.
-	Until    time.Time // When it must be served or refused.
+	Deadline time.Time // When it must be served or refused.
 }
 
 // meanTime is the time over which the length of a line is smoothed: some times the
@@ -28,10 +28,10 @@
 // the line: a burst lasts some seconds.
 const shareTime = 4 * time.Second
 
-// Line is the requests that wait. They go by their class; within one the customer that
+// Queue is the requests that wait. They go by their class; within one the customer that
 // lately got the least goes first, so that a customer's burst is paid by that customer;
 // then who came first.
-type Line struct {
+type Queue struct {
 	waiting []Waiter            // In the order in which they came.
 	mean    float64             // Smoothed length.
 	at      time.Time           // Up to when mean counts; zero before the first request.
@@ -49,7 +49,7 @@
 }
 
 // pass brings the smoothed length up to date.
-func (l *Line) pass(now time.Time) {
+func (l *Queue) pass(now time.Time) {
 	if passed := now.Sub(l.at); !l.at.IsZero() && passed > 0 {
 		l.mean += (1 - math.Exp(-passed.Seconds()/meanTime.Seconds())) * (float64(len(l.waiting)) - l.mean)
 	}
@@ -60,7 +60,7 @@
 // time; it reports whether it does. So many other processes have lines for the same
 // room, which are taken to be as long as this one is in the mean. While the rate is not
 // known, only those wait for it who would not come again: anyway is set.
-func (l *Line) Join(w Waiter, rate float64, others int, anyway bool, now time.Time) bool {
+func (l *Queue) Join(w Waiter, rate float64, others int, anyway bool, now time.Time) bool {
 	l.pass(now)
 	before := 0
 	for _, o := range l.waiting {
@@ -68,15 +68,15 @@
 			before++
 		}
 	}
-	if rate <= 0 && !anyway || rate > 0 && (float64(before+1)+float64(others)*l.mean)/rate > w.Until.Sub(now).Seconds() {
+	if rate <= 0 && !anyway || rate > 0 && (float64(before+1)+float64(others)*l.mean)/rate > w.Deadline.Sub(now).Seconds() {
 		return false
 	}
 	l.waiting = append(l.waiting, w)
 	return true
 }
 
-// First reports whether a request is the next one.
-func (l *Line) First(id uint64, now time.Time) bool {
+// IsNext reports whether a request is the next one.
+func (l *Queue) IsNext(id uint64, now time.Time) bool {
 	if len(l.waiting) == 0 {
 		return false
 	}
@@ -90,7 +90,7 @@
 }
 
 // Leave takes a request out; served is set when it has got its room.
-func (l *Line) Leave(id uint64, served bool, now time.Time) {
+func (l *Queue) Leave(id uint64, served bool, now time.Time) {
 	l.pass(now)
 	i := slices.IndexFunc(l.waiting, func(w Waiter) bool { return w.ID == id })
 	if i < 0 {
@@ -103,7 +103,7 @@
 }
 
 // note takes in that a customer got room, and forgets those to whom that was long ago.
-func (l *Line) note(customer string, now time.Time) {
+func (l *Queue) note(customer string, now time.Time) {
 	if l.got == nil {
 		l.got = map[string]received{}
 	}
@@ -119,4 +119,4 @@
 const forgetAfter = 5 * shareTime
 
 // Len returns how many requests wait.
-func (l *Line) Len() int { return len(l.waiting) }
+func (l *Queue) Len() int { return len(l.waiting) }
--- a/internal/decide/mapswitch/coordinator.go
+++ b/internal/decide/mapswitch/coordinator.go
@@ -27,15 +27,15 @@
 // ballot stands for one plan with one step, so that an order that comes late
 // or twice cannot undo a newer one of the same ballot.
 type Coordinator struct {
-	Ballot uint64
-	Ranks  int
-	Phase  Phase
-	Plan   Plan // Of the phase; in Finishing the earlier coordinator's.
-	Heard  Set  // Ranks that have confirmed the phase.
-	Newest Plan // Newest decision seen while Asking.
-	Spread bool // Ranks differ in their newest decision.
-	Step   uint64
-	Margin uint64 // Steps between the newest step heard of and Plan.At.
+	Ballot          uint64
+	Ranks           int
+	Phase           Phase
+	Plan            Plan    // Of the phase; in Finishing the earlier coordinator's.
+	Confirmed       RankSet // Ranks that have confirmed the phase.
+	NewestDecision  Plan    // Newest decision seen while Asking.
+	DecisionsDiffer bool    // Ranks differ in their newest decision.
+	HighestStep     uint64
+	Margin          uint64 // Steps between the newest step heard of and Plan.At.
 }
 
 // NewCoordinator returns a coordinator that asks all ranks. The ballot must be
@@ -53,23 +53,23 @@
 		return nil
 	}
 	for r := range c.Ranks {
-		if !c.Heard.Has(r) {
+		if !c.Confirmed.Has(r) {
 			orders = append(orders, Order{Kind: kind, Ballot: c.Ballot, Rank: r, Plan: c.Plan})
 		}
 	}
 	return orders
 }
 
-// Over reports whether the coordinator has ended, well or not.
-func (c Coordinator) Over() bool {
+// Ended reports whether the coordinator has ended, well or not.
+func (c Coordinator) Ended() bool {
 	return c.Phase == Done || c.Phase == Beaten || c.Phase == TooLate || c.Phase == GivenUp
 }
 
-// GiveUp ends a switch that is not decided and returns the orders that free the
+// AbortSwitch ends a switch that is not decided and returns the orders that free the
 // ranks that hold for it. Only a coordinator that has heard from every rank
 // knows that there is no earlier decision that an Abort could undo; before that,
 // and once it has decided, it cannot give up and ok is false.
-func (c Coordinator) GiveUp() (next Coordinator, orders []Order, ok bool) {
+func (c Coordinator) AbortSwitch() (next Coordinator, orders []Order, ok bool) {
 	if c.Phase != Preparing && c.Phase != Arming {
 		return c, nil, false
 	}
@@ -82,20 +82,20 @@
 
 // enter begins a phase and returns its orders.
 func (c Coordinator) enter(p Phase, plan Plan) (Coordinator, []Order) {
-	c.Phase, c.Plan, c.Heard = p, plan, Set{}
+	c.Phase, c.Plan, c.Confirmed = p, plan, RankSet{}
 	return c, c.Resend()
 }
 
 // Handle takes in a reply and returns the orders that follow from it.
 func (c Coordinator) Handle(r Reply) (Coordinator, []Order) {
-	if c.Over() {
+	if c.Ended() {
 		return c, nil
 	}
 	if r.State.Fence > c.Ballot {
 		c.Phase = Beaten
 		return c, nil
 	}
-	if r.Ballot != c.Ballot || c.Heard.Has(r.Rank) {
+	if r.Ballot != c.Ballot || c.Confirmed.Has(r.Rank) {
 		return c, nil
 	}
 	switch {
@@ -104,7 +104,7 @@
 	case c.Phase == Finishing && r.Kind == Commit && r.OK && r.Plan == c.Plan:
 		return c.confirmed(r.Rank)
 	case c.Phase == Preparing && r.Kind == Prepare && r.OK:
-		c.Step = max(c.Step, r.State.Begun)
+		c.HighestStep = max(c.HighestStep, r.State.LastStep)
 		return c.confirmed(r.Rank)
 	case c.Phase == Arming && r.Kind == Arm && r.Plan == c.Plan && r.Late:
 		c.Phase = TooLate
@@ -120,31 +120,31 @@
 // asked takes in a rank's state. A decision that some ranks have and others
 // lack is finished before anything else.
 func (c Coordinator) asked(r Reply) (Coordinator, []Order) {
-	if c.Heard != (Set{}) && r.State.Decided != c.Newest {
-		c.Spread = true
+	if c.Confirmed != (RankSet{}) && r.State.Decided != c.NewestDecision {
+		c.DecisionsDiffer = true
 	}
-	if r.State.Decided.Version > c.Newest.Version {
-		c.Newest = r.State.Decided
+	if r.State.Decided.Version > c.NewestDecision.Version {
+		c.NewestDecision = r.State.Decided
 	}
 	return c.confirmed(r.Rank)
 }
 
 // confirmed notes a rank and goes on when all have confirmed.
 func (c Coordinator) confirmed(rank int) (Coordinator, []Order) {
-	c.Heard = c.Heard.Add(rank)
-	if !c.Heard.Full(c.Ranks) {
+	c.Confirmed = c.Confirmed.Add(rank)
+	if !c.Confirmed.Full(c.Ranks) {
 		return c, nil
 	}
 	switch c.Phase {
 	case Asking:
-		if c.Spread {
-			return c.enter(Finishing, c.Newest)
+		if c.DecisionsDiffer {
+			return c.enter(Finishing, c.NewestDecision)
 		}
 		return c.enter(Preparing, Plan{Version: c.Ballot})
 	case Finishing:
 		return c.enter(Preparing, Plan{Version: c.Ballot})
 	case Preparing:
-		return c.enter(Arming, Plan{Version: c.Ballot, At: c.Step + c.Margin})
+		return c.enter(Arming, Plan{Version: c.Ballot, AtStep: c.HighestStep + c.Margin})
 	case Arming:
 		return c.enter(Deciding, c.Plan)
 	default:
--- a/internal/decide/mapswitch/mapswitch.go
+++ b/internal/decide/mapswitch/mapswitch.go
@@ -16,20 +16,20 @@
 // MaxRanks is the largest group.
 const MaxRanks = 256
 
-// Set is a set of ranks.
-type Set [MaxRanks / 64]uint64
+// RankSet is a set of ranks.
+type RankSet [MaxRanks / 64]uint64
 
 // Add returns s with rank r in it.
-func (s Set) Add(r int) Set {
+func (s RankSet) Add(r int) RankSet {
 	s[r/64] |= 1 << (r % 64)
 	return s
 }
 
 // Has reports whether rank r is in s.
-func (s Set) Has(r int) bool { return s[r/64]&(1<<(r%64)) != 0 }
+func (s RankSet) Has(r int) bool { return s[r/64]&(1<<(r%64)) != 0 }
 
 // Full reports whether all ranks below n are in s.
-func (s Set) Full(n int) bool {
+func (s RankSet) Full(n int) bool {
 	for r := range n {
 		if !s.Has(r) {
 			return false
@@ -42,7 +42,7 @@
 // and so unique: no two coordinators give one version to different maps.
 type Plan struct {
 	Version uint64 `json:"version"`
-	At      uint64 `json:"at"`
+	AtStep  uint64 `json:"at"`
 }
 
 // Kind is what an order asks for.
@@ -72,20 +72,20 @@
 
 // Reply answers an order.
 type Reply struct {
-	Kind   Kind   `json:"kind"`
-	Ballot uint64 `json:"ballot"`
-	Rank   int    `json:"rank"`
-	OK     bool   `json:"ok"`             // The order was obeyed.
-	Late   bool   `json:"late,omitempty"` // An Arm came after Plan.At had begun.
-	Plan   Plan   `json:"plan"`           // Of the order.
-	State  Rank   `json:"state"`          // After the order.
+	Kind   Kind      `json:"kind"`
+	Ballot uint64    `json:"ballot"`
+	Rank   int       `json:"rank"`
+	OK     bool      `json:"ok"`             // The order was obeyed.
+	Late   bool      `json:"late,omitempty"` // An Arm came after Plan.At had begun.
+	Plan   Plan      `json:"plan"`           // Of the order.
+	State  RankState `json:"state"`          // After the order.
 }
 
-// Rank is what one rank must not forget. It lives in the engine, so that an
+// RankState is what one rank must not forget. It lives in the engine, so that an
 // agent that starts anew reads it back.
-type Rank struct {
+type RankState struct {
 	Fence    uint64 `json:"fence"`    // Highest ballot promised.
-	Begun    uint64 `json:"begun"`    // Highest step begun.
+	LastStep uint64 `json:"begun"`    // Highest step begun.
 	Map      uint64 `json:"map"`      // Version in force at step Begun.
 	Prepared uint64 `json:"prepared"` // Version whose weights are loaded besides.
 	Armed    Plan   `json:"armed"`    // Zero when not armed.
@@ -93,7 +93,7 @@
 }
 
 // Handle obeys or refuses an order.
-func (r Rank) Handle(o Order) (Rank, Reply) {
+func (r RankState) Handle(o Order) (RankState, Reply) {
 	reply := Reply{Kind: o.Kind, Ballot: o.Ballot, Rank: o.Rank, Plan: o.Plan}
 	if o.Ballot >= r.Fence {
 		r.Fence = o.Ballot
@@ -103,7 +103,7 @@
 	return r, reply
 }
 
-func (r Rank) obey(o Order) (next Rank, ok, late bool) {
+func (r RankState) obey(o Order) (next RankState, ok, late bool) {
 	switch o.Kind {
 	case Ask:
 		return r, true, false
@@ -124,22 +124,22 @@
 	return r, false, false
 }
 
-func (r Rank) arm(p Plan) (next Rank, ok, late bool) {
+func (r RankState) arm(p Plan) (next RankState, ok, late bool) {
 	switch {
 	case r.Armed == p || r.Decided == p:
 		return r, true, false
 	case r.Prepared != p.Version:
 		return r, false, false
-	case r.Begun < r.Decided.At:
+	case r.LastStep < r.Decided.AtStep:
 		return r, false, false // One decision comes into force before the next is armed.
-	case r.Begun >= p.At:
+	case r.LastStep >= p.AtStep:
 		return r, false, true
 	}
 	r.Armed = p
 	return r, true, false
 }
 
-func (r Rank) commit(p Plan) (next Rank, ok, late bool) {
+func (r RankState) commit(p Plan) (next RankState, ok, late bool) {
 	if r.Decided == p {
 		return r, true, false
 	}
@@ -150,15 +150,15 @@
 	return r, true, false
 }
 
-// MayBegin reports whether the rank's own promises let it begin the next step.
-func (r Rank) MayBegin() bool {
-	return r.Armed == Plan{} || r.Begun+1 < r.Armed.At
+// CanBegin reports whether the rank's own promises let it begin the next step.
+func (r RankState) CanBegin() bool {
+	return r.Armed == Plan{} || r.LastStep+1 < r.Armed.AtStep
 }
 
-// Begin begins the next step and returns the map that it runs on.
-func (r Rank) Begin() Rank {
-	r.Begun++
-	if r.Decided.Version != 0 && r.Begun >= r.Decided.At {
+// BeginStep begins the next step and returns the map that it runs on.
+func (r RankState) BeginStep() RankState {
+	r.LastStep++
+	if r.Decided.Version != 0 && r.LastStep >= r.Decided.AtStep {
 		r.Map = r.Decided.Version
 	}
 	return r
--- a/internal/decide/mapswitch/random_test.go
+++ b/internal/decide/mapswitch/random_test.go
@@ -15,7 +15,7 @@
 // and returns the first violation and the number of switches completed.
 func randomRun(n int, seed uint64, events int) (violation string, switches int) {
 	rnd := rand.New(rand.NewPCG(seed, uint64(n)))
-	group := make([]Rank, n)
+	group := make([]RankState, n)
 	var coords []Coordinator
 	var orders []Order
 	var replies []Reply
@@ -35,21 +35,21 @@
 		case k < 40: // Orders are sent again.
 			orders = append(orders, coords[rnd.IntN(len(coords))].Resend()...)
 		case k < 400: // Each rank may step, as lock-step allows.
-			low := group[0].Begun
+			low := group[0].LastStep
 			for _, r := range group {
-				low = min(low, r.Begun)
+				low = min(low, r.LastStep)
 			}
 			for range n / 2 {
 				r := rnd.IntN(n)
-				if group[r].Begun > low || !group[r].MayBegin() {
+				if group[r].LastStep > low || !group[r].CanBegin() {
 					continue
 				}
-				group[r] = group[r].Begin()
-				m, seen := used[group[r].Begun]
+				group[r] = group[r].BeginStep()
+				m, seen := used[group[r].LastStep]
 				if seen && m != group[r].Map {
-					return fmt.Sprintf("step %d runs on maps %d and %d", group[r].Begun, m, group[r].Map), switches
+					return fmt.Sprintf("step %d runs on maps %d and %d", group[r].LastStep, m, group[r].Map), switches
 				}
-				used[group[r].Begun] = group[r].Map
+				used[group[r].LastStep] = group[r].Map
 			}
 		case k < 700:
 			for range min(len(orders), n) {
--- a/internal/decide/mapswitch/search_test.go
+++ b/internal/decide/mapswitch/search_test.go
@@ -28,7 +28,7 @@
 // sent follows from sent, and stays on its way for ever. Replies are a set of
 // those that may still be delivered.
 type world struct {
-	ranks   [ranks]Rank
+	ranks   [ranks]RankState
 	coords  [ballots]Coordinator
 	sent    [ballots][allKinds]Plan // Plan of each kind of order, once sent.
 	has     [ballots][allKinds]bool
@@ -38,7 +38,7 @@
 // mutation is a fault put into the protocol; the search must find its harm.
 type mutation struct {
 	name   string
-	handle func(Rank, Order) (Rank, Reply)
+	handle func(RankState, Order) (RankState, Reply)
 	reply  func(Coordinator, Reply) (Coordinator, []Order)
 	low    bool // Ranks obey ballots below their fence.
 	early  bool // Coordinators give up before they have heard from every rank.
@@ -46,7 +46,7 @@
 
 var faultless = mutation{
 	name:   "none",
-	handle: Rank.Handle,
+	handle: RankState.Handle,
 	reply:  Coordinator.Handle,
 }
 
@@ -74,7 +74,7 @@
 	case r.Kind == Ask:
 		return bitAsk
 	case r.Kind == Prepare:
-		return bitPrepare + int(r.State.Begun)
+		return bitPrepare + int(r.State.LastStep)
 	case r.Kind == Arm:
 		return bitArm
 	case r.Kind == Commit && r.Plan.Version != r.Ballot:
@@ -85,7 +85,7 @@
 
 // replyOf builds the reply that a bit stands for.
 func (w *world) replyOf(b, rank, bit int) Reply {
-	r := Reply{Ballot: uint64(b + 1), Rank: rank, OK: true, State: Rank{Fence: uint64(b + 1)}}
+	r := Reply{Ballot: uint64(b + 1), Rank: rank, OK: true, State: RankState{Fence: uint64(b + 1)}}
 	switch {
 	case bit == bitAsk || bit == bitAsk+1:
 		r.Kind = Ask
@@ -93,7 +93,7 @@
 			r.State.Decided = w.decided(b)
 		}
 	case bit < bitArm:
-		r.Kind, r.State.Begun = Prepare, uint64(bit-bitPrepare)
+		r.Kind, r.State.LastStep = Prepare, uint64(bit-bitPrepare)
 	case bit == bitArm || bit == bitLate:
 		r.Kind, r.OK, r.Late = Arm, bit == bitArm, bit == bitLate
 	default:
@@ -101,7 +101,7 @@
 	}
 	r.Plan = w.sent[b][r.Kind]
 	if bit == bitFinish {
-		r.Plan = w.coords[b].Newest
+		r.Plan = w.coords[b].NewestDecision
 	}
 	return r
 }
@@ -130,11 +130,11 @@
 	var rows [ranks][rowLen]byte
 	for i, r := range w.ranks {
 		row := &rows[i]
-		copy(row[:], []byte{byte(r.Fence), byte(r.Begun), byte(r.Map), byte(r.Prepared),
-			byte(r.Armed.Version), byte(r.Armed.At), byte(r.Decided.Version), byte(r.Decided.At)})
+		copy(row[:], []byte{byte(r.Fence), byte(r.LastStep), byte(r.Map), byte(r.Prepared),
+			byte(r.Armed.Version), byte(r.Armed.AtStep), byte(r.Decided.Version), byte(r.Decided.AtStep)})
 		for b := range w.coords {
 			row[8+3*b], row[9+3*b] = byte(w.replies[b][i]), byte(w.replies[b][i]>>8)
-			row[10+3*b] = flag(w.coords[b].Heard.Has(i))
+			row[10+3*b] = flag(w.coords[b].Confirmed.Has(i))
 		}
 		for j := i; j > 0 && bytes.Compare(rows[j][:], rows[j-1][:]) < 0; j-- {
 			rows[j], rows[j-1] = rows[j-1], rows[j]
@@ -144,9 +144,9 @@
 		copy(k[i*rowLen:], rows[i][:])
 	}
 	for b, c := range w.coords {
-		copy(k[ranks*rowLen+11*b:], []byte{byte(c.Phase), byte(c.Plan.Version), byte(c.Plan.At),
-			byte(c.Newest.Version), byte(c.Newest.At), flag(c.Spread), byte(c.Step),
-			flag(w.has[b][Prepare]), flag(w.has[b][Commit]), byte(w.sent[b][Arm].At), flag(w.has[b][Abort])})
+		copy(k[ranks*rowLen+11*b:], []byte{byte(c.Phase), byte(c.Plan.Version), byte(c.Plan.AtStep),
+			byte(c.NewestDecision.Version), byte(c.NewestDecision.AtStep), flag(c.DecisionsDiffer), byte(c.HighestStep),
+			flag(w.has[b][Prepare]), flag(w.has[b][Commit]), byte(w.sent[b][Arm].AtStep), flag(w.has[b][Abort])})
 	}
 	return k
 }
@@ -178,7 +178,7 @@
 		c := &w.coords[b]
 		for r := range ranks {
 			w.replies[b][r] &= open[c.Phase]
-			if c.Heard.Has(r) {
+			if c.Confirmed.Has(r) {
 				w.replies[b][r] &^= own[c.Phase]
 			}
 		}
@@ -189,8 +189,8 @@
 func (w *world) broken() string {
 	for a := range w.ranks {
 		for b := range a {
-			if w.ranks[a].Begun == w.ranks[b].Begun && w.ranks[a].Map != w.ranks[b].Map {
-				return fmt.Sprintf("step %d runs on maps %d and %d", w.ranks[a].Begun, w.ranks[a].Map, w.ranks[b].Map)
+			if w.ranks[a].LastStep == w.ranks[b].LastStep && w.ranks[a].Map != w.ranks[b].Map {
+				return fmt.Sprintf("step %d runs on maps %d and %d", w.ranks[a].LastStep, w.ranks[a].Map, w.ranks[b].Map)
 			}
 		}
 	}
@@ -200,11 +200,11 @@
 // mayStep reports whether lock-step and its own promise let rank r go on.
 func (w *world) mayStep(r int) bool {
 	for _, other := range w.ranks {
-		if other.Begun < w.ranks[r].Begun {
+		if other.LastStep < w.ranks[r].LastStep {
 			return false
 		}
 	}
-	return w.ranks[r].Begun < maxStep && w.ranks[r].MayBegin()
+	return w.ranks[r].LastStep < maxStep && w.ranks[r].CanBegin()
 }
 
 // deliver gives an order to a rank and keeps its reply.
@@ -233,7 +233,7 @@
 	}
 	for r := range w.ranks {
 		if w.mayStep(r) {
-			add(func(n *world) { n.ranks[r] = n.ranks[r].Begin() })
+			add(func(n *world) { n.ranks[r] = n.ranks[r].BeginStep() })
 		}
 	}
 	for b, c := range w.coords {
@@ -243,7 +243,7 @@
 				n.send(n.coords[b].Resend())
 			})
 		}
-		if next, orders, ok := c.GiveUp(); ok {
+		if next, orders, ok := c.AbortSwitch(); ok {
 			add(func(n *world) {
 				n.coords[b] = next
 				n.send(orders)
@@ -312,7 +312,7 @@
 		stepAll(&group)
 		orders = c.Resend()
 		if c.Phase == Done && group[0].Map == c.Ballot {
-			return group[0].Begun == group[1].Begun && group[1].Map == group[2].Map
+			return group[0].LastStep == group[1].LastStep && group[1].Map == group[2].Map
 		}
 		if c.Phase == TooLate {
 			c = NewCoordinator(c.Ballot+1, ranks, 2*c.Margin)
@@ -323,11 +323,11 @@
 }
 
 // stepAll lets each rank begin one step if all others let it.
-func stepAll(group *[ranks]Rank) {
-	low := min(group[0].Begun, group[1].Begun, group[2].Begun)
+func stepAll(group *[ranks]RankState) {
+	low := min(group[0].LastStep, group[1].LastStep, group[2].LastStep)
 	for r := range group {
-		if group[r].Begun == low && group[r].MayBegin() {
-			group[r] = group[r].Begin()
+		if group[r].LastStep == low && group[r].CanBegin() {
+			group[r] = group[r].BeginStep()
 		}
 	}
 }
@@ -356,12 +356,12 @@
 var mutations = []mutation{
 	{
 		name:   "commit before all have armed",
-		handle: Rank.Handle,
+		handle: RankState.Handle,
 		reply: func(c Coordinator, r Reply) (Coordinator, []Order) {
 			if c.Phase == Arming && r.Kind == Arm && r.OK {
 				for other := range ranks {
 					if other != r.Rank {
-						c.Heard = c.Heard.Add(other)
+						c.Confirmed = c.Confirmed.Add(other)
 					}
 				}
 			}
@@ -371,7 +371,7 @@
 	{
 		name: "obey a lower ballot",
 		low:  true,
-		handle: func(r Rank, o Order) (Rank, Reply) {
+		handle: func(r RankState, o Order) (RankState, Reply) {
 			fence := r.Fence
 			r.Fence = 0
 			r, reply := r.Handle(o)
@@ -382,7 +382,7 @@
 	},
 	{
 		name:   "ignore an earlier decision",
-		handle: Rank.Handle,
+		handle: RankState.Handle,
 		reply: func(c Coordinator, r Reply) (Coordinator, []Order) {
 			r.State.Decided = Plan{}
 			return c.Handle(r)
@@ -390,12 +390,12 @@
 	},
 	{
 		name:   "ask a majority only",
-		handle: Rank.Handle,
+		handle: RankState.Handle,
 		reply: func(c Coordinator, r Reply) (Coordinator, []Order) {
-			if c.Phase == Asking && r.Kind == Ask && c.Heard != (Set{}) && !c.Heard.Has(r.Rank) {
+			if c.Phase == Asking && r.Kind == Ask && c.Confirmed != (RankSet{}) && !c.Confirmed.Has(r.Rank) {
 				for other := range ranks {
 					if other != r.Rank {
-						c.Heard = c.Heard.Add(other)
+						c.Confirmed = c.Confirmed.Add(other)
 					}
 				}
 			}
@@ -404,32 +404,32 @@
 	},
 	{
 		name:   "give up before every rank was heard",
-		handle: Rank.Handle,
+		handle: RankState.Handle,
 		reply:  Coordinator.Handle,
 		early:  true,
 	},
 	{
 		name: "arm a step that has begun",
-		handle: func(r Rank, o Order) (Rank, Reply) {
-			if o.Kind != Arm || r.Begun < o.Plan.At {
+		handle: func(r RankState, o Order) (RankState, Reply) {
+			if o.Kind != Arm || r.LastStep < o.Plan.AtStep {
 				return r.Handle(o)
 			}
-			begun := r.Begun
-			r.Begun = o.Plan.At - 1
+			begun := r.LastStep
+			r.LastStep = o.Plan.AtStep - 1
 			r, reply := r.Handle(o)
-			r.Begun = begun
+			r.LastStep = begun
 			return r, reply
 		},
 		reply: Coordinator.Handle,
 	},
 	{
 		name: "arm before the last decision is in force",
-		handle: func(r Rank, o Order) (Rank, Reply) {
+		handle: func(r RankState, o Order) (RankState, Reply) {
 			if o.Kind != Arm {
 				return r.Handle(o)
 			}
 			decided := r.Decided
-			r.Decided.At = 0
+			r.Decided.AtStep = 0
 			r, reply := r.Handle(o)
 			if r.Decided.Version == decided.Version {
 				r.Decided = decided
@@ -440,7 +440,7 @@
 	},
 	{
 		name: "drop an arming when prepare comes again",
-		handle: func(r Rank, o Order) (Rank, Reply) {
+		handle: func(r RankState, o Order) (RankState, Reply) {
 			if o.Kind == Prepare && o.Ballot >= r.Fence {
 				r.Armed = Plan{}
 			}
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -38,7 +38,7 @@
 	Endpoint    string `json:"e,omitempty"` // Slot, "" for entries.
 	Domain      string `json:"d"`
 	Address     string `json:"a"` // Peer listener.
-	Life        int64  `json:"l"` // Start of the process, Unix milliseconds; 0 when only the platform's list names it.
+	StartedAt   int64  `json:"l"` // Start of the process, Unix milliseconds; 0 when only the platform's list names it.
 	Incarnation uint32 `json:"i,omitempty"`
 	State       State  `json:"s,omitempty"`
 	Leaving     bool   `json:"v,omitempty"` // Never taken back within a life.
@@ -46,8 +46,8 @@
 
 // newer reports whether news a overrides b.
 func newer(a, b Member) bool {
-	if a.Life != b.Life {
-		return a.Life > b.Life
+	if a.StartedAt != b.StartedAt {
+		return a.StartedAt > b.StartedAt
 	}
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -60,11 +60,11 @@
 	m := a
 	if newer(b, a) {
 		m = b
-		if a.Life == b.Life && a.Incarnation == b.Incarnation && a.State > b.State {
+		if a.StartedAt == b.StartedAt && a.Incarnation == b.Incarnation && a.State > b.State {
 			m.State = a.State
 		}
 	}
-	if a.Life == b.Life {
+	if a.StartedAt == b.StartedAt {
 		m.Leaving = a.Leaving || b.Leaving
 	}
 	return m
@@ -72,11 +72,11 @@
 
 // Config sets the times of a Table.
 type Config struct {
-	Interval     time.Duration // Between two probes.
-	SuspectAfter time.Duration // From suspicion to death, among a few members.
-	ForgetAfter  time.Duration // From death until a process is forgotten.
-	News         int           // Rows of news in a message at most.
-	Helpers      int           // Peers asked to probe a silent one.
+	ProbeInterval    time.Duration // Between two probes.
+	SuspicionTimeout time.Duration // From suspicion to death, among a few members.
+	ForgetAfter      time.Duration // From death until a process is forgotten.
+	MaxUpdates       int           // Rows of news in a message at most.
+	IndirectProbes   int           // Peers asked to probe a silent one.
 }
 
 // Change is a member whose state changed in this view.
@@ -90,8 +90,8 @@
 // Probe asks the caller to exchange messages with a target, or to have the
 // helpers do so first when there are any.
 type Probe struct {
-	Target  Member
-	Helpers []Member
+	Target Member
+	Relays []Member
 }
 
 type entry struct {
@@ -112,9 +112,9 @@
 	stamp  uint64 // Raised whenever a member changes.
 }
 
-// Stamp returns a number that is another one after each change of a member, so
+// ViewVersion returns a number that is another one after each change of a member, so
 // that what was derived from the view can be kept until then.
-func (t *Table) Stamp() uint64 { return t.stamp }
+func (t *Table) ViewVersion() uint64 { return t.stamp }
 
 // New returns a view that holds only the process itself.
 func New(cfg Config, self Member) *Table {
@@ -160,23 +160,23 @@
 	return n
 }
 
-// Overdue reports whether the last Tick is so long ago that the process must
+// TickOverdue reports whether the last Tick is so long ago that the process must
 // have been paused.
-func (t *Table) Overdue(now time.Time) bool {
-	return !t.ticked.IsZero() && now.Sub(t.ticked) >= 2*t.cfg.Interval+t.cfg.SuspectAfter/2
+func (t *Table) TickOverdue(now time.Time) bool {
+	return !t.ticked.IsZero() && now.Sub(t.ticked) >= 2*t.cfg.ProbeInterval+t.cfg.SuspicionTimeout/2
 }
 
 // patience is the time from suspicion to death. It grows with the logarithm of
 // the number of members, as the time does in which a denial reaches all.
 func (t *Table) patience() time.Duration {
 	const calm = 1.2 // Decimal digits of the number of members up to which it does not.
-	return time.Duration(float64(t.cfg.SuspectAfter) * max(1, math.Log10(float64(len(t.all)))/calm))
+	return time.Duration(float64(t.cfg.SuspicionTimeout) * max(1, math.Log10(float64(len(t.all)))/calm))
 }
 
-// Woke reports whether the process was paused since the last Tick, and raises
+// DetectPause reports whether the process was paused since the last Tick, and raises
 // its incarnation if so: others may have given it up meanwhile.
-func (t *Table) Woke(now time.Time) bool {
-	paused := t.Overdue(now)
+func (t *Table) DetectPause(now time.Time) bool {
+	paused := t.TickOverdue(now)
 	t.ticked = now
 	if !paused {
 		return false
@@ -267,13 +267,13 @@
 	}
 }
 
-// Helpers draws living peers to probe a silent target.
-func (t *Table) Helpers(target string, random uint64) []Member {
+// PickRelays draws living peers to probe a silent target.
+func (t *Table) PickRelays(target string, random uint64) []Member {
 	alive := t.Members(func(m Member) bool {
 		return m.State == Alive && m.Name != target && m.Name != t.self.Name
 	})
 	var list []Member
-	for len(alive) > 0 && len(list) < t.cfg.Helpers {
+	for len(alive) > 0 && len(list) < t.cfg.IndirectProbes {
 		i := int(random % uint64(len(alive)))
 		list = append(list, alive[i])
 		alive = append(alive[:i], alive[i+1:]...)
@@ -283,9 +283,9 @@
 	return list
 }
 
-// Answered takes note that the target answered, itself or through a helper.
+// ProbeAnswered takes note that the target answered, itself or through a helper.
 // The answer itself carries the target's own word about its state.
-func (t *Table) Answered(target string, now time.Time) (changes []Change) {
+func (t *Table) ProbeAnswered(target string, now time.Time) (changes []Change) {
 	e, ok := t.all[target]
 	if !ok || e.m.State != Suspect {
 		return nil
@@ -293,8 +293,8 @@
 	return []Change{t.set(e, Alive, now, "answered a probe")}
 }
 
-// Silent takes note that neither the target nor a helper answered.
-func (t *Table) Silent(target string, now time.Time) (changes []Change) {
+// ProbeUnanswered takes note that neither the target nor a helper answered.
+func (t *Table) ProbeUnanswered(target string, now time.Time) (changes []Change) {
 	e, ok := t.all[target]
 	if !ok || e.m.State != Alive || target == t.self.Name {
 		return nil
@@ -341,7 +341,7 @@
 		}
 		return fresh[i].m.Name < fresh[j].m.Name
 	})
-	for _, e := range fresh[:min(len(fresh), t.cfg.News)] {
+	for _, e := range fresh[:min(len(fresh), t.cfg.MaxUpdates)] {
 		e.sends--
 		rows = append(rows, e.m)
 	}
@@ -370,11 +370,11 @@
 // incarnation. News of a later life means that another process has taken the
 // name; this one cannot deny that. That it is leaving is never denied.
 func (t *Table) deny(m Member) {
-	mine := m.Life == t.self.Life || m.Life == 0 && m.Address == t.self.Address
+	mine := m.StartedAt == t.self.StartedAt || m.StartedAt == 0 && m.Address == t.self.Address
 	if m.Leaving && mine && !t.self.Leaving {
 		t.Leave()
 	}
-	if m.Life != t.self.Life || m.State == Alive || m.Incarnation < t.self.Incarnation {
+	if m.StartedAt != t.self.StartedAt || m.State == Alive || m.Incarnation < t.self.Incarnation {
 		return
 	}
 	t.self.Incarnation = m.Incarnation + 1
@@ -386,7 +386,7 @@
 func (t *Table) Superseded(news []Member) bool {
 	for _, m := range news {
 		heir := m.Name == t.self.Name || m.Endpoint != "" && m.Endpoint == t.self.Endpoint && m.State == Alive
-		if heir && m.Life > t.self.Life {
+		if heir && m.StartedAt > t.self.StartedAt {
 			return true
 		}
 	}
@@ -407,7 +407,7 @@
 	}
 	t.stamp++
 	c = Change{Member: merged, Was: e.m.State, Cause: "news"}
-	if merged.State != e.m.State || merged.Life != e.m.Life {
+	if merged.State != e.m.State || merged.StartedAt != e.m.StartedAt {
 		e.since = now
 		e.mine = false
 	}
@@ -416,10 +416,10 @@
 	return c, true
 }
 
-// Seed takes in the platform's list: unknown instances become members, leaving
+// MergePlatformList takes in the platform's list: unknown instances become members, leaving
 // ones are marked. The list lags, so that it never says that a process is dead
 // or alive.
-func (t *Table) Seed(list []Member, now time.Time) (changes []Change) {
+func (t *Table) MergePlatformList(list []Member, now time.Time) (changes []Change) {
 	for _, m := range list {
 		if m.Name == t.self.Name {
 			if m.Leaving && !t.self.Leaving {
--- a/internal/decide/member/member_test.go
+++ b/internal/decide/member/member_test.go
@@ -16,17 +16,17 @@
 
 var (
 	start = time.Unix(1_800_000_000, 0)
-	times = Config{Interval: time.Second, SuspectAfter: 3 * time.Second, ForgetAfter: time.Hour, News: 8, Helpers: 2}
+	times = Config{ProbeInterval: time.Second, SuspicionTimeout: 3 * time.Second, ForgetAfter: time.Hour, MaxUpdates: 8, IndirectProbes: 2}
 )
 
 func row(name string) Member {
-	return Member{Name: name, Address: name, Life: 1}
+	return Member{Name: name, Address: name, StartedAt: 1}
 }
 
 func anyRow(t *rapid.T) Member {
 	return Member{
 		Name: fmt.Sprint("m", rapid.IntRange(0, 2).Draw(t, "name")), Address: "a",
-		Life:        int64(rapid.IntRange(0, 2).Draw(t, "life")),
+		StartedAt:   int64(rapid.IntRange(0, 2).Draw(t, "life")),
 		Incarnation: uint32(rapid.IntRange(0, 2).Draw(t, "incarnation")),
 		State:       State(rapid.IntRange(0, 2).Draw(t, "state")),
 		Leaving:     rapid.Bool().Draw(t, "leaving"),
@@ -61,7 +61,7 @@
 	v.Merge([]Member{newer}, start)
 	got, _ := v.Get("a")
 	g.Expect(got.Leaving).To(gomega.BeTrue())
-	newer.Life = 2
+	newer.StartedAt = 2
 	v.Merge([]Member{newer}, start)
 	got, _ = v.Get("a")
 	g.Expect(got.Leaving).To(gomega.BeFalse(), "a new life begins anew")
@@ -72,7 +72,7 @@
 	self := New(times, row("self"))
 	peer := New(times, row("peer"))
 	peer.Merge(self.Outgoing(), start)
-	peer.Silent("self", start)
+	peer.ProbeUnanswered("self", start)
 	_, _, _ = peer.Tick(start.Add(4*time.Second), 1)
 	got, _ := peer.Get("self")
 	g.Expect(got.State).To(gomega.Equal(Dead))
@@ -87,7 +87,7 @@
 	g := gomega.NewWithT(t)
 	self := New(times, row("self"))
 	later := row("self")
-	later.Life = 9
+	later.StartedAt = 9
 	g.Expect(self.Superseded([]Member{later})).To(gomega.BeTrue())
 	g.Expect(self.Superseded([]Member{row("self")})).To(gomega.BeFalse())
 
@@ -95,21 +95,21 @@
 	mine.Endpoint = "rank-0"
 	old := New(times, mine)
 	heir := row("new-vm")
-	heir.Endpoint, heir.Life = "rank-0", 5
+	heir.Endpoint, heir.StartedAt = "rank-0", 5
 	g.Expect(old.Superseded([]Member{heir})).To(gomega.BeTrue(), "another instance fills the slot")
 	heir.State = Dead
 	g.Expect(old.Superseded([]Member{heir})).To(gomega.BeFalse(), "one that has died does not")
-	heir.State, heir.Life = Alive, 0
+	heir.State, heir.StartedAt = Alive, 0
 	g.Expect(old.Superseded([]Member{heir})).To(gomega.BeFalse(), "nor one that only the list names")
 }
 
 func TestPauseIsNoticed(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := New(times, row("self"))
-	g.Expect(v.Woke(start)).To(gomega.BeFalse())
-	g.Expect(v.Woke(start.Add(1100 * time.Millisecond))).To(gomega.BeFalse())
-	g.Expect(v.Overdue(start.Add(10 * time.Second))).To(gomega.BeTrue())
-	g.Expect(v.Woke(start.Add(10 * time.Second))).To(gomega.BeTrue())
+	g.Expect(v.DetectPause(start)).To(gomega.BeFalse())
+	g.Expect(v.DetectPause(start.Add(1100 * time.Millisecond))).To(gomega.BeFalse())
+	g.Expect(v.TickOverdue(start.Add(10 * time.Second))).To(gomega.BeTrue())
+	g.Expect(v.DetectPause(start.Add(10 * time.Second))).To(gomega.BeTrue())
 	g.Expect(v.Self().Incarnation).To(gomega.BeEquivalentTo(1))
 }
 
@@ -134,27 +134,27 @@
 	for i := range 1000 {
 		v.Merge([]Member{row(fmt.Sprint("m", i))}, start)
 	}
-	g.Expect(len(v.Outgoing())).To(gomega.BeNumerically("<=", times.News+1))
+	g.Expect(len(v.Outgoing())).To(gomega.BeNumerically("<=", times.MaxUpdates+1))
 }
 
 func TestListIsSlowTruth(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := New(times, row("self"))
 	v.Merge([]Member{row("a")}, start)
-	v.Silent("a", start)
+	v.ProbeUnanswered("a", start)
 	_, _, _ = v.Tick(start.Add(4*time.Second), 1)
 	listed := row("a")
-	listed.Life = 0
-	v.Seed([]Member{listed}, start)
+	listed.StartedAt = 0
+	v.MergePlatformList([]Member{listed}, start)
 	got, _ := v.Get("a")
 	g.Expect(got.State).To(gomega.Equal(Dead), "the list revives nobody")
 	listed.Leaving = true
-	v.Seed([]Member{listed}, start)
+	v.MergePlatformList([]Member{listed}, start)
 	got, _ = v.Get("a")
 	g.Expect(got.Leaving).To(gomega.BeTrue())
 	mine := row("self")
 	mine.Leaving = true
-	v.Seed([]Member{mine}, start)
+	v.MergePlatformList([]Member{mine}, start)
 	g.Expect(v.Self().Leaving).To(gomega.BeTrue())
 }
 
@@ -164,7 +164,7 @@
 	for i := range 30 {
 		v.Merge([]Member{row(fmt.Sprint("m", i))}, start)
 	}
-	v.Silent("m7", start)
+	v.ProbeUnanswered("m7", start)
 	p, _, _ := v.Tick(start.Add(time.Second), 5)
 	g.Expect(p.Target.Name).To(gomega.Equal("m7"), "whoever doubts asks again")
 	told := false
@@ -179,9 +179,9 @@
 func TestPatienceGrowsWithTheFleet(t *testing.T) {
 	g := gomega.NewWithT(t)
 	v := New(times, row("self"))
-	g.Expect(v.patience()).To(gomega.Equal(times.SuspectAfter))
+	g.Expect(v.patience()).To(gomega.Equal(times.SuspicionTimeout))
 	for i := range 3000 {
 		v.Merge([]Member{row(fmt.Sprint("m", i))}, start)
 	}
-	g.Expect(v.patience()).To(gomega.BeNumerically("~", 3*times.SuspectAfter, times.SuspectAfter/2))
+	g.Expect(v.patience()).To(gomega.BeNumerically("~", 3*times.SuspicionTimeout, times.SuspicionTimeout/2))
 }
--- a/internal/decide/once/once.go
+++ b/internal/decide/once/once.go
@@ -13,11 +13,11 @@
 
 // The states of a mark.
 const (
-	None       State = iota // Never seen.
-	Tombstoned              // Promised never to run.
-	Running                 // Marked before the first byte was sent.
-	Finished                // Ran, with a known answer.
-	Lost                    // Ran or may have run; the answer is not known.
+	Unseen         State = iota // Never seen.
+	Tombstoned                  // Promised never to run.
+	Running                     // Marked before the first byte was sent.
+	Finished                    // Ran, with a known answer.
+	OutcomeUnknown              // Ran or may have run; the answer is not known.
 )
 
 // Verdict is the answer to Begin.
@@ -26,9 +26,9 @@
 // The verdicts.
 const (
 	Run        Verdict = iota // Marked; the caller must send it or call Release.
-	Busy                      // The same name is running now.
-	Repeat                    // It ran; Answer holds what was given.
-	Doubtful                  // It may have run, here or in an earlier life.
+	InProgress                // The same name is running now.
+	Replay                    // It ran; Answer holds what was given.
+	MayHaveRun                // It may have run, here or in an earlier life.
 	Refused                   // It was promised never to run.
 	Full                      // No room to remember it; nothing was marked.
 	FromFuture                // Minted later than the clocks allow.
@@ -51,12 +51,12 @@
 
 // Config bounds a Table.
 type Config struct {
-	Started     time.Time     // When this process began; earlier keys may have run before.
-	Skew        time.Duration // Largest difference between two clocks.
-	Window      time.Duration // How long marks are kept; older keys are doubtful.
-	Capacity    int           // Marks held at most; when full, Begin refuses.
-	AnswerBytes int           // Bytes of answers kept at most.
-	SentOnce    bool          // Names are never sent again, so that an earlier life cannot have run one that comes now.
+	Started        time.Time     // When this process began; earlier keys may have run before.
+	Skew           time.Duration // Largest difference between two clocks.
+	Window         time.Duration // How long marks are kept; older keys are doubtful.
+	Capacity       int           // Marks held at most; when full, Begin refuses.
+	MaxAnswerBytes int           // Bytes of answers kept at most.
+	NeverResent    bool          // Names are never sent again, so that an earlier life cannot have run one that comes now.
 }
 
 // Table remembers what was started.
@@ -88,10 +88,10 @@
 	switch {
 	case minted.After(now.Add(t.cfg.Skew)):
 		return FromFuture, nil
-	case !t.cfg.SentOnce && t.early(minted):
-		return Doubtful, nil // An earlier life of this endpoint may have run it.
+	case !t.cfg.NeverResent && t.early(minted):
+		return MayHaveRun, nil // An earlier life of this endpoint may have run it.
 	case minted.Before(now.Add(-t.cfg.Window + t.cfg.Skew)):
-		return Doubtful, nil // Its mark may have expired already.
+		return MayHaveRun, nil // Its mark may have expired already.
 	case len(t.marks) >= t.cfg.Capacity:
 		return Full, nil // Never forget early to make room.
 	}
@@ -102,15 +102,15 @@
 func (m *mark) verdict() Verdict {
 	switch m.state {
 	case Running:
-		return Busy
+		return InProgress
 	case Tombstoned:
 		return Refused
 	case Finished:
 		if m.answer != nil {
-			return Repeat
+			return Replay
 		}
 	}
-	return Doubtful
+	return MayHaveRun
 }
 
 func (t *Table) put(name string, s State, digest uint64, now time.Time) {
@@ -140,16 +140,16 @@
 		return
 	}
 	m.state = Finished
-	if t.bytes+len(a.Body) <= t.cfg.AnswerBytes {
+	if t.bytes+len(a.Body) <= t.cfg.MaxAnswerBytes {
 		m.answer = &a
 		t.bytes += len(a.Body)
 	}
 }
 
-// Lose records that a running name may have run without a known answer.
-func (t *Table) Lose(name string) {
+// SetOutcomeUnknown records that a running name may have run without a known answer.
+func (t *Table) SetOutcomeUnknown(name string) {
 	if m, ok := t.marks[name]; ok && m.state == Running {
-		m.state = Lost
+		m.state = OutcomeUnknown
 	}
 }
 
@@ -167,7 +167,7 @@
 	}
 	late := minted.Before(now.Add(-t.cfg.Window + t.cfg.Skew))
 	if t.early(minted) || late || len(t.marks) >= t.cfg.Capacity {
-		return Lost // Nobody can promise any more.
+		return OutcomeUnknown // Nobody can promise any more.
 	}
 	t.put(name, Tombstoned, 0, now)
 	return Tombstoned
--- a/internal/decide/once/once_test.go
+++ b/internal/decide/once/once_test.go
@@ -17,7 +17,7 @@
 var start = time.Unix(1_800_000_000, 0)
 
 func config(began time.Time) Config {
-	return Config{Started: began, Skew: time.Second, Window: time.Minute, Capacity: 8, AnswerBytes: 100}
+	return Config{Started: began, Skew: time.Second, Window: time.Minute, Capacity: 8, MaxAnswerBytes: 100}
 }
 
 // naive is a table that forgets the oldest name when it is full, and knows
@@ -116,18 +116,18 @@
 		})
 	}
 	check("new", Run, func(t *Table) Verdict { return begin(t, "a", now) })
-	check("running", Busy, func(t *Table) Verdict { begin(t, "a", now); return begin(t, "a", now) })
-	check("finished", Repeat, func(t *Table) Verdict {
+	check("running", InProgress, func(t *Table) Verdict { begin(t, "a", now); return begin(t, "a", now) })
+	check("finished", Replay, func(t *Table) Verdict {
 		begin(t, "a", now)
 		t.Finish("a", Answer{Status: 200, Body: []byte("x")})
 		return begin(t, "a", now)
 	})
-	check("finished with an answer too large to keep", Doubtful, func(t *Table) Verdict {
+	check("finished with an answer too large to keep", MayHaveRun, func(t *Table) Verdict {
 		begin(t, "a", now)
 		t.Finish("a", Answer{Body: make([]byte, 101)})
 		return begin(t, "a", now)
 	})
-	check("lost", Doubtful, func(t *Table) Verdict { begin(t, "a", now); t.Lose("a"); return begin(t, "a", now) })
+	check("lost", MayHaveRun, func(t *Table) Verdict { begin(t, "a", now); t.SetOutcomeUnknown("a"); return begin(t, "a", now) })
 	check("released", Run, func(t *Table) Verdict { begin(t, "a", now); t.Release("a"); return begin(t, "a", now) })
 	check("denied", Refused, func(t *Table) Verdict { begin(t, "a", now); t.Deny("a"); return begin(t, "a", now) })
 	check("another request", Mismatch, func(t *Table) Verdict {
@@ -135,7 +135,7 @@
 		v, _ := t.Begin("a", 2, now, now)
 		return v
 	})
-	check("from an earlier life", Doubtful, func(t *Table) Verdict { return begin(t, "a", start.Add(-time.Second)) })
+	check("from an earlier life", MayHaveRun, func(t *Table) Verdict { return begin(t, "a", start.Add(-time.Second)) })
 	check("from the future", FromFuture, func(t *Table) Verdict { return begin(t, "a", now.Add(2*time.Second)) })
 	check("full", Full, func(t *Table) Verdict {
 		for i := range 8 {
@@ -154,5 +154,5 @@
 	g.Expect(v).To(gomega.Equal(Refused), "the promise is kept")
 	table.Begin("seen", 0, now, now)
 	g.Expect(table.Tombstone("seen", now, now)).To(gomega.Equal(Running))
-	g.Expect(table.Tombstone("early", start, now)).To(gomega.Equal(Lost), "an earlier life may have run it")
+	g.Expect(table.Tombstone("early", start, now)).To(gomega.Equal(OutcomeUnknown), "an earlier life may have run it")
 }
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -18,31 +18,31 @@
 // Shape is what is published of the engines of a group and of what their callers
 // want.
 type Shape struct {
-	Base   float64       // Requests whose work equals that of a pass without any.
-	Slots  int           // Requests that a rank runs at once.
-	Empty  time.Duration // Pass without any request, at an even load.
-	Pause  time.Duration // Longest pause between two events that is in time; 0 for none.
-	Passes float64       // That a usual answer takes.
+	FixedCost       float64       // Requests whose work equals that of a pass without any.
+	Slots           int           // Requests that a rank runs at once.
+	EmptyPass       time.Duration // Pass without any request, at an even load.
+	MaxPause        time.Duration // Longest pause between two events that is in time; 0 for none.
+	PassesPerAnswer float64       // That a usual answer takes.
 }
 
 // NewShape returns the shape of engines whose callers allow a pause between two events.
 func NewShape(e *fleet.Engine, pause time.Duration) Shape {
 	return Shape{
-		Base:   max(float64(e.StepTime)/float64(e.WriterTime), 1),
-		Slots:  e.Slots,
-		Empty:  e.StepTime * time.Duration(e.StepsInPass),
-		Pause:  pause,
-		Passes: e.UsualAnswer / float64(max(e.StepsInPass, 1)),
+		FixedCost:       max(float64(e.BaseStepTime)/float64(e.DecodeTimePerRequest), 1),
+		Slots:           e.Slots,
+		EmptyPass:       e.BaseStepTime * time.Duration(e.StepsPerPass),
+		MaxPause:        pause,
+		PassesPerAnswer: e.MeanAnswerTokens / float64(max(e.StepsPerPass, 1)),
 	}
 }
 
-// Rank is what a rank tells.
-type Rank struct {
-	Running int
-	Pass    time.Duration // Time of a pass; 0 when not known.
-	Pace    float64       // Above 1 when it is slow.
-	Closed  bool          // Its group serves nothing now.
-	At      time.Time
+// RankReport is what a rank tells.
+type RankReport struct {
+	Running  int
+	PassTime time.Duration // Time of a pass; 0 when not known.
+	Slowdown float64       // Above 1 when it is slow.
+	Closed   bool          // Its group serves nothing now.
+	At       time.Time
 }
 
 const (
@@ -82,12 +82,12 @@
 // group is what is known of one group.
 type group struct {
 	shape Shape
-	ranks map[string]Rank
+	ranks map[string]RankReport
 	words int           // Of ranks since round.
 	round time.Time     // When as many words as there are ranks had last come.
 	gap   time.Duration // Smoothed pause between events of streams here; 0 before the first.
 	gapAt time.Time
-	first estimate.Time // From sending a request to its first event.
+	first estimate.Estimator // From sending a request to its first event.
 	told  toldLimit
 }
 
@@ -101,7 +101,7 @@
 func New() *Tracker { return &Tracker{groups: map[string]*group{}, member: map[string]string{}} }
 
 // Report takes in what a rank tells of itself and its group.
-func (t *Tracker) Report(id, name string, s Shape, r Rank) {
+func (t *Tracker) Report(id, name string, s Shape, r RankReport) {
 	if before, ok := t.member[id]; ok && before != name {
 		t.forget(id)
 	}
@@ -110,7 +110,7 @@
 	}
 	g := t.groups[name]
 	if g == nil {
-		g = &group{ranks: map[string]Rank{}, first: estimate.New(firstWeight)}
+		g = &group{ranks: map[string]RankReport{}, first: estimate.New(firstWeight)}
 		t.groups[name] = g
 	}
 	t.member[id] = name
@@ -121,22 +121,22 @@
 	}
 }
 
-// Gap takes in the pause before an event of a stream here: it is a pass, seen
+// RecordGap takes in the pause before an event of a stream here: it is a pass, seen
 // sooner than ranks can tell of it.
-func (t *Tracker) Gap(id string, d time.Duration, now time.Time) {
+func (t *Tracker) RecordGap(id string, d time.Duration, now time.Time) {
 	g := t.groups[t.member[id]]
 	if g == nil {
 		return
 	}
-	if now.Sub(g.gapAt) > gapAge*g.shape.Pause {
+	if now.Sub(g.gapAt) > gapAge*g.shape.MaxPause {
 		g.gap = d
 	}
 	g.gap += time.Duration(gapWeight * float64(d-g.gap))
 	g.gapAt = now
 }
 
-// First takes in how long a request took from being sent to its first event.
-func (t *Tracker) First(id string, d time.Duration) {
+// RecordFirstEvent takes in how long a request took from being sent to its first event.
+func (t *Tracker) RecordFirstEvent(id string, d time.Duration) {
 	g := t.groups[t.member[id]]
 	if g == nil {
 		return
@@ -144,38 +144,38 @@
 	g.first.Add(d)
 }
 
-// Usual returns the time until nearly all first events of an endpoint's group come and
+// TypicalTimes returns the time until nearly all first events of an endpoint's group come and
 // that between two events of its streams, 0 where it is not known.
-func (t *Tracker) Usual(id string) (first, pass time.Duration) {
+func (t *Tracker) TypicalTimes(id string) (first, pass time.Duration) {
 	g := t.groups[t.member[id]]
 	if g == nil {
 		return 0, 0
 	}
 	if g.first.Known() {
-		first = g.first.Most()
+		first = g.first.UpperBound()
 	}
 	return first, g.gap
 }
 
 // Turnover is how soon a group takes and answers requests.
 type Turnover struct {
-	Rate  float64       // Requests a second that end at one rank when it holds as many as it may.
-	First time.Duration // Until the first event of nearly all.
+	Rate       float64       // Requests a second that end at one rank when it holds as many as it may.
+	FirstEvent time.Duration // Until the first event of nearly all.
 }
 
 // Turnover returns that of a group which may hold so many requests a rank; ok is
 // false when it is not known.
 func (t *Tracker) Turnover(name string, perRank float64, now time.Time) (v Turnover, ok bool) {
 	g := t.groups[name]
-	if g == nil || g.shape.Passes <= 0 || !g.first.Known() {
+	if g == nil || g.shape.PassesPerAnswer <= 0 || !g.first.Known() {
 		return v, false
 	}
 	work, ok := g.work(now)
 	if !ok {
 		return v, false
 	}
-	pass := work * (g.shape.Base + perRank)
-	return Turnover{Rate: perRank / (g.shape.Passes * pass), First: g.first.Most()}, true
+	pass := work * (g.shape.FixedCost + perRank)
+	return Turnover{Rate: perRank / (g.shape.PassesPerAnswer * pass), FirstEvent: g.first.UpperBound()}, true
 }
 
 // Forget drops what is known of endpoints that are no longer listed.
@@ -199,12 +199,12 @@
 	}
 }
 
-// Group returns the group of an endpoint, "" when it is not known.
-func (t *Tracker) Group(id string) string { return t.member[id] }
+// GroupOf returns the group of an endpoint, "" when it is not known.
+func (t *Tracker) GroupOf(id string) string { return t.member[id] }
 
-// Round returns the time by which as many words as a group has ranks had come once
+// LastRound returns the time by which as many words as a group has ranks had come once
 // more: what is known of it is no older than that, but for words that were lost.
-func (t *Tracker) Round(name string) (at time.Time) {
+func (t *Tracker) LastRound(name string) (at time.Time) {
 	if g := t.groups[name]; g != nil {
 		at = g.round
 	}
@@ -216,11 +216,11 @@
 func (g *group) work(now time.Time) (seconds float64, ok bool) {
 	n, pass, running := 0, time.Duration(0), 0
 	for _, r := range g.ranks {
-		if r.Closed || r.Pass <= 0 || now.Sub(r.At) > rankAge {
+		if r.Closed || r.PassTime <= 0 || now.Sub(r.At) > rankAge {
 			continue
 		}
 		n++
-		pass += r.Pass
+		pass += r.PassTime
 		running += min(r.Running, max(g.shape.Slots, 1))
 	}
 	if n == 0 {
@@ -228,10 +228,10 @@
 	}
 	mean := float64(running) / float64(n)
 	last := pass.Seconds() / float64(n)
-	if now.Sub(g.gapAt) <= gapAge*g.shape.Pause {
+	if now.Sub(g.gapAt) <= gapAge*g.shape.MaxPause {
 		last = g.gap.Seconds()
 	}
-	return last / (g.shape.Base + mean), true
+	return last / (g.shape.FixedCost + mean), true
 }
 
 // Limit returns how many requests a rank of a group may hold in the mean: what was told
@@ -242,13 +242,13 @@
 	if g != nil && g.told.fresh(now) {
 		return g.told.perRank, true
 	}
-	return t.Guess(name, now)
+	return t.Estimate(name, now)
 }
 
-// Guess is Limit by what this process knows itself.
-func (t *Tracker) Guess(name string, now time.Time) (perRank float64, ok bool) {
+// Estimate is Limit by what this process knows itself.
+func (t *Tracker) Estimate(name string, now time.Time) (perRank float64, ok bool) {
 	g := t.groups[name]
-	if g == nil || g.shape.Pause <= 0 || g.shape.Slots <= 0 {
+	if g == nil || g.shape.MaxPause <= 0 || g.shape.Slots <= 0 {
 		return 0, false
 	}
 	work, ok := g.work(now)
@@ -261,8 +261,8 @@
 // limit returns how many requests a rank may hold in the mean so that a pass to which each
 // adds so many seconds lasts a part of the longest pause, but no fewer than least.
 func (g *group) limit(work, fill, least float64, now time.Time) (perRank float64) {
-	pause, pace := g.shape.Pause.Seconds(), g.pace(now)
-	empty := pace * g.shape.Empty.Seconds()
+	pause, pace := g.shape.MaxPause.Seconds(), g.pace(now)
+	empty := pace * g.shape.EmptyPass.Seconds()
 	if empty > hopelessShare*pause {
 		return float64(g.shape.Slots) // Nothing is in time: as many as possible are served.
 	}
@@ -270,7 +270,7 @@
 	if pace > 1 {
 		most = max(most, empty+slowShare*(pause-empty))
 	}
-	return min(max(most/work-g.shape.Base, least), float64(g.shape.Slots))
+	return min(max(most/work-g.shape.FixedCost, least), float64(g.shape.Slots))
 }
 
 // pace returns that of the slowest rank that holds requests, at least 1: one that
@@ -279,15 +279,15 @@
 	pace := 1.0
 	for _, r := range g.ranks {
 		if !r.Closed && r.Running > 0 && now.Sub(r.At) <= rankAge {
-			pace = max(pace, r.Pace)
+			pace = max(pace, r.Slowdown)
 		}
 	}
 	return pace
 }
 
-// Vacate reports whether the requests at an endpoint are to be moved to other
+// ShouldMoveRequests reports whether the requests at an endpoint are to be moved to other
 // ranks of its group, since it is so slow that all passes take too long by it.
-func (t *Tracker) Vacate(id string, now time.Time) bool {
+func (t *Tracker) ShouldMoveRequests(id string, now time.Time) bool {
 	g := t.groups[t.member[id]]
 	if g == nil || !g.slow(g.ranks[id]) {
 		return false
@@ -305,18 +305,18 @@
 	return float64(running) <= vacateFill*float64(room)
 }
 
-func (g *group) slow(r Rank) bool {
-	return r.Pace > 1 && r.Pace*g.shape.Empty.Seconds() > vacateShare*g.shape.Pause.Seconds()
+func (g *group) slow(r RankReport) bool {
+	return r.Slowdown > 1 && r.Slowdown*g.shape.EmptyPass.Seconds() > vacateShare*g.shape.MaxPause.Seconds()
 }
 
-// Offer is a group that could take a request.
-type Offer struct {
-	Ranks  int       // That may be chosen.
-	Busy   int       // Requests at them.
-	Limit  float64   // That one of them may hold in the mean.
-	Near   int       // Ranks in the failure domain of the process.
-	Heard  time.Time // When one of its ranks was last heard; zero when none ever was.
-	Silent bool      // It is passed over, since others are heard and it is not.
+// Option is a group that could take a request.
+type Option struct {
+	Ranks      int       // That may be chosen.
+	Requests   int       // Requests at them.
+	Limit      float64   // That one of them may hold in the mean.
+	SameDomain int       // Ranks in the failure domain of the process.
+	LastReport time.Time // When one of its ranks was last heard; zero when none ever was.
+	Silent     bool      // It is passed over, since others are heard and it is not.
 }
 
 // silentAfter is how long nothing is heard of a whole group that is cut off: each of its
@@ -324,20 +324,20 @@
 // second, and messages are lost one by one. Connections to it say nothing for longer.
 const silentAfter = 400 * time.Millisecond
 
-// LeaveSilent marks the groups of which nothing is heard any more while others are
+// MarkSilent marks the groups of which nothing is heard any more while others are
 // heard. Where none is, the process itself is cut off, and all count.
-func LeaveSilent(offers []Offer, now time.Time) {
-	heard := func(o Offer) bool { return now.Sub(o.Heard) <= silentAfter }
+func MarkSilent(offers []Option, now time.Time) {
+	heard := func(o Option) bool { return now.Sub(o.LastReport) <= silentAfter }
 	if !slices.ContainsFunc(offers, heard) {
 		return
 	}
 	for i, o := range offers {
-		offers[i].Silent = !o.Heard.IsZero() && !heard(o)
+		offers[i].Silent = !o.LastReport.IsZero() && !heard(o)
 	}
 }
 
-// Room is how many more requests the group may take.
-func (o Offer) Room() float64 { return o.Limit*float64(o.Ranks) - float64(o.Busy) }
+// FreeCapacity is how many more requests the group may take.
+func (o Option) FreeCapacity() float64 { return o.Limit*float64(o.Ranks) - float64(o.Requests) }
 
 // nearWeight is how much more often a group is drawn if all its ranks are near:
 // bytes between failure domains are dear, yet groups must fill alike.
@@ -345,15 +345,15 @@
 
 // Choose draws a group with the room that it has, so that gateways that see the
 // same do not all take the same one; ok is false when none has room for one more.
-func Choose(offers []Offer, random func(n int) int) (index int, ok bool) {
+func Choose(offers []Option, random func(n int) int) (index int, ok bool) {
 	weights := make([]int, len(offers))
 	sum := 0
 	for i, o := range offers {
-		if o.Room() < 1 || o.Silent {
+		if o.FreeCapacity() < 1 || o.Silent {
 			continue
 		}
-		near := 1 + (nearWeight-1)*float64(o.Near)/float64(max(o.Ranks, 1))
-		weights[i] = max(int(o.Room()*near*weightUnit), 1)
+		near := 1 + (nearWeight-1)*float64(o.SameDomain)/float64(max(o.Ranks, 1))
+		weights[i] = max(int(o.FreeCapacity()*near*weightUnit), 1)
 		sum += weights[i]
 	}
 	if sum == 0 {
--- a/internal/decide/passes/passes_test.go
+++ b/internal/decide/passes/passes_test.go
@@ -12,7 +12,7 @@
 
 var (
 	at    = time.Unix(1000, 0)
-	shape = Shape{Base: 5, Slots: 12, Empty: 18 * time.Millisecond, Pause: 120 * time.Millisecond, Passes: 24}
+	shape = Shape{FixedCost: 5, Slots: 12, EmptyPass: 18 * time.Millisecond, MaxPause: 120 * time.Millisecond, PassesPerAnswer: 24}
 )
 
 const (
@@ -23,7 +23,7 @@
 func id(group string, r int) string { return fmt.Sprintf("%s-%d", group, r) }
 
 // tell has all ranks of a group tell the same.
-func tell(t *Tracker, group string, r Rank) {
+func tell(t *Tracker, group string, r RankReport) {
 	if r.At.IsZero() {
 		r.At = at
 	}
@@ -35,15 +35,15 @@
 func TestLimit(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		rank Rank
+		rank RankReport
 		want float64
 	}{
-		{"passes half as long as they may be", Rank{Running: 5, Pass: 51 * ms}, 12},
-		{"as long as they may be", Rank{Running: 5, Pass: 102 * ms}, 5},
-		{"too long", Rank{Running: 9, Pass: 140 * ms}, 5.2},
-		{"far too long", Rank{Running: 5, Pass: 400 * ms}, leastLet},
-		{"nothing in time any more", Rank{Running: 5, Pass: 400 * ms, Pace: 10}, 12},
-		{"a slow rank that holds nothing", Rank{Running: 0, Pass: 60 * ms, Pace: 10}, 3.5},
+		{"passes half as long as they may be", RankReport{Running: 5, PassTime: 51 * ms}, 12},
+		{"as long as they may be", RankReport{Running: 5, PassTime: 102 * ms}, 5},
+		{"too long", RankReport{Running: 9, PassTime: 140 * ms}, 5.2},
+		{"far too long", RankReport{Running: 5, PassTime: 400 * ms}, leastLet},
+		{"nothing in time any more", RankReport{Running: 5, PassTime: 400 * ms, Slowdown: 10}, 12},
+		{"a slow rank that holds nothing", RankReport{Running: 0, PassTime: 60 * ms, Slowdown: 10}, 3.5},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -59,8 +59,8 @@
 func TestGroupsAreJudgedApart(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "fast", Rank{Running: 5, Pass: 51 * ms})
-	tell(p, "slow", Rank{Running: 5, Pass: 200 * ms})
+	tell(p, "fast", RankReport{Running: 5, PassTime: 51 * ms})
+	tell(p, "slow", RankReport{Running: 5, PassTime: 200 * ms})
 	fast, _ := p.Limit("fast", at)
 	slow, _ := p.Limit("slow", at)
 	g.Expect(fast).To(BeNumerically(">", 2*slow))
@@ -73,13 +73,13 @@
 func TestPausesThatAreSeenGoBeforeWhatRanksTold(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "g", Rank{Running: 5, Pass: 51 * ms})
+	tell(p, "g", RankReport{Running: 5, PassTime: 51 * ms})
 	for range 6 {
-		p.Gap(id("g", 1), 102*ms, at)
+		p.RecordGap(id("g", 1), 102*ms, at)
 	}
 	limit, _ := p.Limit("g", at)
 	g.Expect(limit).To(BeNumerically("~", 5, 0.2))
-	tell(p, "g", Rank{Running: 5, Pass: 51 * ms, At: at.Add(time.Second)})
+	tell(p, "g", RankReport{Running: 5, PassTime: 51 * ms, At: at.Add(time.Second)})
 	limit, _ = p.Limit("g", at.Add(time.Second))
 	g.Expect(limit).To(BeNumerically("~", 12, 0.2), "no stream is under way here")
 }
@@ -87,11 +87,11 @@
 func TestARankThatChangesItsGroupIsForgottenInTheOldOne(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "old", Rank{Running: 5, Pass: 51 * ms})
+	tell(p, "old", RankReport{Running: 5, PassTime: 51 * ms})
 	for r := range ranks {
-		p.Report(id("old", r), "new", shape, Rank{Running: 5, Pass: 51 * ms, At: at})
+		p.Report(id("old", r), "new", shape, RankReport{Running: 5, PassTime: 51 * ms, At: at})
 	}
-	g.Expect(p.Group(id("old", 0))).To(Equal("new"))
+	g.Expect(p.GroupOf(id("old", 0))).To(Equal("new"))
 	_, ok := p.Limit("old", at)
 	g.Expect(ok).To(BeFalse())
 	p.Forget(func(string) bool { return false })
@@ -114,10 +114,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			p := New()
-			tell(p, "g", Rank{Running: tc.running, Pass: 300 * ms, Pace: 1})
-			p.Report(id("g", 2), "g", shape, Rank{Running: tc.running, Pass: 300 * ms, Pace: tc.pace, At: at})
-			g.Expect(p.Vacate(id("g", 2), at)).To(Equal(tc.want))
-			g.Expect(p.Vacate(id("g", 1), at)).To(BeFalse())
+			tell(p, "g", RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: 1})
+			p.Report(id("g", 2), "g", shape, RankReport{Running: tc.running, PassTime: 300 * ms, Slowdown: tc.pace, At: at})
+			g.Expect(p.ShouldMoveRequests(id("g", 2), at)).To(Equal(tc.want))
+			g.Expect(p.ShouldMoveRequests(id("g", 1), at)).To(BeFalse())
 		})
 	}
 }
@@ -125,32 +125,32 @@
 func TestTurnover(t *testing.T) {
 	g := NewWithT(t)
 	p := New()
-	tell(p, "g", Rank{Running: 5, Pass: 50 * ms})
+	tell(p, "g", RankReport{Running: 5, PassTime: 50 * ms})
 	_, ok := p.Turnover("g", 5, at)
 	g.Expect(ok).To(BeFalse(), "no first event was seen")
 	for range 50 {
-		p.First(id("g", 0), 150*ms)
+		p.RecordFirstEvent(id("g", 0), 150*ms)
 	}
 	v, ok := p.Turnover("g", 5, at)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(v.Rate).To(BeNumerically("~", 5/(24*0.05), 0.01), "five requests, each of 24 passes of 50 ms")
-	g.Expect(v.First).To(BeNumerically("~", 150*ms, 5*ms))
+	g.Expect(v.FirstEvent).To(BeNumerically("~", 150*ms, 5*ms))
 }
 
 func TestChoose(t *testing.T) {
-	full := Offer{Ranks: 4, Busy: 40, Limit: 10}
-	half := Offer{Ranks: 4, Busy: 20, Limit: 10}
-	near := Offer{Ranks: 4, Busy: 20, Limit: 10, Near: 4}
+	full := Option{Ranks: 4, Requests: 40, Limit: 10}
+	half := Option{Ranks: 4, Requests: 20, Limit: 10}
+	near := Option{Ranks: 4, Requests: 20, Limit: 10, SameDomain: 4}
 	for _, tc := range []struct {
 		name   string
-		offers []Offer
+		offers []Option
 		share  float64 // Of the last one.
 		ok     bool
 	}{
-		{"none has room", []Offer{full, full}, 0, false},
-		{"one has room", []Offer{full, half}, 1, true},
-		{"near before far", []Offer{half, near}, 2.0 / 3, true},
-		{"by room", []Offer{{Ranks: 4, Busy: 30, Limit: 10}, half}, 2.0 / 3, true},
+		{"none has room", []Option{full, full}, 0, false},
+		{"one has room", []Option{full, half}, 1, true},
+		{"near before far", []Option{half, near}, 2.0 / 3, true},
+		{"by room", []Option{{Ranks: 4, Requests: 30, Limit: 10}, half}, 2.0 / 3, true},
 		{"no groups", nil, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -175,15 +175,15 @@
 func TestARoundIsOverWhenAllRanksHaveTold(t *testing.T) {
 	g := NewWithT(t)
 	tr := New()
-	g.Expect(tr.Round("g")).To(BeZero())
+	g.Expect(tr.LastRound("g")).To(BeZero())
 	rounds := map[time.Time]bool{}
 	for n := range 10 {
 		for i, id := range []string{"a", "b", "c"} {
 			at := time.Unix(1000, 0).Add(time.Duration(10*n+i) * time.Millisecond)
-			tr.Report(id, "g", Shape{}, Rank{At: at})
-			g.Expect(tr.Round("g")).To(BeTemporally("<=", at))
+			tr.Report(id, "g", Shape{}, RankReport{At: at})
+			g.Expect(tr.LastRound("g")).To(BeTemporally("<=", at))
 			if n > 0 { // All three are known.
-				rounds[tr.Round("g")] = true
+				rounds[tr.LastRound("g")] = true
 			}
 		}
 	}
@@ -193,20 +193,20 @@
 // A group that is cut off is passed over at once, and not when the process itself is.
 func TestLeaveSilent(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ago := func(d time.Duration) Offer { return Offer{Ranks: 4, Limit: 4, Heard: now.Add(-d)} }
+	ago := func(d time.Duration) Option { return Option{Ranks: 4, Limit: 4, LastReport: now.Add(-d)} }
 	for _, tc := range []struct {
 		name   string
-		offers []Offer
+		offers []Option
 		silent []bool
 	}{
-		{"all are heard", []Offer{ago(0), ago(silentAfter)}, []bool{false, false}},
-		{"one is cut off", []Offer{ago(0), ago(2 * silentAfter)}, []bool{false, true}},
-		{"the process is cut off", []Offer{ago(2 * silentAfter), ago(3 * silentAfter)}, []bool{false, false}},
-		{"one was never heard", []Offer{ago(0), {Ranks: 4, Limit: 4}}, []bool{false, false}},
+		{"all are heard", []Option{ago(0), ago(silentAfter)}, []bool{false, false}},
+		{"one is cut off", []Option{ago(0), ago(2 * silentAfter)}, []bool{false, true}},
+		{"the process is cut off", []Option{ago(2 * silentAfter), ago(3 * silentAfter)}, []bool{false, false}},
+		{"one was never heard", []Option{ago(0), {Ranks: 4, Limit: 4}}, []bool{false, false}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			LeaveSilent(tc.offers, now)
+			MarkSilent(tc.offers, now)
 			for i, o := range tc.offers {
 				g.Expect(o.Silent).To(Equal(tc.silent[i]))
 			}
--- a/internal/decide/passes/told.go
+++ b/internal/decide/passes/told.go
@@ -27,9 +27,9 @@
 
 func (l toldLimit) fresh(now time.Time) bool { return l.perRank > 0 && now.Sub(l.at) <= toldAge }
 
-// Told takes in the limit of a group that its leader tells, in requests a rank; 0 when it
+// RecordAnnouncedLimit takes in the limit of a group that its leader tells, in requests a rank; 0 when it
 // does not know one.
-func (t *Tracker) Told(name string, perRank float64, at time.Time) {
+func (t *Tracker) RecordAnnouncedLimit(name string, perRank float64, at time.Time) {
 	if g := t.groups[name]; g != nil && !at.Before(g.told.at) {
 		g.told = toldLimit{perRank: perRank, at: at}
 	}
@@ -62,13 +62,13 @@
 
 // Next takes in what the ranks tell and returns how many requests each may hold in the
 // mean; ok is false when nothing is known of passes, as when the group has just opened.
-func (l *Limiter) Next(s Shape, ranks []Rank, now time.Time) (perRank float64, ok bool) {
-	g := group{shape: s, ranks: make(map[string]Rank, len(ranks))}
+func (l *Limiter) Next(s Shape, ranks []RankReport, now time.Time) (perRank float64, ok bool) {
+	g := group{shape: s, ranks: make(map[string]RankReport, len(ranks))}
 	for i, r := range ranks {
 		g.ranks[strconv.Itoa(i)] = r
 	}
 	work, ok := g.work(now)
-	if !ok || s.Pause <= 0 || s.Slots <= 0 {
+	if !ok || s.MaxPause <= 0 || s.Slots <= 0 {
 		*l = Limiter{}
 		return 0, false
 	}
--- a/internal/decide/passes/told_test.go
+++ b/internal/decide/passes/told_test.go
@@ -25,11 +25,11 @@
 			g := NewWithT(t)
 			tr := New()
 			now := at.Add(tc.after)
-			tr.Report("a", "g", Shape{Base: 4, Slots: 10, Empty: 24 * time.Millisecond, Pause: 120 * time.Millisecond}, Rank{Running: 8, Pass: 100 * time.Millisecond, At: now})
-			tr.Told("g", tc.told, at)
+			tr.Report("a", "g", Shape{FixedCost: 4, Slots: 10, EmptyPass: 24 * time.Millisecond, MaxPause: 120 * time.Millisecond}, RankReport{Running: 8, PassTime: 100 * time.Millisecond, At: now})
+			tr.RecordAnnouncedLimit("g", tc.told, at)
 			limit, ok := tr.Limit("g", now)
 			g.Expect(ok).To(BeTrue())
-			guess, _ := tr.Guess("g", now)
+			guess, _ := tr.Estimate("g", now)
 			g.Expect(guess).To(BeNumerically("~", 8.2, 0.1))
 			if tc.told6 {
 				g.Expect(limit).To(Equal(6.0))
@@ -41,11 +41,11 @@
 }
 
 // ranksAt returns ranks that each hold so many requests while a pass lasts so long.
-func ranksAt(running int, pass time.Duration, now time.Time) []Rank {
-	return []Rank{{Running: running, Pass: pass, At: now}, {Running: running, Pass: pass, At: now}}
+func ranksAt(running int, pass time.Duration, now time.Time) []RankReport {
+	return []RankReport{{Running: running, PassTime: pass, At: now}, {Running: running, PassTime: pass, At: now}}
 }
 
-var pauses = Shape{Base: 4, Slots: 10, Empty: 24 * time.Millisecond, Pause: 120 * time.Millisecond}
+var pauses = Shape{FixedCost: 4, Slots: 10, EmptyPass: 24 * time.Millisecond, MaxPause: 120 * time.Millisecond}
 
 // next has a limiter look ten times a second for a while at ranks that stay so.
 func next(g *WithT, l *Limiter, from time.Time, looks, running int, pass time.Duration) (perRank float64, until time.Time) {
@@ -63,7 +63,7 @@
 	g := NewWithT(t)
 	var l Limiter
 	limit, _ := next(g, &l, time.Unix(1000, 0), 20, 6, 100*time.Millisecond) // 10 ms a request.
-	g.Expect(10*(pauses.Base+limit)).To(BeNumerically("~", toldFill*120, 1), "what a pass lasts at the limit, ms")
+	g.Expect(10*(pauses.FixedCost+limit)).To(BeNumerically("~", toldFill*120, 1), "what a pass lasts at the limit, ms")
 }
 
 // A shift of demand makes passes last twice as long until a new map is in force, some
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -39,21 +39,21 @@
 	mostKeys = 512
 )
 
-// Sending is what was known of a request when it was sent to an endpoint.
-type Sending int
+// Knowledge is what was known of a request when it was sent to an endpoint.
+type Knowledge int
 
 // The kinds of sending.
 const (
-	Unknowing Sending = iota // No end under the request was known but of late: its end may be one of several by one cause.
-	Knowing                  // An end was known, and this one has another cause.
-	OnTrial                  // The request was held, and was sent to see whether it still ends endpoints.
+	NoKnownEnd Knowledge = iota // No end under the request was known but of late: its end may be one of several by one cause.
+	KnownEnd                    // An end was known, and this one has another cause.
+	OnTrial                     // The request was held, and was sent to see whether it still ends endpoints.
 )
 
 // End tells that an endpoint's process ended while it ran a request.
 type End struct {
-	Key      Key
-	Endpoint string // One life of it.
-	Sending  Sending
+	Key       Key
+	Endpoint  string // One life of it.
+	Knowledge Knowledge
 	// Void is set once the end counts no more: the request ran to its end elsewhere, so it
 	// was there by chance, or the endpoint lives on and was only cut off.
 	Void bool
@@ -82,23 +82,23 @@
 	trial time.Time          // Until when a trial is under way.
 }
 
-// Book is what one process knows of ends. It is not safe for concurrent use. What several
+// History is what one process knows of ends. It is not safe for concurrent use. What several
 // books know converges however they tell each other: an end is added, and may become
 // void, and neither is taken back before it lapses.
-type Book struct {
+type History struct {
 	entries map[Key]*entry
 }
 
 // New returns an empty book.
-func New() *Book { return &Book{entries: map[Key]*entry{}} }
+func New() *History { return &History{entries: map[Key]*entry{}} }
 
 // Empty reports whether no end is known.
-func (b *Book) Empty() bool { return len(b.entries) == 0 }
+func (b *History) Empty() bool { return len(b.entries) == 0 }
 
 // Add takes in an end, and when it was last told to others: zero for one that was seen here,
 // and now for one that another process told, which tells all others itself. It reports
 // whether it tells anything new.
-func (b *Book) Add(e End, told time.Time) bool {
+func (b *History) Add(e End, told time.Time) bool {
 	known, ok := b.entries[e.Key]
 	if !ok {
 		b.makeRoom()
@@ -110,17 +110,17 @@
 		known.ends[e.Endpoint] = &record{End: e, told: told}
 		return true
 	}
-	if r.Void == (r.Void || e.Void) && r.Sending >= e.Sending {
+	if r.Void == (r.Void || e.Void) && r.Knowledge >= e.Knowledge {
 		return false
 	}
-	r.Void, r.Sending = r.Void || e.Void, max(r.Sending, e.Sending)
+	r.Void, r.Knowledge = r.Void || e.Void, max(r.Knowledge, e.Knowledge)
 	r.told = told
 	return true
 }
 
 // makeRoom forgets a key when there are too many: of those that are not held if there are
 // any, the one whose last end is the oldest.
-func (b *Book) makeRoom() {
+func (b *History) makeRoom() {
 	if len(b.entries) < mostKeys {
 		return
 	}
@@ -132,9 +132,9 @@
 	delete(b.entries, drop)
 }
 
-// Sound takes in that a request ran to its end; it reports whether an end under it had
+// RecordCompletion takes in that a request ran to its end; it reports whether an end under it had
 // counted.
-func (b *Book) Sound(k Key) bool {
+func (b *History) RecordCompletion(k Key) bool {
 	e := b.entries[k]
 	if e == nil {
 		return false
@@ -149,9 +149,9 @@
 	return counted
 }
 
-// Alive takes in that an endpoint answered what was sent to it at a moment: it had not ended
+// RecordAnswer takes in that an endpoint answered what was sent to it at a moment: it had not ended
 // before. It reports whether an end of it had counted.
-func (b *Book) Alive(endpoint string, sentAt time.Time) bool {
+func (b *History) RecordAnswer(endpoint string, sentAt time.Time) bool {
 	counted := false
 	for _, e := range b.entries {
 		if r := e.ends[endpoint]; r != nil && !r.Void && sentAt.After(r.At) {
@@ -161,27 +161,27 @@
 	return counted
 }
 
-// Sending returns what is known of a request that is sent now.
-func (b *Book) Sending(k Key, now time.Time) Sending {
+// KnowledgeOf returns what is known of a request that is sent now.
+func (b *History) KnowledgeOf(k Key, now time.Time) Knowledge {
 	if e := b.entries[k]; e != nil {
 		for _, r := range e.counted() {
 			if now.Sub(r.At) > oneCause {
-				return Knowing
+				return KnownEnd
 			}
 		}
 	}
-	return Unknowing
+	return NoKnownEnd
 }
 
 // Judge returns whether a request may be sent, and for how long it is still held.
-func (b *Book) Judge(k Key, now time.Time) (v Verdict, left time.Duration) {
+func (b *History) Judge(k Key, now time.Time) (v Verdict, left time.Duration) {
 	e := b.entries[k]
 	if e == nil {
 		return Free, 0
 	}
 	ends := e.counted()
 	gravity := e.gravity()
-	if gravity == Unknowing {
+	if gravity == NoKnownEnd {
 		if len(ends) < trialEnds {
 			return Free, 0
 		}
@@ -205,9 +205,9 @@
 	return hold
 }
 
-// Begin begins a trial of a request, which lasts until a moment at most; it reports false
+// BeginTrial begins a trial of a request, which lasts until a moment at most; it reports false
 // while another one is under way.
-func (b *Book) Begin(k Key, now, until time.Time) bool {
+func (b *History) BeginTrial(k Key, now, until time.Time) bool {
 	e := b.entries[k]
 	if e == nil || now.Before(e.trial) {
 		return false
@@ -217,14 +217,14 @@
 }
 
 // EndTrial ends a trial of which nothing was learned.
-func (b *Book) EndTrial(k Key) {
+func (b *History) EndTrial(k Key) {
 	if e := b.entries[k]; e != nil {
 		e.trial = time.Time{}
 	}
 }
 
 // Forget drops what has lapsed.
-func (b *Book) Forget(now time.Time) {
+func (b *History) Forget(now time.Time) {
 	for k, e := range b.entries {
 		if now.Sub(e.last()) > max(keepFor, holdGrowth*holdAfter(e.trials())) {
 			delete(b.entries, k)
@@ -233,7 +233,7 @@
 }
 
 // Held returns how many requests are held.
-func (b *Book) Held(now time.Time) (n int) {
+func (b *History) Held(now time.Time) (n int) {
 	for k := range b.entries {
 		if v, _ := b.Judge(k, now); v == Held {
 			n++
@@ -242,8 +242,8 @@
 	return n
 }
 
-// Tell returns so many ends to tell all others: those first that were not told for longest.
-func (b *Book) Tell(most int, now time.Time) (list []End) {
+// NextToSend returns so many ends to tell all others: those first that were not told for longest.
+func (b *History) NextToSend(most int, now time.Time) (list []End) {
 	all := b.all()
 	slices.SortFunc(all, func(x, y *record) int { return cmp.Or(x.told.Compare(y.told), x.compareNewest(y)) })
 	for _, r := range all[:min(most, len(all))] {
@@ -253,9 +253,9 @@
 	return list
 }
 
-// Gravest returns so many ends to tell one process that may know none: those first under
+// MostSevere returns so many ends to tell one process that may know none: those first under
 // which requests are held.
-func (b *Book) Gravest(most int) (list []End) {
+func (b *History) MostSevere(most int) (list []End) {
 	all := b.all()
 	slices.SortFunc(all, func(x, y *record) int {
 		return cmp.Or(cmp.Compare(b.entries[y.Key].gravity(), b.entries[x.Key].gravity()), x.compareNewest(y))
@@ -267,7 +267,7 @@
 }
 
 // all returns all ends, in no order.
-func (b *Book) all() (list []*record) {
+func (b *History) all() (list []*record) {
 	for _, e := range b.entries {
 		for _, r := range e.ends {
 			list = append(list, r)
@@ -281,8 +281,8 @@
 	return cmp.Or(other.At.Compare(r.At), slices.Compare(r.Key[:], other.Key[:]), cmp.Compare(r.Endpoint, other.Endpoint))
 }
 
-// Untold reports whether an end waits that was never told as it is now.
-func (b *Book) Untold() bool {
+// HasUnsent reports whether an end waits that was never told as it is now.
+func (b *History) HasUnsent() bool {
 	return slices.ContainsFunc(b.all(), func(r *record) bool { return r.told.IsZero() })
 }
 
@@ -297,9 +297,9 @@
 }
 
 // gravity returns the gravest sending of those that count.
-func (e *entry) gravity() (s Sending) {
+func (e *entry) gravity() (s Knowledge) {
 	for _, r := range e.counted() {
-		s = max(s, r.Sending)
+		s = max(s, r.Knowledge)
 	}
 	return s
 }
@@ -307,7 +307,7 @@
 // trials returns how many trials ended an endpoint.
 func (e *entry) trials() (n int) {
 	for _, r := range e.counted() {
-		if r.Sending == OnTrial {
+		if r.Knowledge == OnTrial {
 			n++
 		}
 	}
@@ -335,10 +335,10 @@
 }
 
 // Valid reports whether s is one of the kinds of sending.
-func (s Sending) Valid() bool { return s >= Unknowing && s <= OnTrial }
+func (s Knowledge) Valid() bool { return s >= NoKnownEnd && s <= OnTrial }
 
 // String returns the name for logs.
-func (s Sending) String() string { return [...]string{"unknowing", "knowing", "on trial"}[s] }
+func (s Knowledge) String() string { return [...]string{"unknowing", "knowing", "on trial"}[s] }
 
 // String returns the name for logs.
 func (v Verdict) String() string { return [...]string{"free", "trial", "held"}[v] }
--- a/internal/decide/rebalance/improve.go
+++ b/internal/decide/rebalance/improve.go
@@ -6,18 +6,18 @@
 
 // Bounds limit what one improvement may change.
 type Bounds struct {
-	Spare   int // Experts that a rank may take on in a layer, 0 for no bound.
-	PerRank int // Experts that a rank may take on in all layers, 0 for no bound.
+	PerLayer int // Experts that a rank may take on in a layer, 0 for no bound.
+	PerRank  int // Experts that a rank may take on in all layers, 0 for no bound.
 }
 
 // Improvement is a changed map. Skews are loads of the slowest rank to the mean,
 // as means over the layers.
 type Improvement struct {
-	Map    Map
-	Copies int // Expert copies to be loaded.
-	Most   int // Of them, those of the rank that loads most.
-	Before float64
-	After  float64
+	Map        Map
+	Copies     int // Expert copies to be loaded.
+	MaxPerRank int // Of them, those of the rank that loads most.
+	Before     float64
+	After      float64
 }
 
 // Improver edits the layers of a map, starting from the one in force, until the
@@ -38,7 +38,7 @@
 	i := &Improver{bounds: b, current: current, taken: make([]int, s.Ranks)}
 	for l, layer := range current {
 		e := newEditor(s, append(Layer(nil), layer...), tokens[l], speed)
-		e.spare = b.Spare
+		e.spare = b.PerLayer
 		e.full = func(r int) bool { return i.bounds.PerRank > 0 && i.taken[r] >= i.bounds.PerRank }
 		mean := 0.0
 		for _, v := range e.loads {
@@ -55,8 +55,8 @@
 	return i
 }
 
-// Allow sets how many experts a rank may take on in all layers, 0 for no bound.
-func (i *Improver) Allow(perRank int) {
+// SetPerRank sets how many experts a rank may take on in all layers, 0 for no bound.
+func (i *Improver) SetPerRank(perRank int) {
 	i.bounds.PerRank = perRank
 	for l := range i.best {
 		i.look(l)
@@ -129,7 +129,7 @@
 		r.After += i.skew(l) / float64(len(i.editors))
 	}
 	r.Copies = Transfers(i.current, r.Map)
-	r.Most = slices.Max(i.taken)
+	r.MaxPerRank = slices.Max(i.taken)
 	return r
 }
 
--- a/internal/decide/rebalance/improve_test.go
+++ b/internal/decide/rebalance/improve_test.go
@@ -45,7 +45,7 @@
 			layer := dealt(tc.shape)
 			after := 0.0
 			for range 3 {
-				i := Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{Spare: tc.spare})
+				i := Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{PerLayer: tc.spare})
 				assertFresh(g, layer, i.Map[0], tc.shape, tc.spare)
 				g.Expect(i.Map.Valid(tc.shape)).To(BeTrue())
 				g.Expect(i.After).To(BeNumerically("<=", i.Before))
@@ -89,10 +89,10 @@
 		current = append(current, dealt(shape))
 		tokens = append(tokens, skewed(r, shape.Experts))
 	}
-	all := Improve(shape, current, tokens, nil, Bounds{Spare: 3})
-	few := Improve(shape, current, tokens, nil, Bounds{Spare: 3, PerRank: 2})
-	t.Logf("skew %.3f to %.3f with %d copies, %d at most a rank; at most 2 a rank: %.3f with %d", all.Before, all.After, all.Copies, all.Most, few.After, few.Copies)
-	g.Expect(few.Most).To(BeNumerically("<=", 2))
+	all := Improve(shape, current, tokens, nil, Bounds{PerLayer: 3})
+	few := Improve(shape, current, tokens, nil, Bounds{PerLayer: 3, PerRank: 2})
+	t.Logf("skew %.3f to %.3f with %d copies, %d at most a rank; at most 2 a rank: %.3f with %d", all.Before, all.After, all.Copies, all.MaxPerRank, few.After, few.Copies)
+	g.Expect(few.MaxPerRank).To(BeNumerically("<=", 2))
 	g.Expect(few.Copies).To(BeNumerically("<=", 24))
 	g.Expect(few.After).To(BeNumerically("<", (few.Before+all.After)/2), "the copies that gain most come first")
 }
@@ -120,7 +120,7 @@
 			tokens := skewed(rand.New(rand.NewPCG(1, 2)), tc.shape.Experts)
 			layer := dealt(tc.shape)
 			for b.Loop() {
-				Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{Spare: 3})
+				Improve(tc.shape, Map{layer}, [][]float64{tokens}, nil, Bounds{PerLayer: 3})
 			}
 		})
 	}
--- a/internal/decide/rebalance/planner.go
+++ b/internal/decide/rebalance/planner.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// Switched takes note that a new map is in force: what was heard before is not
+// MapSwitched takes note that a new map is in force: what was heard before is not
 // decided on again until enough new reports have come.
-func (p *Planner) Switched() { p.seen = 0 }
+func (p *Planner) MapSwitched() { p.seen = 0 }
 
 // horizon is how long, in hours, a gain of today is expected to last: until
 // drift has moved as much of the tokens as the skew that is to be mended.
--- a/internal/decide/rebalance/rebalance_test.go
+++ b/internal/decide/rebalance/rebalance_test.go
@@ -160,7 +160,7 @@
 	p, _ := planner(Prices{Skew: 10, Move: 1}, 30)
 	_, ok := p.Decide(30, Even(small, 1))
 	g.Expect(ok).To(gomega.BeTrue())
-	p.Switched()
+	p.MapSwitched()
 	_, ok = p.Decide(31, Even(small, 1))
 	g.Expect(ok).To(gomega.BeFalse())
 }
@@ -209,7 +209,7 @@
 		p.Observe(i, [][]float64{heavy(rnd, small.Experts)})
 		if plan, ok := p.Decide(i, m); ok {
 			m, moved = plan.Map, moved+plan.Bytes
-			p.Switched()
+			p.MapSwitched()
 		}
 	}
 	g.Expect(moved).To(gomega.BeNumerically(">", 0))
--- a/internal/decide/remap/remap_test.go
+++ b/internal/decide/remap/remap_test.go
@@ -21,7 +21,7 @@
 )
 
 func testGroup() Group {
-	return Group{Shape: rebalance.Shape{Ranks: ranks, Experts: experts, Slots: 6}, Spare: 2, ExpertShare: 0.85}
+	return Group{Shape: rebalance.Shape{Ranks: ranks, Experts: experts, Slots: 6}, MaxNewPerLayer: 2, ExpertShare: 0.85}
 }
 
 // dealt deals experts out in turn.
@@ -50,16 +50,16 @@
 }
 
 // free is a price by which every gain pays.
-var free = Price{Second: 1, Left: time.Minute}
+var free = Price{PerSecond: 1, Horizon: time.Minute}
 
 func plan(e Effort) Plan { return Make(testGroup(), dealt(), steep(), e, free, func() {}) }
 
 func TestSlowCopiesMakeSmallChanges(t *testing.T) {
 	g := NewWithT(t)
-	slow := plan(Effort{Copy: 400 * time.Millisecond, Rest: 150 * time.Millisecond})
-	quick := plan(Effort{Copy: 20 * time.Millisecond, Rest: 150 * time.Millisecond})
-	g.Expect(slow.Most).To(Equal(1))
-	g.Expect(quick.Most).To(BeNumerically(">", 1))
+	slow := plan(Effort{CopyTime: 400 * time.Millisecond, Overhead: 150 * time.Millisecond})
+	quick := plan(Effort{CopyTime: 20 * time.Millisecond, Overhead: 150 * time.Millisecond})
+	g.Expect(slow.MaxPerRank).To(Equal(1))
+	g.Expect(quick.MaxPerRank).To(BeNumerically(">", 1))
 	g.Expect(quick.After).To(BeNumerically("<", slow.After))
 	for _, p := range []Plan{slow, quick} {
 		g.Expect(p.Map.Valid(testGroup().Shape)).To(BeTrue())
@@ -76,8 +76,8 @@
 }
 
 func TestAPlanSavesNothingThatIsOutOfDateBeforeItIsInForce(t *testing.T) {
-	e := Effort{Copy: 400 * time.Millisecond, Rest: 100 * time.Millisecond}
-	p := Plan{Before: 1.5, After: 1.2, Most: 1} // Saves a fifth.
+	e := Effort{CopyTime: 400 * time.Millisecond, Overhead: 100 * time.Millisecond}
+	p := Plan{Before: 1.5, After: 1.2, MaxPerRank: 1} // Saves a fifth.
 	for _, tc := range []struct {
 		name  string
 		still time.Duration
@@ -90,31 +90,31 @@
 		{"the group would stand still for it", 600 * time.Millisecond, 3 * time.Second, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			e.Still = tc.still
-			NewWithT(t).Expect(p.Pays(e, Price{Second: 1, Left: tc.left})).To(Equal(tc.pays))
+			e.StallTime = tc.still
+			NewWithT(t).Expect(p.IsWorthwhile(e, Price{PerSecond: 1, Horizon: tc.left})).To(Equal(tc.pays))
 		})
 	}
 }
 
 func TestASmallGainIsNotWorthTheLongerPassesWhileCopying(t *testing.T) {
 	g := NewWithT(t)
-	e := Effort{Copy: 400 * time.Millisecond}
-	p := Plan{Before: 1.2, After: 1.08, Most: 1}
-	g.Expect(p.Saves(e, time.Minute)).To(BeNumerically(">", 0))
-	g.Expect(p.Pays(e, free)).To(BeFalse())
-	e.Pass = 2 * time.Second
-	g.Expect(p.Pays(e, free)).To(BeTrue(), "one pass is longer by a fifth of that")
+	e := Effort{CopyTime: 400 * time.Millisecond}
+	p := Plan{Before: 1.2, After: 1.08, MaxPerRank: 1}
+	g.Expect(p.SavedSeconds(e, time.Minute)).To(BeNumerically(">", 0))
+	g.Expect(p.IsWorthwhile(e, free)).To(BeFalse())
+	e.CurrentPass = 2 * time.Second
+	g.Expect(p.IsWorthwhile(e, free)).To(BeTrue(), "one pass is longer by a fifth of that")
 }
 
 func TestCopiesArePaidFor(t *testing.T) {
-	e := Effort{Copy: 20 * time.Millisecond, Rest: 150 * time.Millisecond}
-	cheap, dear := Price{Second: 1, Copy: 0.001, Left: 4 * time.Second}, Price{Second: 1, Copy: 0.05, Left: 4 * time.Second}
+	e := Effort{CopyTime: 20 * time.Millisecond, Overhead: 150 * time.Millisecond}
+	cheap, dear := Price{PerSecond: 1, PerCopy: 0.001, Horizon: 4 * time.Second}, Price{PerSecond: 1, PerCopy: 0.05, Horizon: 4 * time.Second}
 	few := Make(testGroup(), dealt(), steep(), e, dear, func() {})
 	many := Make(testGroup(), dealt(), steep(), e, cheap, func() {})
 	g := NewWithT(t)
 	g.Expect(many.Copies).To(BeNumerically(">", few.Copies))
-	g.Expect(many.Pays(e, cheap)).To(BeTrue())
-	g.Expect(many.Pays(e, Price{Second: 1, Copy: 1, Left: 4 * time.Second})).To(BeFalse())
+	g.Expect(many.IsWorthwhile(e, cheap)).To(BeTrue())
+	g.Expect(many.IsWorthwhile(e, Price{PerSecond: 1, PerCopy: 1, Horizon: 4 * time.Second})).To(BeFalse())
 }
 
 // largeGroup is a group of so many ranks whose experts, two a rank and set, are dealt
@@ -122,7 +122,7 @@
 func largeGroup(ranks, sets int) (g Group, current rebalance.Map, demand [][]float64) {
 	r := rand.New(rand.NewPCG(1, 2))
 	experts := 2 * ranks
-	g = Group{Shape: rebalance.Shape{Ranks: ranks, Experts: experts, Slots: 3}, Spare: 2, ExpertShare: 0.85}
+	g = Group{Shape: rebalance.Shape{Ranks: ranks, Experts: experts, Slots: 3}, MaxNewPerLayer: 2, ExpertShare: 0.85}
 	current, demand = make(rebalance.Map, sets), make([][]float64, sets)
 	for k := range current {
 		current[k], demand[k] = make(rebalance.Layer, experts), make([]float64, experts)
@@ -138,8 +138,8 @@
 // itself, all together do.
 func TestLargeGroupsAreMadeEven(t *testing.T) {
 	group, current, demand := largeGroup(129, sets)
-	e := Effort{Copy: 7 * time.Millisecond, Rest: 400 * time.Millisecond}
-	p := Make(group, current, demand, e, Price{Second: 60, Copy: 0.01, Left: 4 * time.Second}, func() {})
+	e := Effort{CopyTime: 7 * time.Millisecond, Overhead: 400 * time.Millisecond}
+	p := Make(group, current, demand, e, Price{PerSecond: 60, PerCopy: 0.01, Horizon: 4 * time.Second}, func() {})
 	g := NewWithT(t)
 	g.Expect(p.Before).To(BeNumerically(">", 2.5))
 	g.Expect(p.After).To(BeNumerically("<", 1.5))
@@ -150,9 +150,9 @@
 	for _, ranks := range []int{12, 72, 129, 1000} {
 		b.Run(fmt.Sprint(ranks), func(b *testing.B) {
 			group, current, demand := largeGroup(ranks, 16)
-			e := Effort{Copy: 7 * time.Millisecond, Rest: 400 * time.Millisecond}
+			e := Effort{CopyTime: 7 * time.Millisecond, Overhead: 400 * time.Millisecond}
 			for b.Loop() {
-				Make(group, current, demand, e, Price{Second: 60, Copy: 0.01, Left: 4 * time.Second}, func() {})
+				Make(group, current, demand, e, Price{PerSecond: 60, PerCopy: 0.01, Horizon: 4 * time.Second}, func() {})
 			}
 		})
 	}
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -43,12 +43,12 @@
 
 // Attempt is a failed attempt.
 type Attempt struct {
-	Number     int       // 1 for the first attempt.
-	NotRun     bool      // Nothing was started.
-	Repeatable bool      // The request may run more than once.
-	Allowed    bool      // The policy's word.
-	Deadline   time.Time // Zero when there is none.
-	Random     float64   // In [0, 1).
+	Number       int       // 1 for the first attempt.
+	NotRun       bool      // Nothing was started.
+	Repeatable   bool      // The request may run more than once.
+	PolicyAllows bool      // The policy's word.
+	Deadline     time.Time // Zero when there is none.
+	Random       float64   // In [0, 1).
 }
 
 // MaxAttempts bounds the attempts of one request.
@@ -61,7 +61,7 @@
 	if a.Number >= MaxAttempts {
 		return 0, false
 	}
-	if !a.NotRun && !(a.Repeatable && a.Allowed) {
+	if !a.NotRun && !(a.Repeatable && a.PolicyAllows) {
 		return 0, false
 	}
 	ceiling := min(maxDelay, baseDelay<<min(a.Number-1, 10))
--- a/internal/decide/retry/retry_test.go
+++ b/internal/decide/retry/retry_test.go
@@ -19,9 +19,9 @@
 	}
 	check("not run", Attempt{Number: 1, NotRun: true}, true)
 	check("not run, may not be repeated", Attempt{Number: 1, NotRun: true, Repeatable: false}, true)
-	check("unknown, may not be repeated", Attempt{Number: 1, Allowed: true}, false)
+	check("unknown, may not be repeated", Attempt{Number: 1, PolicyAllows: true}, false)
 	check("unknown, repeatable, policy forbids", Attempt{Number: 1, Repeatable: true}, false)
-	check("unknown, repeatable, policy allows", Attempt{Number: 1, Repeatable: true, Allowed: true}, true)
+	check("unknown, repeatable, policy allows", Attempt{Number: 1, Repeatable: true, PolicyAllows: true}, true)
 	check("attempts used up", Attempt{Number: MaxAttempts, NotRun: true}, false)
 	check("after the deadline", Attempt{Number: 1, NotRun: true, Deadline: now, Random: 0.5}, false)
 }
--- a/internal/decide/retry/window.go
+++ b/internal/decide/retry/window.go
@@ -44,14 +44,14 @@
 	w.at = max(w.at, n)
 }
 
-// Request counts a request.
-func (w *Window) Request(now time.Time) {
+// RecordRequest counts a request.
+func (w *Window) RecordRequest(now time.Time) {
 	w.advance(now)
 	w.requests[w.at%keptParts]++
 }
 
-// SetSpare changes the repeats that need no request.
-func (w *Window) SetSpare(spare float64) { w.spare = spare }
+// SetFloor changes the repeats that need no request.
+func (w *Window) SetFloor(spare float64) { w.spare = spare }
 
 // Take spends one repeat; it reports false when the window has none left. Random returns a
 // number from 0 up to 1.
--- a/internal/decide/retry/window_test.go
+++ b/internal/decide/retry/window_test.go
@@ -28,7 +28,7 @@
 	}
 	g.Expect(take()).To(Equal(1), "the spare")
 	for range 50 {
-		w.Request(now)
+		w.RecordRequest(now)
 	}
 	g.Expect(take()).To(Equal(10))
 	now = now.Add(5 * time.Second)
--- a/internal/decide/room/room.go
+++ b/internal/decide/room/room.go
@@ -52,8 +52,8 @@
 	usual  [classes]float64 // Their smoothed number from one report to the next.
 }
 
-// Report notes that places were told anew at a moment.
-func (s *Share) Report(at time.Time) {
+// RecordReport notes that places were told anew at a moment.
+func (s *Share) RecordReport(at time.Time) {
 	if !at.After(s.report) {
 		return
 	}
@@ -66,16 +66,16 @@
 	s.report = at
 }
 
-// Newest returns the time of the newest report. A request that was not let in wants
+// LastReport returns the time of the newest report. A request that was not let in wants
 // a place again with the next one.
-func (s *Share) Newest() time.Time { return s.report }
+func (s *Share) LastReport() time.Time { return s.report }
 
-// Take reports whether a request of a class takes one of so many places that are free,
+// Admit reports whether a request of a class takes one of so many places that are free,
 // for which so many other processes have requests, too. Surge is set while all of them
 // have requests that waited for the same, as right after an outage: what is usual tells
 // nothing then, and the others want as much as this one. Random returns a number from 0
 // up to 1.
-func (s *Share) Take(c Class, places float64, others int, surge bool, random func() float64) bool {
+func (s *Share) Admit(c Class, places float64, others int, surge bool, random func() float64) bool {
 	s.wants[c]++
 	chance := s.chance(c, places, float64(others+1), surge)
 	return places >= 1 && chance > 0 && (chance >= 1 || random() < chance)
--- a/internal/decide/room/room_test.go
+++ b/internal/decide/room/room_test.go
@@ -35,13 +35,13 @@
 		}
 		free := places - len(ends)
 		for i := range shares {
-			shares[i].Report(now)
+			shares[i].RecordReport(now)
 		}
 		own := make([]int, processes)
 		for range int(perSecond * look.Seconds()) {
 			at := r.IntN(processes)
 			p.asked++
-			if shares[at].Take(0, float64(free-own[at]), processes-1, false, r.Float64) {
+			if shares[at].Admit(0, float64(free-own[at]), processes-1, false, r.Float64) {
 				p.let++
 				own[at]++
 				ends = append(ends, now.Add(time.Second))
@@ -68,8 +68,8 @@
 
 func TestNobodyIsLetInWhereThereIsNoPlace(t *testing.T) {
 	var s Share
-	s.Report(time.Unix(1000, 0))
-	NewWithT(t).Expect(s.Take(0, 0.5, 3, false, func() float64 { return 0 })).To(BeFalse())
+	s.RecordReport(time.Unix(1000, 0))
+	NewWithT(t).Expect(s.Admit(0, 0.5, 3, false, func() float64 { return 0 })).To(BeFalse())
 }
 
 // rush has so many processes ask at once, before anything new is told, with so many
@@ -78,10 +78,10 @@
 	chance := rand.New(rand.NewPCG(3, 4)).Float64
 	for range processes {
 		var s Share
-		s.Report(time.Unix(1000, 0))
+		s.RecordReport(time.Unix(1000, 0))
 		own := 0
 		for range waiting {
-			if s.Take(0, float64(places-own), processes-1, true, chance) {
+			if s.Admit(0, float64(places-own), processes-1, true, chance) {
 				own++
 			}
 		}
@@ -123,7 +123,7 @@
 		ends = slices.DeleteFunc(ends, func(end time.Time) bool { return !end.After(now) })
 		free := places - len(ends)
 		for i := range shares {
-			shares[i].Report(now)
+			shares[i].RecordReport(now)
 		}
 		for _, c := range classes {
 			for range int(float64(perSecond[c]) * look.Seconds()) {
@@ -135,7 +135,7 @@
 		var still []waiting
 		for _, w := range line {
 			switch {
-			case shares[w.at].Take(w.class, float64(free-own[w.at]), processes-1, false, r.Float64):
+			case shares[w.at].Admit(w.class, float64(free-own[w.at]), processes-1, false, r.Float64):
 				own[w.at]++
 				let[w.class]++
 				ends = append(ends, now.Add(time.Duration((0.5+r.Float64())*float64(time.Second))))
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -22,13 +22,13 @@
 
 // Times of greeting.
 const (
-	// Every is the time between two rounds of hellos.
-	Every = 700 * time.Millisecond
-	// HeardFor is how long a gateway of the own failure domain counts as there after
+	// HelloInterval is the time between two rounds of hellos.
+	HelloInterval = 700 * time.Millisecond
+	// ExpireAfter is how long a gateway of the own failure domain counts as there after
 	// its last word.
-	HeardFor = 5 * time.Second
-	// FreshFor is how long it counts as one to rely on: three hellos.
-	FreshFor = 3 * Every
+	ExpireAfter = 5 * time.Second
+	// RecentFor is how long it counts as one to rely on: three hellos.
+	RecentFor = 3 * HelloInterval
 	// rememberFor is how long one that fell silent is greeted now and then: whoever was
 	// cut off for that long is found again without its seeds.
 	rememberFor = time.Minute
@@ -43,8 +43,8 @@
 	farHubs = 2
 	// farEvery is how many rounds come to one in which hubs greet other domains.
 	farEvery = 2
-	// farFreshFor is FreshFor for gateways of other failure domains.
-	farFreshFor = FreshFor + farEvery*Every
+	// farFreshFor is RecentFor for gateways of other failure domains.
+	farFreshFor = RecentFor + farEvery*HelloInterval
 	// sampleNear and sampleFar are how many gateways of the own and of each other
 	// failure domain a sample names.
 	sampleNear = 8
@@ -53,23 +53,23 @@
 
 // Gateway is a gateway as it tells of itself.
 type Gateway struct {
-	Address string // Peer listener.
-	Domain  string // Failure domain.
-	Life    int64  // Start of its process, Unix milliseconds; 0 while it is known by hearsay only.
-	Blind   bool   // The store does not answer it.
-	Left    bool   // It is in its planned stop.
+	Address          string // Peer listener.
+	Domain           string // Failure domain.
+	StartedAt        int64  // Start of its process, Unix milliseconds; 0 while it is known by hearsay only.
+	StoreUnreachable bool   // The store does not answer it.
+	Stopping         bool   // It is in its planned stop.
 }
 
-// Seen is a gateway and how long ago its last word was.
-type Seen struct {
+// Member is a gateway and how long ago its last word was.
+type Member struct {
 	Gateway
 	Age time.Duration
 }
 
-// Greeting is a hello to be sent.
-type Greeting struct {
-	Address string
-	Asks    string // The failure domain whose gateways are asked for; "" for none.
+// Hello is a hello to be sent.
+type Hello struct {
+	Address     string
+	QueryDomain string // The failure domain whose gateways are asked for; "" for none.
 }
 
 // entry is what is known of another gateway.
@@ -99,29 +99,29 @@
 	return &Roster{self: self, seeds: seeds, started: now, by: map[string]*entry{}, domains: []string{self.Domain}}
 }
 
-// Hear takes in a gateway's own word. It reports whether its process has not spoken to this
+// Receive takes in a gateway's own word. It reports whether its process has not spoken to this
 // gateway before.
-func (r *Roster) Hear(g Gateway, now time.Time) (fresh bool) {
+func (r *Roster) Receive(g Gateway, now time.Time) (fresh bool) {
 	if g.Address == r.self.Address {
 		return false
 	}
 	e, known := r.entry(g.Address)
-	fresh = !known || e.Life != g.Life
-	*e = entry{Gateway: g, at: now, spoke: now, stops: g.Left || !fresh && e.stops}
+	fresh = !known || e.StartedAt != g.StartedAt
+	*e = entry{Gateway: g, at: now, spoke: now, stops: g.Stopping || !fresh && e.stops}
 	r.heard = now
 	r.noteDomain(g.Domain)
 	return fresh
 }
 
-// Last returns the life of a gateway that last spoke to this one, how long ago, and whether it
+// LastDirect returns the life of a gateway that last spoke to this one, how long ago, and whether it
 // was in its planned stop by all that was told since; ok is false where none has spoken.
-func (r *Roster) Last(address string, now time.Time) (s Seen, ok bool) {
+func (r *Roster) LastDirect(address string, now time.Time) (s Member, ok bool) {
 	e, ok := r.by[address]
 	if !ok || e.spoke.IsZero() {
-		return Seen{}, false
+		return Member{}, false
 	}
-	s = Seen{e.Gateway, now.Sub(e.spoke)}
-	s.Left = e.stops
+	s = Member{e.Gateway, now.Sub(e.spoke)}
+	s.Stopping = e.stops
 	return s, true
 }
 
@@ -143,33 +143,33 @@
 	}
 }
 
-// HearOf takes in what another gateway tells of others. Only what is newer than all that is
+// MergeMembers takes in what another gateway tells of others. Only what is newer than all that is
 // known of a gateway counts.
-func (r *Roster) HearOf(list []Seen, now time.Time) {
+func (r *Roster) MergeMembers(list []Member, now time.Time) {
 	for _, s := range list {
 		if s.Address == r.self.Address || s.Age < 0 || s.Age > r.lapseAfter(s.Domain) {
 			continue
 		}
 		e, _ := r.entry(s.Address)
 		if at := now.Add(-s.Age); at.After(e.at) {
-			s.Life = e.Life
+			s.StartedAt = e.StartedAt
 			e.Gateway, e.at, e.lapsed = s.Gateway, at, false
-			e.stops = e.stops || s.Left
+			e.stops = e.stops || s.Stopping
 			r.noteDomain(s.Domain)
 		}
 	}
 }
 
-// LastHeard returns when another gateway last spoke to this one, zero when none did.
-func (r *Roster) LastHeard() time.Time { return r.heard }
+// LastReceived returns when another gateway last spoke to this one, zero when none did.
+func (r *Roster) LastReceived() time.Time { return r.heard }
 
 // lapseAfter is how long a gateway of a failure domain counts as there after its last word.
 // Those of other domains are told of one domain a round, and an answer may be lost.
 func (r *Roster) lapseAfter(domain string) time.Duration {
 	if domain == r.self.Domain {
-		return HeardFor
+		return ExpireAfter
 	}
-	return HeardFor + 2*time.Duration(len(r.domains))*Every
+	return ExpireAfter + 2*time.Duration(len(r.domains))*HelloInterval
 }
 
 // isThere reports whether a gateway counts as there but for a planned stop of it.
@@ -177,9 +177,9 @@
 	return now.Sub(e.at) <= r.lapseAfter(e.Domain)
 }
 
-// Lapse forgets whoever was not heard for long, and returns the addresses of those that
+// Expire forgets whoever was not heard for long, and returns the addresses of those that
 // have just ceased to count as there.
-func (r *Roster) Lapse(now time.Time) (lapsed []string) {
+func (r *Roster) Expire(now time.Time) (lapsed []string) {
 	known := len(r.order)
 	r.order = slices.DeleteFunc(r.order, func(e *entry) bool { return now.Sub(e.at) > rememberFor })
 	if len(r.order) < known {
@@ -204,8 +204,8 @@
 	}
 }
 
-// There returns the other gateways that are there, in the order of their addresses.
-func (r *Roster) There(now time.Time) (list []Gateway) {
+// Alive returns the other gateways that are there, in the order of their addresses.
+func (r *Roster) Alive(now time.Time) (list []Gateway) {
 	for _, e := range r.there(now) {
 		list = append(list, e.Gateway)
 	}
@@ -214,7 +214,7 @@
 
 // there returns the entries of the other gateways that are there.
 func (r *Roster) there(now time.Time) []*entry {
-	return r.those(func(e *entry) bool { return !e.Left && r.isThere(e, now) })
+	return r.those(func(e *entry) bool { return !e.Stopping && r.isThere(e, now) })
 }
 
 // lost returns the entries of those that are remembered and not there.
@@ -232,10 +232,10 @@
 	return list
 }
 
-// Near returns the other gateways of the own failure domain that were heard lately, in the
+// SameDomain returns the other gateways of the own failure domain that were heard lately, in the
 // order of their addresses.
-func (r *Roster) Near(now time.Time) (list []Gateway) {
-	for _, e := range fresh(within(r.there(now), r.self.Domain), FreshFor, now) {
+func (r *Roster) SameDomain(now time.Time) (list []Gateway) {
+	for _, e := range fresh(within(r.there(now), r.self.Domain), RecentFor, now) {
 		list = append(list, e.Gateway)
 	}
 	return list
@@ -264,7 +264,7 @@
 // IsHub reports whether this gateway is one of the hubs of its failure domain.
 func (r *Roster) IsHub(now time.Time) bool {
 	before := 0
-	for _, g := range r.Near(now) {
+	for _, g := range r.SameDomain(now) {
 		if g.Address < r.self.Address {
 			before++
 		}
@@ -272,9 +272,9 @@
 	return before < Hubs
 }
 
-// Greet returns whom to greet in the next round. Random returns a number from 0 up to its
+// NextHellos returns whom to greet in the next round. Random returns a number from 0 up to its
 // argument.
-func (r *Roster) Greet(now time.Time, random func(n int) int) []Greeting {
+func (r *Roster) NextHellos(now time.Time, random func(n int) int) []Hello {
 	r.round++
 	there := r.there(now)
 	list := r.greetNear(within(there, r.self.Domain), now, random)
@@ -284,17 +284,17 @@
 		list = append(list, drawn(there, 1, random)...)
 	}
 	list = append(list, drawn(r.lost(now), 1, random)...)
-	return r.withSeeds(once(list), len(there) == 0 || now.Sub(r.started) < HeardFor)
+	return r.withSeeds(once(list), len(there) == 0 || now.Sub(r.started) < ExpireAfter)
 }
 
 // greetNear returns the greetings to hubs of the own failure domain, one of which is
 // asked, and to one other gateway of it.
-func (r *Roster) greetNear(near []*entry, now time.Time, random func(n int) int) (list []Greeting) {
-	hubs := first(Hubs, fresh(near, FreshFor, now))
+func (r *Roster) greetNear(near []*entry, now time.Time, random func(n int) int) (list []Hello) {
+	hubs := first(Hubs, fresh(near, RecentFor, now))
 	for i, e := range hubs {
-		g := Greeting{Address: e.Address}
+		g := Hello{Address: e.Address}
 		if i == r.round%len(hubs) {
-			g.Asks = r.asked()
+			g.QueryDomain = r.asked()
 		}
 		list = append(list, g)
 	}
@@ -316,7 +316,7 @@
 
 // greetDomains returns a hub's greetings to the hubs of the other failure domains: to
 // some that were there before where none is now.
-func (r *Roster) greetDomains(there []*entry, now time.Time, random func(n int) int) (list []Greeting) {
+func (r *Roster) greetDomains(there []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	if r.round%farEvery != 1 {
 		return nil
 	}
@@ -329,7 +329,7 @@
 			greetings = drawn(within(r.lost(now), domain), 1, random)
 		}
 		if n := len(greetings); n > 0 {
-			greetings[r.round/farEvery%n].Asks = domain
+			greetings[r.round/farEvery%n].QueryDomain = domain
 		}
 		list = append(list, greetings...)
 	}
@@ -338,22 +338,22 @@
 
 // greetFar returns the greetings to some gateways of another failure domain: its first ones,
 // or any where these have not been heard lately.
-func (r *Roster) greetFar(far []*entry, now time.Time, random func(n int) int) (list []Greeting) {
+func (r *Roster) greetFar(far []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	for _, e := range first(farHubs, fresh(far, farFreshFor, now)) {
-		list = append(list, Greeting{Address: e.Address})
+		list = append(list, Hello{Address: e.Address})
 	}
 	return once(append(list, drawn(far, farHubs-len(list), random)...))
 }
 
 // withSeeds adds greetings to the seeds where those are needed, and asks one of them.
-func (r *Roster) withSeeds(list []Greeting, needed bool) []Greeting {
+func (r *Roster) withSeeds(list []Hello, needed bool) []Hello {
 	if !needed {
 		return list
 	}
 	for i, s := range r.seeds {
-		g := Greeting{Address: s}
+		g := Hello{Address: s}
 		if i == r.round%len(r.seeds) {
-			g.Asks = r.self.Domain
+			g.QueryDomain = r.self.Domain
 		}
 		if s != r.self.Address {
 			list = append(list, g)
@@ -363,15 +363,15 @@
 }
 
 // drawn returns greetings to so many of a list, drawn anew each time.
-func drawn(list []*entry, n int, random func(n int) int) (greetings []Greeting) {
-	for _, e := range Some(list, n, random) {
-		greetings = append(greetings, Greeting{Address: e.Address})
+func drawn(list []*entry, n int, random func(n int) int) (greetings []Hello) {
+	for _, e := range RandomSubset(list, n, random) {
+		greetings = append(greetings, Hello{Address: e.Address})
 	}
 	return greetings
 }
 
-// Some returns so many of a list, drawn anew each time.
-func Some[T any](list []T, n int, random func(n int) int) []T {
+// RandomSubset returns so many of a list, drawn anew each time.
+func RandomSubset[T any](list []T, n int, random func(n int) int) []T {
 	list = slices.Clone(list)
 	n = min(n, len(list))
 	for i := range n {
@@ -382,7 +382,7 @@
 }
 
 // once returns the greetings with one for each address, which asks if any of them does.
-func once(list []Greeting) (single []Greeting) {
+func once(list []Hello) (single []Hello) {
 	at := map[string]int{}
 	for _, g := range list {
 		i, ok := at[g.Address]
@@ -390,16 +390,16 @@
 		case !ok:
 			at[g.Address] = len(single)
 			single = append(single, g)
-		case single[i].Asks == "":
-			single[i].Asks = g.Asks
+		case single[i].QueryDomain == "":
+			single[i].QueryDomain = g.QueryDomain
 		}
 	}
 	return single
 }
 
-// Answer returns what to tell a gateway of a failure domain that asks for another one: all
+// AnswerQuery returns what to tell a gateway of a failure domain that asks for another one: all
 // of that, all of the own one if it is of it, and the first of each other one.
-func (r *Roster) Answer(domain, asks string, now time.Time) (list []Seen) {
+func (r *Roster) AnswerQuery(domain, asks string, now time.Time) (list []Member) {
 	heads := map[string]int{}
 	for _, e := range r.tellable(now) {
 		whole := e.Domain == asks || e.Domain == domain && domain == r.self.Domain
@@ -415,18 +415,18 @@
 	return r.those(func(e *entry) bool { return r.isThere(e, now) })
 }
 
-func (e *entry) seen(now time.Time) Seen { return Seen{Gateway: e.Gateway, Age: now.Sub(e.at)} }
+func (e *entry) seen(now time.Time) Member { return Member{Gateway: e.Gateway, Age: now.Sub(e.at)} }
 
 // Sample returns some gateways of each failure domain, drawn anew each time: the more of the
 // own one, whose other processes are told by this gateway.
-func (r *Roster) Sample(now time.Time, random func(n int) int) (list []Seen) {
+func (r *Roster) Sample(now time.Time, random func(n int) int) (list []Member) {
 	there := r.there(now)
 	for _, domain := range r.domains {
 		n := sampleFar
 		if domain == r.self.Domain {
 			n = sampleNear
 		}
-		for _, e := range Some(within(there, domain), n, random) {
+		for _, e := range RandomSubset(within(there, domain), n, random) {
 			list = append(list, e.seen(now))
 		}
 	}
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -54,7 +54,7 @@
 	for range rounds {
 		p.random.Shuffle(len(p.list), func(i, j int) { p.list[i], p.list[j] = p.list[j], p.list[i] })
 		for _, from := range p.list {
-			p.now = p.now.Add(Every / time.Duration(len(p.list)))
+			p.now = p.now.Add(HelloInterval / time.Duration(len(p.list)))
 			if !from.dead {
 				p.greet(from)
 			}
@@ -63,23 +63,23 @@
 }
 
 func (p *played) greet(from *process) {
-	from.Lapse(p.now)
-	for _, greeting := range from.Greet(p.now, p.random.IntN) {
+	from.Expire(p.now)
+	for _, greeting := range from.NextHellos(p.now, p.random.IntN) {
 		from.sent++
 		to := p.by[greeting.Address]
 		if !p.arrives(from, to) {
 			continue
 		}
-		to.Hear(from.self, p.now)
+		to.Receive(from.self, p.now)
 		to.sent++
-		var told []Seen
-		if greeting.Asks != "" {
-			told = to.Answer(from.self.Domain, greeting.Asks, p.now)
+		var told []Member
+		if greeting.QueryDomain != "" {
+			told = to.AnswerQuery(from.self.Domain, greeting.QueryDomain, p.now)
 			to.told += len(told)
 		}
 		if p.arrives(to, from) {
-			from.Hear(to.self, p.now)
-			from.HearOf(told, p.now)
+			from.Receive(to.self, p.now)
+			from.MergeMembers(told, p.now)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		if proc.dead || !some(proc) {
 			continue
 		}
-		n := len(proc.There(p.now))
+		n := len(proc.Alive(p.now))
 		least, most = min(least, n), max(most, n)
 	}
 	return least, most
@@ -113,7 +113,7 @@
 }
 
 // rounds returns how many rounds fit into a time.
-func rounds(d time.Duration) int { return int(d / Every) }
+func rounds(d time.Duration) int { return int(d / HelloInterval) }
 
 // What a gateway sends must not grow with the number of gateways: greeting all others made
 // four fifths of the messages of a fleet of five hundred.
@@ -121,7 +121,7 @@
 	const watched = 8
 	perRound := func(gateways int) (mean float64) {
 		p := play(gateways, 5)
-		p.run(rounds(HeardFor) + 8)
+		p.run(rounds(ExpireAfter) + 8)
 		for _, proc := range p.list {
 			proc.sent = 0
 		}
@@ -144,7 +144,7 @@
 	const watched = 8
 	g := NewWithT(t)
 	p := play(400, 2)
-	p.run(rounds(HeardFor) + 2)
+	p.run(rounds(ExpireAfter) + 2)
 	for _, proc := range p.list {
 		proc.sent, proc.told = 0, 0
 	}
@@ -154,7 +154,7 @@
 		sent, told = max(sent, proc.sent), max(told, proc.told)
 	}
 	t.Logf("the busiest of 400 in 2 domains: %.0f messages and %.0f gateways named a second",
-		float64(sent)/watched/Every.Seconds(), float64(told)/watched/Every.Seconds())
+		float64(sent)/watched/HelloInterval.Seconds(), float64(told)/watched/HelloInterval.Seconds())
 	g.Expect(float64(sent) / watched).To(BeNumerically("<", 1.5*200))
 	g.Expect(float64(told) / watched).To(BeNumerically("<", 200/Hubs*2*2*200))
 }
@@ -192,7 +192,7 @@
 			left++
 		}
 	}
-	p.run(rounds(HeardFor) + 2)
+	p.run(rounds(ExpireAfter) + 2)
 	near := func(proc *process) (n int) { return len(within(proc.there(p.now), proc.self.Domain)) }
 	for _, proc := range p.list {
 		if !proc.dead {
@@ -248,7 +248,7 @@
 			p.cut = "domain-02"
 			p.run(rounds(tc.cut))
 			inside := func(proc *process) bool { return proc.self.Domain == p.cut }
-			if least, _ := p.known(inside); tc.cut > HeardFor+2*5*Every+3*Every {
+			if least, _ := p.known(inside); tc.cut > ExpireAfter+2*5*HelloInterval+3*HelloInterval {
 				g.Expect(least).To(Equal(p.living(p.cut) - 1))
 			}
 			p.cut = ""
@@ -267,11 +267,11 @@
 	for _, proc := range p.list {
 		proc.dead = isFirst(p, proc)
 	}
-	for range rounds(HeardFor) {
+	for range rounds(ExpireAfter) {
 		p.run(1)
 		for _, proc := range p.list {
 			if !proc.dead {
-				g.Expect(p.now.Sub(proc.LastHeard())).To(BeNumerically("<", FreshFor))
+				g.Expect(p.now.Sub(proc.LastReceived())).To(BeNumerically("<", RecentFor))
 			}
 		}
 	}
@@ -280,29 +280,29 @@
 func TestOneThatStartsAnewIsNew(t *testing.T) {
 	g := NewWithT(t)
 	r := New(Gateway{Address: "a", Domain: "d"}, nil, origin)
-	b := Gateway{Address: "b", Domain: "d", Life: 1}
-	g.Expect(r.Hear(b, origin)).To(BeTrue())
-	g.Expect(r.Hear(b, origin)).To(BeFalse())
-	r.HearOf([]Seen{{Gateway: Gateway{Address: "b", Domain: "d"}}}, origin.Add(time.Second))
-	g.Expect(r.Hear(b, origin.Add(time.Second))).To(BeFalse(), "hearsay tells no life")
-	b.Life = 2
-	g.Expect(r.Hear(b, origin.Add(2*time.Second))).To(BeTrue())
+	b := Gateway{Address: "b", Domain: "d", StartedAt: 1}
+	g.Expect(r.Receive(b, origin)).To(BeTrue())
+	g.Expect(r.Receive(b, origin)).To(BeFalse())
+	r.MergeMembers([]Member{{Gateway: Gateway{Address: "b", Domain: "d"}}}, origin.Add(time.Second))
+	g.Expect(r.Receive(b, origin.Add(time.Second))).To(BeFalse(), "hearsay tells no life")
+	b.StartedAt = 2
+	g.Expect(r.Receive(b, origin.Add(2*time.Second))).To(BeTrue())
 }
 
 func TestTheNewestWordOnAGatewayCounts(t *testing.T) {
 	g := NewWithT(t)
 	r := New(Gateway{Address: "a", Domain: "d"}, nil, origin)
 	now := origin.Add(3 * time.Second)
-	r.Hear(Gateway{Address: "b", Domain: "d", Left: true}, now)
-	told := func(age time.Duration) []Seen {
-		return []Seen{{Gateway: Gateway{Address: "b", Domain: "d"}, Age: age}}
+	r.Receive(Gateway{Address: "b", Domain: "d", Stopping: true}, now)
+	told := func(age time.Duration) []Member {
+		return []Member{{Gateway: Gateway{Address: "b", Domain: "d"}, Age: age}}
 	}
-	r.HearOf(told(time.Second), now)
-	g.Expect(r.There(now)).To(BeEmpty(), "an older word than that it leaves")
-	r.HearOf(told(time.Second), now.Add(2*time.Second))
-	g.Expect(r.There(now.Add(2*time.Second))).To(HaveLen(1), "it is back")
-	r.HearOf([]Seen{{Gateway: Gateway{Address: "a", Domain: "d"}}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: HeardFor + 1}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: -1}}, now)
-	g.Expect(r.There(now.Add(2*time.Second))).To(HaveLen(1), "not itself, and nobody on a word that is too old or of the future")
+	r.MergeMembers(told(time.Second), now)
+	g.Expect(r.Alive(now)).To(BeEmpty(), "an older word than that it leaves")
+	r.MergeMembers(told(time.Second), now.Add(2*time.Second))
+	g.Expect(r.Alive(now.Add(2*time.Second))).To(HaveLen(1), "it is back")
+	r.MergeMembers([]Member{{Gateway: Gateway{Address: "a", Domain: "d"}}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: ExpireAfter + 1}, {Gateway: Gateway{Address: "c", Domain: "d"}, Age: -1}}, now)
+	g.Expect(r.Alive(now.Add(2*time.Second))).To(HaveLen(1), "not itself, and nobody on a word that is too old or of the future")
 }
 
 func TestASampleNamesEachFailureDomain(t *testing.T) {
@@ -334,7 +334,7 @@
 	list := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
 	seen := map[string]bool{}
 	for range 200 {
-		drawn := Some(list, 3, rand.IntN)
+		drawn := RandomSubset(list, 3, rand.IntN)
 		g.Expect(drawn).To(HaveLen(3))
 		for _, a := range drawn {
 			seen[a] = true
@@ -343,6 +343,6 @@
 		g.Expect(drawn[0]).NotTo(Equal(drawn[1]))
 	}
 	g.Expect(seen).To(HaveLen(len(list)))
-	g.Expect(Some(list[:2], 3, rand.IntN)).To(ConsistOf("a", "b"))
-	g.Expect(Some([]string(nil), 3, rand.IntN)).To(BeEmpty())
+	g.Expect(RandomSubset(list[:2], 3, rand.IntN)).To(ConsistOf("a", "b"))
+	g.Expect(RandomSubset([]string(nil), 3, rand.IntN)).To(BeEmpty())
 }
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -15,19 +15,19 @@
 
 // Candidate is one endpoint that a request may go to.
 type Candidate struct {
-	Endpoint string
-	Group    string
-	Local    bool    // In the entry's own failure domain.
-	Running  int     // Requests at the endpoint, by its last report.
-	Queued   int     // Requests in its queue, by its last report.
-	Limit    int     // Its concurrency limit; 0 when nothing was heard yet.
-	StepMS   float64 // Its mean step time.
-	Sent     int     // Requests this entry sent since that report and that have not ended.
-	Stalled  bool    // Its group's step number stands still.
+	Endpoint   string
+	Group      string
+	SameDomain bool    // In the entry's own failure domain.
+	Running    int     // Requests at the endpoint, by its last report.
+	Queued     int     // Requests in its queue, by its last report.
+	Limit      int     // Its concurrency limit; 0 when nothing was heard yet.
+	StepMS     float64 // Its mean step time.
+	InFlight   int     // Requests this entry sent since that report and that have not ended.
+	Stalled    bool    // Its group's step number stands still.
 }
 
-// Want is what a request asks for.
-type Want struct {
+// Request is what a request asks for.
+type Request struct {
 	Prefix string // Hash of the prompt prefix; "" when caching does not matter.
 	Random uint64 // Source of chance; the same value gives the same choice.
 }
@@ -44,10 +44,10 @@
 // load is the endpoint's predicted wait, in requests by its limit.
 func (c Candidate) load() float64 {
 	if c.Limit == 0 {
-		return unheardLoad + float64(c.Sent)
+		return unheardLoad + float64(c.InFlight)
 	}
-	busy := float64(c.Running+c.Queued+c.Sent) / float64(c.Limit)
-	over := math.Max(0, float64(c.Running+c.Queued+c.Sent-c.Limit))
+	busy := float64(c.Running+c.Queued+c.InFlight) / float64(c.Limit)
+	over := math.Max(0, float64(c.Running+c.Queued+c.InFlight-c.Limit))
 	return busy + over
 }
 
@@ -55,7 +55,7 @@
 // or there is none. Prefixes map to preferred endpoints by rendezvous with
 // bounded load; apart from that, the better of two random candidates is taken,
 // so that entries with the same old reports do not herd.
-func Pick(list []Candidate, w Want) int {
+func Pick(list []Candidate, w Request) int {
 	usable := make([]int, 0, len(list))
 	total := 0.0
 	for i, c := range list {
@@ -115,12 +115,12 @@
 }
 
 // cost is the predicted wait and the prompt work not cached there.
-func cost(c Candidate, w Want) float64 {
+func cost(c Candidate, w Request) float64 {
 	sum := c.load()
 	if c.StepMS > 0 {
 		sum *= 1 + c.StepMS/1000
 	}
-	if !c.Local {
+	if !c.SameDomain {
 		sum += remoteCost
 	}
 	return sum
--- a/internal/decide/silence/silence.go
+++ b/internal/decide/silence/silence.go
@@ -24,28 +24,28 @@
 
 // Answer is what is known of an answer and its caller.
 type Answer struct {
-	Target time.Duration // Until the answer or its first event, to be in time.
-	Leaves time.Duration // Callers leave an answer that is silent for so long.
-	First  time.Duration // Until nearly all first events of the group or service come; 0 when not known.
-	Pass   time.Duration // Usual time between two events; 0 when not known.
+	Target        time.Duration // Until the answer or its first event, to be in time.
+	CallerTimeout time.Duration // Callers leave an answer that is silent for so long.
+	FirstEvent    time.Duration // Until nearly all first events of the group or service come; 0 when not known.
+	PassTime      time.Duration // Usual time between two events; 0 when not known.
 }
 
 // BeforeFirst returns for how long after the request was sent nothing may come.
 func (a Answer) BeforeFirst() time.Duration {
-	wait := max(time.Duration(targetShare*float64(a.Target)), time.Duration(longer*float64(a.First)))
+	wait := max(time.Duration(targetShare*float64(a.Target)), time.Duration(longer*float64(a.FirstEvent)))
 	return a.atMost(wait)
 }
 
-// Midway returns for how long nothing may come after an event: at least as long as
+// MidStream returns for how long nothing may come after an event: at least as long as
 // before the first one, since a rank that fails holds up its group for a time and the
 // stream then ends by itself.
-func (a Answer) Midway() time.Duration {
-	return a.atMost(max(a.Target, passesMissed*a.Pass))
+func (a Answer) MidStream() time.Duration {
+	return a.atMost(max(a.Target, passesMissed*a.PassTime))
 }
 
 func (a Answer) atMost(wait time.Duration) time.Duration {
-	if a.Leaves <= 0 {
+	if a.CallerTimeout <= 0 {
 		return wait
 	}
-	return min(wait, time.Duration(leaveShare*float64(a.Leaves)))
+	return min(wait, time.Duration(leaveShare*float64(a.CallerTimeout)))
 }
--- a/internal/decide/silence/silence_test.go
+++ b/internal/decide/silence/silence_test.go
@@ -17,16 +17,16 @@
 		a             Answer
 		first, midway time.Duration
 	}{
-		{"nothing known", Answer{Target: 500 * ms, Leaves: 2000 * ms}, 400 * ms, 500 * ms},
-		{"a quick group", Answer{Target: 500 * ms, Leaves: 2000 * ms, First: 200 * ms, Pass: 40 * ms}, 400 * ms, 500 * ms},
-		{"a busy group is not silent", Answer{Target: 500 * ms, Leaves: 2000 * ms, First: 600 * ms, Pass: 100 * ms}, 900 * ms, 800 * ms},
-		{"callers leave before a very slow one", Answer{Target: 500 * ms, Leaves: 2000 * ms, First: 3000 * ms, Pass: 400 * ms}, 1100 * ms, 1100 * ms},
-		{"callers who do not leave", Answer{Target: 150 * ms, First: 200 * ms}, 300 * ms, 150 * ms},
+		{"nothing known", Answer{Target: 500 * ms, CallerTimeout: 2000 * ms}, 400 * ms, 500 * ms},
+		{"a quick group", Answer{Target: 500 * ms, CallerTimeout: 2000 * ms, FirstEvent: 200 * ms, PassTime: 40 * ms}, 400 * ms, 500 * ms},
+		{"a busy group is not silent", Answer{Target: 500 * ms, CallerTimeout: 2000 * ms, FirstEvent: 600 * ms, PassTime: 100 * ms}, 900 * ms, 800 * ms},
+		{"callers leave before a very slow one", Answer{Target: 500 * ms, CallerTimeout: 2000 * ms, FirstEvent: 3000 * ms, PassTime: 400 * ms}, 1100 * ms, 1100 * ms},
+		{"callers who do not leave", Answer{Target: 150 * ms, FirstEvent: 200 * ms}, 300 * ms, 150 * ms},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			g.Expect(tc.a.BeforeFirst()).To(BeNumerically("~", tc.first, ms))
-			g.Expect(tc.a.Midway()).To(BeNumerically("~", tc.midway, ms))
+			g.Expect(tc.a.MidStream()).To(BeNumerically("~", tc.midway, ms))
 		})
 	}
 }
--- a/internal/decide/spread/spread.go
+++ b/internal/decide/spread/spread.go
@@ -32,13 +32,13 @@
 // Current returns the generation in force; the zero Version when there is none.
 func (s *State) Current() published.Version { return s.current }
 
-// Clash returns a second manifest of the present generation, if one was seen.
-func (s *State) Clash() (v published.Version, ok bool) {
+// Conflict returns a second manifest of the present generation, if one was seen.
+func (s *State) Conflict() (v published.Version, ok bool) {
 	return s.clash, s.clash.Generation != 0 && s.clash.Generation == s.current.Generation
 }
 
-// Heard takes in a generation named by a peer or the configuration service.
-func (s *State) Heard(v published.Version) Decision {
+// Receive takes in a generation named by a peer or the configuration service.
+func (s *State) Receive(v published.Version) Decision {
 	if v.Generation == 0 || s.refused[v] || !v.Newer(s.current) {
 		return Ignore
 	}
@@ -68,9 +68,9 @@
 	}
 }
 
-// Seen takes in a valid manifest that was not adopted, so that a clash is
+// RecordValid takes in a valid manifest that was not adopted, so that a clash is
 // noticed also by those who hold the manifest that wins.
-func (s *State) Seen(v published.Version) { s.note(v) }
+func (s *State) RecordValid(v published.Version) { s.note(v) }
 
 // Refuse remembers that a generation is faulty, so that it is not fetched from
 // every peer again.
--- a/internal/decide/spread/spread_test.go
+++ b/internal/decide/spread/spread_test.go
@@ -25,7 +25,7 @@
 
 // hear follows the decision, as a daemon does.
 func hear(s *State, v published.Version) {
-	if s.Heard(v) == Fetch {
+	if s.Receive(v) == Fetch {
 		s.Adopt(v)
 	}
 }
@@ -73,14 +73,14 @@
 		g := gomega.NewWithT(t)
 		s := New()
 		hear(s, version(2, order[0]))
-		s.Seen(version(2, order[1]))
+		s.RecordValid(version(2, order[1]))
 		hear(s, version(2, order[1]))
 		g.Expect(s.Current().Hash).To(gomega.Equal("b"))
-		other, ok := s.Clash()
+		other, ok := s.Conflict()
 		g.Expect(ok).To(gomega.BeTrue())
 		g.Expect(other.Hash).To(gomega.Equal("a"))
 		hear(s, version(3, "c"))
-		_, ok = s.Clash()
+		_, ok = s.Conflict()
 		g.Expect(ok).To(gomega.BeFalse(), "a higher generation ends the clash")
 	}
 }
@@ -89,6 +89,6 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.Refuse(version(2, "bad"))
-	g.Expect(s.Heard(version(2, "bad"))).To(gomega.Equal(Ignore))
-	g.Expect(s.Heard(version(2, "good"))).To(gomega.Equal(Fetch))
+	g.Expect(s.Receive(version(2, "bad"))).To(gomega.Equal(Ignore))
+	g.Expect(s.Receive(version(2, "good"))).To(gomega.Equal(Fetch))
 }
