--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -34,26 +34,26 @@
 
 // The kinds.
 const (
-	Ask    Kind = iota + 1 // For the part of the receiver.
-	Grant                  // Of what was asked for.
-	Lent                   // Refusal: another gateway has it.
-	Used                   // Refusal: the asked one has use for it, or has none.
-	Return                 // Of what was granted.
+	Borrow       Kind = iota + 1 // For the part of the receiver.
+	Grant                        // Of what was asked for.
+	RefusedLent                  // Refusal: another gateway has it.
+	RefusedInUse                 // Refusal: the asked one has use for it, or has none.
+	Return                       // Of what was granted.
 )
 
-// Part is a message on one gateway's part of an endpoint's limit.
-type Part struct {
-	Kind     Kind
-	Endpoint string
-	Number   int64         // Of the ask.
-	Tokens   float64       // Of a grant or return.
-	Lasts    time.Duration // Of a grant.
+// ShareMessage is a message on one gateway's part of an endpoint's limit.
+type ShareMessage struct {
+	Kind          Kind
+	Endpoint      string
+	RequestNumber int64         // Of the ask.
+	Tokens        float64       // Of a grant or return.
+	LeaseTime     time.Duration // Of a grant.
 }
 
-// Letter is a part and the gateway that is to be told.
-type Letter struct {
+// Outgoing is a part and the gateway that is to be told.
+type Outgoing struct {
 	To string
-	Part
+	ShareMessage
 }
 
 // holder is another gateway that has a part in this turn.
@@ -114,7 +114,7 @@
 	}
 	switch {
 	case e.bucket != nil:
-		e.bucket.Set(n*e.part.Rate, n*e.part.Burst, at)
+		e.bucket.SetRate(n*e.part.Rate, n*e.part.Burst, at)
 	case n > 0:
 		e.bucket = limit.NewBucketWith(n*e.part.Rate, n*e.part.Burst, 0, at)
 	}
@@ -178,8 +178,8 @@
 	return list
 }
 
-// Letters returns the asks and returns that are due.
-func (l *Limits) Letters(now time.Time) (list []Letter) {
+// OutgoingMessages returns the asks and returns that are due.
+func (l *Limits) OutgoingMessages(now time.Time) (list []Outgoing) {
 	for id, e := range l.by {
 		if !e.word.Limited || len(l.gateways) < 2 {
 			continue
@@ -203,14 +203,14 @@
 			}
 			l.asked = max(l.asked+1, now.UnixNano()) // Above those of a former life.
 			h.number, h.askedAt = l.asked, now
-			list = append(list, Letter{h.name, Part{Kind: Ask, Endpoint: id, Number: h.number}})
+			list = append(list, Outgoing{h.name, ShareMessage{Kind: Borrow, Endpoint: id, RequestNumber: h.number}})
 		}
 	}
 	return list
 }
 
 // returns gives back what is borrowed.
-func (e *endpoint) returns(id string, now time.Time) (list []Letter) {
+func (e *endpoint) returns(id string, now time.Time) (list []Outgoing) {
 	for i := range e.loans.holders {
 		h := &e.loans.holders[i]
 		h.number, h.wait = 0, 0
@@ -218,7 +218,7 @@
 			continue
 		}
 		tokens := min(e.bucket.Tokens(now), e.part.Burst)
-		list = append(list, Letter{h.name, Part{Kind: Return, Endpoint: id, Number: h.granted, Tokens: tokens}})
+		list = append(list, Outgoing{h.name, ShareMessage{Kind: Return, Endpoint: id, RequestNumber: h.granted, Tokens: tokens}})
 		h.granted = 0
 		e.bucket.Add(-tokens, now)
 		e.fit(now)
@@ -226,8 +226,8 @@
 	return list
 }
 
-// Lending reports whether letters may fall due without another request.
-func (l *Limits) Lending(now time.Time) bool {
+// HasOpenLoans reports whether letters may fall due without another request.
+func (l *Limits) HasOpenLoans(now time.Time) bool {
 	for _, e := range l.by {
 		if e.word.Limited && (now.Sub(e.loans.wantedAt) < quiet || e.loans.here() > 0) {
 			return true
@@ -236,8 +236,8 @@
 	return false
 }
 
-// Held returns the requests a second to an endpoint for which parts are here.
-func (l *Limits) Held(id string, now time.Time) (rate float64) {
+// AvailableRate returns the requests a second to an endpoint for which parts are here.
+func (l *Limits) AvailableRate(id string, now time.Time) (rate float64) {
 	e := l.by[id]
 	if e == nil || !e.word.Limited {
 		return 0
@@ -250,58 +250,58 @@
 	return float64(n) * e.part.Rate
 }
 
-// Receive takes in what another gateway says of a part, and returns what is answered.
-func (l *Limits) Receive(from string, p Part, now time.Time) (answer Part, ok bool) {
+// ReceiveMessage takes in what another gateway says of a part, and returns what is answered.
+func (l *Limits) ReceiveMessage(from string, p ShareMessage, now time.Time) (answer ShareMessage, ok bool) {
 	e := l.by[p.Endpoint]
-	if p.Kind == Ask && (e == nil || !e.word.Limited) {
-		return Part{Kind: Used, Endpoint: p.Endpoint, Number: p.Number}, true
+	if p.Kind == Borrow && (e == nil || !e.word.Limited) {
+		return ShareMessage{Kind: RefusedInUse, Endpoint: p.Endpoint, RequestNumber: p.RequestNumber}, true
 	}
 	if e == nil || !e.word.Limited {
-		return Part{}, false
+		return ShareMessage{}, false
 	}
 	l.share(p.Endpoint, e, now)
-	if p.Kind == Ask {
-		if !l.Knows(from) {
-			return Part{}, false
+	if p.Kind == Borrow {
+		if !l.HasPeer(from) {
+			return ShareMessage{}, false
 		}
-		answer = e.lend(from, p.Number, now)
-		answer.Endpoint, answer.Number = p.Endpoint, p.Number
+		answer = e.lend(from, p.RequestNumber, now)
+		answer.Endpoint, answer.RequestNumber = p.Endpoint, p.RequestNumber
 		return answer, true
 	}
 	if p.Kind == Return {
-		if s := &e.loans; s.away(now) && s.to == from && s.number == p.Number {
+		if s := &e.loans; s.away(now) && s.to == from && s.number == p.RequestNumber {
 			s.number = 0
 			e.fit(now)
 			e.add(p.Tokens, now)
 		}
-		return Part{}, false
+		return ShareMessage{}, false
 	}
-	i := slices.IndexFunc(e.loans.holders, func(h holder) bool { return h.name == from && h.number == p.Number && h.number != 0 })
+	i := slices.IndexFunc(e.loans.holders, func(h holder) bool { return h.name == from && h.number == p.RequestNumber && h.number != 0 })
 	if i >= 0 {
 		e.answered(&e.loans.holders[i], p, now)
 	}
-	return Part{}, false
+	return ShareMessage{}, false
 }
 
 // lend answers an ask.
-func (e *endpoint) lend(to string, number int64, now time.Time) Part {
+func (e *endpoint) lend(to string, number int64, now time.Time) ShareMessage {
 	s := &e.loans
 	switch {
 	case !e.owns, now.Sub(s.usedAt) < quiet, now.Sub(s.missedAt) < lease:
-		return Part{Kind: Used}
+		return ShareMessage{Kind: RefusedInUse}
 	case s.away(now) && s.to != to:
-		return Part{Kind: Lent}
+		return ShareMessage{Kind: RefusedLent}
 	case s.away(now) && number <= s.number:
-		return Part{Kind: Used} // An ask that was overtaken.
+		return ShareMessage{Kind: RefusedInUse} // An ask that was overtaken.
 	}
-	p := Part{Kind: Grant}
+	p := ShareMessage{Kind: Grant}
 	if !s.away(now) {
 		p.Tokens = min(e.bucket.Tokens(now), e.part.Burst)
 		e.bucket.Add(-p.Tokens, now)
 	}
 	// The next turn has other parts.
 	s.to, s.number, s.until = to, number, earlier(now.Add(lease), time.Unix(0, (turnOf(now)+1)*int64(turnTime)))
-	p.Lasts = s.until.Sub(now)
+	p.LeaseTime = s.until.Sub(now)
 	e.fit(now)
 	return p
 }
@@ -314,19 +314,19 @@
 }
 
 // answered takes in the answer of a holder.
-func (e *endpoint) answered(h *holder, p Part, now time.Time) {
+func (e *endpoint) answered(h *holder, p ShareMessage, now time.Time) {
 	h.number = 0
 	switch p.Kind {
 	case Grant:
 		h.wait = 0
-		until := h.askedAt.Add(min(p.Lasts, lease))
+		until := h.askedAt.Add(min(p.LeaseTime, lease))
 		if !until.After(now) {
 			return // It was under way for too long.
 		}
-		h.granted, h.until = p.Number, until
+		h.granted, h.until = p.RequestNumber, until
 		e.fit(now)
 		e.add(p.Tokens, now)
-	case Lent:
+	case RefusedLent:
 		h.wait = min(max(lentGrowth*h.wait, askEvery), longestLentWait)
 	default:
 		h.wait = min(max(usedGrowth*h.wait, quiet), longestUsedWait)
--- a/internal/decide/throttle/lend_test.go
+++ b/internal/decide/throttle/lend_test.go
@@ -20,7 +20,7 @@
 	due  time.Duration
 	from int
 	to   string
-	part Part
+	part ShareMessage
 }
 
 // lenders is a fleet whose gateways lend each other parts.
@@ -32,7 +32,7 @@
 	lost   float64                // Part of all messages.
 	asleep func(gateway int) bool // Whether it is suspended now; what it is told waits.
 	said   map[Kind]int
-	word   Told
+	word   Update
 	// doubles says that a part may be at two gateways for a moment: those who know of other
 	// gateways, or have started anew, count by the limit only.
 	doubles bool
@@ -45,13 +45,13 @@
 		f.index[name] = i
 	}
 	f.name(true, limit)
-	f.word = Told{endpointID, Word{Limited: true, Limit: limit, At: start}}
+	f.word = Update{endpointID, Report{Limited: true, Limit: limit, At: start}}
 	return f
 }
 
 func (f *lenders) clock(i int) time.Time { return start.Add(f.now + f.skew[i]) }
 
-func (f *lenders) say(from int, to string, p Part) {
+func (f *lenders) say(from int, to string, p ShareMessage) {
 	f.said[p.Kind]++
 	if f.random.Float64() >= f.lost {
 		f.posts = append(f.posts, post{f.now + time.Duration(f.random.IntN(15))*time.Millisecond, from, to, p})
@@ -67,7 +67,7 @@
 			f.posts = append(f.posts, m)
 			continue
 		}
-		if answer, ok := f.gateways[to].Receive(f.names[m.from], m.part, f.clock(to)); ok {
+		if answer, ok := f.gateways[to].ReceiveMessage(f.names[m.from], m.part, f.clock(to)); ok {
 			f.say(to, f.names[m.from], answer)
 		}
 	}
@@ -77,7 +77,7 @@
 func (f *lenders) here(limit float64) float64 {
 	sum := 0.0
 	for i, l := range f.gateways {
-		sum += l.Held(endpointID, f.clock(i))
+		sum += l.AvailableRate(endpointID, f.clock(i))
 	}
 	return sum / ShareOf(limit, 0, len(f.gateways)).Rate
 }
@@ -91,7 +91,7 @@
 		f.deliver()
 		from, to := f.moves(f.now)
 		for i := from; i < to; i++ {
-			for !f.asleep(i) && f.gateways[i].Due(endpointID, f.clock(i)) {
+			for !f.asleep(i) && f.gateways[i].MaySend(endpointID, f.clock(i)) {
 				f.gateways[i].Take(endpointID, f.clock(i))
 				f.sent = append(f.sent, f.now)
 			}
@@ -100,8 +100,8 @@
 			if f.asleep(i) {
 				continue
 			}
-			for _, letter := range l.Letters(f.clock(i)) {
-				f.say(i, letter.To, letter.Part)
+			for _, letter := range l.OutgoingMessages(f.clock(i)) {
+				f.say(i, letter.To, letter.ShareMessage)
 			}
 		}
 		if here := f.here(limit); !skewed && !f.doubles && here > parts+1e-6 {
@@ -145,7 +145,7 @@
 					if limit > 0 {
 						most, _ := f.most()
 						t.Logf("used %.2f, at most %d in %v; messages a second: %.1f asks, %.1f grants, %.1f refusals, %.1f returns", f.used(limit), most, window,
-							f.rate(Ask), f.rate(Grant), f.rate(Lent)+f.rate(Used), f.rate(Return))
+							f.rate(Borrow), f.rate(Grant), f.rate(RefusedLent)+f.rate(RefusedInUse), f.rate(Return))
 						NewWithT(t).Expect(f.used(limit)).To(BeNumerically(">=", 0.5))
 					}
 					assertFewAsks(t, f, limit, where == "everywhere")
@@ -167,7 +167,7 @@
 		bound = float64(len(f.gateways)) * parts * 4 / turnTime.Seconds() * 1.3 // Three turns begin in 21 s.
 		bound += parts / askEvery.Seconds()
 	}
-	NewWithT(t).Expect(f.rate(Ask)).To(BeNumerically("<=", bound), "asks a second")
+	NewWithT(t).Expect(f.rate(Borrow)).To(BeNumerically("<=", bound), "asks a second")
 }
 
 func TestPartsThatAreLentKeepWithinALimitUnderFailure(t *testing.T) {
@@ -220,7 +220,7 @@
 				i := int(f.now/time.Second) % n
 				f.gateways[i] = New()
 				f.gateways[i].SetGateways(f.names[i], f.names)
-				f.gateways[i].Hear(f.word)
+				f.gateways[i].Merge(f.word)
 			}
 		},
 	} {
@@ -282,27 +282,27 @@
 	list := []*Limits{New(), New()}
 	for i, l := range list {
 		l.SetGateways(names[i], names)
-		l.Hear(Told{endpointID, Word{Limited: true, Limit: 0.5, At: now}})
+		l.Merge(Update{endpointID, Report{Limited: true, Limit: 0.5, At: now}})
 	}
-	if list[0].Held(endpointID, now) > 0 {
+	if list[0].AvailableRate(endpointID, now) > 0 {
 		return list[1], list[0], now
 	}
 	return list[0], list[1], now
 }
 
 // ask has a gateway in want ask, and returns the ask.
-func ask(t *testing.T, l *Limits, now time.Time) Part {
+func ask(t *testing.T, l *Limits, now time.Time) ShareMessage {
 	t.Helper()
-	NewWithT(t).Expect(l.Due(endpointID, now)).To(BeFalse())
-	list := l.Letters(now)
+	NewWithT(t).Expect(l.MaySend(endpointID, now)).To(BeFalse())
+	list := l.OutgoingMessages(now)
 	NewWithT(t).Expect(list).To(HaveLen(1))
-	NewWithT(t).Expect(list[0].Kind).To(Equal(Ask))
-	return list[0].Part
+	NewWithT(t).Expect(list[0].Kind).To(Equal(Borrow))
+	return list[0].ShareMessage
 }
 
-func grant(t *testing.T, lender, borrower *Limits, asked Part, now time.Time) Part {
+func grant(t *testing.T, lender, borrower *Limits, asked ShareMessage, now time.Time) ShareMessage {
 	t.Helper()
-	p, ok := lender.Receive(borrower.self, asked, now)
+	p, ok := lender.ReceiveMessage(borrower.self, asked, now)
 	NewWithT(t).Expect(ok).To(BeTrue())
 	NewWithT(t).Expect(p.Kind).To(Equal(Grant))
 	return p
@@ -313,48 +313,48 @@
 	borrower, lender, now := pair(t)
 	p := grant(t, lender, borrower, ask(t, borrower, now), now)
 	g.Expect(p.Tokens).To(BeNumerically("~", 1))
-	g.Expect(lender.Due(endpointID, now)).To(BeFalse())
-	borrower.Receive(lender.self, p, now)
-	g.Expect(borrower.Due(endpointID, now)).To(BeTrue())
+	g.Expect(lender.MaySend(endpointID, now)).To(BeFalse())
+	borrower.ReceiveMessage(lender.self, p, now)
+	g.Expect(borrower.MaySend(endpointID, now)).To(BeTrue())
 	now = now.Add(quiet)
-	list := borrower.Letters(now)
+	list := borrower.OutgoingMessages(now)
 	g.Expect(list).To(HaveLen(1))
 	g.Expect(list[0].Kind).To(Equal(Return))
-	g.Expect(borrower.Due(endpointID, now)).To(BeFalse())
-	lender.Receive(borrower.self, list[0].Part, now)
-	g.Expect(lender.Due(endpointID, now)).To(BeTrue())
+	g.Expect(borrower.MaySend(endpointID, now)).To(BeFalse())
+	lender.ReceiveMessage(borrower.self, list[0].ShareMessage, now)
+	g.Expect(lender.MaySend(endpointID, now)).To(BeTrue())
 	lender.Take(endpointID, now)
-	lender.Receive(borrower.self, list[0].Part, now)
-	g.Expect(lender.Due(endpointID, now)).To(BeFalse(), "a return that is doubled counts once")
+	lender.ReceiveMessage(borrower.self, list[0].ShareMessage, now)
+	g.Expect(lender.MaySend(endpointID, now)).To(BeFalse(), "a return that is doubled counts once")
 }
 
 func TestAGrantThatIsLateDoubledOrNotAskedForIsDropped(t *testing.T) {
-	for name, play := range map[string]func(borrower, lender *Limits, p Part, now time.Time) time.Time{
-		"late": func(borrower, lender *Limits, p Part, now time.Time) time.Time {
+	for name, play := range map[string]func(borrower, lender *Limits, p ShareMessage, now time.Time) time.Time{
+		"late": func(borrower, lender *Limits, p ShareMessage, now time.Time) time.Time {
 			now = now.Add(lease)
-			borrower.Receive(lender.self, p, now)
+			borrower.ReceiveMessage(lender.self, p, now)
 			return now
 		},
-		"doubled": func(borrower, lender *Limits, p Part, now time.Time) time.Time {
-			borrower.Receive(lender.self, p, now)
+		"doubled": func(borrower, lender *Limits, p ShareMessage, now time.Time) time.Time {
+			borrower.ReceiveMessage(lender.self, p, now)
 			borrower.Take(endpointID, now)
-			borrower.Receive(lender.self, p, now)
+			borrower.ReceiveMessage(lender.self, p, now)
 			return now
 		},
-		"of another number": func(borrower, lender *Limits, p Part, now time.Time) time.Time {
-			p.Number++
-			borrower.Receive(lender.self, p, now)
+		"of another number": func(borrower, lender *Limits, p ShareMessage, now time.Time) time.Time {
+			p.RequestNumber++
+			borrower.ReceiveMessage(lender.self, p, now)
 			return now
 		},
-		"of another gateway": func(borrower, lender *Limits, p Part, now time.Time) time.Time {
-			borrower.Receive("10.0.0.3:1", p, now)
+		"of another gateway": func(borrower, lender *Limits, p ShareMessage, now time.Time) time.Time {
+			borrower.ReceiveMessage("10.0.0.3:1", p, now)
 			return now
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			borrower, lender, now := pair(t)
 			p := grant(t, lender, borrower, ask(t, borrower, now), now)
-			NewWithT(t).Expect(borrower.Due(endpointID, play(borrower, lender, p, now))).To(BeFalse())
+			NewWithT(t).Expect(borrower.MaySend(endpointID, play(borrower, lender, p, now))).To(BeFalse())
 		})
 	}
 }
@@ -363,35 +363,35 @@
 func TestAReturnOfAFormerLeaseIsDropped(t *testing.T) {
 	g := NewWithT(t)
 	borrower, lender, now := pair(t)
-	borrower.Receive(lender.self, grant(t, lender, borrower, ask(t, borrower, now), now), now)
+	borrower.ReceiveMessage(lender.self, grant(t, lender, borrower, ask(t, borrower, now), now), now)
 	now = now.Add(quiet)
-	returned := borrower.Letters(now)
+	returned := borrower.OutgoingMessages(now)
 	g.Expect(returned).To(HaveLen(1))
 	p := grant(t, lender, borrower, ask(t, borrower, now), now)
-	lender.Receive(borrower.self, returned[0].Part, now)
-	g.Expect(lender.Held(endpointID, now)).To(BeZero())
-	borrower.Receive(lender.self, p, now)
-	g.Expect(borrower.Held(endpointID, now)).To(BeNumerically(">", 0))
+	lender.ReceiveMessage(borrower.self, returned[0].ShareMessage, now)
+	g.Expect(lender.AvailableRate(endpointID, now)).To(BeZero())
+	borrower.ReceiveMessage(lender.self, p, now)
+	g.Expect(borrower.AvailableRate(endpointID, now)).To(BeNumerically(">", 0))
 }
 
 // Guards against a gateway whose part stays with another one although it has callers itself.
 func TestALenderThatMissesItsPartHasItBackAfterTheLease(t *testing.T) {
 	g := NewWithT(t)
 	borrower, lender, now := pair(t)
-	borrower.Receive(lender.self, grant(t, lender, borrower, ask(t, borrower, now), now), now)
+	borrower.ReceiveMessage(lender.self, grant(t, lender, borrower, ask(t, borrower, now), now), now)
 	borrower.Take(endpointID, now)
-	g.Expect(lender.Due(endpointID, now)).To(BeFalse())
+	g.Expect(lender.MaySend(endpointID, now)).To(BeFalse())
 	asked := ask(t, borrower, now.Add(lease*6/10))
-	refused, ok := lender.Receive(borrower.self, asked, now.Add(lease*6/10))
+	refused, ok := lender.ReceiveMessage(borrower.self, asked, now.Add(lease*6/10))
 	g.Expect(ok).To(BeTrue())
-	g.Expect(refused.Kind).To(Equal(Used))
-	g.Expect(lender.Held(endpointID, now.Add(lease))).To(BeNumerically(">", 0))
+	g.Expect(refused.Kind).To(Equal(RefusedInUse))
+	g.Expect(lender.AvailableRate(endpointID, now.Add(lease))).To(BeNumerically(">", 0))
 }
 
 func TestALeaseEndsWithTheTurn(t *testing.T) {
 	borrower, lender, now := pair(t)
 	now = now.Add(turnTime - lease/4)
-	NewWithT(t).Expect(grant(t, lender, borrower, ask(t, borrower, now), now).Lasts).To(Equal(lease / 4))
+	NewWithT(t).Expect(grant(t, lender, borrower, ask(t, borrower, now), now).LeaseTime).To(Equal(lease / 4))
 }
 
 func TestTheOtherHoldersOfPartsAreThoseThatHaveAPlace(t *testing.T) {
--- a/internal/decide/throttle/share.go
+++ b/internal/decide/throttle/share.go
@@ -25,9 +25,9 @@
 
 // Share is one gateway's part of a rate limit, as a token bucket.
 type Share struct {
-	Rate  float64 // Requests a second; 0 for a gateway without a part.
-	Burst float64 // Requests at once.
-	First float64 // Tokens that it begins with.
+	Rate          float64 // Requests a second; 0 for a gateway without a part.
+	Burst         float64 // Requests at once.
+	InitialTokens float64 // Tokens that it begins with.
 }
 
 // ShareOf returns the part that the gateway at a place, counted from 0, has of a limit, in
@@ -41,15 +41,15 @@
 	if float64(place) >= senders {
 		return Share{}
 	}
-	s.Rate = RateOf(limit) / senders
+	s.Rate = TotalRate(limit) / senders
 	s.Burst = burst / senders
-	s.First = s.Burst * (1 - float64(place)/senders)
+	s.InitialTokens = s.Burst * (1 - float64(place)/senders)
 	return s
 }
 
-// RateOf returns the requests a second that all gateways together send at most where a
+// TotalRate returns the requests a second that all gateways together send at most where a
 // limit is named.
-func RateOf(limit float64) float64 { return max(used*limit, leastRate) }
+func TotalRate(limit float64) float64 { return max(used*limit, leastRate) }
 
 // turnOf numbers the turns; gateways agree on it as far as their clocks do.
 func turnOf(now time.Time) int64 { return now.UnixNano() / int64(turnTime) }
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -14,22 +14,22 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/limit"
 )
 
-// Word is what an answer of an endpoint said of its rate limit.
-type Word struct {
+// Report is what an answer of an endpoint said of its rate limit.
+type Report struct {
 	Limited bool
 	Limit   float64   // Requests a second from all gateways together; where it is limited.
 	At      time.Time // Of the answer.
 }
 
 // same reports whether two words say the same.
-func (w Word) same(v Word) bool {
+func (w Report) same(v Report) bool {
 	return w.Limited == v.Limited && (!w.Limited || w.Limit == v.Limit)
 }
 
-// Told is a word and the endpoint that it is of.
-type Told struct {
+// Update is a word and the endpoint that it is of.
+type Update struct {
 	Endpoint string
-	Word
+	Report
 }
 
 const (
@@ -44,7 +44,7 @@
 
 // endpoint is what is known of one endpoint's limit.
 type endpoint struct {
-	word    Word          // The newest.
+	word    Report        // The newest.
 	since   time.Time     // When the first answer said the same as word.
 	told    int           // How often word was told to others.
 	toldAt  time.Time     // The word's time when it was last told or heard.
@@ -79,23 +79,23 @@
 	l.version++
 }
 
-// Gateways returns among how many gateways limits are shared.
-func (l *Limits) Gateways() int { return len(l.gateways) }
+// GatewayCount returns among how many gateways limits are shared.
+func (l *Limits) GatewayCount() int { return len(l.gateways) }
 
-// Knows reports whether another gateway of this name is there.
-func (l *Limits) Knows(name string) bool {
+// HasPeer reports whether another gateway of this name is there.
+func (l *Limits) HasPeer(name string) bool {
 	_, known := slices.BinarySearch(l.gateways, name)
 	return known && name != l.self
 }
 
-// Answered takes in what an answer to this gateway said. It reports whether that is news,
+// RecordAnswer takes in what an answer to this gateway said. It reports whether that is news,
 // which others are to be told.
-func (l *Limits) Answered(id string, w Word) (news bool) { return l.hear(id, w, 0) }
+func (l *Limits) RecordAnswer(id string, w Report) (news bool) { return l.hear(id, w, 0) }
 
-// Hear takes in what another gateway told. It reports whether that is news here.
-func (l *Limits) Hear(t Told) (news bool) { return l.hear(t.Endpoint, t.Word, tellTimes) }
+// Merge takes in what another gateway told. It reports whether that is news here.
+func (l *Limits) Merge(t Update) (news bool) { return l.hear(t.Endpoint, t.Report, tellTimes) }
 
-func (l *Limits) hear(id string, w Word, told int) (news bool) {
+func (l *Limits) hear(id string, w Report, told int) (news bool) {
 	e, known := l.by[id]
 	if !known {
 		if !w.Limited {
@@ -139,14 +139,14 @@
 	return n
 }
 
-// Due reports whether this gateway may send a request to an endpoint now.
-func (l *Limits) Due(id string, now time.Time) bool {
+// MaySend reports whether this gateway may send a request to an endpoint now.
+func (l *Limits) MaySend(id string, now time.Time) bool {
 	e := l.by[id]
 	if e == nil || !e.word.Limited {
 		return true
 	}
 	b := l.share(id, e, now)
-	due := b != nil && b.Holds(now)
+	due := b != nil && b.HasToken(now)
 	e.loans.use(due, now)
 	return due
 }
@@ -163,7 +163,7 @@
 // GiveBack takes back a Take of a request that was not sent.
 func (l *Limits) GiveBack(id string) {
 	if e := l.by[id]; e != nil && e.bucket != nil {
-		e.bucket.GiveBack()
+		e.bucket.ReturnToken()
 	}
 }
 
@@ -184,13 +184,13 @@
 	e.owns = s.Rate > 0
 	e.fit(now)
 	if e.owns && !owned && !e.loans.away(now) {
-		e.bucket.Add(s.First, now)
+		e.bucket.Add(s.InitialTokens, now)
 	}
 	return e.bucket
 }
 
-// Tell returns changes that are to be told to others, at most so many.
-func (l *Limits) Tell(most int) (list []Told) {
+// NextUpdates returns changes that are to be told to others, at most so many.
+func (l *Limits) NextUpdates(most int) (list []Update) {
 	for id, e := range l.by {
 		if len(list) == most {
 			break
@@ -198,14 +198,14 @@
 		if e.told < tellTimes {
 			e.told++
 			e.toldAt = e.word.At
-			list = append(list, Told{id, e.word})
+			list = append(list, Update{id, e.word})
 		}
 	}
 	return list
 }
 
-// Untold reports whether there is a change that was never told.
-func (l *Limits) Untold() bool {
+// HasUnsent reports whether there is a change that was never told.
+func (l *Limits) HasUnsent() bool {
 	for _, e := range l.by {
 		if e.told == 0 {
 			return true
@@ -214,15 +214,15 @@
 	return false
 }
 
-// Named returns the limits that are known, at most so many, for a gateway that may know
+// ActiveLimits returns the limits that are known, at most so many, for a gateway that may know
 // none.
-func (l *Limits) Named(most int) (list []Told) {
+func (l *Limits) ActiveLimits(most int) (list []Update) {
 	for id, e := range l.by {
 		if len(list) == most {
 			break
 		}
 		if e.word.Limited {
-			list = append(list, Told{id, e.word})
+			list = append(list, Update{id, e.word})
 		}
 	}
 	return list
--- a/internal/decide/throttle/throttle_test.go
+++ b/internal/decide/throttle/throttle_test.go
@@ -52,7 +52,7 @@
 // name tells all gateways what the endpoint says.
 func (f *fleet) name(limited bool, limit float64) {
 	for i, l := range f.gateways {
-		l.Hear(Told{endpointID, Word{Limited: limited, Limit: limit, At: start.Add(f.now + f.skew[i])}})
+		l.Merge(Update{endpointID, Report{Limited: limited, Limit: limit, At: start.Add(f.now + f.skew[i])}})
 	}
 }
 
@@ -60,7 +60,7 @@
 func (f *fleet) run(from, to int, lasts time.Duration) {
 	for end := f.now + lasts; f.now < end; f.now += step {
 		for i := from; i < to; i++ {
-			for at := start.Add(f.now + f.skew[i]); f.gateways[i].Due(endpointID, at); f.sent = append(f.sent, f.now) {
+			for at := start.Add(f.now + f.skew[i]); f.gateways[i].MaySend(endpointID, at); f.sent = append(f.sent, f.now) {
 				f.gateways[i].Take(endpointID, at)
 			}
 		}
@@ -158,7 +158,7 @@
 	t.Helper()
 	senders := math.Floor(limit) + 1
 	n, _ := f.most()
-	NewWithT(t).Expect(float64(n)).To(BeNumerically("<=", float64(sets)*(senders+(senders+1)/2+RateOf(limit)*window.Seconds())), "requests in %v", window)
+	NewWithT(t).Expect(float64(n)).To(BeNumerically("<=", float64(sets)*(senders+(senders+1)/2+TotalRate(limit)*window.Seconds())), "requests in %v", window)
 }
 
 func TestTheSidesOfACutAreBoundedEach(t *testing.T) {
@@ -203,21 +203,21 @@
 	g := NewWithT(t)
 	l := New()
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
-	g.Expect(l.Answered(endpointID, Word{At: at(0)})).To(BeFalse(), "nothing is known of it")
-	g.Expect(l.Answered(endpointID, Word{Limited: true, Limit: 0, At: at(1)})).To(BeTrue())
-	l.Due(endpointID, at(1))
+	g.Expect(l.RecordAnswer(endpointID, Report{At: at(0)})).To(BeFalse(), "nothing is known of it")
+	g.Expect(l.RecordAnswer(endpointID, Report{Limited: true, Limit: 0, At: at(1)})).To(BeTrue())
+	l.MaySend(endpointID, at(1))
 	l.Take(endpointID, at(1))
-	g.Expect(l.Due(endpointID, at(1))).To(BeFalse())
-	g.Expect(l.Untold()).To(BeTrue())
-	g.Expect(l.Tell(9)).To(HaveLen(1))
-	g.Expect(l.Untold()).To(BeFalse())
-	g.Expect(l.Hear(Told{endpointID, Word{At: at(0.5)}})).To(BeFalse(), "older than what is known")
-	g.Expect(l.Due(endpointID, at(1))).To(BeFalse())
+	g.Expect(l.MaySend(endpointID, at(1))).To(BeFalse())
+	g.Expect(l.HasUnsent()).To(BeTrue())
+	g.Expect(l.NextUpdates(9)).To(HaveLen(1))
+	g.Expect(l.HasUnsent()).To(BeFalse())
+	g.Expect(l.Merge(Update{endpointID, Report{At: at(0.5)}})).To(BeFalse(), "older than what is known")
+	g.Expect(l.MaySend(endpointID, at(1))).To(BeFalse())
 	l.GiveBack(endpointID)
-	g.Expect(l.Due(endpointID, at(1))).To(BeTrue(), "it was not sent")
+	g.Expect(l.MaySend(endpointID, at(1))).To(BeTrue(), "it was not sent")
 	l.Take(endpointID, at(1))
-	g.Expect(l.Hear(Told{endpointID, Word{At: at(1.5)}})).To(BeTrue())
-	g.Expect(l.Due(endpointID, at(1.5))).To(BeTrue())
+	g.Expect(l.Merge(Update{endpointID, Report{At: at(1.5)}})).To(BeTrue())
+	g.Expect(l.MaySend(endpointID, at(1.5))).To(BeTrue())
 	g.Expect(l.Count()).To(BeZero())
 	l.Forget(func(string) bool { return true }, at(1.5+endedAge.Seconds()+0.1))
 	g.Expect(l.by).To(BeEmpty())
@@ -229,21 +229,21 @@
 	teller, other := New(), New()
 	listed := func(string) bool { return true }
 	tell := func() {
-		for _, told := range teller.Tell(9) {
-			other.Hear(told)
+		for _, told := range teller.NextUpdates(9) {
+			other.Merge(told)
 		}
 	}
-	word := func(after time.Duration) Word { return Word{Limited: true, Limit: 1, At: start.Add(after)} }
-	teller.Answered(endpointID, word(0))
+	word := func(after time.Duration) Report { return Report{Limited: true, Limit: 1, At: start.Add(after)} }
+	teller.RecordAnswer(endpointID, word(0))
 	for range tellTimes {
 		tell()
 	}
-	teller.Answered(endpointID, word(tellAgain))
-	g.Expect(teller.Tell(9)).To(BeEmpty(), "nothing has changed")
-	teller.Answered(endpointID, word(tellAgain+time.Second))
-	g.Expect(teller.Untold()).To(BeFalse(), "it is no news")
+	teller.RecordAnswer(endpointID, word(tellAgain))
+	g.Expect(teller.NextUpdates(9)).To(BeEmpty(), "nothing has changed")
+	teller.RecordAnswer(endpointID, word(tellAgain+time.Second))
+	g.Expect(teller.HasUnsent()).To(BeFalse(), "it is no news")
 	tell()
-	g.Expect(teller.Tell(9)).To(BeEmpty())
+	g.Expect(teller.NextUpdates(9)).To(BeEmpty())
 	other.Forget(listed, start.Add(tellAgain+time.Second+lapseAfter))
 	g.Expect(other.Count()).To(Equal(1))
 	other.Forget(listed, start.Add(tellAgain+2*time.Second+lapseAfter))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -56,7 +56,7 @@
 
 // New returns an entry on a node.
 func New(n *node.Node) *Entry {
-	kept, single := adapter.NewTransport(n.Settings().Source), adapter.NewSingleTransport(n.Settings().Source)
+	kept, single := adapter.NewTransport(n.Settings().Source), adapter.NewSingleUseTransport(n.Settings().Source)
 	kept.TLSClientConfig = n.Credentials().Client()
 	single.TLSClientConfig = n.Credentials().Client()
 	e := &Entry{
@@ -82,8 +82,8 @@
 // Run does the entry's duties until ctx ends.
 func (e *Entry) Run(ctx context.Context) error { return e.limits.run(ctx) }
 
-// Busy returns the number of callers' requests that have not ended.
-func (e *Entry) Busy() int { return int(e.live.Load()) }
+// InFlight returns the number of callers' requests that have not ended.
+func (e *Entry) InFlight() int { return int(e.live.Load()) }
 
 // Handler returns the callers' listener's handlers.
 func (e *Entry) Handler() http.Handler {
@@ -110,9 +110,9 @@
 	mayHaveRun bool   // Some attempt may have.
 
 	sameAs  quarantine.Key
-	hasKey  bool               // The key above was worked out.
-	sending quarantine.Sending // What was known of the request at its last attempt.
-	onTrial bool               // It is sent to see whether it still ends endpoints.
+	hasKey  bool                 // The key above was worked out.
+	sending quarantine.Knowledge // What was known of the request at its last attempt.
+	onTrial bool                 // It is sent to see whether it still ends endpoints.
 }
 
 // serve wraps a handler: everything that all requests have in common, and the
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -156,7 +156,7 @@
 		facts.Reason = refusal.Reason
 		ok, err := req.policy.Programs.Retry(facts)
 		e.auditPolicy(req, err)
-		a.Allowed = ok
+		a.PolicyAllows = ok
 	}
 	delay, ok := e.mayRetry(req, service, a)
 	return ok && wait.For(req.r.Context(), delay)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -49,9 +49,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.get(cfg, c, now)
-	h.share.Count()
+	h.share.CountRequest()
 	rate := h.share.Rate(now)
-	h.bucket.Set(rate, max(1, h.burst*rate/c.Rate), now)
+	h.bucket.SetRate(rate, max(1, h.burst*rate/c.Rate), now)
 	return h.bucket.Take(now)
 }
 
@@ -66,7 +66,7 @@
 		}
 		l.all[c.Name] = h
 	}
-	h.share.Entitle(entitled)
+	h.share.SetEntitlement(entitled)
 	h.burst = c.Burst
 	return h
 }
@@ -113,7 +113,7 @@
 	defer l.mu.Unlock()
 	wants := map[string]float64{}
 	for name, h := range l.all {
-		if w := h.share.Want(now); w > 0 {
+		if w := h.share.Shortfall(now); w > 0 {
 			wants[name] = w
 		}
 	}
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -26,7 +26,7 @@
 	for _, one := range list {
 		plain = append(plain, one.Candidate)
 	}
-	i := route.Pick(plain, route.Want{Prefix: prefix, Random: rand.Uint64()})
+	i := route.Pick(plain, route.Request{Prefix: prefix, Random: rand.Uint64()})
 	if i < 0 {
 		return c, false
 	}
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -71,7 +71,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	h, ok := t.all[m.Endpoint]
-	if !ok || h.life > m.Life {
+	if !ok || h.life > m.StartedAt {
 		return
 	}
 	for cancel := range h.cancels {
@@ -121,8 +121,8 @@
 				continue
 			}
 			h := e.tracker.get(ep.Name)
-			if h.life != m.Life && m.Life != 0 {
-				h.life, h.load, h.blocked, h.rests = m.Life, wire.Load{}, time.Time{}, time.Time{} // A new process is judged anew.
+			if h.life != m.StartedAt && m.StartedAt != 0 {
+				h.life, h.load, h.blocked, h.rests = m.StartedAt, wire.Load{}, time.Time{}, time.Time{} // A new process is judged anew.
 			}
 			if now.Before(h.blocked) || now.Before(h.rests) || h.load.Leaving {
 				continue
@@ -130,9 +130,9 @@
 			list = append(list, candidate{
 				member: m,
 				Candidate: route.Candidate{
-					Endpoint: ep.Name, Group: s.Name, Local: m.Domain == e.node.Settings().Domain,
+					Endpoint: ep.Name, Group: s.Name, SameDomain: m.Domain == e.node.Settings().Domain,
 					Running: h.load.Running, Queued: h.load.Queued, Limit: h.load.ConcurrencyLimit,
-					StepMS: h.load.MeanStepMS, Sent: h.sent, Stalled: h.load.Stalled,
+					StepMS: h.load.MeanStepMS, InFlight: h.sent, Stalled: h.load.Stalled,
 				},
 			})
 		}
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -80,7 +80,7 @@
 	t := Table{Title: fmt.Sprintf("Admission: one endpoint, %d places of %v, offered 1.5 times its capacity for %d s; 80 in 100 from one large customer",
 		admissionLimit, admissionHold, seconds)}
 	f := &fifo{limit: admissionLimit, capacity: admissionCapacity}
-	q := admit.New(admit.Config{Capacity: admissionCapacity, MinLimit: admissionLimit, MaxLimit: admissionLimit, AgePerStep: 2 * time.Second})
+	q := admit.New(admit.Config{Capacity: admissionCapacity, MinLimit: admissionLimit, MaxLimit: admissionLimit, AgingInterval: 2 * time.Second})
 	for _, m := range []struct {
 		name string
 		run  *admissionRun
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -70,16 +70,16 @@
 		name := fmt.Sprintf("domain-%02d-endpoint-%04d", i%cfg.Domains, i)
 		r.index[name] = i
 		rows[i] = member.Member{Name: name, Role: "endpoint", Endpoint: name[:20], Domain: name[:9],
-			Address: "10.0.0.1:7000", Life: 1_800_000_000_000}
+			Address: "10.0.0.1:7000", StartedAt: 1_800_000_000_000}
 	}
 	for i := range rows {
 		p := &peer{
-			table: member.New(member.Config{Interval: gossipInterval, SuspectAfter: 3 * time.Second,
-				ForgetAfter: time.Hour, News: newsRows, Helpers: 2}, rows[i]),
+			table: member.New(member.Config{ProbeInterval: gossipInterval, SuspicionTimeout: 3 * time.Second,
+				ForgetAfter: time.Hour, MaxUpdates: newsRows, IndirectProbes: 2}, rows[i]),
 			conf: spread.New(), domain: i % cfg.Domains,
 			phase: time.Duration(r.rnd.IntN(int(gossipInterval/gossipTick))) * gossipTick,
 		}
-		p.table.Seed(rows, origin)
+		p.table.MergePlatformList(rows, origin)
 		r.peers = append(r.peers, p)
 	}
 	return r
@@ -108,7 +108,7 @@
 	r.charge(pb, back)
 	r.merge(a, back, now)
 	for _, way := range [][2]int{{a, b}, {b, a}} {
-		if r.peers[way[1]].conf.Heard(r.peers[way[0]].conf.Current()) == spread.Fetch {
+		if r.peers[way[1]].conf.Receive(r.peers[way[0]].conf.Current()) == spread.Fetch {
 			r.due = append(r.due, way)
 		}
 	}
@@ -170,7 +170,7 @@
 		if p.down || r.at < p.paused || (r.at+p.phase)%gossipInterval != 0 {
 			continue
 		}
-		p.table.Woke(now)
+		p.table.DetectPause(now)
 		probe, changes, ok := p.table.Tick(now, r.rnd.Uint64())
 		r.note(i, changes)
 		if ok {
@@ -185,16 +185,16 @@
 	p := r.peers[i]
 	name := r.peers[target].table.Self().Name
 	if r.exchange(i, target) {
-		r.note(i, p.table.Answered(name, now))
+		r.note(i, p.table.ProbeAnswered(name, now))
 		return
 	}
-	for _, h := range p.table.Helpers(name, r.rnd.Uint64()) {
+	for _, h := range p.table.PickRelays(name, r.rnd.Uint64()) {
 		k := r.index[h.Name]
 		if r.exchange(i, k) && r.exchange(k, target) {
 			return
 		}
 	}
-	r.note(i, p.table.Silent(name, now))
+	r.note(i, p.table.ProbeUnanswered(name, now))
 }
 
 // fetch takes a newer generation from a peer and tells a few others.
@@ -211,7 +211,7 @@
 func (r *gossipRun) tell(i, peers int) {
 	t := r.peers[i].table
 	for peers > 0 {
-		some := t.Helpers(t.Self().Name, r.rnd.Uint64())
+		some := t.PickRelays(t.Self().Name, r.rnd.Uint64())
 		if len(some) == 0 {
 			return
 		}
--- a/internal/experiment/limits.go
+++ b/internal/experiment/limits.go
@@ -76,11 +76,11 @@
 			for range poisson(s.rnd, s.demand(e, at)*limitsTick.Seconds()) {
 				offered++
 				b := s.buckets[e]
-				s.shares[e].Count()
+				s.shares[e].CountRequest()
 				switch method {
 				case "canvaspulley":
 					r := s.shares[e].Rate(now)
-					b.Set(r, burst(r), now)
+					b.SetRate(r, burst(r), now)
 				case "central counter":
 					s.messages++
 					b = central[0]
@@ -109,7 +109,7 @@
 // borrow is one round: each entry in want asks one random other.
 func (s *limitsSite) borrow(now time.Time, at time.Duration) {
 	for e, share := range s.shares {
-		want := share.Want(now)
+		want := share.Shortfall(now)
 		if want == 0 {
 			continue
 		}
--- a/internal/experiment/rebalance.go
+++ b/internal/experiment/rebalance.go
@@ -69,7 +69,7 @@
 				p, ok := planner.Decide(sample, current)
 				return p.Map, ok
 			},
-			done: planner.Switched,
+			done: planner.MapSwitched,
 		}),
 		cfg.bound(),
 	}
--- a/internal/experiment/routing.go
+++ b/internal/experiment/routing.go
@@ -84,10 +84,10 @@
 		{"round robin", func(r *routingRun, _, _ int) int { r.next++; return r.next % cfg.Endpoints }},
 		{"least by report", leastByReport},
 		{"two choices, no prefix", func(r *routingRun, entry, _ int) int {
-			return route.Pick(r.views[entry], route.Want{Random: r.rnd.Uint64()})
+			return route.Pick(r.views[entry], route.Request{Random: r.rnd.Uint64()})
 		}},
 		{"canvaspulley", func(r *routingRun, entry, prefix int) int {
-			return route.Pick(r.views[entry], route.Want{Prefix: fmt.Sprint(prefix), Random: r.rnd.Uint64()})
+			return route.Pick(r.views[entry], route.Request{Prefix: fmt.Sprint(prefix), Random: r.rnd.Uint64()})
 		}},
 	} {
 		r := newRoutingRun(cfg)
@@ -113,7 +113,7 @@
 	for range cfg.Entries {
 		view := make([]route.Candidate, cfg.Endpoints)
 		for i := range view {
-			view[i] = route.Candidate{Endpoint: fmt.Sprint("rank-", i), Local: true, Limit: cfg.Limit}
+			view[i] = route.Candidate{Endpoint: fmt.Sprint("rank-", i), SameDomain: true, Limit: cfg.Limit}
 		}
 		r.views = append(r.views, view)
 	}
@@ -128,7 +128,7 @@
 		for range poisson(r.rnd, perStep) {
 			a := arrival{entry: r.rnd.IntN(c.Entries), prefix: r.prefix(), at: step, length: 1 + int(r.rnd.ExpFloat64()*float64(c.Tokens))}
 			to := pick(r, a.entry, a.prefix)
-			r.views[a.entry][to].Sent++
+			r.views[a.entry][to].InFlight++
 			r.engines[to].queue = append(r.engines[to].queue, a)
 		}
 		for i := range r.engines {
@@ -149,7 +149,7 @@
 		n := r.news[0]
 		r.news = r.news[1:]
 		c := &r.views[n.entry][n.endpoint]
-		c.Running, c.Queued, c.Sent = n.running, n.queued, 0
+		c.Running, c.Queued, c.InFlight = n.running, n.queued, 0
 	}
 }
 
--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -19,7 +19,7 @@
 	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() {
 		return // Another endpoint now has this address.
 	}
-	for _, header := range a.Invalid {
+	for _, header := range a.InvalidHeaders {
 		q.note(e.ID + ": invalid header ignored, " + header)
 		q.g.stats.invalidHeaders.Inc(1)
 	}
@@ -28,23 +28,25 @@
 }
 
 // incarnationOf identifies the process of an endpoint for which backoffs are kept.
-func incarnationOf(e fleet.Endpoint) backoff.Life { return backoff.Life{Name: e.Name(), Born: e.Born} }
+func incarnationOf(e fleet.Endpoint) backoff.Process {
+	return backoff.Process{Name: e.Name(), Start: e.StartedAt}
+}
 
 // applyBackoff records that an endpoint wants no requests for a while, or none at all any more.
 func (q *request) applyBackoff(e fleet.Endpoint, a fleet.Answer) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if a.Rest == 0 {
-		g.backoffs.Answered(incarnationOf(e), q.sentBoottime)
+	if a.Backoff == 0 {
+		g.backoffs.RecordAnswer(incarnationOf(e), q.sentBoottime)
 	}
-	if a.Rest == 0 && !a.Leaving {
+	if a.Backoff == 0 && !a.Leaving {
 		return
 	}
-	if a.Rest > 0 && g.backoffs.Rest(incarnationOf(e), a.Rest, now) {
-		g.log.Info("endpoint requests backoff", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Rest))
+	if a.Backoff > 0 && g.backoffs.Backoff(incarnationOf(e), a.Backoff, now) {
+		g.log.Info("endpoint requests backoff", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Backoff))
 	}
-	if a.Leaving && g.backoffs.Leave(incarnationOf(e), now) {
+	if a.Leaving && g.backoffs.MarkLeaving(incarnationOf(e), now) {
 		g.log.Info("endpoint announces that it is leaving", zap.String("endpoint", e.ID), zap.String("request", q.call.ID))
 	}
 	g.stats.setBackoffs(g.backoffs.Counts(now))
@@ -60,13 +62,13 @@
 	if _, _, limited := g.limits.Limited(e.ID); limited {
 		g.stats.sentToLimited.Inc(1)
 	}
-	if _, resting := g.backoffs.Resting(incarnationOf(e), now); resting {
+	if _, resting := g.backoffs.BackingOff(incarnationOf(e), now); resting {
 		g.stats.sentToBackingOff.Inc(1)
 	}
 	if g.backoffs.Leaving(incarnationOf(e)) {
 		g.stats.sentToLeaving.Inc(1)
 	}
-	g.backoffs.Sent(incarnationOf(e), now)
+	g.backoffs.RecordSent(incarnationOf(e), now)
 }
 
 // isLeaving reports whether an endpoint must not be sent new requests, by its entry or its answers.
@@ -80,7 +82,7 @@
 func (g *Gateway) isBackingOff(e fleet.Endpoint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, resting := g.backoffs.Resting(incarnationOf(e), g.cfg.Now())
+	_, resting := g.backoffs.BackingOff(incarnationOf(e), g.cfg.Now())
 	return resting
 }
 
@@ -97,18 +99,18 @@
 // exclude reports whether an endpoint is excluded now by its backoff or rate limit, and adds the
 // cause to b. The caller holds mu.
 func (g *Gateway) exclude(b *exclusion, e fleet.Endpoint, now time.Time) bool {
-	if left, resting := g.backoffs.Resting(incarnationOf(e), now); resting {
+	if left, resting := g.backoffs.BackingOff(incarnationOf(e), now); resting {
 		if b.backoff == 0 || left < b.backoff {
 			b.backoff = left
 		}
 		return true
 	}
-	if g.limits.Due(e.ID, now) {
+	if g.limits.MaySend(e.ID, now) {
 		return false
 	}
 	perSecond, _, _ := g.limits.Limited(e.ID)
-	b.rate += throttle.RateOf(perSecond)
-	b.localRate += g.limits.Held(e.ID, now)
+	b.rate += throttle.TotalRate(perSecond)
+	b.localRate += g.limits.AvailableRate(e.ID, now)
 	g.signalPartsWanted()
 	return true
 }
--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -21,9 +21,9 @@
 type excluder func(s site, id string)
 
 var excluders = map[string]excluder{
-	"rests": func(s site, id string) { s.backoffs.Rest(backoff.Life{Name: id}, time.Minute, s.cfg.Now()) },
+	"rests": func(s site, id string) { s.backoffs.Backoff(backoff.Process{Name: id}, time.Minute, s.cfg.Now()) },
 	"is at its limit": func(s site, id string) {
-		s.limits.Answered(id, throttle.Word{Limited: true, At: s.cfg.Now()})
+		s.limits.RecordAnswer(id, throttle.Report{Limited: true, At: s.cfg.Now()})
 		s.limits.Take(id, s.cfg.Now())
 	},
 }
@@ -81,7 +81,7 @@
 func TestUnusedPermitIsReturned(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t, newStreamingEndpoint(0))
-	s.limits.Answered("0", throttle.Word{Limited: true, Limit: 0, At: s.cfg.Now()})
+	s.limits.RecordAnswer("0", throttle.Report{Limited: true, Limit: 0, At: s.cfg.Now()})
 	q := &request{g: s.Gateway, service: "s", config: s.view.State().Config, route: s.view.State().Config.Route("caller.test", "/")}
 	for range 3 {
 		_, ok := q.chooseEndpoint(time.Now())
@@ -97,7 +97,7 @@
 func TestEndpointWithVeryLongBackoffIsTriedAgain(t *testing.T) {
 	only := newStreamingEndpoint(0)
 	s := newSite(t, only)
-	s.backoffs.Rest(backoff.Life{Name: "0"}, 365*24*time.Hour, s.cfg.Now().Add(-time.Hour))
+	s.backoffs.Backoff(backoff.Process{Name: "0"}, 365*24*time.Hour, s.cfg.Now().Add(-time.Hour))
 	assertServedBy(t, s, only, 2, func() { s.reportLoad(0, 0, 1) })
 }
 
@@ -110,9 +110,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			gw := newTestPeer(t, 1).g
-			tell := func(at time.Time) { gw.passes.Report("a", "g", passes.Shape{}, passes.Rank{At: at}) }
+			tell := func(at time.Time) { gw.passes.Report("a", "g", passes.Shape{}, passes.RankReport{At: at}) }
 			tell(time.Unix(1000, 0))
-			free, full := passes.Offer{Ranks: 1, Limit: 4}, passes.Offer{Ranks: 1, Limit: 4, Busy: 4}
+			free, full := passes.Option{Ranks: 1, Limit: 4}, passes.Option{Ranks: 1, Limit: 4, Requests: 4}
 			q := &request{g: gw, route: &fleet.Route{}}
 			g.Expect(q.takeCapacity(tc.group, full)).To(BeFalse(), "no capacity is free")
 			g.Expect(q.takeCapacity(tc.group, free)).To(BeFalse(), "no new report has arrived")
--- a/internal/gateway/broken_messages_test.go
+++ b/internal/gateway/broken_messages_test.go
@@ -103,7 +103,7 @@
 			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Incarnation: 1, Address: "127.0.0.1:2", Leaving: planned}})
 			if planned { // Others may receive hellos of the new process first.
 				n.mu.Lock()
-				n.roster.HearOf([]roster.Seen{{Gateway: roster.Gateway{Address: "127.0.0.1:2"}}}, time.Now())
+				n.roster.MergeMembers([]roster.Member{{Gateway: roster.Gateway{Address: "127.0.0.1:2"}}}, time.Now())
 				n.mu.Unlock()
 			}
 			n.Receive(from, peers.Message{Hello: &peers.Hello{Name: "b", Incarnation: 2, Address: "127.0.0.1:2"}})
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -39,7 +39,7 @@
 	list := make([]balance.Candidate, len(candidates))
 	shape, ranked := q.g.shape(q.config, q.service)
 	for i, e := range candidates {
-		list[i] = balance.Candidate{ID: e.ID, Near: e.Domain == q.g.cfg.Domain, Slow: e.ColdLeft > 0, Slots: e.Slots, Base: int(shape.Base)}
+		list[i] = balance.Candidate{ID: e.ID, SameDomain: e.Domain == q.g.cfg.Domain, Cold: e.ColdLeft > 0, Slots: e.Slots, FixedCost: int(shape.FixedCost)}
 	}
 	terms := coldTerms(q.config, q.service)
 	if ranked && terms.Rate > 0 {
@@ -51,12 +51,12 @@
 	}
 	q.markCold(list, terms, now)
 	if ranked {
-		if q.g.table.Down(list, now) {
+		if q.g.table.AllClosed(list, now) {
 			if q.waited == 0 { // Otherwise it was noted before.
 				q.note("all ranks that report their load are closed")
 			}
 			q.allGroupsDown = true // The request would be rejected, or wait in vain.
-			q.groupOpensAt = q.g.table.Opens(list, now)
+			q.groupOpensAt = q.g.table.ExpectedOpen(list, now)
 			return e, false
 		}
 		q.full = false
@@ -77,7 +77,7 @@
 		}
 		return e, false
 	}
-	q.chosenCold = list[i].Paced
+	q.chosenCold = list[i].ColdLimited
 	q.takePermit(list[i].ID)
 	index := slices.IndexFunc(candidates, func(e fleet.Endpoint) bool { return e.ID == list[i].ID })
 	return candidates[index], true
@@ -85,7 +85,7 @@
 
 // mayAttemptMore reports whether the request may be sent to one more endpoint.
 func (q *request) mayAttemptMore() bool {
-	return len(q.attempted) < q.route.Attempts && len(q.unreachable) <= maxUnreached
+	return len(q.attempted) < q.route.MaxAttempts && len(q.unreachable) <= maxUnreached
 }
 
 // candidates returns the endpoints of the service that may be tried, and what excludes others for
@@ -99,7 +99,7 @@
 		if !q.g.acceptsNew(s, e) || q.g.exclude(&exclusions, e, now) || slices.Contains(q.unreachable, e.ID) {
 			continue
 		}
-		if q.groupRejected && q.g.passes.Group(e.ID) == q.rejectingGroup {
+		if q.groupRejected && q.g.passes.GroupOf(e.ID) == q.rejectingGroup {
 			continue // All ranks of a group open and close together.
 		}
 		if !slices.Contains(q.attempted, e.ID) {
@@ -125,13 +125,13 @@
 // already counts as in flight. The caller holds mu.
 func (q *request) chooseGroup(list []balance.Candidate, now time.Time) (chosen []balance.Candidate, ok bool) {
 	names, members := q.ranksByGroup(list)
-	offers := make([]passes.Offer, 0, len(names))
+	offers := make([]passes.Option, 0, len(names))
 	open := make([]string, 0, len(names))
 	limited := false // The limit of some group is known from its passes.
 	q.turnover = passes.Turnover{}
 	for _, name := range names {
 		ranks := members[name]
-		if q.g.table.Down(ranks, now) {
+		if q.g.table.AllClosed(ranks, now) {
 			continue
 		}
 		o, known := q.groupOffer(name, ranks, now)
@@ -139,10 +139,10 @@
 			return list, true // No known limit applies.
 		}
 		limited = limited || known
-		o.Heard = q.g.table.Heard(ranks)
+		o.LastReport = q.g.table.LastReport(ranks)
 		offers, open = append(offers, o), append(open, name)
 	}
-	passes.LeaveSilent(offers, now)
+	passes.MarkSilent(offers, now)
 	i, ok := passes.Choose(offers, random)
 	switch {
 	case ok && q.takeCapacity(open[i], offers[i]):
@@ -154,13 +154,13 @@
 		if q.waited > 0 {
 			break // Noted before.
 		}
-		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f admitted at each", open[k], o.Busy, o.Ranks, o.Limit))
+		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f admitted at each", open[k], o.Requests, o.Ranks, o.Limit))
 	}
 	return nil, false
 }
 
 // nonSilentRanks returns the ranks of the groups that are not silent, or list if there are none.
-func nonSilentRanks(offers []passes.Offer, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
+func nonSilentRanks(offers []passes.Option, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
 	for i, o := range offers {
 		if !o.Silent {
 			ranks = append(ranks, members[names[i]]...)
@@ -174,18 +174,18 @@
 
 // takeCapacity reports whether the request gets a part of the free capacity of a group, for which
 // other gateways compete. The caller holds mu.
-func (q *request) takeCapacity(group string, o passes.Offer) bool {
+func (q *request) takeCapacity(group string, o passes.Option) bool {
 	s := q.g.capacityShares[group]
 	if s == nil {
 		s = &room.Share{}
 		q.g.capacityShares[group] = s
 	}
-	s.Report(q.g.passes.Round(group))
-	if last := q.lastAsk; last != nil && last.group == group && !s.Newest().After(last.reportAt) {
+	s.RecordReport(q.g.passes.LastRound(group))
+	if last := q.lastAsk; last != nil && last.group == group && !s.LastReport().After(last.reportAt) {
 		return false // It was not admitted by the newest report already.
 	}
-	q.lastAsk = &capacityAsk{group: group, reportAt: s.Newest()}
-	return s.Take(q.class(), o.Room(), q.g.competitors(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
+	q.lastAsk = &capacityAsk{group: group, reportAt: s.LastReport()}
+	return s.Admit(q.class(), o.FreeCapacity(), q.g.competitors(), q.g.table.JustOpened(group, time.Now()), rand.Float64)
 }
 
 // ranksByGroup returns the groups of the ranks in list, sorted by name, and the ranks of each
@@ -194,7 +194,7 @@
 	members = map[string][]balance.Candidate{}
 	sole := q.onlyGroup(list)
 	for _, c := range list {
-		name := q.g.passes.Group(c.ID)
+		name := q.g.passes.GroupOf(c.ID)
 		if name == "" {
 			name = sole
 		}
@@ -216,7 +216,7 @@
 		return ""
 	}
 	for _, c := range list {
-		name := q.g.passes.Group(c.ID)
+		name := q.g.passes.GroupOf(c.ID)
 		if sole != "" && name != "" && name != sole {
 			return ""
 		}
@@ -229,22 +229,22 @@
 // that of the request. Known is false if nothing is known about its passes, for example when it has
 // just opened; until then each pass is given as much work as it performs without any request. The
 // caller holds mu.
-func (q *request) groupOffer(name string, ranks []balance.Candidate, now time.Time) (o passes.Offer, known bool) {
+func (q *request) groupOffer(name string, ranks []balance.Candidate, now time.Time) (o passes.Option, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
-		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].Base))
+		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].FixedCost))
 	}
 	if v, ok := q.g.passes.Turnover(name, o.Limit, now); ok {
 		q.turnover.Rate += v.Rate * float64(o.Ranks)
-		q.turnover.First = max(q.turnover.First, v.First)
+		q.turnover.FirstEvent = max(q.turnover.FirstEvent, v.FirstEvent)
 	}
 	if q.refusedBefore {
 		o.Limit *= refusedBeforeShare
 	}
 	for _, c := range ranks {
-		o.Busy += q.g.table.Busy(c.ID, now)
-		if c.Near {
-			o.Near++
+		o.Requests += q.g.table.Outstanding(c.ID, now)
+		if c.SameDomain {
+			o.SameDomain++
 		}
 	}
 	return o, known
@@ -254,7 +254,7 @@
 // without engines.
 func (g *Gateway) shape(c *fleet.Config, service string) (s passes.Shape, ok bool) {
 	svc := c.Service(service)
-	if svc == nil || svc.Engine == nil || svc.Engine.WriterTime <= 0 {
+	if svc == nil || svc.Engine == nil || svc.Engine.DecodeTimePerRequest <= 0 {
 		return s, false
 	}
 	g.shapesMu.Lock()
@@ -263,7 +263,7 @@
 		g.shapesConfig, g.shapes = c, map[string]passes.Shape{}
 	}
 	if s, ok = g.shapes[service]; !ok {
-		s = passes.NewShape(svc.Engine, c.PauseLimit(service))
+		s = passes.NewShape(svc.Engine, c.MaxPause(service))
 		g.shapes[service] = s
 	}
 	return s, true
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -23,9 +23,9 @@
 const gatewayCountTTL = 2 * time.Second
 
 // coldTerms returns the published limits for cold endpoints of a service.
-func coldTerms(c *fleet.Config, service string) (t cold.Terms) {
+func coldTerms(c *fleet.Config, service string) (t cold.Params) {
 	if svc := c.Service(service); svc != nil {
-		t = cold.Terms{Time: svc.ColdTime, Rate: svc.ColdRate}
+		t = cold.Params{Period: svc.ColdDuration, Rate: svc.ColdRate}
 	}
 	return t
 }
@@ -65,11 +65,11 @@
 	for id, e := range s.Endpoints {
 		if e.ColdLeft > 0 && g.coldRevisions[id] != e.Revision {
 			g.coldRevisions[id] = e.Revision
-			g.cold.Told(id, e.ColdLeft, now)
+			g.cold.MarkCold(id, e.ColdLeft, now)
 		}
 		for _, domain := range ended {
 			if e.Domain == domain {
-				g.cold.Began(id, coldTerms(s.Config, e.Service), now) // It may have become cold meanwhile.
+				g.cold.Started(id, coldTerms(s.Config, e.Service), now) // It may have become cold meanwhile.
 			}
 		}
 	}
@@ -121,30 +121,30 @@
 
 // markCold marks the candidates that are cold, and those among them to which this gateway has sent
 // all that it may for now. The caller holds mu.
-func (q *request) markCold(list []balance.Candidate, t cold.Terms, now time.Time) {
+func (q *request) markCold(list []balance.Candidate, t cold.Params, now time.Time) {
 	if t.Rate <= 0 {
 		return
 	}
 	sole := q.onlyGroup(list)
 	for i, c := range list {
-		group := cmp.Or(q.g.passes.Group(c.ID), sole)
+		group := cmp.Or(q.g.passes.GroupOf(c.ID), sole)
 		if !q.g.cold.Cold(c.ID, group, now) {
 			continue
 		}
-		list[i].Paced = true
-		list[i].Spent = !q.g.cold.Due(c.ID, t, rand.Float64, now)
+		list[i].ColdLimited = true
+		list[i].BudgetSpent = !q.g.cold.MaySend(c.ID, t, rand.Float64, now)
 	}
 }
 
 // allSpent reports whether the rate limit of cold endpoints is all that excludes them.
 func allSpent(list []balance.Candidate) bool {
-	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.Spent })
+	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.BudgetSpent })
 }
 
 // setColdTurnover sets the turnover for a request that waits for one of the given number of cold
 // endpoints. Each gateway has its own share of their rate, so the rate of all gateways is set, as
 // for capacity that they share. The caller holds mu.
-func (q *request) setColdTurnover(endpoints int, t cold.Terms) {
+func (q *request) setColdTurnover(endpoints int, t cold.Params) {
 	q.turnover.Rate = q.g.cold.Rate(t) * float64(endpoints*(q.g.competitors()+1))
 }
 
@@ -162,7 +162,7 @@
 // would be rejected and overload them. The caller holds mu.
 func (g *Gateway) awaitingReports(now time.Time) bool {
 	since := g.started
-	if at := g.table.LastWord(); at.After(since) {
+	if at := g.table.LastReportOfAny(); at.After(since) {
 		since = at
 	}
 	return now.Sub(since) < noReportsTimeout
@@ -172,14 +172,14 @@
 func (g *Gateway) hasRecentRankReports(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return now.Sub(g.table.LastWord()) < noReportsTimeout/2
+	return now.Sub(g.table.LastReportOfAny()) < noReportsTimeout/2
 }
 
 // recordUnreachable records that an endpoint could not be reached: one that refuses connections has
 // ended, and will be cold after its restart. The caller holds mu.
 func (q *request) recordUnreachable(id string, err error, now time.Time) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		q.g.cold.Began(id, coldTerms(q.config, q.service), now)
+		q.g.cold.Started(id, coldTerms(q.config, q.service), now)
 	}
 }
 
@@ -187,7 +187,7 @@
 // holds mu.
 func (q *request) recordColdSend(id string, now time.Time) {
 	if q.chosenCold {
-		q.g.cold.Sent(id, coldTerms(q.config, q.service), rand.Float64, now)
+		q.g.cold.RecordSent(id, coldTerms(q.config, q.service), rand.Float64, now)
 		q.g.stats.sentToCold.Inc(1)
 	}
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -32,7 +32,7 @@
 		snap.Endpoints[i].Domain = fmt.Sprint("d", i)
 	}
 	svc := snap.Config.Service("s")
-	svc.ColdTime, svc.ColdRate = time.Hour, rate
+	svc.ColdDuration, svc.ColdRate = time.Hour, rate
 	view.Replace(snap, time.Now(), false)
 	s.ViewChanged()
 	return s, view, list
@@ -80,9 +80,9 @@
 	g := NewWithT(t)
 	s, _, list := coldSite(t, 3, 1e6)
 	s.expectRefused(g, "early", longCallerTimeout)
-	s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+	s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 	for i := range 60 {
-		s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+		s.ReportLoad(s.addresses[1], balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		s.expectServed(g, fmt.Sprint(i), longCallerTimeout)
 	}
 	for _, c := range list {
@@ -97,7 +97,7 @@
 	s, _, list := coldSite(t, 2, 0.001)
 	tell := func() {
 		for _, a := range s.addresses {
-			s.ReportLoad(a, balance.Load{Group: "g", Epoch: 2, Pass: 20 * time.Millisecond, At: time.Now()})
+			s.ReportLoad(a, balance.Load{Group: "g", Epoch: 2, PassTime: 20 * time.Millisecond, At: time.Now()})
 		}
 	}
 	for i := range 4 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 // Codec reads and writes the headers of requests and answers.
 type Codec struct {
 	ReadCall       func(h http.Header) fleet.Call
-	EndpointHeader func(in http.Header, s fleet.Stamp) http.Header
+	EndpointHeader func(in http.Header, s fleet.AttemptInfo) http.Header
 	CallerHeader   func(in http.Header) http.Header
 	ReadAnswer     func(status int, h http.Header) fleet.Answer
 	MarkAnswer     func(h http.Header, callID string)
@@ -88,9 +88,9 @@
 	table          *balance.Table
 	passes         *passes.Tracker
 	retryWindows   map[string]*retry.Window               // Retry budgets, by service.
-	queues         map[string]*line.Line                  // Requests waiting for capacity, by service.
+	queues         map[string]*line.Queue                 // Requests waiting for capacity, by service.
 	capacityShares map[string]*room.Share                 // This gateway's share of a group's free capacity, by group.
-	responseTimes  map[string]*estimate.Time              // Of answers that are not streams, by service.
+	responseTimes  map[string]*estimate.Estimator         // Of answers that are not streams, by service.
 	movable        map[string]map[*request]movableRequest // Requests that may be moved to another endpoint, by endpoint.
 	otherGateways  int                                    // Known gateways besides this one.
 	lastHelloAt    time.Time                              // When the last hello of another gateway was received.
@@ -149,9 +149,9 @@
 		table:          balance.New(),
 		passes:         passes.New(),
 		retryWindows:   map[string]*retry.Window{},
-		queues:         map[string]*line.Line{},
+		queues:         map[string]*line.Queue{},
 		capacityShares: map[string]*room.Share{},
-		responseTimes:  map[string]*estimate.Time{},
+		responseTimes:  map[string]*estimate.Estimator{},
 		movable:        map[string]map[*request]movableRequest{},
 
 		started:       time.Now(),
@@ -227,7 +227,7 @@
 	if !ok || s.Config == nil {
 		return
 	}
-	if fleet.CompareLives(e.Born, l.Born) < 0 {
+	if fleet.CompareIncarnations(e.StartedAt, l.StartedAt) < 0 {
 		return
 	}
 	shape, ranked := g.shape(s.Config, e.Service)
@@ -242,11 +242,11 @@
 	defer g.mu.Unlock()
 	if ranked = g.table.Report(e.ID, l) && ranked; ranked {
 		if !l.Closed {
-			g.cold.Opened(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
+			g.cold.RecordGroupOpen(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
 		}
-		g.passes.Report(e.ID, l.Group, shape, passes.Rank{Running: l.Running, Pass: l.Pass, Pace: l.Pace, Closed: l.Closed, At: l.At})
+		g.passes.Report(e.ID, l.Group, shape, passes.RankReport{Running: l.Running, PassTime: l.PassTime, Slowdown: l.Slowdown, Closed: l.Closed, At: l.At})
 	}
-	return ranked && g.passes.Vacate(e.ID, l.At)
+	return ranked && g.passes.ShouldMoveRequests(e.ID, l.At)
 }
 
 // setGroupLimit records the limit of a group in requests per rank, as announced by the group's
@@ -254,7 +254,7 @@
 func (g *Gateway) setGroupLimit(group string, perRank float64, at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.passes.Told(group, perRank, at)
+	g.passes.RecordAnnouncedLimit(group, perRank, at)
 	if perRank > 0 {
 		g.stats.limitPerRank.Update(perRank)
 	}
@@ -278,7 +278,7 @@
 	defer g.mu.Unlock()
 	g.otherGateways, g.lastHelloAt = n, lastHello
 	for _, w := range g.retryWindows {
-		w.SetSpare(g.retryFloor())
+		w.SetFloor(g.retryFloor())
 	}
 }
 
@@ -312,7 +312,7 @@
 
 // responseTime returns the estimated duration of a service's answers that are not streams. The
 // caller holds mu.
-func (g *Gateway) responseTime(service string) *estimate.Time {
+func (g *Gateway) responseTime(service string) *estimate.Estimator {
 	t := g.responseTimes[service]
 	if t == nil {
 		estimated := estimate.New(responseTimeWeight)
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -55,17 +55,17 @@
 // without another request.
 func (n *PeerExchange) sendDueParts() (more bool) {
 	now := n.g.cfg.Now()
-	var messages []throttle.Letter
+	var messages []throttle.Outgoing
 	duty.Locked(&n.g.mu, func() {
-		messages = n.g.limits.Letters(now)
-		more = n.g.limits.Lending(now)
+		messages = n.g.limits.OutgoingMessages(now)
+		more = n.g.limits.HasOpenLoans(now)
 	})
 	by := map[string][]peers.ShareMessage{}
 	for _, l := range messages {
-		if l.Kind == throttle.Ask {
+		if l.Kind == throttle.Borrow {
 			n.g.stats.partsAsked.Inc(1)
 		}
-		by[l.To] = append(by[l.To], partOf(l.Part))
+		by[l.To] = append(by[l.To], partOf(l.ShareMessage))
 	}
 	for to, parts := range by {
 		n.sendPartsTo(to, parts)
@@ -94,8 +94,8 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range m.Shares {
-		part := throttle.Part{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, Number: p.RequestNumber, Tokens: p.Tokens, Lasts: p.LeaseTime()}
-		answer, ok := g.limits.Receive(m.Address, part, now)
+		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseTime: p.LeaseTime()}
+		answer, ok := g.limits.ReceiveMessage(m.Address, part, now)
 		if ok {
 			answers = append(answers, partOf(answer))
 		}
@@ -109,8 +109,8 @@
 	return answers
 }
 
-func partOf(p throttle.Part) peers.ShareMessage {
-	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.Number, Tokens: p.Tokens, LeaseMs: p.Lasts.Milliseconds()}
+func partOf(p throttle.ShareMessage) peers.ShareMessage {
+	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseMs: p.LeaseTime.Milliseconds()}
 }
 
 // invalidCause returns why a message is invalid, or "" if it is valid.
@@ -119,7 +119,7 @@
 		return "too many parts"
 	}
 	var known bool
-	duty.Locked(&g.mu, func() { known = g.limits.Knows(m.Address) })
+	duty.Locked(&g.mu, func() { known = g.limits.HasPeer(m.Address) })
 	if !known {
 		return "from a gateway that is not known"
 	}
@@ -132,7 +132,7 @@
 }
 
 func validPart(p peers.ShareMessage) bool {
-	return p.Kind >= int(throttle.Ask) && p.Kind <= int(throttle.Return) &&
+	return p.Kind >= int(throttle.Borrow) && p.Kind <= int(throttle.Return) &&
 		p.Endpoint != "" && len(p.Endpoint) <= maxEndpointIDBytes && p.RequestNumber > 0 &&
 		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // False for NaN, too.
 		p.LeaseMs >= 0 && p.LeaseMs <= maxPartLifetime.Milliseconds()
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -25,12 +25,12 @@
 	n.withSocket(t)
 	n.setAddress(n.socket.Address())
 	n.g.setLimitGateways(n.self, []string{borrowerAddress})
-	n.g.limits.Answered("i", throttle.Word{Limited: true, Limit: 1, At: n.g.cfg.Now()})
+	n.g.limits.RecordAnswer("i", throttle.Report{Limited: true, Limit: 1, At: n.g.cfg.Now()})
 	return n
 }
 
 func TestInvalidMessagesAboutPartsAreIgnored(t *testing.T) {
-	valid := peers.ShareMessage{Kind: int(throttle.Ask), Endpoint: "i", RequestNumber: 1}
+	valid := peers.ShareMessage{Kind: int(throttle.Borrow), Endpoint: "i", RequestNumber: 1}
 	change := func(f func(p *peers.ShareMessage)) peers.Lending {
 		p := valid
 		f(&p)
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -21,7 +21,7 @@
 const (
 	// unresponsiveTTL is how long a gateway that did not answer is polled after all others. By then a
 	// gateway that has died is no longer listed.
-	unresponsiveTTL = roster.FreshFor
+	unresponsiveTTL = roster.RecentFor
 	// firstHelloWait is the longest time for which a new process waits for hellos of its failure
 	// domain, so that not all new processes poll the seeds: a few round trips to the seeds. It
 	// checks every firstHelloPoll.
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -20,7 +20,7 @@
 	}
 	n.g.reportGatewayCount(l.GatewayCount, time.Now())
 	n.g.ReportLoad(l.Address, balance.Load{
-		Born: l.StartedAt, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: l.Slowdown, Pass: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
+		StartedAt: l.StartedAt, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: l.Slowdown, PassTime: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
 	})
 }
 
@@ -40,7 +40,7 @@
 			continue
 		}
 		n.g.ReportLoad(a.String(), balance.Load{
-			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Pace: float64(r.Slowdown), Pass: time.Duration(l.PassMs) * time.Millisecond, At: now,
+			Running: r.Running, Waiting: r.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: float64(r.Slowdown), PassTime: time.Duration(l.PassMs) * time.Millisecond, At: now,
 		})
 	}
 }
@@ -49,7 +49,7 @@
 func (n *PeerExchange) forward(m peers.Message) {
 	var to []string
 	duty.Locked(&n.mu, func() {
-		for _, g := range n.roster.There(time.Now()) {
+		for _, g := range n.roster.Alive(time.Now()) {
 			if g.Domain == n.domain {
 				to = append(to, g.Address)
 			}
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -20,10 +20,10 @@
 )
 
 // gatewaysIn returns n gateways, distributed over failure domains with long names.
-func gatewaysIn(domains, n int) (list []roster.Seen) {
+func gatewaysIn(domains, n int) (list []roster.Member) {
 	for i := range n {
-		list = append(list, roster.Seen{
-			Gateway: roster.Gateway{Address: fmt.Sprintf("100.100.%d.%d:10000", i/200, i%200), Domain: fmt.Sprintf("domain-name-%04d", i%domains), Blind: i%2 == 0, Left: i%3 == 0},
+		list = append(list, roster.Member{
+			Gateway: roster.Gateway{Address: fmt.Sprintf("100.100.%d.%d:10000", i/200, i%200), Domain: fmt.Sprintf("domain-name-%04d", i%domains), StoreUnreachable: i%2 == 0, Stopping: i%3 == 0},
 			Age:     4 * time.Second,
 		})
 	}
@@ -59,7 +59,7 @@
 	list, err := fromKnown([]peers.DomainGateways{{Domain: "d", Gateways: []peers.KnownGateway{{Address: []byte{1}}, {Address: []byte{10, 0, 0, 1, 80, 0}}}}})
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(list).To(HaveLen(1))
-	g.Expect(toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "name:80"}}})).To(BeEmpty())
+	g.Expect(toKnown([]roster.Member{{Gateway: roster.Gateway{Address: "name:80"}}})).To(BeEmpty())
 }
 
 // A gateway answers a hello with a hello, split into several if many other gateways are asked for.
@@ -71,7 +71,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { g.Expect(asker.Close()).To(Succeed()) })
 	known := gatewaysIn(1, 2*peers.MaxKnownGateways)
-	n.roster.HearOf(known, time.Now())
+	n.roster.MergeMembers(known, time.Now())
 	greet := func(h peers.Hello) {
 		h.Incarnation, h.Address, h.Domain = 1, asker.LocalAddr().String(), "a"
 		n.Receive(netip.MustParseAddrPort(h.Address), peers.Message{Hello: &h})
@@ -130,19 +130,19 @@
 		now := time.Unix(1_800_000_000, 0)
 		seen, _ := fromKnown(m.Hello.KnownGateways) // Invalid gateways are omitted.
 		r := roster.New(roster.Gateway{Address: "10.0.0.9:80", Domain: "a"}, nil, now)
-		r.HearOf(seen, now)
-		r.Hear(roster.Gateway{Address: "10.0.0.8:80", Domain: m.Hello.Domain, Life: m.Hello.Incarnation}, now)
-		answered := r.Answer("a", m.Hello.QueriedDomain, now)
+		r.MergeMembers(seen, now)
+		r.Receive(roster.Gateway{Address: "10.0.0.8:80", Domain: m.Hello.Domain, StartedAt: m.Hello.Incarnation}, now)
+		answered := r.AnswerQuery("a", m.Hello.QueriedDomain, now)
 		for _, s := range answered {
 			_, err := netip.ParseAddrPort(s.Address)
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(s.Age).To(BeNumerically(">=", 0))
 		}
 		g.Expect(len(answered)).To(BeNumerically("<=", len(seen)+1))
-		g.Expect(len(r.There(now))).To(BeNumerically("<=", len(seen)+1))
-		r.Greet(now, func(n int) int { return n - 1 })
-		r.Lapse(now.Add(time.Hour))
-		g.Expect(r.There(now.Add(time.Hour))).To(BeEmpty())
+		g.Expect(len(r.Alive(now))).To(BeNumerically("<=", len(seen)+1))
+		r.NextHellos(now, func(n int) int { return n - 1 })
+		r.Expire(now.Add(time.Hour))
+		g.Expect(r.Alive(now.Add(time.Hour))).To(BeEmpty())
 	})
 }
 
@@ -170,7 +170,7 @@
 	n.publish(1, 1, list...)
 	n.Receive(netip.AddrPort{}, m)
 	for r := range peers.MaxRankLoads {
-		g.Expect(n.g.table.Busy(fmt.Sprint(r), time.Now())).To(Equal(r))
+		g.Expect(n.g.table.Outstanding(fmt.Sprint(r), time.Now())).To(Equal(r))
 	}
 }
 
@@ -181,7 +181,7 @@
 	l.Ranks[0].Address = []byte{1, 2}
 	n.publish(1, 1, fleet.Endpoint{ID: "b", Service: "s", Address: "10.0.0.2:80", Revision: 1})
 	n.Receive(netip.AddrPort{}, peers.Message{Loads: &l})
-	g.Expect(n.g.table.Busy("b", time.Now())).To(Equal(1))
+	g.Expect(n.g.table.Outstanding("b", time.Now())).To(Equal(1))
 }
 
 // endsOf returns as many ends as one message holds, each of another request and of an endpoint with
@@ -224,7 +224,7 @@
 	isNew, previous := n.receiveHello(h)
 	g.Expect(isNew).To(BeTrue())
 	g.Expect(previous.Incarnation).To(BeEquivalentTo(7))
-	n.receiveHello(peers.Hello{Name: "other", Incarnation: 1, Address: "10.0.0.2:80", KnownGateways: toKnown([]roster.Seen{{Gateway: roster.Gateway{Address: "10.0.0.3:80", Domain: "a"}}})})
+	n.receiveHello(peers.Hello{Name: "other", Incarnation: 1, Address: "10.0.0.2:80", KnownGateways: toKnown([]roster.Member{{Gateway: roster.Gateway{Address: "10.0.0.3:80", Domain: "a"}}})})
 	g.Expect(isNewAfter(peers.Hello{Incarnation: 3, Address: "10.0.0.3:80"}, nil)).To(BeTrue(), "it was known from another gateway only")
 }
 
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -21,9 +21,9 @@
 // Intervals, timeouts and limits of the exchange with other processes.
 const (
 	// helloInterval is the time between two rounds of hellos.
-	helloInterval = roster.Every
+	helloInterval = roster.HelloInterval
 	// gatewayTTL is how long a gateway counts as live after its last hello.
-	gatewayTTL = roster.HeardFor
+	gatewayTTL = roster.ExpireAfter
 	// unheardHelloInterval is the time between two hellos to sidecars while none of them reports.
 	// Gateways and sidecars that lost power together were up within a second of each other, and
 	// each missed hello keeps the callers of a gateway waiting.
@@ -176,14 +176,14 @@
 }
 
 // enroll adds the sender of a hello, and the gateways that the hello lists, to the roster.
-func (n *PeerExchange) enroll(h peers.Hello, known []roster.Seen, now time.Time) (isNew bool, previous *peers.PreviousIncarnation) {
+func (n *PeerExchange) enroll(h peers.Hello, known []roster.Member, now time.Time) (isNew bool, previous *peers.PreviousIncarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if last, ok := n.roster.Last(h.Address, now); ok && last.Life < h.Incarnation {
-		previous = &peers.PreviousIncarnation{Incarnation: last.Life, AgeMs: last.Age.Milliseconds(), Leaving: last.Left}
+	if last, ok := n.roster.LastDirect(h.Address, now); ok && last.StartedAt < h.Incarnation {
+		previous = &peers.PreviousIncarnation{Incarnation: last.StartedAt, AgeMs: last.Age.Milliseconds(), Leaving: last.Stopping}
 	}
-	isNew = n.roster.Hear(roster.Gateway{Address: h.Address, Domain: h.Domain, Life: h.Incarnation, Blind: h.StoreUnreachable, Left: h.Leaving}, now)
-	n.roster.HearOf(known, now)
+	isNew = n.roster.Receive(roster.Gateway{Address: h.Address, Domain: h.Domain, StartedAt: h.Incarnation, StoreUnreachable: h.StoreUnreachable, Stopping: h.Leaving}, now)
+	n.roster.MergeMembers(known, now)
 	return isNew, previous
 }
 
@@ -201,20 +201,20 @@
 }
 
 // gatewaysAsked returns the gateways that a hello asks for.
-func (n *PeerExchange) gatewaysAsked(h peers.Hello, now time.Time) []roster.Seen {
+func (n *PeerExchange) gatewaysAsked(h peers.Hello, now time.Time) []roster.Member {
 	if h.QueriedDomain == "" {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.roster.Answer(h.Domain, h.QueriedDomain, now)
+	return n.roster.AnswerQuery(h.Domain, h.QueriedDomain, now)
 }
 
 // liveGateways returns the addresses of the other gateways that are live.
 func (n *PeerExchange) liveGateways() (list []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, g := range n.roster.There(time.Now()) {
+	for _, g := range n.roster.Alive(time.Now()) {
 		list = append(list, g.Address)
 	}
 	return list
@@ -282,7 +282,7 @@
 	if leaving, _ := n.g.stopState(time.Now()); leaving || n.g.hasRecentRankReports(time.Now()) {
 		return
 	}
-	n.socket.SendAll(addressesOf(roster.Some(n.sidecars(), unheardHelloFanout, random)), peers.Message{Hello: n.sidecarHello()})
+	n.socket.SendAll(addressesOf(roster.RandomSubset(n.sidecars(), unheardHelloFanout, random)), peers.Message{Hello: n.sidecarHello()})
 }
 
 // ownHello returns the hello that describes this gateway.
@@ -300,7 +300,7 @@
 	h := n.ownHello(now)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h.GatewayCount = len(n.roster.There(now)) + 1
+	h.GatewayCount = len(n.roster.Alive(now)) + 1
 	h.KnownGateways = toKnown(firstN(peers.MaxKnownGateways, n.roster.Sample(now, random)))
 	return h
 }
@@ -318,7 +318,7 @@
 	ends := n.g.suspects.NextToSend(n.g.cfg.Now()) // All gateways are sent the same ends.
 	h := n.ownHello(now)
 	for _, greeting := range greetings {
-		h.QueriedDomain = greeting.Asks
+		h.QueriedDomain = greeting.QueryDomain
 		n.socket.SendAll(addresses([]string{greeting.Address}), peers.Message{Hello: h, Ends: ends})
 	}
 	n.helloRounds++
@@ -331,12 +331,12 @@
 }
 
 // beginRound begins a round of hellos.
-func (n *PeerExchange) beginRound(now time.Time) (expired []string, greetings []roster.Greeting, others int, lastHello time.Time) {
+func (n *PeerExchange) beginRound(now time.Time) (expired []string, greetings []roster.Hello, others int, lastHello time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	expired = n.roster.Lapse(now)
-	greetings = n.roster.Greet(now, random)
-	return expired, greetings, len(n.roster.There(now)), n.roster.LastHeard()
+	expired = n.roster.Expire(now)
+	greetings = n.roster.NextHellos(now, random)
+	return expired, greetings, len(n.roster.Alive(now)), n.roster.LastReceived()
 }
 
 // helloSidecars sends hellos to some of the sidecars and, if this gateway is a hub, to all sidecars
@@ -344,7 +344,7 @@
 func (n *PeerExchange) helloSidecars(all []sidecar) {
 	var hub bool
 	duty.Locked(&n.mu, func() { hub = n.roster.IsHub(time.Now()) })
-	to := roster.Some(all, sidecarHelloFanout, random)
+	to := roster.RandomSubset(all, sidecarHelloFanout, random)
 	if hub {
 		to = append(to, filter(all, func(s sidecar) bool { return s.domain == n.domain })...)
 	}
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -16,15 +16,15 @@
 
 // applyLimit applies what an answer says about its endpoint's rate limit.
 func (q *request) applyLimit(e fleet.Endpoint, a fleet.Answer) {
-	w := throttle.Word{Limited: a.Limited, Limit: a.Limit, At: q.g.cfg.Now()}
+	w := throttle.Report{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
 	switch {
-	case a.Limited:
+	case a.HasRateLimit:
 	case a.Signed:
 		w.At = q.sentBoottime // A limit announced since the request was sent remains in effect.
 	default:
 		return // Only the answer to a request that ran shows that a limit has ended.
 	}
-	if q.g.applyRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.Answered(e.ID, w) }) {
+	if q.g.applyRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.RecordAnswer(e.ID, w) }) {
 		q.g.signalLimitsChanged()
 	}
 }
@@ -48,7 +48,7 @@
 		g.log.Info("endpoint names no rate limit any more", fields...)
 		return true
 	}
-	g.log.Info("endpoint names a rate limit", append(fields, zap.Float64("per-second", now), zap.Int("gateways", g.limits.Gateways()))...)
+	g.log.Info("endpoint names a rate limit", append(fields, zap.Float64("per-second", now), zap.Int("gateways", g.limits.GatewayCount()))...)
 	return true
 }
 
@@ -67,8 +67,8 @@
 			g.log.Warn("ignored invalid rate limit of an endpoint", zap.Stringer("told-by", from), zap.Float64("per-second", limit.PerSecond), zap.Int64("age-ms", limit.AgeMs))
 			continue
 		}
-		w := throttle.Word{Limited: limit.Limited, Limit: limit.PerSecond, At: g.cfg.Now().Add(-limit.Age())}
-		g.applyRateLimit(limit.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Hear(throttle.Told{Endpoint: limit.Endpoint, Word: w}) })
+		w := throttle.Report{Limited: limit.Limited, Limit: limit.PerSecond, At: g.cfg.Now().Add(-limit.Age())}
+		g.applyRateLimit(limit.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Merge(throttle.Update{Endpoint: limit.Endpoint, Report: w}) })
 	}
 }
 
@@ -85,7 +85,7 @@
 }
 
 // limitMessages returns the picked limits in the form of a message.
-func (g *Gateway) limitMessages(pick func(l *throttle.Limits) []throttle.Told) (list []peers.Limit) {
+func (g *Gateway) limitMessages(pick func(l *throttle.Limits) []throttle.Update) (list []peers.Limit) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -99,7 +99,7 @@
 func (g *Gateway) hasUnsentLimits() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.limits.Untold()
+	return g.limits.HasUnsent()
 }
 
 // setLimitGateways sets the gateways, by their peer listeners, among which limits are shared.
@@ -133,5 +133,5 @@
 		b = &throttle.Backlog{}
 		g.backlogs[q.service] = b
 	}
-	return b.Next(max(by.rate/float64(g.limits.Gateways()), by.localRate), g.cfg.Now())
+	return b.Next(max(by.rate/float64(g.limits.GatewayCount()), by.localRate), g.cfg.Now())
 }
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -64,9 +64,9 @@
 func (n *PeerExchange) readerCandidates(storeReachable bool) (list []string, anyReachable bool) {
 	var unreachable []string
 	var near []roster.Gateway
-	duty.Locked(&n.mu, func() { near = n.roster.Near(time.Now()) })
+	duty.Locked(&n.mu, func() { near = n.roster.SameDomain(time.Now()) })
 	for _, g := range near {
-		if g.Blind {
+		if g.StoreUnreachable {
 			unreachable = append(unreachable, g.Address)
 		} else {
 			list = append(list, g.Address)
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -19,10 +19,10 @@
 // asked to retry, and returns the state of the view.
 func (q *request) awaitConfig() *follow.State {
 	callerTimeout := defaultCallerTimeout
-	if q.call.HasPatience {
-		callerTimeout = q.call.Patience
+	if q.call.HasCallerTimeout {
+		callerTimeout = q.call.CallerTimeout
 	}
-	timer := time.NewTimer(time.Until(hold.ForStart(q.arrived, callerTimeout)))
+	timer := time.NewTimer(time.Until(hold.UntilConfig(q.arrived, callerTimeout)))
 	defer timer.Stop()
 	for {
 		moved := q.g.view.Updated()
@@ -48,7 +48,7 @@
 	if !q.wontReturn() || !q.mayAttemptMore() || q.fallback != nil {
 		return e, false
 	}
-	until := q.holdUntil(max(q.turnover.First, q.route.Target/2))
+	until := q.holdUntil(max(q.turnover.FirstEvent, q.route.TargetLatency/2))
 	if q.allGroupsDown && q.groupOpensAt.After(until) {
 		return e, false // The caller would have left by then.
 	}
@@ -72,7 +72,7 @@
 // holdUntil returns until when a caller that would not retry can be kept waiting, if a first event
 // takes the given time.
 func (q *request) holdUntil(first time.Duration) time.Time {
-	until := hold.ForGroup(q.lastOutputAt(), q.callerLeavesAfter(), first)
+	until := hold.UntilGroupOpen(q.lastOutputAt(), q.callerLeavesAfter(), first)
 	if until.After(q.deadline) {
 		return q.deadline
 	}
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -40,8 +40,8 @@
 	switch {
 	case !q.isStream(resp):
 		return errors.Newf("status %d where a stream is continued", resp.StatusCode)
-	case a.Weights != "" && q.cursor.weights != "" && a.Weights != q.cursor.weights:
-		return errors.Newf("weights %s where a stream of weights %s is continued", a.Weights, q.cursor.weights)
+	case a.WeightsVersion != "" && q.cursor.weights != "" && a.WeightsVersion != q.cursor.weights:
+		return errors.Newf("weights %s where a stream of weights %s is continued", a.WeightsVersion, q.cursor.weights)
 	}
 	return nil
 }
@@ -137,11 +137,11 @@
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if q.events == 0 {
-		q.g.passes.First(e.ID, now.Sub(q.sentAt))
+		q.g.passes.RecordFirstEvent(e.ID, now.Sub(q.sentAt))
 		return
 	}
 	q.maxEventGap = max(q.maxEventGap, now.Sub(q.lastEventAt))
-	q.g.passes.Gap(e.ID, now.Sub(q.lastEventAt), now)
+	q.g.passes.RecordGap(e.ID, now.Sub(q.lastEventAt), now)
 }
 
 // endStream ends a stream that its endpoint ended as complete.
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -53,7 +53,7 @@
 
 // announceLimits sends changed rate limits to all other gateways.
 func (n *PeerExchange) announceLimits() {
-	list := n.g.limitMessages(func(l *throttle.Limits) []throttle.Told { return l.Tell(peers.MaxLimits) })
+	list := n.g.limitMessages(func(l *throttle.Limits) []throttle.Update { return l.NextUpdates(peers.MaxLimits) })
 	if len(list) > 0 {
 		n.socket.SendAll(addresses(n.liveGateways()), peers.Message{Limits: list})
 	}
@@ -61,7 +61,7 @@
 
 // sendStateTo sends ends and rate limits to a gateway that has just started or was unreachable.
 func (n *PeerExchange) sendStateTo(to netip.AddrPort) {
-	limits := n.g.limitMessages(func(l *throttle.Limits) []throttle.Told { return l.Named(maxLimitsToNewcomer) })
+	limits := n.g.limitMessages(func(l *throttle.Limits) []throttle.Update { return l.ActiveLimits(maxLimitsToNewcomer) })
 	for part := range slices.Chunk(limits, peers.MaxLimits) {
 		n.socket.Send(to, peers.Message{Limits: part})
 	}
@@ -74,7 +74,7 @@
 // started.
 func (n *PeerExchange) sendEndsToSidecars(sidecars []sidecar) {
 	if list := n.g.suspects.ForNewPeer(n.g.cfg.Now()); len(list) > 0 {
-		n.socket.SendAll(addressesOf(roster.Some(sidecars, endsFanout, random)), peers.Message{Ends: list})
+		n.socket.SendAll(addressesOf(roster.RandomSubset(sidecars, endsFanout, random)), peers.Message{Ends: list})
 	}
 }
 
--- a/internal/gateway/unfinished.go
+++ b/internal/gateway/unfinished.go
@@ -16,7 +16,7 @@
 // connection failed.
 type unfinishedAttempt struct {
 	key     quarantine.Key
-	sending quarantine.Sending
+	sending quarantine.Knowledge
 	endedAt time.Time // When the attempt ended.
 }
 
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -22,14 +22,14 @@
 // served in time. It reports whether an endpoint is available now.
 func (q *request) awaitCapacity(now time.Time) (e fleet.Endpoint, ok bool) {
 	g := q.g
-	until := q.arrived.Add(q.route.Target - q.turnover.First)
+	until := q.arrived.Add(q.route.TargetLatency - q.turnover.FirstEvent)
 	if q.wontReturn() {
-		until = q.holdUntil(q.turnover.First)
+		until = q.holdUntil(q.turnover.FirstEvent)
 	}
 	if until.After(q.deadline) {
 		until = q.deadline
 	}
-	w := line.Waiter{ID: g.lastWaiterID.Add(1), Class: int(q.class()), Until: until}
+	w := line.Waiter{ID: g.lastWaiterID.Add(1), Class: int(q.class()), Deadline: until}
 	if q.customer != nil {
 		w.Customer = q.customer.Name
 	}
@@ -51,7 +51,7 @@
 		now = time.Now()
 		q.waited = now.Sub(q.arrived)
 		var next bool
-		duty.Locked(&g.mu, func() { next = g.queue(q.service).First(w.ID, now) })
+		duty.Locked(&g.mu, func() { next = g.queue(q.service).IsNext(w.ID, now) })
 		if !next {
 			continue
 		}
@@ -67,10 +67,10 @@
 func (q *request) class() room.Class { return room.ClassOf(q.priority(), q.wontReturn()) }
 
 // queue returns the queue of a service. The caller holds mu.
-func (g *Gateway) queue(service string) *line.Line {
+func (g *Gateway) queue(service string) *line.Queue {
 	l, ok := g.queues[service]
 	if !ok {
-		l = &line.Line{}
+		l = &line.Queue{}
 		g.queues[service] = l
 	}
 	return l
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,7 +26,7 @@
 			return nil
 		case h := <-n.hints.Out():
 			var wanted bool
-			duty.Locked(&n.mu, func() { wanted = n.spread.Heard(h.version) == spread.Fetch })
+			duty.Locked(&n.mu, func() { wanted = n.spread.Receive(h.version) == spread.Fetch })
 			if !wanted {
 				continue
 			}
@@ -121,15 +121,15 @@
 func (n *Node) handleManifest(ctx context.Context, src source, m published.Manifest) (err error) {
 	v := m.Version()
 	if err := m.Verify(n.cfg.OperatorKey); err != nil {
-		n.trail.Add(audit.ConfigRefused, generationName(v), err.Error()+", from "+src.name)
+		n.trail.Add(audit.ConfigRejected, generationName(v), err.Error()+", from "+src.name)
 		return err
 	}
 	var decision spread.Decision
 	var conflict bool
 	duty.Locked(&n.mu, func() {
-		decision = n.spread.Heard(v)
-		n.spread.Seen(v)
-		_, conflict = n.spread.Clash()
+		decision = n.spread.Receive(v)
+		n.spread.RecordValid(v)
+		_, conflict = n.spread.Conflict()
 	})
 	if decision == spread.Ignore {
 		if conflict {
@@ -157,7 +157,7 @@
 	if known {
 		return
 	}
-	n.trail.Add(audit.ConfigClash, generationName(v), "another manifest has the same generation; publish a higher one")
+	n.trail.Add(audit.ConfigConflict, generationName(v), "another manifest has the same generation; publish a higher one")
 }
 
 // maxRequestedValues and maxReplyBytes bound one exchange of values, so that the request and the
@@ -249,7 +249,7 @@
 	c, err := published.Next(n.config.Load(), v, byKey)
 	if err != nil {
 		duty.Locked(&n.mu, func() { n.spread.Refuse(v) })
-		n.trail.Add(audit.ConfigRefused, generationName(v), err.Error())
+		n.trail.Add(audit.ConfigRejected, generationName(v), err.Error())
 		return err
 	}
 	var old published.Version
@@ -257,7 +257,7 @@
 	duty.Locked(&n.mu, func() {
 		old = n.spread.Current()
 		adopted = n.spread.Adopt(v)
-		_, conflict = n.spread.Clash()
+		_, conflict = n.spread.Conflict()
 		if adopted {
 			n.config.Store(c)
 			n.olderManifests = append([]olderManifest{{old.Hash, n.manifest}}, n.olderManifests[:min(len(n.olderManifests), maxOlderManifests-1)]...)
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -86,13 +86,13 @@
 func (n *Node) detectPause(now time.Time) {
 	var paused bool
 	duty.Locked(&n.mu, func() {
-		paused = n.table.Woke(now)
+		paused = n.table.DetectPause(now)
 		if paused {
 			n.machine.Apply(eventWoke)
 		}
 	})
 	if paused {
-		n.trail.Add(audit.Woke, n.cfg.Name, "clock jumped between two ticks")
+		n.trail.Add(audit.PauseDetected, n.cfg.Name, "clock jumped between two ticks")
 		n.pushToPeers()
 	}
 }
@@ -101,7 +101,7 @@
 // outdated view.
 func (n *Node) CheckPause(now time.Time) {
 	var paused bool
-	duty.Locked(&n.mu, func() { paused = n.table.Overdue(now) })
+	duty.Locked(&n.mu, func() { paused = n.table.TickOverdue(now) })
 	if paused {
 		n.detectPause(now)
 	}
@@ -133,19 +133,19 @@
 func (n *Node) probe(ctx context.Context, target member.Member) {
 	if n.exchange(ctx, target.Address, target.Name) == nil {
 		var changes []member.Change
-		duty.Locked(&n.mu, func() { changes = n.table.Answered(target.Name, clock.Now()) })
+		duty.Locked(&n.mu, func() { changes = n.table.ProbeAnswered(target.Name, clock.Now()) })
 		n.recordChanges(changes)
 		return
 	}
 	var relays []member.Member
-	duty.Locked(&n.mu, func() { relays = n.table.Helpers(target.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { relays = n.table.PickRelays(target.Name, rand.Uint64()) })
 	for _, relay := range relays {
 		if n.probeVia(ctx, relay.Address, target.Address) == nil {
 			return
 		}
 	}
 	var changes []member.Change
-	duty.Locked(&n.mu, func() { changes = n.table.Silent(target.Name, clock.Now()) })
+	duty.Locked(&n.mu, func() { changes = n.table.ProbeUnanswered(target.Name, clock.Now()) })
 	n.recordChanges(changes)
 }
 
@@ -231,7 +231,7 @@
 		refuted = n.table.Self().Incarnation != before.Incarnation
 		replaced = n.table.Superseded(m.Rows)
 		n.superseded = n.superseded || replaced
-		decision = n.spread.Heard(m.Version)
+		decision = n.spread.Receive(m.Version)
 	})
 	n.recordChanges(changes)
 	if refuted {
@@ -300,7 +300,7 @@
 		return
 	}
 	if err := n.creds.VerifyClaim(r.TLS, m.sender()); err != nil {
-		n.trail.Add(audit.PeerRefused, r.RemoteAddr, err.Error())
+		n.trail.Add(audit.PeerRejected, r.RemoteAddr, err.Error())
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -137,14 +137,14 @@
 		machine:  chart.MustLoad("drain").Machine(),
 	}
 	n.table = member.New(member.Config{
-		Interval:     set.GossipInterval,
-		SuspectAfter: set.SuspectAfter,
-		ForgetAfter:  forgetAfter,
-		News:         updatesPerMessage,
-		Helpers:      probeRelays,
+		ProbeInterval:    set.GossipInterval,
+		SuspicionTimeout: set.SuspectAfter,
+		ForgetAfter:      forgetAfter,
+		MaxUpdates:       updatesPerMessage,
+		IndirectProbes:   probeRelays,
 	}, member.Member{
 		Name: set.Name, Role: string(set.Role), Endpoint: set.Endpoint, Domain: set.Domain,
-		Address: set.Advertise, Life: n.startedAt.UnixMilli(),
+		Address: set.Advertise, StartedAt: n.startedAt.UnixMilli(),
 	})
 	return n, nil
 }
@@ -199,16 +199,16 @@
 func (n *Node) ByEndpoint() map[string]member.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.byEndpoint != nil && n.byEndpointVersion == n.table.Stamp() {
+	if n.byEndpoint != nil && n.byEndpointVersion == n.table.ViewVersion() {
 		return n.byEndpoint
 	}
 	found := map[string]member.Member{}
 	for _, m := range n.table.Members(func(m member.Member) bool { return m.Endpoint != "" && m.State != member.Dead }) {
-		if old, dup := found[m.Endpoint]; !dup || m.Life > old.Life {
+		if old, dup := found[m.Endpoint]; !dup || m.StartedAt > old.StartedAt {
 			found[m.Endpoint] = m
 		}
 	}
-	n.byEndpoint, n.byEndpointVersion = found, n.table.Stamp()
+	n.byEndpoint, n.byEndpointVersion = found, n.table.ViewVersion()
 	return found
 }
 
@@ -270,9 +270,9 @@
 func (n *Node) pushToPeers() {
 	var targets []member.Member
 	duty.Locked(&n.mu, func() {
-		targets = n.table.Helpers(n.cfg.Name, rand.Uint64())
+		targets = n.table.PickRelays(n.cfg.Name, rand.Uint64())
 		for range pushFanout - probeRelays {
-			targets = append(targets, n.table.Helpers(n.cfg.Name, rand.Uint64())...)
+			targets = append(targets, n.table.PickRelays(n.cfg.Name, rand.Uint64())...)
 		}
 	})
 	for _, m := range targets {
@@ -284,7 +284,7 @@
 func (n *Node) Refusal() *wire.Refusal {
 	switch n.State() {
 	case Serving:
-		if early := n.cfg.ClockSkew + ident.KeyGrain - time.Since(n.startedAt); early > 0 {
+		if early := n.cfg.ClockSkew + ident.KeyTimeResolution - time.Since(n.startedAt); early > 0 {
 			// Keys minted now may be indistinguishable from keys of an earlier process.
 			return wire.Refuse(http.StatusServiceUnavailable, early, "process has just started")
 		}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -60,7 +60,7 @@
 		UptimeS: time.Since(n.startedAt).Seconds(), Members: members,
 		Pid: os.Getpid(), Build: build.Read(),
 	}
-	if v, ok := n.spread.Clash(); ok {
+	if v, ok := n.spread.Conflict(); ok {
 		s.Conflict = &v
 	}
 	return s
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -34,7 +34,7 @@
 			wait.For(ctx, n.cfg.GossipInterval)
 			continue
 		}
-		raw, err := n.configService.Wait(ctx, published.ManifestKey, seen)
+		raw, err := n.configService.Watch(ctx, published.ManifestKey, seen)
 		if err == nil && raw != nil {
 			err = n.handleWatched(ctx, raw)
 		}
@@ -97,7 +97,7 @@
 // they name to be fetched.
 func (n *Node) exchangeWithPeers(ctx context.Context) {
 	var targets []member.Member
-	duty.Locked(&n.mu, func() { targets = n.table.Helpers(n.cfg.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { targets = n.table.PickRelays(n.cfg.Name, rand.Uint64()) })
 	for _, m := range targets {
 		if n.Exchange(ctx, m.Address) == nil && n.awaitConfig(ctx) {
 			return
@@ -173,7 +173,7 @@
 	var leaving bool
 	duty.Locked(&n.mu, func() {
 		before := n.table.Self().Leaving
-		changes = n.table.Seed(rows, clock.Now())
+		changes = n.table.MergePlatformList(rows, clock.Now())
 		leaving = n.table.Self().Leaving && !before
 	})
 	n.recordChanges(changes)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -161,7 +161,7 @@
 	_        struct{} `cbor:",toarray"`
 	Key      []byte   // Identifies all requests that are equal.
 	Endpoint string   // One incarnation of it.
-	Sending  int      // What was known when the request was sent, as a quarantine.Sending.
+	Sending  int      // What was known when the request was sent, as a quarantine.Knowledge.
 	Void     bool     // The end no longer counts.
 	AgeMs    int64    // Since the process ended.
 }
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -98,7 +98,7 @@
 	if !s.orderTook.Known() {
 		return maxOrderTimeout
 	}
-	return min(max(orderTimeoutFactor*s.orderTook.Most(), minOrderTimeout), maxOrderTimeout)
+	return min(max(orderTimeoutFactor*s.orderTook.UpperBound(), minOrderTimeout), maxOrderTimeout)
 }
 
 func (s *Sidecar) tryOrder(ctx context.Context, o rank.Order) (a orderResponse) {
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -19,8 +19,8 @@
 
 // planner tracks the demand for experts and plans maps for it.
 type planner struct {
-	follower   *demand.Follower // Nil until the shape of the group is known.
-	lastWindow uint64           // Number of this rank's window when counts were last ingested.
+	follower   *demand.Tracker // Nil until the shape of the group is known.
+	lastWindow uint64          // Number of this rank's window when counts were last ingested.
 	current    rebalance.Map
 	version    uint64 // Version of current; valid only if known is set.
 	known      bool
@@ -101,7 +101,7 @@
 func (l *leader) ingestCounts() {
 	p := &l.planner
 	duty.Locked(&l.s.mu, func() { p.passTime = l.s.passes.mean })
-	if l.shape == nil || l.shape.Sets == 0 || l.lastResponse.SummedRanks == 0 || l.lastResponse.Epoch != l.epoch || l.lastResponse.Window == p.lastWindow {
+	if l.shape == nil || l.shape.LayerSets == 0 || l.lastResponse.SummedRanks == 0 || l.lastResponse.Epoch != l.epoch || l.lastResponse.Window == p.lastWindow {
 		return
 	}
 	if p.follower == nil {
@@ -110,58 +110,58 @@
 	p.lastWindow = l.lastResponse.Window
 	now := time.Now()
 	flat, err := decodeCounts(l.lastResponse.Counts)
-	if err != nil || len(flat) != l.shape.Sets*l.shape.Experts {
+	if err != nil || len(flat) != l.shape.LayerSets*l.shape.ExpertsPerSet {
 		l.s.log.Warn("invalid counts ignored", zap.Int("ranks", l.lastResponse.SummedRanks), zap.Int("numbers", len(flat)), zap.Error(err))
 		return
 	}
-	if p.follower.Learn(flat, l.lastResponse.SummedRanks, now) {
-		l.s.log.Info("demand shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.Left(now)))
+	if p.follower.Update(flat, l.lastResponse.SummedRanks, now) {
+		l.s.log.Info("demand shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.ExpectedRemaining(now)))
 	}
 }
 
 func (l *leader) demandConfig() demand.Config {
 	e := l.shape
 	memory := defaultSmoothing
-	if e.UsualAnswer > 0 && e.StepTime > 0 {
-		step := e.StepTime + time.Duration(e.Slots)*e.WriterTime/2
-		memory = time.Duration(smoothingShare * e.UsualAnswer * float64(step))
+	if e.MeanAnswerTokens > 0 && e.BaseStepTime > 0 {
+		step := e.BaseStepTime + time.Duration(e.Slots)*e.DecodeTimePerRequest/2
+		memory = time.Duration(smoothingShare * e.MeanAnswerTokens * float64(step))
 	}
-	return demand.Config{Sets: e.Sets, Experts: e.Experts, Ranks: len(l.byRank), Memory: memory}
+	return demand.Config{Sets: e.LayerSets, Experts: e.ExpertsPerSet, Ranks: len(l.byRank), SmoothingTime: memory}
 }
 
 // group returns the group as a remap.Group.
 func (l *leader) group() remap.Group {
-	share := l.shape.ExpertShare
+	share := l.shape.ExpertWorkShare
 	if share <= 0 {
 		share = defaultExpertShare
 	}
 	return remap.Group{
-		Shape:       rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.Experts, Slots: l.shape.Places},
-		Spare:       l.shape.Spare,
-		ExpertShare: share,
-		Speed:       l.speeds(),
+		Shape:          rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.ExpertsPerSet, Slots: l.shape.ExpertSlots},
+		MaxNewPerLayer: l.shape.MaxAddedExperts,
+		ExpertShare:    share,
+		Speed:          l.speeds(),
 	}
 }
 
 // effort returns the time that a change takes in this group.
 func (l *leader) effort() remap.Effort {
 	return remap.Effort{
-		Copy:  l.copyTime(1),
-		Rest:  pollsPerShift*l.pollInterval() + l.copyOverrun + l.switchTime.Mean(),
-		Still: max(l.switchTime.Most()-maxPassesAhead*l.planner.passTime, 0),
-		Pass:  l.planner.passTime,
+		CopyTime:    l.copyTime(1),
+		Overhead:    pollsPerShift*l.pollInterval() + l.copyOverrun + l.switchTime.Mean(),
+		StallTime:   max(l.switchTime.UpperBound()-maxPassesAhead*l.planner.passTime, 0),
+		CurrentPass: l.planner.passTime,
 	}
 }
 
 // planChange starts a change to a new map, if that pays.
 func (l *leader) planChange(ctx context.Context) {
 	p := &l.planner
-	if p.follower == nil || p.follower.Load() == nil || p.follower.Suspect() || !l.readMap(ctx) {
+	if p.follower == nil || p.follower.Smoothed() == nil || p.follower.ShiftSuspected() || !l.readMap(ctx) {
 		return
 	}
 	price := l.price(l.demandHorizon(time.Now()))
 	plan := l.plan(price)
-	if !plan.Pays(l.effort(), price) {
+	if !plan.IsWorthwhile(l.effort(), price) {
 		return
 	}
 	l.beginChange(ctx, plan)
@@ -174,34 +174,34 @@
 func (l *leader) demandHorizon(now time.Time) time.Duration {
 	f := l.planner.follower
 	if f.Shifts() > 0 {
-		return f.Left(now)
+		return f.ExpectedRemaining(now)
 	}
 	e := l.effort()
-	return max(f.Left(now), initialHorizonChanges*(e.Copy+e.Rest))
+	return max(f.ExpectedRemaining(now), initialHorizonChanges*(e.CopyTime+e.Overhead))
 }
 
 // price returns the prices by which changes are valued if demand stays as it is for the given time.
 func (l *leader) price(horizon time.Duration) remap.Price {
 	return remap.Price{
-		Second: l.s.cfg.SkewPrice * l.passTimeWeight(),
-		Copy:   minGainRatio * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
-		Left:   horizon,
+		PerSecond: l.s.cfg.SkewPrice * l.passTimeWeight(),
+		PerCopy:   minGainRatio * l.shape.ExpertBytes / gigabyte * l.s.cfg.CopyPrice,
+		Horizon:   horizon,
 	}
 }
 
 // plan computes a map for the current demand.
 func (l *leader) plan(price remap.Price) remap.Plan {
-	return remap.Make(l.group(), l.planner.current, l.planner.follower.Load(), l.effort(), price, yield)
+	return remap.Make(l.group(), l.planner.current, l.planner.follower.Smoothed(), l.effort(), price, yield)
 }
 
 // beginChange starts a change: the ranks copy the experts that the plan requires.
 func (l *leader) beginChange(ctx context.Context, plan remap.Plan) {
 	p, m := &l.planner, l.machine
-	version := (m.Newest/versionStride+1)*versionStride + uint64(m.Self)
+	version := (m.HighestVersion/versionStride+1)*versionStride + uint64(m.Self)
 	layout := layoutOf(plan.Map, len(l.byRank))
 	now := time.Now()
-	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.Most)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
-	m.Begin(version, layout)
+	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.MaxPerRank)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
+	m.StartPreparing(version, layout)
 	l.encodeMaps(layout)
 	l.sendUntilSettled(ctx, maxPrepareTries*l.orderDeadline(&l.fullMap, len(l.byRank)-1))
 	l.countsPolledAt = time.Now() // Delays the next counts: polls check for the copies first.
@@ -221,7 +221,7 @@
 // encodeMaps encodes the map of a change that starts, in full and as a delta.
 func (l *leader) encodeMaps(next layout) {
 	base := layoutOf(l.planner.current, len(l.byRank))
-	experts := l.shape.Experts
+	experts := l.shape.ExpertsPerSet
 	l.fullMap = encodedMap{Experts: experts, Data: encodeMap(next)}
 	l.mapDelta = encodedMap{Base: fingerprint(base), Experts: experts, Data: encodeDelta(base, next)}
 	l.s.maps.put(next) // Orders to this rank do not carry an encoded map.
@@ -234,7 +234,7 @@
 	l.s.stats.abandoned.Inc(1)
 	l.s.log.Warn("map change abandoned", zap.String("cause", cause), zap.Uint64("version", p.pending.version), zap.Duration("after", time.Since(p.pending.startedAt)))
 	p.pending = nil
-	l.machine.GiveUp()
+	l.machine.Abort()
 }
 
 // advanceChange continues the change in progress: it switches maps once the copies are complete,
@@ -243,7 +243,7 @@
 	p := &l.planner
 	now := time.Now()
 	switch {
-	case l.machine.Copied(l.reports()):
+	case l.machine.AllPrepared(l.reports()):
 		l.switchOver(ctx)
 	case now.Sub(p.pending.copiesDueAt) > p.pending.copiesDueAt.Sub(p.pending.startedAt)+copyGracePeriod:
 		l.abandon("copies overdue")
@@ -258,9 +258,9 @@
 	p, g := &l.planner, l.group()
 	price := l.price(l.demandHorizon(now))
 	plan := l.plan(price)
-	pendingPassTime := g.PassTime(p.pending.plan.Map, p.follower.Load())
+	pendingPassTime := g.PassTime(p.pending.plan.Map, p.follower.Smoothed())
 	remaining := max(p.pending.copiesDueAt.Sub(now), 0)
-	if !plan.Pays(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, pendingPassTime) {
+	if !plan.IsWorthwhile(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, pendingPassTime) {
 		p.pending.shiftsSeen, p.pending.speeds = p.follower.Shifts(), l.speeds()
 		return
 	}
@@ -271,16 +271,16 @@
 // switchOver puts the map whose experts have been copied into force.
 func (l *leader) switchOver(ctx context.Context) {
 	p, m := &l.planner, l.machine
-	change, copiedAt, gainedBefore := p.pending, time.Now(), m.Gained
+	change, copiedAt, gainedBefore := p.pending, time.Now(), m.Completed
 	p.pending = nil
-	m.Switch(l.switchStep())
+	m.SwitchAt(l.switchStep())
 	l.sendUntilSettled(ctx, switchTimeout)
-	m.GiveUp()
+	m.Abort()
 	l.sendUntilSettled(ctx, recoveryTimeout)
 	l.copyOverrun += time.Duration(switchTimeWeight * float64(max(copiedAt.Sub(change.copiesDueAt), 0)-l.copyOverrun))
 	l.switchedAt = time.Now()
 	took := l.switchedAt.Sub(copiedAt)
-	inForce := m.Gained > gainedBefore
+	inForce := m.Completed > gainedBefore
 	if inForce {
 		// The time of a failed switch shows how long an answer was missing, as from a frozen
 		// instance, not how long orders take.
@@ -291,7 +291,7 @@
 	} else {
 		l.s.stats.abandoned.Inc(1)
 	}
-	l.s.log.Info("map switch ended", zap.Bool("in-force", inForce), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.Most),
+	l.s.log.Info("map switch ended", zap.Bool("in-force", inForce), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.MaxPerRank),
 		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.passTime), zap.Ints("running", l.running()), zap.Float64s("speed", l.speeds()),
 		zap.Duration("copying", copiedAt.Sub(change.startedAt)), zap.Duration("switching", took))
 }
@@ -324,7 +324,7 @@
 	if pass <= 0 {
 		return minPassesAhead
 	}
-	return max(minPassesAhead, int(l.switchTime.Most()/pass)+minPassesAhead)
+	return max(minPassesAhead, int(l.switchTime.UpperBound()/pass)+minPassesAhead)
 }
 
 // copyTime returns how long a rank takes to copy the given number of experts.
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -74,14 +74,14 @@
 	members        []*member // All endpoints of the service, ordered by failure domain.
 	self           *member   // This sidecar's own member.
 	byRank         []*member // Members of this group by rank; nil before the first poll; the element of the absent rank is nil.
-	absent         int       // Rank that led before, if only that rank does not answer; otherwise cutover.None.
+	absent         int       // Rank that led before, if only that rank does not answer; otherwise cutover.NoRank.
 	machine        *cutover.Machine
 	rankStartTimes []int64 // Start times of the ranks' engines when machine was created.
 	fence          uint64
 	planner        planner
-	switchTime     estimate.Time // How long the orders of a switch take.
-	copyOverrun    time.Duration // Smoothed time by which changes exceed their copy time: distributing the map and detecting that the copies are complete.
-	switchedAt     time.Time     // When the last switch ended.
+	switchTime     estimate.Estimator // How long the orders of a switch take.
+	copyOverrun    time.Duration      // Smoothed time by which changes exceed their copy time: distributing the map and detecting that the copies are complete.
+	switchedAt     time.Time          // When the last switch ended.
 	limiter        passes.Limiter
 	loadsSentAt    time.Time    // When the loads of all ranks were last sent to gateways.
 	fullMap        encodedMap   // Map of the change in progress.
@@ -96,7 +96,7 @@
 }
 
 func newLeader(s *Sidecar) *leader {
-	return &leader{s: s, absent: cutover.None, switchTime: estimate.New(switchTimeWeight)}
+	return &leader{s: s, absent: cutover.NoRank, switchTime: estimate.New(switchTimeWeight)}
 }
 
 // run polls the group until ctx ends.
@@ -202,7 +202,7 @@
 		}
 	}
 	if shape := engineShape(snap.Config, l.service); shape != nil {
-		l.shape, l.pauseLimit = shape, snap.Config.PauseLimit(l.service)
+		l.shape, l.pauseLimit = shape, snap.Config.MaxPause(l.service)
 	}
 	known := map[string]*member{}
 	for _, m := range l.members {
@@ -234,7 +234,7 @@
 		l.resign("a rank has restarted")
 		return // The next poll asks all ranks again.
 	}
-	if l.machine == nil || l.machine.Absent() != l.absent {
+	if l.machine == nil || l.machine.AbsentRank() != l.absent {
 		l.fence = max(l.fence+1, uint64(time.Now().UnixMilli())*fencesPerMilli)
 		l.machine = cutover.New(own.Size, own.Rank, l.absence(own), own.Epoch, l.fence)
 		l.planner.pending = nil
@@ -245,7 +245,7 @@
 	if !m.Observe(l.reports()) {
 		return
 	}
-	if l.absent != cutover.None {
+	if l.absent != cutover.NoRank {
 		l.sendUntilSettled(ctx, recoveryTimeout)
 		return
 	}
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -155,7 +155,7 @@
 // deposed handles a higher fence at a rank. If the first orders meet it, it may come from an
 // earlier leader whose clock was ahead; later, it comes from a new leader.
 func (l *leader) deposed() {
-	l.s.log.Warn("fence rejected", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Gained))
+	l.s.log.Warn("fence rejected", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Completed))
 	l.fence += fenceIncrement
 	l.resign("a higher fence")                    // A rejected fence is not used again.
 	l.openedAt = time.Now().Add(2 * leadInterval) // Any other leader will have announced itself by then.
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -136,13 +136,13 @@
 // limitPerRank returns how many requests a rank of the group may hold on average, or 0 if that is
 // unknown, as right after the group opened.
 func (l *leader) limitPerRank(pass time.Duration, now time.Time) (limit float64) {
-	if l.shape == nil || l.shape.WriterTime <= 0 {
+	if l.shape == nil || l.shape.DecodeTimePerRequest <= 0 {
 		return 0
 	}
-	ranks := make([]passes.Rank, 0, len(l.byRank))
+	ranks := make([]passes.RankReport, 0, len(l.byRank))
 	for _, m := range l.byRank {
 		if m != nil {
-			ranks = append(ranks, passes.Rank{Running: m.report.Running, Pass: pass, Pace: m.report.Slowdown, At: now})
+			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Slowdown, At: now})
 		}
 	}
 	limit, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
--- a/internal/sidecar/ownarming.go
+++ b/internal/sidecar/ownarming.go
@@ -66,8 +66,8 @@
 // absence returns what is known about the former leader if its rank is the only one that does not
 // answer, and prevents further armings of it.
 func (l *leader) absence(own rank.Report) cutover.Absence {
-	if l.absent == cutover.None {
-		return cutover.Nobody
+	if l.absent == cutover.NoRank {
+		return cutover.NoAbsence
 	}
 	a := cutover.Absence{Rank: l.absent}
 	if own.Rank != cutover.Holder(l.absent) {
@@ -77,10 +77,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaderArming.minFence = l.fence
-	a.Sure = s.started.Add(minCertainUptime).Before(s.lead.activeAt)
+	a.ArmingKnown = s.started.Add(minCertainUptime).Before(s.lead.activeAt)
 	if s.leaderArming.epoch == own.Epoch {
 		a.Armed = s.leaderArming.requested
-		a.Sure = a.Sure && !s.leaderArming.uncertain
+		a.ArmingKnown = a.ArmingKnown && !s.leaderArming.uncertain
 	}
 	return a
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -104,10 +104,10 @@
 	lead             leadership
 	openChanged      chan struct{} // Holds one element if a change of the group's open state is to be reported.
 	leaderArming     armingState
-	orderTook        estimate.Time    // How long this engine takes to answer an order.
-	announcement     peers.Lead       // What this sidecar announces as the leader.
-	announceTo       []netip.AddrPort // Receivers of the announcement; nil while this sidecar does not lead.
-	groupLoadsSentAt time.Time        // When this sidecar, as the leader, last sent gateways the loads of all ranks.
+	orderTook        estimate.Estimator // How long this engine takes to answer an order.
+	announcement     peers.Lead         // What this sidecar announces as the leader.
+	announceTo       []netip.AddrPort   // Receivers of the announcement; nil while this sidecar does not lead.
+	groupLoadsSentAt time.Time          // When this sidecar, as the leader, last sent gateways the loads of all ranks.
 
 	suspects *suspects.Set // Kept only for gateways that restart.
 	stats    stats
@@ -303,7 +303,7 @@
 // nothing of the previous one's counts and measurements, so these are dropped. It returns false for
 // an earlier one, whose answer arrived late. The caller holds mu.
 func (s *Sidecar) recordIncarnation(startedAt int64) (accepted bool) {
-	switch fleet.CompareLives(s.engineStartedAt, startedAt) {
+	switch fleet.CompareIncarnations(s.engineStartedAt, startedAt) {
 	case -1:
 		s.log.Info("answer of an earlier incarnation of the engine ignored", zap.Int64("born", startedAt), zap.Int64("newest", s.engineStartedAt))
 		return false
@@ -375,7 +375,7 @@
 // and incarnation.
 func difference(last window, from, to rank.Counts) (w window) {
 	w = window{number: last.number + 1, epoch: to.Epoch}
-	if from.Epoch != to.Epoch || fleet.CompareLives(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
+	if from.Epoch != to.Epoch || fleet.CompareIncarnations(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
 		return w
 	}
 	w.flat = make([]uint64, len(to.Flat))
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -57,10 +57,10 @@
 
 	mu      sync.Mutex
 	active  map[*sequence]bool
-	maps    mapswitch.Rank    // What the engine must not forget about its map.
-	loaded  time.Time         // When the weights of maps.Prepared are there.
-	held    map[string]string // Prompts whose KV cache can be exported, by request id.
-	taken   map[string]string // Prompts whose KV cache was imported, by request id.
+	maps    mapswitch.RankState // What the engine must not forget about its map.
+	loaded  time.Time           // When the weights of maps.Prepared are there.
+	held    map[string]string   // Prompts whose KV cache can be exported, by request id.
+	taken   map[string]string   // Prompts whose KV cache was imported, by request id.
 	cache   *prefixCache
 	imports int
 	down    bool
@@ -116,13 +116,13 @@
 		defer e.mu.Unlock()
 	}
 	for _, e := range g.ranks {
-		if !e.maps.MayBegin() {
+		if !e.maps.CanBegin() {
 			g.count(&g.held)
 			return false
 		}
 	}
 	for _, e := range g.ranks {
-		e.maps = e.maps.Begin()
+		e.maps = e.maps.BeginStep()
 		if e.maps.Map != g.ranks[0].maps.Map {
 			g.count(&g.violations)
 		}
@@ -151,7 +151,7 @@
 	g.ranks[0].mu.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return MapReport{Map: m.Map, Step: m.Begun, Violations: g.violations, Held: g.held}
+	return MapReport{Map: m.Map, Step: m.LastStep, Violations: g.violations, Held: g.held}
 }
 
 // Demand sets the tokens that the engines report, by layer and expert.
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -24,7 +24,7 @@
 	pending   chan struct{} // Holds a value while an end waits to be sent.
 
 	mu   sync.Mutex // Guards the fields below.
-	book *quarantine.Book
+	book *quarantine.History
 }
 
 // New returns an empty set.
@@ -47,19 +47,19 @@
 func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Tell(peers.MaxEnds, now), now)
+	return encode(s.book.NextToSend(peers.MaxEnds, now), now)
 }
 
 // ForNewPeer returns the most severe ends, to send to a process that may know none yet.
 func (s *Set) ForNewPeer(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.Gravest(peers.MaxEnds), now)
+	return encode(s.book.MostSevere(peers.MaxEnds), now)
 }
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
 	for _, e := range ends {
-		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Sending), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
+		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Knowledge), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
 	}
 	return list
 }
@@ -68,7 +68,7 @@
 func (s *Set) HasUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Untold()
+	return s.book.HasUnsent()
 }
 
 // MergeEnds adds the ends that another process sent.
@@ -84,7 +84,7 @@
 			continue
 		}
 		s.add(quarantine.End{
-			Key: quarantine.Key(received.Key), Endpoint: received.Endpoint, Sending: quarantine.Sending(received.Sending), Void: received.Void,
+			Key: quarantine.Key(received.Key), Endpoint: received.Endpoint, Knowledge: quarantine.Knowledge(received.Sending), Void: received.Void,
 			At: now.Add(-time.Duration(received.AgeMs) * time.Millisecond),
 		}, now, now)
 	}
@@ -100,14 +100,14 @@
 // valid reports whether an end from another process is well-formed.
 func valid(e peers.End) bool {
 	return len(e.Key) == len(quarantine.Key{}) && e.Endpoint != "" && len(e.Endpoint) <= maxEndpointIDLen &&
-		e.AgeMs >= 0 && e.AgeMs <= maxAge.Milliseconds() && quarantine.Sending(e.Sending).Valid()
+		e.AgeMs >= 0 && e.AgeMs <= maxAge.Milliseconds() && quarantine.Knowledge(e.Sending).Valid()
 }
 
 // RecordEnd records that an endpoint ended during a request of this process.
-func (s *Set) RecordEnd(k quarantine.Key, endpoint string, sending quarantine.Sending, now time.Time) {
+func (s *Set) RecordEnd(k quarantine.Key, endpoint string, sending quarantine.Knowledge, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(quarantine.End{Key: k, Endpoint: endpoint, Sending: sending, At: now}, time.Time{}, now)
+	s.add(quarantine.End{Key: k, Endpoint: endpoint, Knowledge: sending, At: now}, time.Time{}, now)
 	s.notifyPending()
 }
 
@@ -120,7 +120,7 @@
 	}
 	after, left := s.book.Judge(e.Key, now)
 	s.heldGauge.Update(int64(s.book.Held(now)))
-	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", receivedAt.IsZero()), zap.Stringer("sending", e.Sending),
+	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", receivedAt.IsZero()), zap.Stringer("sending", e.Knowledge),
 		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", left)}
 	if after != before {
 		s.log.Warn("endpoint ended during a request", fields...)
@@ -133,7 +133,7 @@
 func (s *Set) RecordSuccess(key func() quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.Sound(key()) {
+	if s.book.Empty() || !s.book.RecordCompletion(key()) {
 		return
 	}
 	s.log.Info("request completed although endpoints had ended during it", zap.Stringer("key", key()))
@@ -144,7 +144,7 @@
 func (s *Set) RecordAlive(endpoint string, sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.Alive(endpoint, sentAt) {
+	if s.book.Empty() || !s.book.RecordAnswer(endpoint, sentAt) {
 		return
 	}
 	s.log.Info("endpoint is alive although it was recorded as ended", zap.String("endpoint", endpoint))
@@ -153,13 +153,13 @@
 
 // SendingState returns what is known of a request that is sent now. It computes the key only if any
 // ends are known, because that hashes the body.
-func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Sending {
+func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
-		return quarantine.Unknowing
+		return quarantine.NoKnownEnd
 	}
-	return s.book.Sending(key(), now)
+	return s.book.KnowledgeOf(key(), now)
 }
 
 // Judge returns whether a request may be sent, and for how long it is still held.
@@ -176,7 +176,7 @@
 func (s *Set) BeginTrial(k quarantine.Key, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.Begin(k, now, until)
+	return s.book.BeginTrial(k, now, until)
 }
 
 // EndTrial ends a trial without a result.
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -104,7 +104,7 @@
 	g := NewWithT(t)
 	s := newSet()
 	for _, e := range []string{"e-0", "e-1", "e-2"} { // All at the same time.
-		s.RecordEnd(key, e, quarantine.Unknowing, now.Add(-time.Minute))
+		s.RecordEnd(key, e, quarantine.NoKnownEnd, now.Add(-time.Minute))
 	}
 	expectVerdict(g, s, quarantine.Trial)
 	until := now.Add(time.Second)
