--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -17,7 +17,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(high).To(gomega.Equal(9))
 	low, _ := s.Priority(Request{})
-	g.Expect(low).To(gomega.Equal(0), "cut to the lowest priority")
+	g.Expect(low).To(gomega.Equal(0), "raised to the lowest priority")
 	retry, _ := s.Retry(Request{Attempt: 3})
 	g.Expect(retry).To(gomega.BeFalse())
 	move, _ := s.Move(Request{Tokens: 9})
@@ -45,7 +45,7 @@
 		})
 	}
 	check("divides by zero", `1 / attempt`)
-	check("costs too much", `[1,2,3,4,5,6,7,8,9,10].map(a, [1,2,3,4,5,6,7,8,9,10].map(b, [1,2,3,4,5,6,7,8,9,10].map(c, a*b*c).size()).size()).size()`)
+	check("exceeds the cost limit", `[1,2,3,4,5,6,7,8,9,10].map(a, [1,2,3,4,5,6,7,8,9,10].map(b, [1,2,3,4,5,6,7,8,9,10].map(c, a*b*c).size()).size()).size()`)
 }
 
 func FuzzPolicy(f *testing.F) {
@@ -56,7 +56,7 @@
 	f.Fuzz(func(_ *testing.T, text string) {
 		s, faults := New(Sources{Retry: text})
 		if len(faults) == 0 {
-			_, _ = s.Retry(Request{Class: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa!"}) // It must return.
+			_, _ = s.Retry(Request{Class: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa!"}) // Must terminate and not panic.
 		}
 	})
 }
--- a/internal/published/parse.go
+++ b/internal/published/parse.go
@@ -13,18 +13,18 @@
 	"github.com/canvaspulley/canvaspulley/internal/policy"
 )
 
-// parsed is what one value says. It depends on nothing but the value, so that
-// it can be used again in the next generation; it is never changed.
+// parsed is the content of one value. It depends only on the key and the value and is immutable, so
+// that the next generation can reuse it.
 type parsed struct {
-	hash     string
-	customer *Customer // At most one of these is set.
-	policy   *Policy
-	service  *Service
-	entries  int
-	faults   inifile.Problems
+	hash       string
+	customer   *Customer // At most one of customer, policy, service and maxEntries is set.
+	policy     *Policy
+	service    *Service
+	maxEntries int
+	faults     inifile.Problems
 }
 
-// parse reads one value and notes all its faults.
+// parse parses one value and collects all its faults.
 func parse(key, hash string, value []byte) *parsed {
 	p := &parsed{hash: hash}
 	f, err := inifile.Parse(key, value)
@@ -54,7 +54,7 @@
 	case kindGroup, kindService:
 		p.readService(kind, name, f)
 	case kindSite:
-		p.entries = f.Int(kindSite, "entries", 0, 1, 100000)
+		p.maxEntries = f.Int(kindSite, "entries", 0, 1, 100000)
 	default:
 		f.Fault("", "", "unknown kind %q", kind)
 	}
