--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -63,7 +63,7 @@
 	}
 	set, err := settings.Parse("test.ini", layout.Settings(p))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	set.ConfigService, set.Instances, set.Source = directory.URL, directory.URL, ""
+	set.ConfigServiceURL, set.InstancesURL, set.SourceIP = directory.URL, directory.URL, ""
 	if change != nil {
 		change(set)
 	}
@@ -233,7 +233,7 @@
 func TestFullTablesRefuseAsNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := &countingService{block: make(chan struct{})}
-	b := newHarness(t, func(s *settings.Settings) { s.Queue, s.MinLimit, s.MaxLimit, s.Keys = 1, 1, 1, 2 }, nil, c.service())
+	b := newHarness(t, func(s *settings.Settings) { s.QueueCapacity, s.MinLimit, s.MaxLimit, s.MaxKeys = 1, 1, 1, 2 }, nil, c.service())
 	var wg sync.WaitGroup
 	answers := make(chan answer, 2)
 	for i := range 2 {
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -250,7 +250,7 @@
 			}
 		}
 		g.Go(func() error {
-			duty.Contain("order", m.agent.node.Log(), m.agent.node.Metrics(), func() {
+			duty.RunRecovered("order", m.agent.node.Log(), m.agent.node.Metrics(), func() {
 				var r mapswitch.Reply
 				peer, ok := alive[endpointOfRank(s, o.Rank)]
 				if ok && m.agent.node.Call(ctx, peer.Address, wire.PathSwitch, msg, &r) == nil {
@@ -302,7 +302,7 @@
 // mayForwardOrders reports whether orders may be sent to the engine. An engine that does not
 // check fences receives orders only while this process holds the lease on its slot.
 func (a *Agent) mayForwardOrders(now time.Time) bool {
-	return a.node.Settings().Fences || a.node.HoldsLease(now)
+	return a.node.Settings().EngineChecksFences || a.node.HoldsLease(now)
 }
 
 // errNoLease is returned for an order when this process does not hold the lease on its slot.
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -91,7 +91,7 @@
 
 // contain calls do, recovers from a panic in it, and reports whether it returned normally.
 func (a *Agent) contain(do func()) (returned bool) {
-	return duty.Contain("request", a.node.Log(), a.node.Metrics(), do)
+	return duty.RunRecovered("request", a.node.Log(), a.node.Metrics(), do)
 }
 
 // headerTracker records whether the header of an answer has been sent.
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
-	j = &job{agent: a, env: env, body: body, machine: requestChart.Machine(), attemptID: env.ID}
+	j = &job{agent: a, env: env, body: body, machine: requestChart.NewMachine(), attemptID: env.ID}
 	return j, j.register(time.Now())
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -113,9 +113,9 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := adapter.NewTransport(set.Source)
+	transport := adapter.NewTransport(set.SourceIP)
 	transport.TLSClientConfig = creds.Client()
-	direct := &http.Client{Transport: adapter.NewTransport(set.Source)}
+	direct := &http.Client{Transport: adapter.NewTransport(set.SourceIP)}
 	n = &Node{
 		cfg:           set,
 		log:           log,
@@ -123,8 +123,8 @@
 		trail:         audit.New(set.Name, log, reg),
 		creds:         creds,
 		peers:         &http.Client{Transport: transport},
-		configService: adapter.NewConfigService(set.ConfigService, direct),
-		instances:     adapter.NewInstances(set.Instances, direct),
+		configService: adapter.NewConfigService(set.ConfigServiceURL, direct),
+		instances:     adapter.NewInstances(set.InstancesURL, direct),
 		startedAt:     time.Now(),
 		hints:         ring.NewQueue[hint](hintCapacity),
 		pushes:        ring.NewQueue[member.Member](pushCapacity),
@@ -134,7 +134,7 @@
 		values:        map[string][]byte{},
 
 		suspects: suspects.New(log, reg),
-		machine:  chart.MustLoad("drain").Machine(),
+		machine:  chart.MustLoad("drain").NewMachine(),
 	}
 	n.table = member.New(member.Config{
 		ProbeInterval:    set.GossipInterval,
@@ -144,7 +144,7 @@
 		IndirectProbes:   probeRelays,
 	}, member.Member{
 		Name: set.Name, Role: string(set.Role), Endpoint: set.Endpoint, Domain: set.Domain,
-		Address: set.Advertise, StartedAt: n.startedAt.UnixMilli(),
+		Address: set.AdvertisedAddress, StartedAt: n.startedAt.UnixMilli(),
 	})
 	return n, nil
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -65,7 +65,7 @@
 // which may be stale.
 func (n *Node) bootstrap(ctx context.Context) {
 	for _, address := range n.cfg.Seeds {
-		if address != n.cfg.Advertise {
+		if address != n.cfg.AdvertisedAddress {
 			_ = n.Exchange(ctx, address) // A peer that does not answer now is reached later.
 		}
 	}
