--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -38,7 +38,7 @@
 		}
 	}
 	var err error
-	if i.ID, err = id(); err != nil {
+	if i.ID, err = readBuildID(); err != nil {
 		i.ID = "unknown: " + err.Error()
 	}
 	return i
@@ -49,12 +49,12 @@
 	return []zap.Field{zap.String("version", i.Version), zap.String("revision", i.Revision), zap.Bool("modified", i.Modified), zap.String("go", i.Go), zap.String("build", i.ID)}
 }
 
-// noteHeader is the size of what stands before the ID in its note: three lengths and the name
+// noteHeaderBytes is the size of what stands before the ID in its note: three lengths and the name
 // "Go", padded to four bytes.
-const noteHeader = 16
+const noteHeaderBytes = 16
 
-// id reads the build ID from the program's file.
-func id() (s string, err error) {
+// readBuildID reads the build ID from the program's file.
+func readBuildID() (s string, err error) {
 	defer func() { err = errors.Wrap(err, "build ID") }()
 	path, err := os.Executable()
 	if err != nil {
@@ -73,9 +73,9 @@
 	if err != nil {
 		return "", err
 	}
-	if len(raw) < noteHeader {
+	if len(raw) < noteHeaderBytes {
 		return "", errors.New("short note")
 	}
-	n := min(int(f.ByteOrder.Uint32(raw[4:])), len(raw)-noteHeader)
-	return string(raw[noteHeader : noteHeader+n]), nil
+	n := min(int(f.ByteOrder.Uint32(raw[4:])), len(raw)-noteHeaderBytes)
+	return string(raw[noteHeaderBytes : noteHeaderBytes+n]), nil
 }
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -25,14 +25,14 @@
 	Event string
 )
 
-// ignored is the target that names an event as having no effect.
-const ignored = "ignore"
+// ignoreTarget is the target that names an event as having no effect.
+const ignoreTarget = "ignore"
 
 // Chart is one checked life cycle. A Chart is immutable.
 type Chart struct {
-	name  string
-	start State
-	next  map[State]map[Event]State
+	name        string
+	start       State
+	transitions map[State]map[Event]State
 }
 
 // Load reads the named chart that is built into the program.
@@ -60,15 +60,15 @@
 	if err != nil {
 		return nil, err
 	}
-	c = &Chart{name: name, next: map[State]map[Event]State{}}
+	c = &Chart{name: name, transitions: map[State]map[Event]State{}}
 	c.start = State(f.Required("chart", "start"))
 	events := f.Words("chart", "events")
 	if len(events) == 0 {
-		f.Fault("chart", "events", "must be set")
+		f.AddProblem("chart", "events", "must be set")
 	}
 	for _, section := range f.Sections() {
 		if state, ok := strings.CutPrefix(section, "state "); ok {
-			c.next[State(state)] = readState(f, section, State(state), events)
+			c.transitions[State(state)] = readState(f, section, State(state), events)
 		}
 	}
 	c.check(f)
@@ -79,7 +79,7 @@
 	next := map[Event]State{}
 	for _, e := range events {
 		to := f.Required(section, e)
-		if to == ignored {
+		if to == ignoreTarget {
 			to = string(s)
 		}
 		next[Event(e)] = State(to)
@@ -89,29 +89,29 @@
 
 // check finds targets that do not exist and states that cannot be reached.
 func (c *Chart) check(f *inifile.File) {
-	if _, ok := c.next[c.start]; !ok {
-		f.Fault("chart", "start", "no state %q", c.start)
+	if _, ok := c.transitions[c.start]; !ok {
+		f.AddProblem("chart", "start", "no state %q", c.start)
 		return
 	}
 	reached := map[State]bool{c.start: true}
-	work := []State{c.start}
-	for len(work) > 0 {
-		s := work[0]
-		work = work[1:]
-		for e, to := range c.next[s] {
-			if _, ok := c.next[to]; !ok {
-				f.Fault("state "+string(s), string(e), "no state %q", to)
+	pending := []State{c.start}
+	for len(pending) > 0 {
+		s := pending[0]
+		pending = pending[1:]
+		for e, to := range c.transitions[s] {
+			if _, ok := c.transitions[to]; !ok {
+				f.AddProblem("state "+string(s), string(e), "no state %q", to)
 				continue
 			}
 			if !reached[to] {
 				reached[to] = true
-				work = append(work, to)
+				pending = append(pending, to)
 			}
 		}
 	}
-	for s := range c.next {
+	for s := range c.transitions {
 		if !reached[s] {
-			f.Fault("state "+string(s), "", "cannot be reached")
+			f.AddProblem("state "+string(s), "", "cannot be reached")
 		}
 	}
 }
@@ -119,7 +119,7 @@
 // States lists the states in order of name.
 func (c *Chart) States() []State {
 	var list []State
-	for s := range c.next {
+	for s := range c.transitions {
 		list = append(list, s)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
@@ -132,8 +132,8 @@
 	state State
 }
 
-// Machine returns a life in the chart's first state.
-func (c *Chart) Machine() *Machine { return &Machine{chart: c, state: c.start} }
+// NewMachine returns a life in the chart's first state.
+func (c *Chart) NewMachine() *Machine { return &Machine{chart: c, state: c.start} }
 
 // State returns the present state.
 func (m *Machine) State() State { return m.state }
@@ -141,7 +141,7 @@
 // Apply takes in an event and reports whether the state changed. An event that
 // the chart does not know is an error of the program.
 func (m *Machine) Apply(e Event) (changed bool) {
-	to, ok := m.chart.next[m.state][e]
+	to, ok := m.chart.transitions[m.state][e]
 	if !ok {
 		panic(errors.AssertionFailedf("chart %s: no event %q", m.chart.name, e))
 	}
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -9,9 +9,9 @@
 	"github.com/onsi/gomega"
 )
 
-// TestWalk loads each chart of the program and tries every event in every
+// TestEveryTransition loads each chart of the program and tries every event in every
 // state: none is unknown, and no state is left by accident.
-func TestWalk(t *testing.T) {
+func TestEveryTransition(t *testing.T) {
 	entries, err := files.ReadDir("charts")
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	for _, e := range entries {
@@ -20,7 +20,7 @@
 			c, err := Load(strings.TrimSuffix(e.Name(), ".ini"))
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			for _, s := range c.States() {
-				for event, to := range c.next[s] {
+				for event, to := range c.transitions[s] {
 					m := &Machine{chart: c, state: s}
 					g.Expect(m.Apply(event)).To(gomega.Equal(to != s))
 					g.Expect(m.State()).To(gomega.Equal(to))
@@ -30,9 +30,9 @@
 	}
 }
 
-func TestRequestChartNeverCallsSentWorkNotRunByItself(t *testing.T) {
+func TestRequestChartKeepsBrokenSentRequestUnknown(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := MustLoad("request").Machine()
+	m := MustLoad("request").NewMachine()
 	m.Apply("queue")
 	m.Apply("start")
 	m.Apply("send")
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestFaultyCharts(t *testing.T) {
+func TestInvalidCharts(t *testing.T) {
 	check := func(name, text, want string) {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse("faulty", []byte(text))
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -9,34 +9,34 @@
 	"github.com/canvaspulley/canvaspulley/internal/capacity"
 )
 
-// capacityVerb works out what a site costs.
-type capacityVerb struct {
+// capacityCommand works out what a site costs.
+type capacityCommand struct {
 	app  *app
 	Site string `long:"site" required:"yes" value-name:"FILE.ini" description:"size of the site"`
 	JSON bool   `long:"json" description:"print JSON"`
 }
 
 // Execute prints the table and the slopes that it comes from.
-func (v *capacityVerb) Execute([]string) (err error) {
+func (v *capacityCommand) Execute([]string) (err error) {
 	raw, err := os.ReadFile(v.Site)
 	if err != nil {
 		return err
 	}
-	s, err := capacity.Load(v.Site, raw)
+	s, err := capacity.Parse(v.Site, raw)
 	if err != nil {
 		return err
 	}
-	lines := s.Lines()
+	figures := s.Figures()
 	if v.JSON {
 		return v.app.printJSON(struct {
-			Lines  []capacity.Line  `json:"lines"`
-			Slopes []capacity.Slope `json:"slopes"`
-		}{lines, capacity.Slopes()})
+			Lines  []capacity.Figure `json:"lines"`
+			Slopes []capacity.Slope  `json:"slopes"`
+		}{figures, capacity.Slopes()})
 	}
-	capacity.Print(v.app.out, lines)
+	capacity.Print(v.app.out, figures)
 	fmt.Fprint(v.app.out, "\n| slope | value | measured by |\n| --- | ---: | --- |\n")
-	for _, one := range capacity.Slopes() {
-		fmt.Fprintf(v.app.out, "| %s | %.4g %s | `%s` |\n", one.Name, one.Value, one.Unit, one.Command)
+	for _, slope := range capacity.Slopes() {
+		fmt.Fprintf(v.app.out, "| %s | %.4g %s | `%s` |\n", slope.Name, slope.Value, slope.Unit, slope.Command)
 	}
 	return nil
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -30,8 +30,8 @@
 	return values, err
 }
 
-// checkVerb judges a folder as the daemon judges a generation.
-type checkVerb struct {
+// checkCommand judges a folder as the daemon judges a generation.
+type checkCommand struct {
 	app  *app
 	JSON bool `long:"json" description:"print the faults as JSON"`
 	Args struct {
@@ -40,7 +40,7 @@
 }
 
 // Execute prints every fault; it fails when there is one.
-func (v *checkVerb) Execute([]string) (err error) {
+func (v *checkCommand) Execute([]string) (err error) {
 	values, err := readFolder(v.Args.Dir)
 	if err != nil {
 		return err
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -32,35 +32,35 @@
 
 func (e failedError) Unwrap() error { return e.error }
 
-// failed marks err as found by the verb.
-func failed(err error) error {
+// markFailed marks err as found by the verb.
+func markFailed(err error) error {
 	if err == nil {
 		return nil
 	}
 	return failedError{err}
 }
 
-// verbs adds each verb to the parser.
-func (a *app) verbs(p *flags.Parser) (err error) {
+// addCommands adds each verb to the parser.
+func (a *app) addCommands(p *flags.Parser) (err error) {
 	for _, v := range []struct {
 		name  string
 		short string
 		data  any
 	}{
-		{"demo", "run two small sites in one process, break things, and check every promise", &demoVerb{app: a}},
-		{"example", "write the files of a small site to a folder", &exampleVerb{app: a}},
-		{"standin", "run the platform's stand-ins", &standinVerb{app: a}},
-		{"check", "judge a folder of configuration as the daemon would", &checkVerb{app: a}},
-		{"pack", "sign a folder of configuration as one generation", &packVerb{app: a}},
-		{"policy", "say what a policy answers for given requests", &policyVerb{app: a}},
-		{"soak", "run gateways and sidecars as processes under trouble, and check the promises", &soakVerb{app: a}},
-		{"load", "send requests at a rate and check every answer", &loadVerb{app: a}},
-		{"experiment", "measure the decisions against their naive versions", newExperimentVerb(a)},
-		{"plays", "tell how callers' tries ended in reports of the users' bench", &playsVerb{app: a, in: os.Stdin}},
-		{"capacity", "work out what a site of a given size costs", &capacityVerb{app: a}},
-		{"status", "show what processes believe", &statusVerb{app: a}},
-		{"audit", "show what changed, merged by time", &auditVerb{app: a}},
-		{"keys", "make a site's certificates and signing key", &keysVerb{app: a}},
+		{"demo", "run two small sites in one process, break things, and check every promise", &demoCommand{app: a}},
+		{"example", "write the files of a small site to a folder", &exampleCommand{app: a}},
+		{"standin", "run the platform's stand-ins", &standinCommand{app: a}},
+		{"check", "judge a folder of configuration as the daemon would", &checkCommand{app: a}},
+		{"pack", "sign a folder of configuration as one generation", &packCommand{app: a}},
+		{"policy", "say what a policy answers for given requests", &policyCommand{app: a}},
+		{"soak", "run gateways and sidecars as processes under trouble, and check the promises", &soakCommand{app: a}},
+		{"load", "send requests at a rate and check every answer", &loadCommand{app: a}},
+		{"experiment", "measure the decisions against their naive versions", newExperimentCommand(a)},
+		{"plays", "tell how callers' tries ended in reports of the users' bench", &playsCommand{app: a, in: os.Stdin}},
+		{"capacity", "work out what a site of a given size costs", &capacityCommand{app: a}},
+		{"status", "show what processes believe", &statusCommand{app: a}},
+		{"audit", "show what changed, merged by time", &auditCommand{app: a}},
+		{"keys", "make a site's certificates and signing key", &keysCommand{app: a}},
 	} {
 		if _, err := p.AddCommand(v.name, v.short, "", v.data); err != nil {
 			return err
@@ -73,7 +73,7 @@
 func Main(args []string, stdout, stderr io.Writer) int {
 	a := &app{out: stdout, err: stderr}
 	p := flags.NewNamedParser("canvaspulley", flags.HelpFlag|flags.PassDoubleDash)
-	if err := a.verbs(p); err != nil {
+	if err := a.addCommands(p); err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitUsage
 	}
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -14,8 +14,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/demo"
 )
 
-// demoVerb runs the demonstration.
-type demoVerb struct {
+// demoCommand runs the demonstration.
+type demoCommand struct {
 	app      *app
 	Rate     float64       `long:"rate" default:"80" description:"requests a second at each site"`
 	Duration time.Duration `long:"duration" default:"15s" description:"how long to send"`
@@ -24,7 +24,7 @@
 }
 
 // Execute runs both sites; it fails when a promise was broken.
-func (v *demoVerb) Execute([]string) (err error) {
+func (v *demoCommand) Execute([]string) (err error) {
 	if v.Rate <= 0 || v.Duration <= 0 {
 		return errors.New("--rate and --duration must be above 0")
 	}
@@ -34,7 +34,7 @@
 	}
 	reports, err := demo.Run(context.Background(), demo.Options{Rate: v.Rate, Duration: v.Duration, Seed: v.Seed}, events)
 	if err != nil {
-		return failed(err)
+		return markFailed(err)
 	}
 	if v.JSON {
 		if err := v.app.printJSON(reports); err != nil {
@@ -48,7 +48,7 @@
 		broken = append(broken, r.Broken()...)
 	}
 	if len(broken) > 0 {
-		return failed(errors.Newf("promises broken:\n  %s", strings.Join(broken, "\n  ")))
+		return markFailed(errors.Newf("promises broken:\n  %s", strings.Join(broken, "\n  ")))
 	}
 	fmt.Fprintln(events, "every promise held")
 	return nil
--- a/internal/cli/example.go
+++ b/internal/cli/example.go
@@ -13,8 +13,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// exampleVerb writes a site that can be started by hand.
-type exampleVerb struct {
+// exampleCommand writes a site that can be started by hand.
+type exampleCommand struct {
 	app  *app
 	User string `long:"user" choice:"archive" choice:"refunds" default:"archive" description:"whose site to lay out"`
 	Full bool   `long:"full" description:"the user's size of today instead of the smallest site"`
@@ -24,7 +24,7 @@
 }
 
 // Execute writes the files and prints the commands that start them.
-func (v *exampleVerb) Execute([]string) (err error) {
+func (v *exampleCommand) Execute([]string) (err error) {
 	size := example.Small
 	if v.Full {
 		size = example.Today
@@ -64,11 +64,11 @@
 	if err := writeFile(filepath.Join(dir, "operator.key"), []byte(key+"\n"), true); err != nil {
 		return err
 	}
-	v.explain(s, dir)
+	v.printCommands(s, dir)
 	return nil
 }
 
-func (v *exampleVerb) explain(s *example.Site, dir string) {
+func (v *exampleCommand) printCommands(s *example.Site, dir string) {
 	fmt.Fprintf(v.app.out, "Start each in the background:\n  canvaspulley standin --config %s\n", filepath.Join(dir, "standin.ini"))
 	for _, p := range append(append([]example.Process(nil), s.Agents...), s.Entries...) {
 		fmt.Fprintf(v.app.out, "  canvaspulleyd --config %s\n", filepath.Join(dir, p.Name+".ini"))
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -8,36 +8,36 @@
 	"github.com/canvaspulley/canvaspulley/internal/experiment"
 )
 
-// experimentVerb has one sub-verb for each experiment.
-type experimentVerb struct {
-	Ownership tableVerb     `command:"ownership" description:"rendezvous hashing against modulo"`
-	Admission tableVerb     `command:"admission" description:"the queue against first come, first served"`
-	Retries   tableVerb     `command:"retries" description:"the retry budget against three retries"`
-	Limits    tableVerb     `command:"limits" description:"borrowing against an even split and a central counter"`
-	Routing   routingVerb   `command:"routing" description:"the choice of rank against naive ones"`
-	Rebalance rebalanceVerb `command:"rebalance" description:"moving experts against a static map and full re-packs"`
-	Members   gossipVerb    `command:"members" description:"how fast a dead process is given up, and what that costs"`
-	Spread    gossipVerb    `command:"spread" description:"how fast a generation is in force everywhere"`
-	Trace     traceVerb     `command:"trace" description:"make a trace of expert load"`
+// experimentCommand has one sub-verb for each experiment.
+type experimentCommand struct {
+	Ownership tableCommand     `command:"ownership" description:"rendezvous hashing against modulo"`
+	Admission tableCommand     `command:"admission" description:"the queue against first come, first served"`
+	Retries   tableCommand     `command:"retries" description:"the retry budget against three retries"`
+	Limits    tableCommand     `command:"limits" description:"borrowing against an even split and a central counter"`
+	Routing   routingCommand   `command:"routing" description:"the choice of rank against naive ones"`
+	Rebalance rebalanceCommand `command:"rebalance" description:"moving experts against a static map and full re-packs"`
+	Members   gossipCommand    `command:"members" description:"how fast a dead process is given up, and what that costs"`
+	Spread    gossipCommand    `command:"spread" description:"how fast a generation is in force everywhere"`
+	Trace     traceCommand     `command:"trace" description:"make a trace of expert load"`
 }
 
-// newExperimentVerb wires each sub-verb to its experiment.
-func newExperimentVerb(a *app) *experimentVerb {
-	return &experimentVerb{
-		Ownership: tableVerb{app: a, run: func(uint64) experiment.Table { return experiment.Ownership(15, 200000) }},
-		Admission: tableVerb{app: a, run: func(seed uint64) experiment.Table { return experiment.Admission(60, seed) }},
-		Retries:   tableVerb{app: a, run: func(seed uint64) experiment.Table { return experiment.Retries(300000, seed) }},
-		Limits:    tableVerb{app: a, run: func(seed uint64) experiment.Table { return experiment.Limits(6, 60, 600, seed) }},
-		Routing:   routingVerb{app: a},
-		Rebalance: rebalanceVerb{app: a},
-		Trace:     traceVerb{app: a},
-		Members:   gossipVerb{app: a, run: experiment.Members},
-		Spread:    gossipVerb{app: a, run: experiment.Spread},
+// newExperimentCommand wires each sub-verb to its experiment.
+func newExperimentCommand(a *app) *experimentCommand {
+	return &experimentCommand{
+		Ownership: tableCommand{app: a, run: func(uint64) experiment.Table { return experiment.Ownership(15, 200000) }},
+		Admission: tableCommand{app: a, run: func(seed uint64) experiment.Table { return experiment.Admission(60, seed) }},
+		Retries:   tableCommand{app: a, run: func(seed uint64) experiment.Table { return experiment.Retries(300000, seed) }},
+		Limits:    tableCommand{app: a, run: func(seed uint64) experiment.Table { return experiment.Limits(6, 60, 600, seed) }},
+		Routing:   routingCommand{app: a},
+		Rebalance: rebalanceCommand{app: a},
+		Trace:     traceCommand{app: a},
+		Members:   gossipCommand{app: a, run: experiment.Members},
+		Spread:    gossipCommand{app: a, run: experiment.Spread},
 	}
 }
 
-// tableVerb prints the table of one experiment.
-type tableVerb struct {
+// tableCommand prints the table of one experiment.
+type tableCommand struct {
 	app  *app
 	run  func(seed uint64) experiment.Table
 	Seed uint64 `long:"seed" default:"1" description:"source of chance"`
@@ -45,7 +45,7 @@
 }
 
 // Execute runs the experiment.
-func (v *tableVerb) Execute([]string) error {
+func (v *tableCommand) Execute([]string) error {
 	t := v.run(v.Seed)
 	if v.JSON {
 		return v.app.printJSON(t)
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// routingVerb prints the table of the routing experiment.
-type routingVerb struct {
+// routingCommand prints the table of the routing experiment.
+type routingCommand struct {
 	app  *app
 	Lag  int     `long:"lag" default:"1" description:"steps until a report is heard"`
 	Load float64 `long:"load" default:"0.8" description:"share of the capacity that is offered"`
@@ -65,9 +65,9 @@
 }
 
 // Execute runs the experiment.
-func (v *routingVerb) Execute([]string) error {
+func (v *routingCommand) Execute([]string) error {
 	cfg := experiment.DefaultRouting
 	cfg.Lag, cfg.Load, cfg.Seed = v.Lag, v.Load, v.Seed
-	t := tableVerb{app: v.app, JSON: v.JSON, run: func(uint64) experiment.Table { return experiment.Routing(cfg) }}
+	t := tableCommand{app: v.app, JSON: v.JSON, run: func(uint64) experiment.Table { return experiment.Routing(cfg) }}
 	return t.Execute(nil)
 }
--- a/internal/cli/gossip.go
+++ b/internal/cli/gossip.go
@@ -10,9 +10,9 @@
 	"github.com/canvaspulley/canvaspulley/internal/experiment"
 )
 
-// gossipVerb runs one of the experiments on many processes, at each of the
+// gossipCommand runs one of the experiments on many processes, at each of the
 // given sizes, so that slopes come out.
-type gossipVerb struct {
+type gossipCommand struct {
 	app     *app
 	run     func(experiment.GossipConfig) experiment.Table
 	Nodes   []int         `long:"nodes" description:"processes; may be repeated (default 22, 100, 300, 1000)"`
@@ -26,7 +26,7 @@
 }
 
 // Execute runs the experiment at each size.
-func (v *gossipVerb) Execute([]string) error {
+func (v *gossipCommand) Execute([]string) error {
 	if len(v.Nodes) == 0 {
 		v.Nodes = []int{22, 100, 300, 1000}
 	}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -17,8 +17,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/trust"
 )
 
-// keysVerb makes a small site's CA, certificates and signing key.
-type keysVerb struct {
+// keysCommand makes a small site's CA, certificates and signing key.
+type keysCommand struct {
 	app     *app
 	Holders []string      `long:"holder" value-name:"ROLE/DOMAIN/NAME" description:"a certificate to make; may be repeated"`
 	Valid   time.Duration `long:"valid" default:"8760h" description:"how long certificates are good"`
@@ -29,24 +29,24 @@
 
 // Execute writes the files; the CA and the signing key are made only when they
 // are not there yet.
-func (v *keysVerb) Execute([]string) (err error) {
+func (v *keysCommand) Execute([]string) (err error) {
 	dir := v.Args.Dir
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	ca, err := v.authority(dir)
+	ca, err := v.loadOrCreateCA(dir)
 	if err != nil {
 		return err
 	}
-	if err := v.signingKey(dir); err != nil {
+	if err := v.ensureSigningKey(dir); err != nil {
 		return err
 	}
 	for _, text := range v.Holders {
-		part := strings.Split(text, "/")
-		if len(part) != 3 || part[0] == "" || part[1] == "" || part[2] == "" {
+		parts := strings.Split(text, "/")
+		if len(parts) != 3 || parts[0] == "" || parts[1] == "" || parts[2] == "" {
 			return errors.Newf("--holder %q is not ROLE/DOMAIN/NAME", text)
 		}
-		h := trust.Holder{Role: part[0], Domain: part[1], Name: part[2]}
+		h := trust.Holder{Role: parts[0], Domain: parts[1], Name: parts[2]}
 		cert, key, err := ca.Issue(h, time.Now(), v.Valid)
 		if err != nil {
 			return err
@@ -66,7 +66,7 @@
 	return writeFile(filepath.Join(dir, name+".key"), key, true)
 }
 
-func (v *keysVerb) authority(dir string) (ca *trust.Authority, err error) {
+func (v *keysCommand) loadOrCreateCA(dir string) (ca *trust.Authority, err error) {
 	cert, err1 := os.ReadFile(filepath.Join(dir, "ca.crt"))
 	key, err2 := os.ReadFile(filepath.Join(dir, "ca.key"))
 	if err1 == nil && err2 == nil {
@@ -79,7 +79,7 @@
 	return ca, writePair(dir, "ca", cert, key)
 }
 
-func (v *keysVerb) signingKey(dir string) (err error) {
+func (v *keysCommand) ensureSigningKey(dir string) (err error) {
 	name := filepath.Join(dir, "operator.key")
 	if _, err := os.Stat(name); err == nil {
 		return nil
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -16,8 +16,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// loadVerb is the load generator.
-type loadVerb struct {
+// loadCommand is the load generator.
+type loadCommand struct {
 	app      *app
 	Targets  []string      `long:"target" required:"yes" value-name:"IP:PORT" description:"callers' listener of an entry; may be repeated"`
 	Keys     []string      `long:"key" required:"yes" description:"bearer key of a customer; may be repeated"`
@@ -52,12 +52,12 @@
 	Max int64 `json:"max"`
 }
 
-func percentilesOf(h *hdrhistogram.Histogram) percentiles {
+func newPercentiles(h *hdrhistogram.Histogram) percentiles {
 	return percentiles{h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99), h.Max()}
 }
 
 // Execute sends, judges and prints; it fails when a promise broke.
-func (v *loadVerb) Execute([]string) (err error) {
+func (v *loadCommand) Execute([]string) (err error) {
 	cfg := load.Config{
 		Targets: v.Targets, Rate: v.Rate, Duration: v.Duration, Model: v.Model, Path: v.Path,
 		Streams: v.Streams, Payments: v.Payments, Tokens: v.Tokens, Deadline: v.Deadline,
@@ -73,8 +73,8 @@
 	if err != nil {
 		return err
 	}
-	rep := loadReport{Result: res, FirstToken: percentilesOf(res.FirstToken),
-		Between: percentilesOf(res.Between), Answer: percentilesOf(res.Answer)}
+	rep := loadReport{Result: res, FirstToken: newPercentiles(res.FirstToken),
+		Between: newPercentiles(res.Between), Answer: newPercentiles(res.Answer)}
 	if v.Control != "" {
 		runs, err := fetchRuns(v.Control)
 		if err != nil {
@@ -95,7 +95,7 @@
 	return runs, json.NewDecoder(resp.Body).Decode(&runs)
 }
 
-func (v *loadVerb) print(rep loadReport) (err error) {
+func (v *loadCommand) print(rep loadReport) (err error) {
 	if v.JSON {
 		err = v.app.printJSON(rep)
 	} else {
@@ -118,7 +118,7 @@
 		return err
 	}
 	if rep.Wrong > 0 || rep.Verdict != nil && *rep.Verdict != (load.Verdict{}) {
-		return failed(errors.New("a promise was broken"))
+		return markFailed(errors.New("a promise was broken"))
 	}
 	return nil
 }
--- a/internal/cli/pack.go
+++ b/internal/cli/pack.go
@@ -16,8 +16,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// packVerb signs a folder as one generation.
-type packVerb struct {
+// packCommand signs a folder as one generation.
+type packCommand struct {
 	app        *app
 	Generation uint64 `long:"generation" required:"yes" description:"number of the generation; higher than the one in force"`
 	Parent     string `long:"parent" value-name:"FILE.json" description:"bundle that this one was made from"`
@@ -43,7 +43,7 @@
 }
 
 // Execute checks, signs and writes; a faulty folder is not packed.
-func (v *packVerb) Execute([]string) (err error) {
+func (v *packCommand) Execute([]string) (err error) {
 	if v.Generation == 0 {
 		return errors.New("--generation must be at least 1")
 	}
@@ -75,7 +75,7 @@
 }
 
 // parent returns the hash of the bundle that this one follows.
-func (v *packVerb) parent() (hash string, err error) {
+func (v *packCommand) parent() (hash string, err error) {
 	if v.Parent == "" {
 		return "", nil
 	}
--- a/internal/cli/plays.go
+++ b/internal/cli/plays.go
@@ -14,8 +14,8 @@
 	"github.com/canvaspulley/canvaspulley/platform/plays"
 )
 
-// playsVerb reads the users' reports of the days that they play.
-type playsVerb struct {
+// playsCommand reads the users' reports of the days that they play.
+type playsCommand struct {
 	app     *app
 	in      io.Reader
 	Journal string `long:"journal" default:"journal" description:"folder of the bench's journal, for seeds that a report leaves out"`
@@ -27,30 +27,30 @@
 
 // Execute prints how tries ended in the reports that can be read; it fails when a connection
 // was cut before an answer or a rule was broken.
-func (v *playsVerb) Execute([]string) (err error) {
+func (v *playsCommand) Execute([]string) (err error) {
 	var list []*plays.Play
-	var faulty error
+	var readErrs error
 	for _, name := range v.Args.Files {
 		l, err := v.read(name)
-		list, faulty = append(list, l...), errors.Join(faulty, err)
+		list, readErrs = append(list, l...), errors.Join(readErrs, err)
 	}
 	if v.Unread {
-		for _, p := range unread(list) {
+		for _, p := range withoutOutcomes(list) {
 			fmt.Fprintln(v.app.out, p.Day())
 		}
-		return faulty
+		return readErrs
 	}
-	wrong := v.print(list)
-	if faulty != nil {
-		return faulty
+	failing := v.print(list)
+	if readErrs != nil {
+		return readErrs
 	}
-	if wrong > 0 {
-		return failed(errors.Newf("%d plays with connections cut before an answer, or rules broken", wrong))
+	if failing > 0 {
+		return markFailed(errors.Newf("%d plays with connections cut before an answer, or rules broken", failing))
 	}
 	return nil
 }
 
-func (v *playsVerb) read(name string) (list []*plays.Play, err error) {
+func (v *playsCommand) read(name string) (list []*plays.Play, err error) {
 	r := v.in
 	if name != "-" {
 		f, err := os.Open(name)
@@ -64,48 +64,48 @@
 }
 
 // print prints each play, the sums, and what is wrong; it returns the plays that fail the verb.
-func (v *playsVerb) print(list []*plays.Play) (wrong int) {
+func (v *playsCommand) print(list []*plays.Play) (failing int) {
 	out := v.app.out
 	ends, probes := plays.Ends{}, plays.Ends{}
-	told := 0
+	reported := 0
 	for _, p := range list {
-		es, ok := p.Ends()
+		outcomes, ok := p.Ends()
 		if !ok {
 			continue
 		}
-		told++
-		ends.Add(es)
+		reported++
+		ends.Add(outcomes)
 		probes.Add(p.Probes())
-		fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), es)
+		fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), outcomes)
 	}
-	fmt.Fprintf(out, "\n%d plays, %d tell how tries ended: %s\nprobes of the configuration: %s\n", len(list), told, ends, probes)
+	fmt.Fprintf(out, "\n%d plays, %d tell how tries ended: %s\nprobes of the configuration: %s\n", len(list), reported, ends, probes)
 	for _, p := range list {
-		what, bad := findings(p)
-		if what != "" {
-			fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), what)
+		summary, fails := findings(p)
+		if summary != "" {
+			fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), summary)
 		}
-		if bad {
-			wrong++
+		if fails {
+			failing++
 		}
 	}
-	if days := unread(list); len(days) > 0 {
+	if days := withoutOutcomes(list); len(days) > 0 {
 		fmt.Fprintf(out, "days of which no report tells how tries ended (--unread lists them): %d\n", len(days))
 	}
-	return wrong
+	return failing
 }
 
 // findings tells what must be traced of a play; bad is true for what fails the verb.
-func findings(p *plays.Play) (what string, bad bool) {
+func findings(p *plays.Play) (summary string, fails bool) {
 	var list []string
 	if n := p.Unanswered(); n > 0 {
 		text := fmt.Sprintf("%d cut before an answer", n)
 		if kills := p.Kills(); len(kills) > 0 {
 			text += " (to be told from those of " + strings.Join(kills, ", ") + ")"
 		}
-		list, bad = append(list, text), len(p.Kills()) == 0
+		list, fails = append(list, text), len(p.Kills()) == 0
 	}
 	if b := p.Broken(); len(b) > 0 {
-		list, bad = append(list, "rules broken: "+strings.Join(b, ", ")), true
+		list, fails = append(list, "rules broken: "+strings.Join(b, ", ")), true
 	}
 	if n := p.Exits(); n > 0 {
 		list = append(list, fmt.Sprintf("%d processes ended by themselves", n))
@@ -113,18 +113,18 @@
 	if n := p.OwnFailures(); n > 0 {
 		list = append(list, fmt.Sprintf("%d times an own 5xx other than 503", n))
 	}
-	return strings.Join(list, "; "), bad
+	return strings.Join(list, "; "), fails
 }
 
-// unread returns the plays of days of which no play tells how tries ended.
-func unread(list []*plays.Play) (left []*plays.Play) {
+// withoutOutcomes returns the plays of days of which no play tells how tries ended.
+func withoutOutcomes(list []*plays.Play) (missing []*plays.Play) {
 	for _, p := range list {
 		if !slices.ContainsFunc(list, func(q *plays.Play) bool {
 			_, ok := q.Ends()
 			return ok && q.SameDay(p)
 		}) {
-			left = append(left, p)
+			missing = append(missing, p)
 		}
 	}
-	return left
+	return missing
 }
--- a/internal/cli/plays_test.go
+++ b/internal/cli/plays_test.go
@@ -14,21 +14,21 @@
 
 const (
 	playsHeader = "day   own/srv  score  worth\n"
-	calmRow     = "calm --seed 7   3/2   1.00  0.9\n"
+	calmDayRow  = "calm --seed 7   3/2   1.00  0.9\n"
 )
 
 // Guards against a hunt that passes although tries were cut, or that nobody could read.
-func TestPlaysFailsWhereTriesWereCutOrRulesBroken(t *testing.T) {
+func TestPlaysFailsOnCutAttemptsOrBrokenRules(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
 		code int
 		says string
 	}{
-		"clean":         {playsHeader + calmRow + "how tries ended: 200: 3; 502: 1\n", exitOK, "f.log:2: calm --seed 7: 1 times an own 5xx other than 503\n"},
-		"cut":           {playsHeader + calmRow + "how tries ended: 200: 3; cut, no answer: 2\n", exitFailed, "f.log:2: calm --seed 7: 2 cut before an answer\n"},
-		"cut in a kill": {playsHeader + calmRow + "how tries ended: 200: 3; cut, no answer: 2\n   1.0 s to   2.0 s  node_kill g\n", exitOK, "2 cut before an answer (to be told from those of node_kill)\n"},
+		"clean":         {playsHeader + calmDayRow + "how tries ended: 200: 3; 502: 1\n", exitOK, "f.log:2: calm --seed 7: 1 times an own 5xx other than 503\n"},
+		"cut":           {playsHeader + calmDayRow + "how tries ended: 200: 3; cut, no answer: 2\n", exitFailed, "f.log:2: calm --seed 7: 2 cut before an answer\n"},
+		"cut in a kill": {playsHeader + calmDayRow + "how tries ended: 200: 3; cut, no answer: 2\n   1.0 s to   2.0 s  node_kill g\n", exitOK, "2 cut before an answer (to be told from those of node_kill)\n"},
 		"a rule broken": {playsHeader + "calm --seed 7   3/2   1.00  0.9  BROKEN: LOST 4 (else 0.51)\n", exitFailed, "rules broken: LOST 4\n"},
-		"not told":      {playsHeader + calmRow, exitOK, "days of which no report tells how tries ended (--unread lists them): 1\n"},
+		"not told":      {playsHeader + calmDayRow, exitOK, "days of which no report tells how tries ended (--unread lists them): 1\n"},
 		"not a report":  {"nothing\n", exitUsage, "f.log:1: no play in it\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -42,7 +42,7 @@
 	}
 	t.Run("days that are still to be read", func(t *testing.T) {
 		var out bytes.Buffer
-		v := &playsVerb{app: &app{out: &out}, in: strings.NewReader(playsHeader + calmRow + "storm 3/2 0.0\nhow tries ended: 200: 1\n"), Unread: true}
+		v := &playsCommand{app: &app{out: &out}, in: strings.NewReader(playsHeader + calmDayRow + "storm 3/2 0.0\nhow tries ended: 200: 1\n"), Unread: true}
 		v.Args.Files = []string{"-"}
 		NewWithT(t).Expect(v.Execute(nil)).To(Succeed())
 		NewWithT(t).Expect(out.String()).To(Equal("calm --seed 7\n"))
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -13,20 +13,20 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// policyVerb has the sub-verb try.
-type policyVerb struct {
-	Try tryVerb `command:"try" description:"say what a policy file answers for one request"`
+// policyCommand has the sub-verb try.
+type policyCommand struct {
+	Try tryCommand `command:"try" description:"say what a policy file answers for one request"`
 	app *app
 }
 
-// tryVerb asks one policy about one request.
-type tryVerb struct {
+// tryCommand asks one policy about one request.
+type tryCommand struct {
 	Customer   string `long:"customer" description:"name of the customer"`
 	Service    string `long:"service" description:"model or service"`
 	Class      string `long:"class" description:"the caller's class"`
 	Method     string `long:"method" default:"POST" description:"HTTP method"`
 	Path       string `long:"path" description:"path asked for"`
-	Once       bool   `long:"once" description:"the request may not be repeated"`
+	NoRetry    bool   `long:"once" description:"the request may not be repeated"`
 	DeadlineMS int64  `long:"deadline-ms" description:"time left; 0 for none"`
 	Attempt    int64  `long:"attempt" default:"1" description:"attempts already made"`
 	Reason     string `long:"reason" description:"why the last attempt failed"`
@@ -37,7 +37,7 @@
 }
 
 // Execute prints the three answers; a program that fails shows its default.
-func (v *tryVerb) Execute([]string) (err error) {
+func (v *tryCommand) Execute([]string) (err error) {
 	raw, err := os.ReadFile(v.Args.File)
 	if err != nil {
 		return err
@@ -54,11 +54,11 @@
 	p := c.Policy("tried").Programs
 	req := policy.Request{
 		Customer: v.Customer, Service: v.Service, Class: v.Class, Method: v.Method, Path: v.Path,
-		Repeatable: !v.Once, DeadlineMS: v.DeadlineMS, Attempt: v.Attempt, Reason: v.Reason, Tokens: v.Tokens,
+		Repeatable: !v.NoRetry, DeadlineMS: v.DeadlineMS, Attempt: v.Attempt, Reason: v.Reason, Tokens: v.Tokens,
 	}
 	priority, err1 := p.Priority(req)
 	retry, err2 := p.Retry(req)
 	move, err3 := p.Move(req)
 	fmt.Printf("priority = %d\nretry = %v\nmove = %v\n", priority, retry, move)
-	return failed(errors.Join(err1, err2, err3))
+	return markFailed(errors.Join(err1, err2, err3))
 }
--- a/internal/cli/rebalance.go
+++ b/internal/cli/rebalance.go
@@ -16,8 +16,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/trace"
 )
 
-// rebalanceVerb runs a trace through the methods of rebalancing.
-type rebalanceVerb struct {
+// rebalanceCommand runs a trace through the methods of rebalancing.
+type rebalanceCommand struct {
 	app         *app
 	Trace       string  `long:"trace" required:"yes" value-name:"FILE.csv" description:"tokens by step, layer and expert"`
 	Ranks       int     `long:"ranks" required:"yes" description:"ranks of the group"`
@@ -35,7 +35,7 @@
 }
 
 // Execute runs the experiment.
-func (v *rebalanceVerb) Execute([]string) (err error) {
+func (v *rebalanceCommand) Execute([]string) (err error) {
 	f, err := os.Open(v.Trace)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	if err := v.check(t); err != nil {
 		return err
 	}
-	prices, err := v.prices()
+	prices, err := v.readPrices()
 	if err != nil {
 		return err
 	}
@@ -72,8 +72,8 @@
 }
 
 // check judges the numbers that must fit together.
-func (v *rebalanceVerb) check(t trace.Trace) (err error) {
-	for _, one := range []struct {
+func (v *rebalanceCommand) check(t trace.Trace) (err error) {
+	for _, rule := range []struct {
 		bad  bool
 		text string
 	}{
@@ -85,15 +85,15 @@
 		{!(v.ExpertBytes > 0) || !(v.StoreRate > 0) || !(v.StepMS > 0), "--expert-bytes, --store-rate and --step-ms must be above 0"},
 		{v.Repack < 1, "--repack-every must be at least 1"},
 	} {
-		if one.bad {
-			err = errors.Join(err, errors.New(one.text))
+		if rule.bad {
+			err = errors.Join(err, errors.New(rule.text))
 		}
 	}
 	return err
 }
 
-// prices reads the policy's prices; without a policy they are 1 and 1.
-func (v *rebalanceVerb) prices() (p rebalance.Prices, err error) {
+// readPrices reads the policy's prices; without a policy they are 1 and 1.
+func (v *rebalanceCommand) readPrices() (p rebalance.Prices, err error) {
 	if v.Policy == "" {
 		return rebalance.Prices{Skew: 1, Move: 1}, nil
 	}
@@ -109,8 +109,8 @@
 	return rebalance.Prices{Skew: priced.SkewPrice, Move: priced.MovePrice}, nil
 }
 
-// traceVerb makes a trace.
-type traceVerb struct {
+// traceCommand makes a trace.
+type traceCommand struct {
 	app     *app
 	Kind    string `long:"kind" choice:"daily" choice:"shift" choice:"spike" choice:"zipf-walk" choice:"adversarial" required:"yes" description:"how the load drifts"`
 	Layers  int    `long:"layers" default:"4" description:"layers"`
@@ -120,7 +120,7 @@
 }
 
 // Execute writes the trace to standard output.
-func (v *traceVerb) Execute([]string) (err error) {
+func (v *traceCommand) Execute([]string) (err error) {
 	t, err := trace.Make(trace.Config{Kind: trace.Kind(v.Kind), Layers: v.Layers, Experts: v.Experts, Steps: v.Steps, Seed: v.Seed})
 	if err != nil {
 		return err
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -17,8 +17,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/soak"
 )
 
-// soakVerb runs gateways and sidecars as processes under trouble.
-type soakVerb struct {
+// soakCommand runs gateways and sidecars as processes under trouble.
+type soakCommand struct {
 	app     *app
 	Seed    uint64  `long:"seed" default:"1" description:"first seed; the schedule of the trouble follows from it"`
 	Runs    int     `long:"runs" default:"1" description:"seeds to run, one after the other"`
@@ -35,7 +35,7 @@
 }
 
 // Execute runs the verb.
-func (v *soakVerb) Execute([]string) error {
+func (v *soakCommand) Execute([]string) error {
 	daemon := v.Daemon
 	if daemon == "" {
 		self, err := os.Executable()
@@ -67,7 +67,7 @@
 		broken += len(r.Broken)
 	}
 	if broken > 0 {
-		return failed(errors.Newf("%d promises broken", broken))
+		return markFailed(errors.Newf("%d promises broken", broken))
 	}
 	return nil
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -12,14 +12,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// standinVerb runs the stand-ins as a process of their own.
-type standinVerb struct {
+// standinCommand runs the stand-ins as a process of their own.
+type standinCommand struct {
 	app    *app
 	Config string `long:"config" required:"yes" value-name:"FILE.ini" description:"what to run"`
 }
 
 // Execute runs until a signal.
-func (v *standinVerb) Execute([]string) (err error) {
+func (v *standinCommand) Execute([]string) (err error) {
 	s, err := standin.Load(v.Config)
 	if err != nil {
 		return err
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -18,8 +18,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/trust"
 )
 
-// access is how operators reach a process.
-type access struct {
+// operatorAccess is how operators reach a process.
+type operatorAccess struct {
 	CA          string `long:"ca" description:"certificate of the site's CA; without it there is no TLS"`
 	Certificate string `long:"certificate" description:"operator's certificate"`
 	PrivateKey  string `long:"private-key" description:"operator's key"`
@@ -30,7 +30,7 @@
 }
 
 // get reads JSON from a process's operators' listener.
-func (a *access) get(address, path string, v any) (err error) {
+func (a *operatorAccess) get(address, path string, v any) (err error) {
 	defer func() { err = errors.Wrapf(err, "%s%s", address, path) }()
 	creds, err := trust.Load(a.CA, a.Certificate, a.PrivateKey)
 	if err != nil {
@@ -47,34 +47,34 @@
 	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-// collect asks every process the same and keeps what came; the faults of those
+// queryAll asks every process the same and keeps what came; the faults of those
 // that did not answer are joined.
-func collect[T any](a *access, path string) (list []T, faults error) {
+func queryAll[T any](a *operatorAccess, path string) (list []T, errs error) {
 	for _, address := range a.Args.Addresses {
 		var v T
 		if err := a.get(address, path, &v); err != nil {
-			faults = errors.Join(faults, err)
+			errs = errors.Join(errs, err)
 			continue
 		}
 		list = append(list, v)
 	}
-	return list, faults
+	return list, errs
 }
 
-// statusVerb shows what processes believe.
-type statusVerb struct {
+// statusCommand shows what processes believe.
+type statusCommand struct {
 	app *app
-	access
+	operatorAccess
 }
 
 // Execute prints one line a process; it fails when one did not answer.
-func (v *statusVerb) Execute([]string) (err error) {
-	list, faults := collect[node.Status](&v.access, node.PathStatus)
+func (v *statusCommand) Execute([]string) (err error) {
+	list, errs := queryAll[node.Status](&v.operatorAccess, node.PathStatus)
 	if v.JSON {
 		if err := v.app.printJSON(list); err != nil {
 			return err
 		}
-		return failed(faults)
+		return markFailed(errs)
 	}
 	for _, s := range list {
 		alive, suspect, dead := countStates(s.Members)
@@ -82,7 +82,7 @@
 			s.Name, s.Role, s.Domain, s.State, s.Version.Generation, s.Version.Hash, alive, suspect, dead,
 			s.Pid, s.UptimeS, s.Build.ID, cmp.Or(s.Build.Revision, s.Build.Version))
 	}
-	return failed(faults)
+	return markFailed(errs)
 }
 
 func countStates(list []member.Member) (alive, suspect, dead int) {
@@ -99,15 +99,15 @@
 	return alive, suspect, dead
 }
 
-// auditVerb shows what changed.
-type auditVerb struct {
+// auditCommand shows what changed.
+type auditCommand struct {
 	app *app
-	access
+	operatorAccess
 }
 
 // Execute prints the records of all processes, oldest first.
-func (v *auditVerb) Execute([]string) (err error) {
-	reports, faults := collect[node.AuditReport](&v.access, node.PathAudit)
+func (v *auditCommand) Execute([]string) (err error) {
+	reports, errs := queryAll[node.AuditReport](&v.operatorAccess, node.PathAudit)
 	var all []audit.Record
 	for _, rep := range reports {
 		all = append(all, rep.Records...)
@@ -117,10 +117,10 @@
 		if err := v.app.printJSON(all); err != nil {
 			return err
 		}
-		return failed(faults)
+		return markFailed(errs)
 	}
 	for _, r := range all {
 		fmt.Fprintf(v.app.out, "%s %-24s %-16s %s: %s\n", r.At.Format("15:04:05.000"), r.Node, r.Kind, r.Subject, r.Cause)
 	}
-	return failed(faults)
+	return markFailed(errs)
 }
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package clock tells a time that goes on while the machine is suspended. The steady clock
-// that time.Now carries stands still then, so whatever may be believed for some seconds only
-// would be believed for as much longer as the suspension lasted. Times of it may be compared
-// with each other; deadlines of connections and contexts, which the steady clock measures,
-// are not for it.
+// Package clock provides a time that advances while the machine is suspended. The monotonic
+// clock reading of time.Now stops during a suspension, so information that is valid for a few
+// seconds only would stay valid for longer by the duration of the suspension. Times of this
+// package may be compared with each other. They must not be used for deadlines of connections
+// and contexts, which are measured with the monotonic clock.
 package clock
 
 import (
@@ -13,41 +13,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// source is a clock that counts suspensions, as the time since some moment; ok is false
-// where there is none.
-type source func() (d time.Duration, ok bool)
+// bootClock returns the time since a fixed point in time, including the time during which the
+// machine was suspended; ok is false where no such clock is available.
+type bootClock func() (d time.Duration, ok bool)
 
-// Clock tells the time.
+// Clock provides a time that includes suspensions of the machine.
 type Clock struct {
-	boot  source
-	start time.Time     // When the clock was made.
-	then  time.Duration // What boot said then.
-	works bool          // There is such a clock here.
+	boot        bootClock
+	start       time.Time     // Time of creation.
+	bootAtStart time.Duration // Reading of boot at start.
+	available   bool          // Reports whether boot works on this machine.
 }
 
-func newClock(boot source) *Clock {
+func newClock(boot bootClock) *Clock {
 	c := &Clock{boot: boot, start: time.Now()}
-	c.then, c.works = boot()
+	c.bootAtStart, c.available = boot()
 	return c
 }
 
-// Now returns the time. Where no clock counts suspensions, it is that of time.Now.
+// Now returns the time. Without a clock that includes suspensions, it returns time.Now.
 func (c *Clock) Now() time.Time {
-	if !c.works {
+	if !c.available {
 		return time.Now()
 	}
 	d, ok := c.boot()
 	if !ok {
 		return time.Now()
 	}
-	return c.start.Add(d - c.then)
+	return c.start.Add(d - c.bootAtStart)
 }
 
-// machine is the clock of this machine.
-var machine = newClock(sinceBoot)
+// systemClock is the Clock of this machine.
+var systemClock = newClock(sinceBoot)
 
-// Now returns the time by the clock of this machine.
-func Now() time.Time { return machine.Now() }
+// Now returns the time of this machine's Clock.
+func Now() time.Time { return systemClock.Now() }
 
 func sinceBoot() (d time.Duration, ok bool) {
 	var ts unix.Timespec
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -9,18 +9,18 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestASuspensionCounts(t *testing.T) {
+func TestClockIncludesSuspendedTime(t *testing.T) {
 	g := NewWithT(t)
 	boot := 100 * time.Second
 	c := newClock(func() (time.Duration, bool) { return boot, true })
 	before := c.Now()
-	boot += 6 * time.Second // The machine was suspended: no other clock moved.
+	boot += 6 * time.Second // The machine was suspended: no other clock advanced.
 	g.Expect(c.Now().Sub(before)).To(Equal(6 * time.Second))
 }
 
-func TestWithoutSuchAClockTimeGoesOn(t *testing.T) {
+func TestClockFallsBackToTimeNow(t *testing.T) {
 	g := NewWithT(t)
-	for _, works := range []bool{false, true} { // As the clock is made; it fails later.
+	for _, works := range []bool{false, true} { // At the clock's creation; it fails later in both cases.
 		first := works
 		c := newClock(func() (time.Duration, bool) {
 			ok := first
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTheMachinesClockGoesOn(t *testing.T) {
+func TestSystemClockAdvances(t *testing.T) {
 	g := NewWithT(t)
 	before := Now()
 	g.Eventually(Now).Should(BeTemporally(">", before))
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -13,13 +13,13 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Guards against faults of one duty that end the process under all requests.
-func TestAFaultOfADutyEndsNoOther(t *testing.T) {
+// Guards against a fault in one duty that ends the process during all its requests.
+func TestFailureOfADutyLeavesOthersRunning(t *testing.T) {
 	errGone := errors.New("gone")
 	for _, tc := range []struct {
 		name   string
 		once   bool
-		run    func(n int) error // The run of this number.
+		run    func(n int) error // Called with the number of the run, from 0.
 		runs   int
 		panics int
 		failed bool
@@ -30,9 +30,9 @@
 			}
 			return nil
 		}, 2, 1, false},
-		{"a panic of one that cannot begin again", true, func(int) error { panic("a fault") }, 1, 1, true},
+		{"a panic of a duty that cannot be restarted", true, func(int) error { panic("a fault") }, 1, 1, true},
 		{"an error", false, func(int) error { return errGone }, 1, 0, true},
-		{"its end", false, func(int) error { return nil }, 1, 0, false},
+		{"a return without error", false, func(int) error { return nil }, 1, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -51,14 +51,14 @@
 				return tc.run(runs - 1)
 			}
 			if tc.once {
-				d.Once("one", run)
+				d.GoOnce("one", run)
 			} else {
 				d.Go("one", run)
 			}
 			<-ended
 			if tc.failed {
 				g.Expect(<-failed).To(Equal("one"))
-				g.Expect(lines.FilterMessage("duty ended").Len()).To(Equal(1))
+				g.Expect(lines.FilterMessage("duty failed").Len()).To(Equal(1))
 			}
 			g.Expect(ctx.Err()).NotTo(HaveOccurred())
 			cancel()
@@ -70,13 +70,13 @@
 	}
 }
 
-func TestADutyThatPanicsAtEachRunFails(t *testing.T) {
+func TestDutyThatAlwaysPanicsFails(t *testing.T) {
 	g := NewWithT(t)
 	ctx, cancel := context.WithCancel(context.Background())
-	cancel() // It runs again without a pause.
+	cancel() // Restarts follow without a delay.
 	runs := 0
 	d := New(ctx, zap.NewNop(), metrics.NewRegistry(), func(string) {})
 	d.Go("one", func(context.Context) error { runs++; panic("a fault") })
 	g.Expect(d.Wait()).To(HaveOccurred())
-	g.Expect(runs).To(Equal(mostPanics))
+	g.Expect(runs).To(Equal(maxPanics))
 }
--- a/internal/duty/locks_test.go
+++ b/internal/duty/locks_test.go
@@ -12,8 +12,9 @@
 	"testing"
 )
 
-// called returns what a statement such as x.Lock() or defer x.Unlock() calls, as text.
-func called(s ast.Stmt, deferred bool) (on, method string) {
+// calledMethod returns the receiver and the method that a statement such as x.Lock() or, when
+// deferred is set, defer x.Unlock() calls, as source text.
+func calledMethod(s ast.Stmt, deferred bool) (receiver, method string) {
 	var x ast.Expr
 	switch s := s.(type) {
 	case *ast.ExprStmt:
@@ -35,18 +36,18 @@
 	return types.ExprString(sel.X), sel.Sel.Name
 }
 
-// keptByPanic returns the places of statements at which a mutex is locked and which are not
-// followed by its deferred unlock.
-func keptByPanic(fset *token.FileSet, file *ast.File) (places []string) {
-	look := func(list []ast.Stmt) {
+// locksWithoutDeferredUnlock returns the positions of statements that lock a mutex and are not
+// directly followed by its deferred unlock.
+func locksWithoutDeferredUnlock(fset *token.FileSet, file *ast.File) (places []string) {
+	check := func(list []ast.Stmt) {
 		for i, s := range list {
-			on, lock := called(s, false)
+			receiver, lock := calledMethod(s, false)
 			if lock != "Lock" && lock != "RLock" {
 				continue
 			}
 			unlock := strings.Replace(lock, "L", "Unl", 1)
 			if i+1 < len(list) {
-				if x, m := called(list[i+1], true); x == on && m == unlock {
+				if x, m := calledMethod(list[i+1], true); x == receiver && m == unlock {
 					continue
 				}
 			}
@@ -56,19 +57,19 @@
 	ast.Inspect(file, func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.BlockStmt:
-			look(n.List)
+			check(n.List)
 		case *ast.CaseClause:
-			look(n.Body)
+			check(n.Body)
 		case *ast.CommClause:
-			look(n.Body)
+			check(n.Body)
 		}
 		return true
 	})
 	return places
 }
 
-// Guards against a contained panic that leaves a mutex locked, for which all then wait.
-func TestAPanicKeepsNoMutex(t *testing.T) {
+// Guards against a recovered panic that leaves a mutex locked, which then blocks all who lock it.
+func TestPanicLeavesNoMutexLocked(t *testing.T) {
 	for _, pkg := range []string{"agent", "duty", "entry", "follow", "gateway", "keepalive", "node", "ring", "sidecar", "suspects", "trust", "upstream"} {
 		files, err := filepath.Glob(filepath.Join("..", pkg, "*.go"))
 		if err != nil || len(files) == 0 {
@@ -83,7 +84,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, place := range keptByPanic(fset, file) {
+			for _, place := range locksWithoutDeferredUnlock(fset, file) {
 				t.Errorf("%s: no deferred unlock follows", place)
 			}
 		}
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -19,13 +19,13 @@
 
 // Do sends a request and returns the body of its answer, up to so many bytes. An answer of
 // another status than 200 is an error.
-func Do(c *http.Client, r *http.Request, most int64) (raw []byte, err error) {
+func Do(c *http.Client, r *http.Request, maxBytes int64) (raw []byte, err error) {
 	resp, err := c.Do(r)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	if raw, err = io.ReadAll(io.LimitReader(resp.Body, most)); err != nil {
+	if raw, err = io.ReadAll(io.LimitReader(resp.Body, maxBytes)); err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -42,29 +42,29 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	Bytes(w, "application/json", raw)
+	ReplyBytes(w, "application/json", raw)
 }
 
-// ReplyPacked answers with v, compressed where whoever asked can read that: text of many
+// ReplyCompressed answers with v, compressed where whoever asked can read that: text of many
 // entries that are alike, which goes to many over one link.
-func ReplyPacked(w http.ResponseWriter, r *http.Request, v any) {
+func ReplyCompressed(w http.ResponseWriter, r *http.Request, v any) {
 	raw, err := json.Marshal(v)
-	if err == nil && len(raw) >= leastPacked && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
+	if err == nil && len(raw) >= minCompressedBytes && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		w.Header().Set("Content-Encoding", "gzip")
-		raw, err = pack(raw)
+		raw, err = compress(raw)
 	}
 	if err != nil {
 		w.Header().Del("Content-Encoding")
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	Bytes(w, "application/json", raw)
+	ReplyBytes(w, "application/json", raw)
 }
 
-// leastPacked is the length in bytes below which nothing is compressed: it fits a packet.
-const leastPacked = 1400
+// minCompressedBytes is the length in bytes below which nothing is compressed: it fits a packet.
+const minCompressedBytes = 1400
 
-func pack(raw []byte) (packed []byte, err error) {
+func compress(raw []byte) (compressed []byte, err error) {
 	var b bytes.Buffer
 	z, err := gzip.NewWriterLevel(&b, gzip.BestSpeed)
 	if err != nil {
@@ -79,14 +79,14 @@
 	return b.Bytes(), nil
 }
 
-// Binary answers with bytes.
-func Binary(w http.ResponseWriter, raw []byte) {
-	Bytes(w, "application/octet-stream", raw)
+// ReplyBinary answers with bytes.
+func ReplyBinary(w http.ResponseWriter, raw []byte) {
+	ReplyBytes(w, "application/octet-stream", raw)
 }
 
-// Bytes answers with a body of the type given. The length goes out first, so
+// ReplyBytes answers with a body of the type given. The length goes out first, so
 // that whoever asks sees an answer that is cut, also in HTTP/1.0.
-func Bytes(w http.ResponseWriter, contentType string, raw []byte) {
+func ReplyBytes(w http.ResponseWriter, contentType string, raw []byte) {
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	_, _ = w.Write(raw) // Whoever asks may be gone.
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -15,13 +15,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestAnswersHaveALength keeps the end of a connection from being the end of an
+// TestAnswersHaveContentLength keeps the end of a connection from being the end of an
 // answer, also for those who speak HTTP/1.0.
-func TestAnswersHaveALength(t *testing.T) {
+func TestAnswersHaveContentLength(t *testing.T) {
 	long := strings.Repeat("x", 4000)
 	for name, answer := range map[string]func(w http.ResponseWriter){
 		"JSON":  func(w http.ResponseWriter) { Reply(w, long) },
-		"bytes": func(w http.ResponseWriter) { Binary(w, []byte(long)) },
+		"bytes": func(w http.ResponseWriter) { ReplyBinary(w, []byte(long)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestLongAnswersArePackedForThoseWhoCanReadThem(t *testing.T) {
+func TestLongAnswersAreCompressedForClientsThatAcceptGzip(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		length int
@@ -40,13 +40,13 @@
 		packed bool
 	}{
 		{"long", 40_000, "gzip", true},
-		{"short", leastPacked / 2, "gzip", false},
+		{"short", minCompressedBytes / 2, "gzip", false},
 		{"to one that cannot read it", 40_000, "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			text := strings.Repeat("x", tc.length)
-			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { ReplyPacked(w, r, text) }))
+			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { ReplyCompressed(w, r, text) }))
 			defer srv.Close()
 			r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, srv.URL, nil)
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package inifile reads INI text and keeps the position of every key, so that
-// a problem can be reported with its file and line. It is not a schema: which
-// sections and keys exist is decided by the packages that read the file.
+// Package inifile parses INI text and records the line of every key, so that problems can be
+// reported with file and line. It defines no schema: the packages that read a file decide
+// which sections and keys exist.
 package inifile
 
 import (
@@ -18,10 +18,10 @@
 	"gopkg.in/ini.v1"
 )
 
-// Problem is one fault in a file, with its position.
+// Problem describes one problem in a file, with its position.
 type Problem struct {
 	File    string `json:"file"`
-	Line    int    `json:"line"` // 1-based; 0 when the fault concerns the whole file.
+	Line    int    `json:"line"` // 1-based; 0 when the problem concerns the whole file.
 	Section string `json:"section,omitempty"`
 	Key     string `json:"key,omitempty"`
 	Text    string `json:"text"`
@@ -41,10 +41,10 @@
 	return b.String()
 }
 
-// Problems is a list of faults that is reported together.
+// Problems is a list of problems that are reported together.
 type Problems []Problem
 
-// Error joins the faults, one a line.
+// Error joins the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, 0, len(ps))
 	for _, p := range ps {
@@ -53,7 +53,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns ps as an error, or nil when there is no fault.
+// Err returns ps as an error, or nil when the list is empty.
 func (ps Problems) Err() (err error) {
 	if len(ps) == 0 {
 		return nil
@@ -61,59 +61,60 @@
 	return ps
 }
 
-// position names one key of one section; an empty key is the section itself.
+// position identifies a key in a section; an empty key stands for the section itself.
 type position struct {
 	section string
 	key     string
 }
 
-// File is one parsed INI text. Reads of keys are recorded, so that Unknown can
-// list what nobody asked for.
+// File holds a parsed INI text. It records which keys are read, so that Problems can report
+// the others as unknown.
 type File struct {
 	name     string
 	data     *ini.File
-	lines    map[position]int // Line of the first appearance.
+	lines    map[position]int // Line of the first occurrence.
 	read     map[position]bool
 	problems Problems
 }
 
-// Parse reads text; name is used in problems only.
+// Parse parses text; name is the file name used in problems.
 func Parse(name string, text []byte) (f *File, err error) {
 	opts := ini.LoadOptions{
 		AllowDuplicateShadowValues: false,
-		IgnoreInlineComment:        true, // Policy programs may hold ';' and '#'.
+		IgnoreInlineComment:        true, // Policy programs may contain ';' and '#'.
 		SpaceBeforeInlineComment:   true,
 		KeyValueDelimiters:         "=",
 		UnparseableSections:        nil,
 	}
 	data, err := ini.LoadSources(opts, text)
 	if err != nil {
-		return nil, Problems{{File: name, Line: badLine(text), Text: err.Error()}}
+		return nil, Problems{{File: name, Line: firstInvalidLine(text), Text: err.Error()}}
 	}
 	f = &File{name: name, data: data, read: map[position]bool{}}
-	f.locate(text)
+	f.indexLines(text)
 	return f, nil
 }
 
-// badLine finds the first line that is neither a comment, a section nor a key.
-func badLine(text []byte) int {
+// firstInvalidLine returns the number of the first line that is neither empty, a comment, a section
+// nor a key, or 0 when there is none.
+func firstInvalidLine(text []byte) int {
 	sc := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; sc.Scan(); n++ {
 		line := strings.TrimSpace(sc.Text())
 		if line == "" || line[0] == ';' || line[0] == '#' {
 			continue
 		}
-		closed := line[0] == '[' && strings.HasSuffix(line, "]")
-		pair := line[0] != '[' && strings.Index(line, "=") > 0
-		if !closed && !pair {
+		isSection := line[0] == '[' && strings.HasSuffix(line, "]")
+		isKey := line[0] != '[' && strings.Index(line, "=") > 0
+		if !isSection && !isKey {
 			return n
 		}
 	}
 	return 0
 }
 
-// locate records the line of each section and key and notes keys set twice.
-func (f *File) locate(text []byte) {
+// indexLines records the line of each section and key, and reports duplicates as problems.
+func (f *File) indexLines(text []byte) {
 	f.lines = map[position]int{}
 	section := ini.DefaultSection
 	sc := bufio.NewScanner(bytes.NewReader(text))
@@ -123,24 +124,24 @@
 		if line == "" || line[0] == ';' || line[0] == '#' {
 			continue
 		}
-		at := position{section: section}
+		pos := position{section: section}
 		if line[0] == '[' {
 			section = strings.TrimSpace(strings.Trim(line, "[]"))
-			at = position{section: section}
+			pos = position{section: section}
 		} else if key, _, ok := strings.Cut(line, "="); ok {
-			at.key = strings.TrimSpace(key)
+			pos.key = strings.TrimSpace(key)
 		}
-		if first, dup := f.lines[at]; dup {
-			f.problems = append(f.problems, Problem{f.name, n, at.section, at.key,
+		if first, dup := f.lines[pos]; dup {
+			f.problems = append(f.problems, Problem{f.name, n, pos.section, pos.key,
 				fmt.Sprintf("already set in line %d", first)})
 			continue
 		}
-		f.lines[at] = n
+		f.lines[pos] = n
 	}
 }
 
-// Sections lists the section names in order of appearance, without the unnamed
-// one when it is empty.
+// Sections lists the section names in the order of the file. The unnamed section is left out
+// when it is empty.
 func (f *File) Sections() []string {
 	var names []string
 	for _, s := range f.data.Sections() {
@@ -152,11 +153,11 @@
 	return names
 }
 
-// Has reports whether the section is there.
-func (f *File) Has(section string) bool { return f.data.HasSection(section) }
+// HasSection reports whether the file contains the section.
+func (f *File) HasSection(section string) bool { return f.data.HasSection(section) }
 
-// Fault records a problem at a key; an empty key means the section.
-func (f *File) Fault(section, key, format string, args ...any) {
+// AddProblem records a problem at a key, or at the section when key is empty or not set.
+func (f *File) AddProblem(section, key, format string, args ...any) {
 	line := f.lines[position{section, key}]
 	if line == 0 {
 		line = f.lines[position{section: section}]
@@ -164,7 +165,7 @@
 	f.problems = append(f.problems, Problem{f.name, line, section, key, fmt.Sprintf(format, args...)})
 }
 
-// String reads a key, or def when it is not set.
+// String returns the value of a key, or def when it is not set.
 func (f *File) String(section, key, def string) string {
 	f.read[position{section, key}] = true
 	s, err := f.data.GetSection(section)
@@ -174,23 +175,23 @@
 	return strings.TrimSpace(s.Key(key).Value())
 }
 
-// Required reads a key that must be set to something.
+// Required returns the value of a key that must be set and not be empty.
 func (f *File) Required(section, key string) string {
 	v := f.String(section, key, "")
 	if v == "" {
-		f.Fault(section, key, "must be set")
+		f.AddProblem(section, key, "must be set")
 	}
 	return v
 }
 
-// Words reads a key that holds words separated by spaces or commas.
+// Words returns the values of a key that holds a list separated by spaces, tabs or commas.
 func (f *File) Words(section, key string) []string {
 	return strings.FieldsFunc(f.String(section, key, ""), func(r rune) bool {
 		return r == ' ' || r == ',' || r == '\t'
 	})
 }
 
-// Float reads a number between low and high.
+// Float returns a number from low to high, or def when the key is not set.
 func (f *File) Float(section, key string, def, low, high float64) float64 {
 	v := f.String(section, key, "")
 	if v == "" {
@@ -198,17 +199,17 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n != n {
-		f.Fault(section, key, "%q is not a number", v)
+		f.AddProblem(section, key, "%q is not a number", v)
 		return def
 	}
 	if n < low || n > high {
-		f.Fault(section, key, "%v is not between %v and %v", n, low, high)
+		f.AddProblem(section, key, "%v is not between %v and %v", n, low, high)
 		return def
 	}
 	return n
 }
 
-// Int reads a whole number between low and high.
+// Int returns an integer from low to high, or def when the key is not set.
 func (f *File) Int(section, key string, def, low, high int) int {
 	v := f.String(section, key, "")
 	if v == "" {
@@ -216,17 +217,17 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		f.Fault(section, key, "%q is not a whole number", v)
+		f.AddProblem(section, key, "%q is not a whole number", v)
 		return def
 	}
 	if n < low || n > high {
-		f.Fault(section, key, "%d is not between %d and %d", n, low, high)
+		f.AddProblem(section, key, "%d is not between %d and %d", n, low, high)
 		return def
 	}
 	return n
 }
 
-// Duration reads a duration such as 250ms that is not negative.
+// Duration returns a non-negative duration such as 250ms, or def when the key is not set.
 func (f *File) Duration(section, key string, def time.Duration) time.Duration {
 	v := f.String(section, key, "")
 	if v == "" {
@@ -234,13 +235,13 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < 0 {
-		f.Fault(section, key, "%q is not a duration such as 250ms", v)
+		f.AddProblem(section, key, "%q is not a duration such as 250ms", v)
 		return def
 	}
 	return d
 }
 
-// Bool reads yes/no, true/false or 1/0.
+// Bool returns a value written as yes/no, true/false or 1/0, or def when the key is not set.
 func (f *File) Bool(section, key string, def bool) bool {
 	switch v := f.String(section, key, ""); v {
 	case "":
@@ -250,33 +251,33 @@
 	case "no", "false", "0":
 		return false
 	default:
-		f.Fault(section, key, "%q is neither yes nor no", v)
+		f.AddProblem(section, key, "%q is neither yes nor no", v)
 		return def
 	}
 }
 
-// Problems returns what was found so far, and every section and key that was
-// never read as unknown, ordered by line.
+// Problems returns the problems found so far, ordered by line. Sections and keys that have
+// not been read are reported as unknown.
 func (f *File) Problems() Problems {
 	all := append(Problems(nil), f.problems...)
 	known := map[string]bool{}
-	for at := range f.read {
-		known[at.section] = true
+	for pos := range f.read {
+		known[pos.section] = true
 	}
-	for at, line := range f.lines {
+	for pos, line := range f.lines {
 		switch {
-		case at.key == "" && !known[at.section]:
-			all = append(all, Problem{f.name, line, at.section, "", "unknown section"})
-		case at.key != "" && known[at.section] && !f.read[at]:
-			all = append(all, Problem{f.name, line, at.section, at.key, "unknown key"})
+		case pos.key == "" && !known[pos.section]:
+			all = append(all, Problem{f.name, line, pos.section, "", "unknown section"})
+		case pos.key != "" && known[pos.section] && !f.read[pos]:
+			all = append(all, Problem{f.name, line, pos.section, pos.key, "unknown key"})
 		}
 	}
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Line < all[j].Line })
 	return all
 }
 
-// AsProblems extracts the list of faults from err; any other error becomes one
-// problem of the named file.
+// AsProblems returns the list of problems in err; any other error becomes one problem of the
+// named file.
 func AsProblems(name string, err error) Problems {
 	var ps Problems
 	if errors.As(err, &ps) {
--- a/internal/oplog/bench_test.go
+++ b/internal/oplog/bench_test.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// BenchmarkLines is the time that a line takes whoever writes it, with one warning in ten.
-func BenchmarkLines(b *testing.B) {
+// BenchmarkLog measures the time that logging a line takes the caller, with one warning in ten lines.
+func BenchmarkLog(b *testing.B) {
 	out, err := os.OpenFile(os.DevNull, os.O_WRONLY, 0)
 	if err != nil {
 		b.Fatal(err)
@@ -35,7 +35,7 @@
 		}
 		if i%100 == 99 {
 			b.StopTimer()
-			time.Sleep(time.Millisecond) // Lines of some requests.
+			time.Sleep(time.Millisecond) // The pause after the lines of some requests.
 			b.StartTimer()
 		}
 	}
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package oplog is the process's log: structured lines on one stream, bounded
-// in volume, that never hold up who writes them. Lines are of classes, and none
-// takes the room or the rate of another; what was left out is counted.
+// Package oplog writes the structured log of a process to one stream. Logging never blocks the
+// caller, and the volume is bounded. Each class of lines has a queue capacity and a rate limit
+// of its own, so that no class crowds out another; dropped lines are counted.
 package oplog
 
 import (
@@ -19,120 +19,120 @@
 )
 
 const (
-	// room is how many lines of a class may wait to be written.
-	room = 1024
-	// otherPerSecond bounds each class but those with a rate of their own.
-	otherPerSecond = 400
-	// flushEvery is how long lines that are not urgent are gathered into one write.
-	flushEvery = 50 * time.Millisecond
-	// batch bounds one write.
-	batch = 64 << 10
+	// maxQueuedPerClass is the maximum number of lines of a class that are queued for writing.
+	maxQueuedPerClass = 1024
+	// defaultLinesPerSecond is the rate limit of each class without a limit of its own.
+	defaultLinesPerSecond = 400
+	// defaultFlushInterval is how long lines that are not urgent are collected for one write.
+	defaultFlushInterval = 50 * time.Millisecond
+	// maxWriteBytes is the size from which no more lines are added to a write.
+	maxWriteBytes = 64 << 10
 )
 
-// Messages whose lines have a class of their own.
+// Messages whose lines form classes of their own.
 const (
 	requestMessage = "request"
 	auditMessage   = "audit"
 )
 
-// Log writes lines in the background.
+// Log writes queued lines to its stream in the background.
 type Log struct {
-	out     io.Writer
-	lines   *ring.Queue[line] // It has room for all that the classes may have waiting.
-	urgent  chan struct{}     // Holds a value once an urgent line waits: it may be the process's last word.
-	every   time.Duration     // How long other lines are gathered.
-	dropped atomic.Int64
+	out           io.Writer
+	queue         *ring.Queue[line] // Its capacity is that of all classes together.
+	urgent        chan struct{}     // Holds a value once an urgent line is queued: it may be the last line before the process ends.
+	flushInterval time.Duration     // How long lines that are not urgent are collected.
+	dropped       atomic.Int64
 
-	served, failed *class // Lines on requests, below warnings and from these on.
-	audit          *class // A trail: no rate bounds it.
-	info, warnings *class // All other lines below errors.
-	errors         *class
+	served, failed *lineClass // Lines on requests: below the warning level, and warnings.
+	audit          *lineClass // The audit trail, which has no rate limit.
+	info, warnings *lineClass // All other lines below the error level.
+	errors         *lineClass
 }
 
-// line is one line that waits.
+// line is an encoded line that is queued.
 type line struct {
-	text []byte
-	of   *class
+	text  []byte
+	class *lineClass
 }
 
-// class bounds lines of one kind.
-type class struct {
-	perSecond int64 // 0 for no bound.
-	urgent    bool  // Its lines are written at once.
-	waiting   atomic.Int64
-	second    atomic.Int64
-	inSecond  atomic.Int64
+// lineClass limits the rate and the number of queued lines of one kind.
+type lineClass struct {
+	maxPerSecond  int64 // 0 for no limit.
+	urgent        bool  // Its lines are written immediately.
+	queued        atomic.Int64
+	currentSecond atomic.Int64 // Unix time of the second to which linesInSecond applies.
+	linesInSecond atomic.Int64
 }
 
-// admits counts a line that is to wait; it reports false for one too many.
-func (c *class) admits() bool {
+// admit counts a line that is to be queued; it reports false when the class is at one of its limits.
+func (c *lineClass) admit() bool {
 	now := time.Now().Unix()
-	if c.second.Swap(now) != now {
-		c.inSecond.Store(0)
+	if c.currentSecond.Swap(now) != now {
+		c.linesInSecond.Store(0)
 	}
-	if c.inSecond.Add(1) > c.perSecond && c.perSecond > 0 {
+	if c.linesInSecond.Add(1) > c.maxPerSecond && c.maxPerSecond > 0 {
 		return false
 	}
-	if c.waiting.Add(1) > room {
-		c.waiting.Add(-1)
+	if c.queued.Add(1) > maxQueuedPerClass {
+		c.queued.Add(-1)
 		return false
 	}
 	return true
 }
 
-// New returns a logger and what writes its lines to out. Of lines on requests that went well at
-// most perSecond are written a second.
-func New(out io.Writer, level string, perSecond int) (log *zap.Logger, l *Log, err error) {
+// New returns a logger and the Log that writes its lines to out. At most servedPerSecond lines
+// per second are written on successful requests.
+func New(out io.Writer, level string, servedPerSecond int) (log *zap.Logger, l *Log, err error) {
 	cfg := zap.NewProductionEncoderConfig()
 	cfg.EncodeTime = zapcore.TimeEncoder(func(t time.Time, e zapcore.PrimitiveArrayEncoder) {
 		e.AppendInt64(t.UnixMilli())
 	})
 	cfg.EncodeDuration = zapcore.StringDurationEncoder
-	return NewEncoded(out, level, perSecond, zapcore.NewJSONEncoder(cfg))
+	return NewWithEncoder(out, level, servedPerSecond, zapcore.NewJSONEncoder(cfg))
 }
 
-// NewEncoded is New with an encoder of the lines.
-func NewEncoded(out io.Writer, level string, perSecond int, enc zapcore.Encoder) (log *zap.Logger, l *Log, err error) {
-	at, err := zapcore.ParseLevel(level)
+// NewWithEncoder is like New, but encodes lines with enc.
+func NewWithEncoder(out io.Writer, level string, servedPerSecond int, enc zapcore.Encoder) (log *zap.Logger, l *Log, err error) {
+	minLevel, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, nil, err
 	}
 	l = &Log{
-		out: out, urgent: make(chan struct{}, 1), every: flushEvery,
-		served:   &class{perSecond: int64(perSecond)},
-		failed:   &class{perSecond: otherPerSecond, urgent: true},
-		audit:    &class{urgent: true},
-		info:     &class{perSecond: otherPerSecond},
-		warnings: &class{perSecond: otherPerSecond, urgent: true},
-		errors:   &class{perSecond: otherPerSecond, urgent: true},
+		out: out, urgent: make(chan struct{}, 1), flushInterval: defaultFlushInterval,
+		served:   &lineClass{maxPerSecond: int64(servedPerSecond)},
+		failed:   &lineClass{maxPerSecond: defaultLinesPerSecond, urgent: true},
+		audit:    &lineClass{urgent: true},
+		info:     &lineClass{maxPerSecond: defaultLinesPerSecond},
+		warnings: &lineClass{maxPerSecond: defaultLinesPerSecond, urgent: true},
+		errors:   &lineClass{maxPerSecond: defaultLinesPerSecond, urgent: true},
 	}
-	l.lines = ring.NewQueue[line](room * len(l.classes()))
-	return zap.New(core{at, enc, l}), l, nil
+	l.queue = ring.NewQueue[line](maxQueuedPerClass * len(l.classes()))
+	return zap.New(core{minLevel, enc, l}), l, nil
 }
 
-func (l *Log) classes() []*class {
-	return []*class{l.served, l.failed, l.audit, l.info, l.warnings, l.errors}
+func (l *Log) classes() []*lineClass {
+	return []*lineClass{l.served, l.failed, l.audit, l.info, l.warnings, l.errors}
 }
 
-// classOf returns the class of an entry's line.
-func (l *Log) classOf(e zapcore.Entry) *class {
-	bad := e.Level >= zapcore.WarnLevel
+// classOf returns the class of the line of an entry.
+func (l *Log) classOf(e zapcore.Entry) *lineClass {
+	warning := e.Level >= zapcore.WarnLevel
 	switch {
 	case e.Level >= zapcore.ErrorLevel:
 		return l.errors
-	case e.Message == requestMessage && bad:
+	case e.Message == requestMessage && warning:
 		return l.failed
 	case e.Message == requestMessage:
 		return l.served
 	case e.Message == auditMessage:
 		return l.audit
-	case bad:
+	case warning:
 		return l.warnings
 	}
 	return l.info
 }
 
-// core has entries wait to be written, or leaves them out; it never waits.
+// core is a zapcore.Core that queues entries for writing or drops them; it never blocks.
 type core struct {
 	zapcore.LevelEnabler
 	enc zapcore.Encoder
@@ -158,64 +158,64 @@
 
 // Write implements zapcore.Core.
 func (c core) Write(e zapcore.Entry, fields []zapcore.Field) error {
-	of := c.l.classOf(e)
-	if !of.admits() {
+	class := c.l.classOf(e)
+	if !class.admit() {
 		c.l.dropped.Add(1)
 		return nil
 	}
 	buf, err := c.enc.EncodeEntry(e, fields)
 	if err != nil {
-		of.waiting.Add(-1)
+		class.queued.Add(-1)
 		c.l.dropped.Add(1)
 		return err
 	}
-	c.l.lines.Offer(line{bytes.Clone(buf.Bytes()), of}) // There is room.
+	c.l.queue.Offer(line{bytes.Clone(buf.Bytes()), class}) // Never full: admit has reserved the space.
 	buf.Free()
-	if of.urgent {
+	if class.urgent {
 		select {
 		case c.l.urgent <- struct{}{}:
-		default: // They are to be written already.
+		default: // A flush is already requested.
 		}
 	}
 	return nil
 }
 
-// Sync does nothing: Run writes.
+// Sync does nothing: Run writes the lines.
 func (c core) Sync() error { return nil }
 
-// Dropped returns how many lines were left out.
+// Dropped returns the number of dropped lines.
 func (l *Log) Dropped() int64 { return l.dropped.Load() }
 
-// Run writes lines until ctx ends and then those that still wait. It waits for whoever reads
-// the stream, also then.
+// Run writes lines until ctx ends, and then those that are still queued. A slow reader of the
+// stream blocks it, also after ctx has ended.
 func (l *Log) Run(ctx context.Context) error {
 	var buf []byte
 	for {
 		select {
 		case <-ctx.Done():
-			for l.lines.Len() > 0 {
-				buf = l.gather(buf[:0])
+			for l.queue.Len() > 0 {
+				buf = l.appendQueued(buf[:0])
 				l.write(buf)
 			}
 			return nil
-		case one := <-l.lines.Out():
-			buf = one.appendTo(buf[:0])
-			l.await(ctx)
-			buf = l.gather(buf)
+		case ln := <-l.queue.Out():
+			buf = ln.appendTo(buf[:0])
+			l.awaitFlush(ctx)
+			buf = l.appendQueued(buf)
 			l.write(buf)
 		}
 	}
 }
 
-// appendTo appends the line, which waits no longer.
-func (one line) appendTo(buf []byte) []byte {
-	one.of.waiting.Add(-1)
-	return append(buf, one.text...)
+// appendTo appends the line to buf and removes it from the count of queued lines.
+func (ln line) appendTo(buf []byte) []byte {
+	ln.class.queued.Add(-1)
+	return append(buf, ln.text...)
 }
 
-// await waits until lines are to be written.
-func (l *Log) await(ctx context.Context) {
-	timer := time.NewTimer(l.every)
+// awaitFlush waits for the flush interval, an urgent line or the end of ctx.
+func (l *Log) awaitFlush(ctx context.Context) {
+	timer := time.NewTimer(l.flushInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -224,12 +224,12 @@
 	}
 }
 
-// gather appends the lines that wait.
-func (l *Log) gather(buf []byte) []byte {
-	for len(buf) < batch {
+// appendQueued appends queued lines to buf until it holds maxWriteBytes or the queue is empty.
+func (l *Log) appendQueued(buf []byte) []byte {
+	for len(buf) < maxWriteBytes {
 		select {
-		case one := <-l.lines.Out():
-			buf = one.appendTo(buf)
+		case ln := <-l.queue.Out():
+			buf = ln.appendTo(buf)
 		default:
 			return buf
 		}
@@ -237,8 +237,8 @@
 	return buf
 }
 
-// write has nobody to tell when the stream is closed; the lines count as left
-// out.
+// write writes buf to the stream. An error, such as that of a closed stream, cannot be logged
+// anywhere, so the lines that were not written are counted as dropped.
 func (l *Log) write(buf []byte) {
 	if n, err := l.out.Write(buf); err != nil {
 		l.dropped.Add(int64(bytes.Count(buf[n:], []byte("\n"))))
--- a/internal/oplog/oplog_test.go
+++ b/internal/oplog/oplog_test.go
@@ -17,12 +17,12 @@
 	"golang.org/x/sync/errgroup"
 )
 
-func TestTooManyLinesAreLeftOutAndCounted(t *testing.T) {
+func TestExcessLinesAreDroppedAndCounted(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
 	log, l, err := New(&out, "info", 3)
 	g.Expect(err).NotTo(HaveOccurred())
-	// The count is by wall-clock second, so lines may fall into two of them.
+	// Lines are counted per wall-clock second, so they may fall into two seconds.
 	for range 100 {
 		log.Info("request", zap.String("outcome", "served"))
 	}
@@ -34,16 +34,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	g.Expect(l.Run(ctx)).To(Succeed())
-	good, bad := strings.Count(out.String(), "served"), strings.Count(out.String(), "failed")
-	g.Expect(good).To(BeNumerically("<=", 6))
-	g.Expect(out.String()).To(ContainSubstring("stop"), "requests leave room for the rest")
-	g.Expect(bad).To(Equal(5), "failures go before successes")
-	g.Expect(l.Dropped()).To(Equal(int64(100 - good)))
+	served, failed := strings.Count(out.String(), "served"), strings.Count(out.String(), "failed")
+	g.Expect(served).To(BeNumerically("<=", 6))
+	g.Expect(out.String()).To(ContainSubstring("stop"), "lines on requests do not crowd out others")
+	g.Expect(failed).To(Equal(5), "no warning is dropped in favour of lines on requests")
+	g.Expect(l.Dropped()).To(Equal(int64(100 - served)))
 	g.Expect(out.String()).NotTo(ContainSubstring("below"))
 }
 
-// Guards against a process whose last words are left out in favour of lines on requests or of others.
-func TestNoClassOfLinesTakesTheRoomOfAnother(t *testing.T) {
+// Guards against losing the last lines of a process because lines of another class fill the queue.
+func TestClassesOfLinesHaveSeparateCapacities(t *testing.T) {
 	writers := []func(log *zap.Logger){
 		func(log *zap.Logger) { log.Info("request") },
 		func(log *zap.Logger) { log.Warn("request") },
@@ -57,53 +57,53 @@
 			g := NewWithT(t)
 			log, l, err := New(&bytes.Buffer{}, "info", 1<<30)
 			g.Expect(err).NotTo(HaveOccurred())
-			for range 2 * room {
-				writers[i](log) // Nobody writes, and nobody waits.
+			for range 2 * maxQueuedPerClass {
+				writers[i](log) // Run is not started, and the call does not block.
 			}
-			full := l.lines.Len()
-			g.Expect(full).To(BeNumerically("<=", room))
+			full := l.queue.Len()
+			g.Expect(full).To(BeNumerically("<=", maxQueuedPerClass))
 			for n, write := range writers {
 				if n != i {
 					write(log)
 				}
 			}
-			g.Expect(l.lines.Len()).To(Equal(full + len(writers) - 1))
-			g.Expect(l.Dropped()).To(BeEquivalentTo(2*room - full))
+			g.Expect(l.queue.Len()).To(Equal(full + len(writers) - 1))
+			g.Expect(l.Dropped()).To(BeEquivalentTo(2*maxQueuedPerClass - full))
 		})
 	}
 }
 
-// Guards against an end whose lines are written up to one batch, and the rest lost without a count.
-func TestAllThatWaitsAtTheEndIsWritten(t *testing.T) {
+// Guards against a shutdown that writes only one batch and loses the remaining lines without counting them.
+func TestQueuedLinesAreWrittenAtShutdown(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
 	log, l, err := New(&out, "info", 1)
 	g.Expect(err).NotTo(HaveOccurred())
-	for range room {
+	for range maxQueuedPerClass {
 		log.Info("audit", zap.String("cause", strings.Repeat("x", 500)))
 	}
 	log.Info("stop")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	g.Expect(l.Run(ctx)).To(Succeed())
-	g.Expect(strings.Count(out.String(), "\n")).To(Equal(room+1), "a trail is not sampled")
+	g.Expect(strings.Count(out.String(), "\n")).To(Equal(maxQueuedPerClass+1), "the audit trail is not sampled")
 	g.Expect(out.String()).To(ContainSubstring(`"stop"`))
 	g.Expect(l.Dropped()).To(BeZero())
 }
 
-func TestBadLevel(t *testing.T) {
+func TestInvalidLevel(t *testing.T) {
 	_, _, err := New(&bytes.Buffer{}, "loud", 1)
 	NewWithT(t).Expect(err).To(HaveOccurred())
 }
 
-// Guards against a killed process that takes along what it had to say.
-func TestAWarningIsWrittenAtOnce(t *testing.T) {
+// Guards against losing the last warnings of a process that is killed.
+func TestWarningIsWrittenImmediately(t *testing.T) {
 	g := NewWithT(t)
 	r, w, err := os.Pipe()
 	g.Expect(err).NotTo(HaveOccurred())
 	log, l, err := New(w, "info", 10)
 	g.Expect(err).NotTo(HaveOccurred())
-	l.every = time.Hour
+	l.flushInterval = time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
 	group.Go(func() error { return l.Run(ctx) })
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -26,11 +26,11 @@
 // Rebalance draws skew and bytes over time, one line a method.
 func Rebalance(name string, runs []experiment.Run) (err error) {
 	defer func() { err = errors.Wrapf(err, "plot %s", name) }()
-	skew, err := lines("step-time skew", runs, func(r experiment.Run) []float64 { return r.Skews })
+	skew, err := newLinePlot("step-time skew", runs, func(r experiment.Run) []float64 { return r.Skews })
 	if err != nil {
 		return err
 	}
-	bytes, err := lines("GB moved", runs, func(r experiment.Run) []float64 { return r.Bytes })
+	moved, err := newLinePlot("GB moved", runs, func(r experiment.Run) []float64 { return r.Bytes })
 	if err != nil {
 		return err
 	}
@@ -38,7 +38,7 @@
 	tiles := draw.Tiles{Rows: 2, Cols: 1, PadY: vg.Millimeter * 4}
 	canvas := draw.New(img)
 	skew.Draw(tiles.At(canvas, 0, 0))
-	bytes.Draw(tiles.At(canvas, 0, 1))
+	moved.Draw(tiles.At(canvas, 0, 1))
 	f, err := os.Create(name)
 	if err != nil {
 		return err
@@ -48,7 +48,7 @@
 	return err
 }
 
-func lines(title string, runs []experiment.Run, values func(experiment.Run) []float64) (p *plot.Plot, err error) {
+func newLinePlot(title string, runs []experiment.Run, values func(experiment.Run) []float64) (p *plot.Plot, err error) {
 	p = plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "sample"
--- a/internal/settings/fleet_test.go
+++ b/internal/settings/fleet_test.go
@@ -41,33 +41,33 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Role).To(Equal(Gateway))
 	g.Expect(s.Seeds).To(Equal([]string{"10.0.0.1:82", "10.0.0.2:82"}))
-	g.Expect(s.Revocation).To(Equal(5 * time.Second))
-	g.Expect(s.RetrySpare).To(Equal(90.0))
+	g.Expect(s.RevocationTime).To(Equal(5 * time.Second))
+	g.Expect(s.RetryFloor).To(Equal(90.0))
 }
 
-func TestFleetSettingsNameEveryFault(t *testing.T) {
-	for _, tc := range []struct{ name, from, to, fault string }{
+func TestFleetSettingsReportEveryProblem(t *testing.T) {
+	for _, tc := range []struct{ name, from, to, problem string }{
 		{"no role", "role = gateway", "", "g.ini:1: [instance] role: must be set"},
-		{"another role", "role = gateway", "role = king", `g.ini:4: [instance] role: "king" is neither gateway nor sidecar`},
-		{"a name for a number", "10.0.0.9:90", "store.example:90", `g.ini:14: [platform] store: "store.example:90" is not IP:PORT`},
-		{"a bad seed", "10.0.0.2:82", "here", `g.ini:15: [platform] seeds: "here" is not IP:PORT`},
-		{"a bad time", "grace = 8s", "grace = soon", `g.ini:19: [bounds] grace: "soon" is not a duration such as 250ms`},
-		{"a key not known", "fences = true", "fence = true", "g.ini:23: [bounds] fence: unknown key"},
+		{"an unknown role", "role = gateway", "role = king", `g.ini:4: [instance] role: "king" is neither gateway nor sidecar`},
+		{"a host name instead of an IP address", "10.0.0.9:90", "store.example:90", `g.ini:14: [platform] store: "store.example:90" is not IP:PORT`},
+		{"an invalid seed", "10.0.0.2:82", "here", `g.ini:15: [platform] seeds: "here" is not IP:PORT`},
+		{"an invalid duration", "grace = 8s", "grace = soon", `g.ini:19: [bounds] grace: "soon" is not a duration such as 250ms`},
+		{"an unknown key", "fences = true", "fence = true", "g.ini:23: [bounds] fence: unknown key"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := ParseFleet("g.ini", []byte(strings.Replace(gatewayText, tc.from, tc.to, 1)))
-			NewWithT(t).Expect(err).To(MatchError(ContainSubstring(tc.fault)))
+			NewWithT(t).Expect(err).To(MatchError(ContainSubstring(tc.problem)))
 		})
 	}
 }
 
-// The platform gives its bounds as whole numbers or as fractions.
-func TestFleetSettingsMayBeFractions(t *testing.T) {
+// The platform writes its numeric limits as integers or as decimal fractions.
+func TestFleetSettingsAcceptFractions(t *testing.T) {
 	g := NewWithT(t)
 	text := strings.NewReplacer("retry-spare = 90", "retry-spare = 34.10526315789474", "role = gateway", "role = gateway\nmemory-mb = 183.5\nlink-mbps = 40.5").Replace(gatewayText)
 	s, err := ParseFleet("f", []byte(text))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.RetrySpare).To(BeNumerically("~", 34.1, 0.01))
-	g.Expect(s.MemoryLimit).To(BeNumerically("~", 183.5, 0.01))
+	g.Expect(s.RetryFloor).To(BeNumerically("~", 34.1, 0.01))
+	g.Expect(s.MemoryLimitMB).To(BeNumerically("~", 183.5, 0.01))
 	g.Expect(s.LinkRate).To(BeNumerically("~", 40.5e6/8, 1))
 }
--- a/internal/wait/wait.go
+++ b/internal/wait/wait.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package wait holds waits that end with a context.
+// Package wait provides waits that end early when a context is done.
 package wait
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends. It reports whether d has passed.
+// For waits for d or until ctx is done. It reports whether d has elapsed.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -20,7 +20,7 @@
 	}
 }
 
-// Every calls f at each tick until ctx ends: the frame of a duty.
+// Every calls f in intervals of d until ctx is done. It is the loop of a periodic duty.
 func Every(ctx context.Context, d time.Duration, f func()) error {
 	ticker := time.NewTicker(d)
 	defer ticker.Stop()
