--- a/cmd/canvaspulley/main.go
+++ b/cmd/canvaspulley/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Command canvaspulley is the operators' and developers' tool. It only reads
-// from a running system: operators act by publishing.
+// Command canvaspulley is the tool for operators and developers. It only reads from a running
+// system; operators change a system by publishing configuration.
 package main
 
 import (
--- a/cmd/canvaspulleyd/main.go
+++ b/cmd/canvaspulleyd/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Command canvaspulleyd is the daemon: an entry or an endpoint agent,
-// by its settings.
+// Command canvaspulleyd is the daemon: a gateway, a sidecar, an entry or an endpoint agent, as its
+// settings file says.
 package main
 
 import (
--- a/internal/build/build.go
+++ b/internal/build/build.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package build tells which build of the program a process is.
+// Package build identifies the build of the program that a process runs.
 package build
 
 import (
@@ -14,16 +14,16 @@
 	"go.uber.org/zap"
 )
 
-// Info is what is known of a build.
+// Info describes a build.
 type Info struct {
-	Version  string `json:"version"`            // Of the module.
-	Revision string `json:"revision,omitempty"` // Of its sources; "" for a build without version control.
-	Modified bool   `json:"modified,omitempty"` // The sources differ from the revision.
+	Version  string `json:"version"`            // Version of the module.
+	Revision string `json:"revision,omitempty"` // Revision of the sources; "" for a build without version control.
+	Modified bool   `json:"modified,omitempty"` // Whether the sources differ from the revision.
 	Go       string `json:"go"`
-	ID       string `json:"id"` // As "go tool buildid" prints it; alike only for alike programs.
+	ID       string `json:"id"` // As "go tool buildid" prints it; equal only for equal programs.
 }
 
-// Read returns the build of this process.
+// Read returns the build of this process. The information is read once.
 var Read = sync.OnceValue(func() Info {
 	i := Info{Go: runtime.Version()}
 	if b, ok := debug.ReadBuildInfo(); ok {
@@ -44,16 +44,16 @@
 	return i
 })
 
-// Fields returns the build for a line of the log.
+// Fields returns the build as fields of a log line.
 func (i Info) Fields() []zap.Field {
 	return []zap.Field{zap.String("version", i.Version), zap.String("revision", i.Revision), zap.Bool("modified", i.Modified), zap.String("go", i.Go), zap.String("build", i.ID)}
 }
 
-// noteHeaderBytes is the size of what stands before the ID in its note: three lengths and the name
-// "Go", padded to four bytes.
+// noteHeaderBytes is the size in bytes of the ELF note's header before the ID: three 4-byte integers
+// and the name "Go", padded to four bytes.
 const noteHeaderBytes = 16
 
-// readBuildID reads the build ID from the program's file.
+// readBuildID reads the build ID from the executable file.
 func readBuildID() (s string, err error) {
 	defer func() { err = errors.Wrap(err, "build ID") }()
 	path, err := os.Executable()
@@ -67,14 +67,14 @@
 	defer func() { err = errors.CombineErrors(err, f.Close()) }()
 	note := f.Section(".note.go.buildid")
 	if note == nil {
-		return "", errors.New("no note")
+		return "", errors.New("the executable has no build ID note")
 	}
 	raw, err := note.Data()
 	if err != nil {
 		return "", err
 	}
 	if len(raw) < noteHeaderBytes {
-		return "", errors.New("short note")
+		return "", errors.New("the build ID note is too short")
 	}
 	n := min(int(f.ByteOrder.Uint32(raw[4:])), len(raw)-noteHeaderBytes)
 	return string(raw[noteHeaderBytes : noteHeaderBytes+n]), nil
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package chart interprets state charts written in INI files, one file a life
-// cycle. A file is checked when it is loaded: in every state every event is
-// either handled or named as ignored, and every state can be reached. The
-// package knows nothing of what the states mean.
+// Package chart interprets state charts written in INI files, one file per life cycle. A file is
+// checked when it is loaded: every state handles every event or explicitly ignores it, and
+// every state can be reached. The package does not depend on the meaning of the states.
 package chart
 
 import (
@@ -19,23 +18,23 @@
 //go:embed charts/*.ini
 var files embed.FS
 
-// Names of states and events are typed so that they are not mixed up.
+// State and Event are names. They have types of their own so that they are not mixed up.
 type (
 	State string
 	Event string
 )
 
-// ignoreTarget is the target that names an event as having no effect.
+// ignoreTarget is the target state of an event that has no effect.
 const ignoreTarget = "ignore"
 
-// Chart is one checked life cycle. A Chart is immutable.
+// Chart is the checked state chart of one life cycle. A Chart is immutable.
 type Chart struct {
 	name        string
 	start       State
 	transitions map[State]map[Event]State
 }
 
-// Load reads the named chart that is built into the program.
+// Load parses the named chart, which is embedded in the program.
 func Load(name string) (c *Chart, err error) {
 	file := "charts/" + name + ".ini"
 	raw, err := files.ReadFile(file)
@@ -45,16 +44,16 @@
 	return Parse(name, raw)
 }
 
-// MustLoad is Load for the charts that the program itself brings.
+// MustLoad is like Load, but panics if the embedded chart is missing or invalid.
 func MustLoad(name string) *Chart {
 	c, err := Load(name)
 	if err != nil {
-		panic(err) // The file is part of the program; a test loads each.
+		panic(err) // Cannot happen: the files are embedded, and a test loads each of them.
 	}
 	return c
 }
 
-// Parse reads and checks a chart.
+// Parse parses and checks a chart.
 func Parse(name string, raw []byte) (c *Chart, err error) {
 	f, err := inifile.Parse(name, raw)
 	if err != nil {
@@ -87,7 +86,7 @@
 	return next
 }
 
-// check finds targets that do not exist and states that cannot be reached.
+// check reports targets that do not exist and states that cannot be reached from the start state.
 func (c *Chart) check(f *inifile.File) {
 	if _, ok := c.transitions[c.start]; !ok {
 		f.AddProblem("chart", "start", "no state %q", c.start)
@@ -116,7 +115,7 @@
 	}
 }
 
-// States lists the states in order of name.
+// States lists the states, ordered by name.
 func (c *Chart) States() []State {
 	var list []State
 	for s := range c.transitions {
@@ -126,24 +125,24 @@
 	return list
 }
 
-// Machine is one life that follows a chart. It is not safe for concurrent use.
+// Machine is a state machine that follows a chart. It is not safe for concurrent use.
 type Machine struct {
 	chart *Chart
 	state State
 }
 
-// NewMachine returns a life in the chart's first state.
+// NewMachine returns a state machine in the chart's start state.
 func (c *Chart) NewMachine() *Machine { return &Machine{chart: c, state: c.start} }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Apply takes in an event and reports whether the state changed. An event that
-// the chart does not know is an error of the program.
+// Apply processes an event and reports whether the state changed. It panics on an event that the
+// chart does not define, which is a programming error.
 func (m *Machine) Apply(e Event) (changed bool) {
 	to, ok := m.chart.transitions[m.state][e]
 	if !ok {
-		panic(errors.AssertionFailedf("chart %s: no event %q", m.chart.name, e))
+		panic(errors.AssertionFailedf("chart %s: event %q is not defined", m.chart.name, e))
 	}
 	changed = to != m.state
 	m.state = to
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -9,8 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// TestEveryTransition loads each chart of the program and tries every event in every
-// state: none is unknown, and no state is left by accident.
+// TestEveryTransition loads each embedded chart and applies every event in every state: no event
+// is unknown, and no event leads to another state than the chart says.
 func TestEveryTransition(t *testing.T) {
 	entries, err := files.ReadDir("charts")
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
@@ -40,7 +40,7 @@
 	g.Expect(m.State()).To(gomega.Equal(State("unknown")))
 	for _, e := range []Event{"refuse", "break", "finish", "start"} {
 		m.Apply(e)
-		g.Expect(m.State()).To(gomega.Equal(State("unknown")), "an end is an end")
+		g.Expect(m.State()).To(gomega.Equal(State("unknown")), "the state is final")
 	}
 }
 
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -9,14 +9,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/capacity"
 )
 
-// capacityCommand works out what a site costs.
+// capacityCommand computes the resources that a site needs.
 type capacityCommand struct {
 	app  *app
 	Site string `long:"site" required:"yes" value-name:"FILE.ini" description:"size of the site"`
 	JSON bool   `long:"json" description:"print JSON"`
 }
 
-// Execute prints the table and the slopes that it comes from.
+// Execute prints the table and the slopes from which it is computed.
 func (v *capacityCommand) Execute([]string) (err error) {
 	raw, err := os.ReadFile(v.Site)
 	if err != nil {
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -13,7 +13,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// readFolder reads a folder of configuration; keys are paths below it.
+// readFolder reads the INI files of a configuration folder; keys are paths relative to it.
 func readFolder(dir string) (values map[string][]byte, err error) {
 	values = map[string][]byte{}
 	err = filepath.WalkDir(dir, func(name string, d fs.DirEntry, err error) error {
@@ -30,7 +30,7 @@
 	return values, err
 }
 
-// checkCommand judges a folder as the daemon judges a generation.
+// checkCommand validates a folder as the daemon validates a generation.
 type checkCommand struct {
 	app  *app
 	JSON bool `long:"json" description:"print the faults as JSON"`
@@ -39,7 +39,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints every fault; it fails when there is one.
+// Execute prints all problems; it fails when there is one.
 func (v *checkCommand) Execute([]string) (err error) {
 	values, err := readFolder(v.Args.Dir)
 	if err != nil {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package cli is the command-line tool, one file a verb. Verbs hold no logic
-// beyond reading their arguments and printing.
+// Package cli implements the command-line tool, with one file per command. Commands only read
+// their arguments, call other packages and print the results.
 package cli
 
 import (
@@ -17,22 +17,22 @@
 // Exit codes of the tool.
 const (
 	exitOK     = 0
-	exitFailed = 1 // The verb ran and found a fault.
-	exitUsage  = 2 // The arguments or an input file are faulty.
+	exitFailed = 1 // The command ran and found a problem.
+	exitUsage  = 2 // The arguments or an input file are invalid.
 )
 
-// app is what all verbs share.
+// app holds the output streams, which all commands share.
 type app struct {
 	out io.Writer
 	err io.Writer
 }
 
-// failedError is a fault that a verb found, as opposed to one in its input.
+// failedError is a problem that a command found, as opposed to an error in its input.
 type failedError struct{ error }
 
 func (e failedError) Unwrap() error { return e.error }
 
-// markFailed marks err as found by the verb.
+// markFailed marks err as a problem that a command found, for which Main returns exitFailed.
 func markFailed(err error) error {
 	if err == nil {
 		return nil
@@ -40,7 +40,7 @@
 	return failedError{err}
 }
 
-// addCommands adds each verb to the parser.
+// addCommands adds all commands to the parser.
 func (a *app) addCommands(p *flags.Parser) (err error) {
 	for _, v := range []struct {
 		name  string
@@ -95,14 +95,14 @@
 	}
 }
 
-// printJSON writes v, indented.
+// printJSON prints v as indented JSON.
 func (a *app) printJSON(v any) error {
 	e := json.NewEncoder(a.out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-// writeFile writes one file of a site; private ones are for their owner only.
+// writeFile writes a file of a site; only the owner can read and write private files.
 func writeFile(name string, data []byte, private bool) error {
 	mode := os.FileMode(0o644)
 	if private {
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -23,7 +23,7 @@
 	JSON     bool          `long:"json" description:"print JSON"`
 }
 
-// Execute runs both sites; it fails when a promise was broken.
+// Execute runs both sites; it fails when a guarantee was violated.
 func (v *demoCommand) Execute([]string) (err error) {
 	if v.Rate <= 0 || v.Duration <= 0 {
 		return errors.New("--rate and --duration must be above 0")
--- a/internal/cli/example.go
+++ b/internal/cli/example.go
@@ -13,7 +13,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// exampleCommand writes a site that can be started by hand.
+// exampleCommand writes the files of a site that can be started by hand.
 type exampleCommand struct {
 	app  *app
 	User string `long:"user" choice:"archive" choice:"refunds" default:"archive" description:"whose site to lay out"`
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -8,7 +8,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/experiment"
 )
 
-// experimentCommand has one sub-verb for each experiment.
+// experimentCommand has one subcommand per experiment.
 type experimentCommand struct {
 	Ownership tableCommand     `command:"ownership" description:"rendezvous hashing against modulo"`
 	Admission tableCommand     `command:"admission" description:"the queue against first come, first served"`
@@ -21,7 +21,7 @@
 	Trace     traceCommand     `command:"trace" description:"make a trace of expert load"`
 }
 
-// newExperimentCommand wires each sub-verb to its experiment.
+// newExperimentCommand connects each subcommand to its experiment.
 func newExperimentCommand(a *app) *experimentCommand {
 	return &experimentCommand{
 		Ownership: tableCommand{app: a, run: func(uint64) experiment.Table { return experiment.Ownership(15, 200000) }},
--- a/internal/cli/gossip.go
+++ b/internal/cli/gossip.go
@@ -10,8 +10,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/experiment"
 )
 
-// gossipCommand runs one of the experiments on many processes, at each of the
-// given sizes, so that slopes come out.
+// gossipCommand runs one of the experiments with many processes at each of the given sizes, which
+// shows how costs grow with the size.
 type gossipCommand struct {
 	app     *app
 	run     func(experiment.GossipConfig) experiment.Table
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -17,7 +17,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/trust"
 )
 
-// keysCommand makes a small site's CA, certificates and signing key.
+// keysCommand creates the CA, certificates and signing key of a small site.
 type keysCommand struct {
 	app     *app
 	Holders []string      `long:"holder" value-name:"ROLE/DOMAIN/NAME" description:"a certificate to make; may be repeated"`
@@ -27,8 +27,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute writes the files; the CA and the signing key are made only when they
-// are not there yet.
+// Execute writes the files; the CA and the signing key are created only when they do not exist
+// yet.
 func (v *keysCommand) Execute([]string) (err error) {
 	dir := v.Args.Dir
 	if err := os.MkdirAll(dir, 0o755); err != nil {
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -16,7 +16,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// loadCommand is the load generator.
+// loadCommand runs the load generator.
 type loadCommand struct {
 	app      *app
 	Targets  []string      `long:"target" required:"yes" value-name:"IP:PORT" description:"callers' listener of an entry; may be repeated"`
@@ -35,7 +35,7 @@
 	JSON     bool          `long:"json" description:"print JSON"`
 }
 
-// loadReport is what the verb prints.
+// loadReport is the report that the command prints.
 type loadReport struct {
 	load.Result
 	Verdict    *load.Verdict `json:"verdict,omitempty"`
@@ -44,7 +44,7 @@
 	Answer     percentiles   `json:"answer_us"`
 }
 
-// percentiles of a histogram, in microseconds.
+// percentiles holds percentiles of a histogram, in microseconds.
 type percentiles struct {
 	P50 int64 `json:"p50"`
 	P95 int64 `json:"p95"`
@@ -56,7 +56,7 @@
 	return percentiles{h.ValueAtQuantile(50), h.ValueAtQuantile(95), h.ValueAtQuantile(99), h.Max()}
 }
 
-// Execute sends, judges and prints; it fails when a promise broke.
+// Execute sends the load, checks the answers and prints a report; it fails when a guarantee was violated.
 func (v *loadCommand) Execute([]string) (err error) {
 	cfg := load.Config{
 		Targets: v.Targets, Rate: v.Rate, Duration: v.Duration, Model: v.Model, Path: v.Path,
--- a/internal/cli/pack.go
+++ b/internal/cli/pack.go
@@ -16,7 +16,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// packCommand signs a folder as one generation.
+// packCommand signs a folder of configuration as one generation.
 type packCommand struct {
 	app        *app
 	Generation uint64 `long:"generation" required:"yes" description:"number of the generation; higher than the one in force"`
@@ -42,7 +42,7 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// Execute checks, signs and writes; a faulty folder is not packed.
+// Execute validates the folder, signs it and writes the bundle; an invalid folder is not packed.
 func (v *packCommand) Execute([]string) (err error) {
 	if v.Generation == 0 {
 		return errors.New("--generation must be at least 1")
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// parent returns the hash of the bundle that this one follows.
+// parent returns the hash of the parent bundle, or "" when there is none. The parent's generation must be
+// lower.
 func (v *packCommand) parent() (hash string, err error) {
 	if v.Parent == "" {
 		return "", nil
--- a/internal/cli/plays.go
+++ b/internal/cli/plays.go
@@ -14,7 +14,7 @@
 	"github.com/canvaspulley/canvaspulley/platform/plays"
 )
 
-// playsCommand reads the users' reports of the days that they play.
+// playsCommand reads the users' reports on their simulated days.
 type playsCommand struct {
 	app     *app
 	in      io.Reader
@@ -25,7 +25,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints how tries ended in the reports that can be read; it fails when a connection
+// Execute prints how attempts ended, from all reports that can be read; it fails when a connection
 // was cut before an answer or a rule was broken.
 func (v *playsCommand) Execute([]string) (err error) {
 	var list []*plays.Play
@@ -57,13 +57,14 @@
 		if err != nil {
 			return nil, err
 		}
-		defer func() { _ = f.Close() }() // It is only read.
+		defer func() { _ = f.Close() }() // The file is only read.
 		r = f
 	}
 	return plays.Read(name, r, plays.NewJournal(v.Journal))
 }
 
-// print prints each play, the sums, and what is wrong; it returns the plays that fail the verb.
+// print prints each play, the totals and the problems; it returns the number of plays with a problem for
+// which the command fails.
 func (v *playsCommand) print(list []*plays.Play) (failing int) {
 	out := v.app.out
 	ends, probes := plays.Ends{}, plays.Ends{}
@@ -94,7 +95,8 @@
 	return failing
 }
 
-// findings tells what must be traced of a play; bad is true for what fails the verb.
+// findings summarizes the problems of a play that must be investigated; fails reports whether the command
+// fails because of them.
 func findings(p *plays.Play) (summary string, fails bool) {
 	var list []string
 	if n := p.Unanswered(); n > 0 {
@@ -116,7 +118,7 @@
 	return strings.Join(list, "; "), fails
 }
 
-// withoutOutcomes returns the plays of days of which no play tells how tries ended.
+// withoutOutcomes returns the plays of those days of which no play reports how attempts ended.
 func withoutOutcomes(list []*plays.Play) (missing []*plays.Play) {
 	for _, p := range list {
 		if !slices.ContainsFunc(list, func(q *plays.Play) bool {
--- a/internal/cli/plays_test.go
+++ b/internal/cli/plays_test.go
@@ -17,7 +17,8 @@
 	calmDayRow  = "calm --seed 7   3/2   1.00  0.9\n"
 )
 
-// Guards against a hunt that passes although tries were cut, or that nobody could read.
+// Guards against a search for failures that passes although attempts were cut, or although reports could
+// not be read.
 func TestPlaysFailsOnCutAttemptsOrBrokenRules(t *testing.T) {
 	for name, tc := range map[string]struct {
 		text string
@@ -28,7 +29,7 @@
 		"cut":           {playsHeader + calmDayRow + "how tries ended: 200: 3; cut, no answer: 2\n", exitFailed, "f.log:2: calm --seed 7: 2 cut before an answer\n"},
 		"cut in a kill": {playsHeader + calmDayRow + "how tries ended: 200: 3; cut, no answer: 2\n   1.0 s to   2.0 s  node_kill g\n", exitOK, "2 cut before an answer (to be told from those of node_kill)\n"},
 		"a rule broken": {playsHeader + "calm --seed 7   3/2   1.00  0.9  BROKEN: LOST 4 (else 0.51)\n", exitFailed, "rules broken: LOST 4\n"},
-		"not told":      {playsHeader + calmDayRow, exitOK, "days of which no report tells how tries ended (--unread lists them): 1\n"},
+		"no outcomes":   {playsHeader + calmDayRow, exitOK, "days of which no report tells how tries ended (--unread lists them): 1\n"},
 		"not a report":  {"nothing\n", exitUsage, "f.log:1: no play in it\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +41,7 @@
 			g.Expect(out.String()).To(ContainSubstring(tc.says))
 		})
 	}
-	t.Run("days that are still to be read", func(t *testing.T) {
+	t.Run("days without outcomes", func(t *testing.T) {
 		var out bytes.Buffer
 		v := &playsCommand{app: &app{out: &out}, in: strings.NewReader(playsHeader + calmDayRow + "storm 3/2 0.0\nhow tries ended: 200: 1\n"), Unread: true}
 		v.Args.Files = []string{"-"}
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -13,13 +13,13 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// policyCommand has the sub-verb try.
+// policyCommand has the subcommand try.
 type policyCommand struct {
 	Try tryCommand `command:"try" description:"say what a policy file answers for one request"`
 	app *app
 }
 
-// tryCommand asks one policy about one request.
+// tryCommand evaluates a policy for one request.
 type tryCommand struct {
 	Customer   string `long:"customer" description:"name of the customer"`
 	Service    string `long:"service" description:"model or service"`
@@ -36,7 +36,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints the three answers; a program that fails shows its default.
+// Execute prints the results of the three programs; one that fails is shown with its default.
 func (v *tryCommand) Execute([]string) (err error) {
 	raw, err := os.ReadFile(v.Args.File)
 	if err != nil {
--- a/internal/cli/rebalance.go
+++ b/internal/cli/rebalance.go
@@ -16,7 +16,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/trace"
 )
 
-// rebalanceCommand runs a trace through the methods of rebalancing.
+// rebalanceCommand compares the methods of rebalancing on a trace.
 type rebalanceCommand struct {
 	app         *app
 	Trace       string  `long:"trace" required:"yes" value-name:"FILE.csv" description:"tokens by step, layer and expert"`
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// check judges the numbers that must fit together.
+// check validates the flags, alone and against each other and the trace.
 func (v *rebalanceCommand) check(t trace.Trace) (err error) {
 	for _, rule := range []struct {
 		bad  bool
@@ -92,7 +92,7 @@
 	return err
 }
 
-// readPrices reads the policy's prices; without a policy they are 1 and 1.
+// readPrices reads the prices of the policy; without a policy, both are 1.
 func (v *rebalanceCommand) readPrices() (p rebalance.Prices, err error) {
 	if v.Policy == "" {
 		return rebalance.Prices{Skew: 1, Move: 1}, nil
@@ -109,7 +109,7 @@
 	return rebalance.Prices{Skew: priced.SkewPrice, Move: priced.MovePrice}, nil
 }
 
-// traceCommand makes a trace.
+// traceCommand generates a trace.
 type traceCommand struct {
 	app     *app
 	Kind    string `long:"kind" choice:"daily" choice:"shift" choice:"spike" choice:"zipf-walk" choice:"adversarial" required:"yes" description:"how the load drifts"`
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -17,7 +17,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/soak"
 )
 
-// soakCommand runs gateways and sidecars as processes under trouble.
+// soakCommand runs gateways and sidecars as processes while faults are injected.
 type soakCommand struct {
 	app     *app
 	Seed    uint64  `long:"seed" default:"1" description:"first seed; the schedule of the trouble follows from it"`
@@ -34,7 +34,7 @@
 	Quiet bool `long:"quiet" description:"tell only what became of each run"`
 }
 
-// Execute runs the verb.
+// Execute runs the seeds one after the other; it fails when a guarantee was violated.
 func (v *soakCommand) Execute([]string) error {
 	daemon := v.Daemon
 	if daemon == "" {
@@ -44,7 +44,7 @@
 		}
 		daemon = filepath.Join(filepath.Dir(self), "canvaspulleyd")
 	}
-	// A run that is broken off ends the processes that it started.
+	// An interrupted run ends the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
 	broken := 0
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -12,13 +12,13 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// standinCommand runs the stand-ins as a process of their own.
+// standinCommand runs the stand-ins in a process of their own.
 type standinCommand struct {
 	app    *app
 	Config string `long:"config" required:"yes" value-name:"FILE.ini" description:"what to run"`
 }
 
-// Execute runs until a signal.
+// Execute runs the stand-ins until SIGTERM or an interrupt.
 func (v *standinCommand) Execute([]string) (err error) {
 	s, err := standin.Load(v.Config)
 	if err != nil {
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -18,7 +18,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/trust"
 )
 
-// operatorAccess is how operators reach a process.
+// operatorAccess holds the flags for requests to the operators' listeners of processes.
 type operatorAccess struct {
 	CA          string `long:"ca" description:"certificate of the site's CA; without it there is no TLS"`
 	Certificate string `long:"certificate" description:"operator's certificate"`
@@ -29,7 +29,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// get reads JSON from a process's operators' listener.
+// get reads a JSON answer from the operators' listener of a process.
 func (a *operatorAccess) get(address, path string, v any) (err error) {
 	defer func() { err = errors.Wrapf(err, "%s%s", address, path) }()
 	creds, err := trust.Load(a.CA, a.Certificate, a.PrivateKey)
@@ -47,8 +47,8 @@
 	return json.NewDecoder(resp.Body).Decode(v)
 }
 
-// queryAll asks every process the same and keeps what came; the faults of those
-// that did not answer are joined.
+// queryAll reads path from all processes. It returns the answers, and the joined errors of the
+// processes that did not answer.
 func queryAll[T any](a *operatorAccess, path string) (list []T, errs error) {
 	for _, address := range a.Args.Addresses {
 		var v T
@@ -61,13 +61,13 @@
 	return list, errs
 }
 
-// statusCommand shows what processes believe.
+// statusCommand prints the state of processes as they report it.
 type statusCommand struct {
 	app *app
 	operatorAccess
 }
 
-// Execute prints one line a process; it fails when one did not answer.
+// Execute prints one line per process; it fails when a process did not answer.
 func (v *statusCommand) Execute([]string) (err error) {
 	list, errs := queryAll[node.Status](&v.operatorAccess, node.PathStatus)
 	if v.JSON {
@@ -99,13 +99,13 @@
 	return alive, suspect, dead
 }
 
-// auditCommand shows what changed.
+// auditCommand prints the audit records of processes.
 type auditCommand struct {
 	app *app
 	operatorAccess
 }
 
-// Execute prints the records of all processes, oldest first.
+// Execute prints the records of all processes, oldest first; it fails when a process did not answer.
 func (v *auditCommand) Execute([]string) (err error) {
 	reports, errs := queryAll[node.AuditReport](&v.operatorAccess, node.PathAudit)
 	var all []audit.Record
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package httpjson answers calls between processes with JSON, or with bytes that
-// the caller made where JSON would be too long, and reads such answers. It is not
-// for callers of models, whose answers are streamed.
+// Package httpjson answers HTTP calls between processes with JSON, or with bytes encoded by the
+// package's user where JSON would be too long, and reads such answers. It is not used for callers
+// of models, whose answers are streamed.
 package httpjson
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Do sends a request and returns the body of its answer, up to so many bytes. An answer of
-// another status than 200 is an error.
+// Do sends a request and returns the first maxBytes bytes of the answer's body. An answer with a
+// status other than 200 is an error.
 func Do(c *http.Client, r *http.Request, maxBytes int64) (raw []byte, err error) {
 	resp, err := c.Do(r)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return raw, nil
 }
 
-// Reply answers with v. A value that cannot be written is a fault of the
-// process and is answered as one.
+// Reply answers with v as JSON. A value that cannot be encoded is an internal error, and is
+// answered with status 500.
 func Reply(w http.ResponseWriter, v any) {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -45,8 +45,8 @@
 	ReplyBytes(w, "application/json", raw)
 }
 
-// ReplyCompressed answers with v, compressed where whoever asked can read that: text of many
-// entries that are alike, which goes to many over one link.
+// ReplyCompressed answers with v as JSON, compressed with gzip if the client accepts that. It is for
+// lists of many similar entries that are sent to many clients over one network link.
 func ReplyCompressed(w http.ResponseWriter, r *http.Request, v any) {
 	raw, err := json.Marshal(v)
 	if err == nil && len(raw) >= minCompressedBytes && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
@@ -61,7 +61,8 @@
 	ReplyBytes(w, "application/json", raw)
 }
 
-// minCompressedBytes is the length in bytes below which nothing is compressed: it fits a packet.
+// minCompressedBytes is the length in bytes below which nothing is compressed: such an answer fits
+// into one packet.
 const minCompressedBytes = 1400
 
 func compress(raw []byte) (compressed []byte, err error) {
@@ -79,15 +80,15 @@
 	return b.Bytes(), nil
 }
 
-// ReplyBinary answers with bytes.
+// ReplyBinary answers with raw as application/octet-stream.
 func ReplyBinary(w http.ResponseWriter, raw []byte) {
 	ReplyBytes(w, "application/octet-stream", raw)
 }
 
-// ReplyBytes answers with a body of the type given. The length goes out first, so
-// that whoever asks sees an answer that is cut, also in HTTP/1.0.
+// ReplyBytes answers with a body of the given content type. It sends a Content-Length, so that
+// clients detect a truncated answer, also with HTTP/1.0.
 func ReplyBytes(w http.ResponseWriter, contentType string, raw []byte) {
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
-	_, _ = w.Write(raw) // Whoever asks may be gone.
+	_, _ = w.Write(raw) // The client may have disconnected.
 }
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -15,8 +15,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestAnswersHaveContentLength keeps the end of a connection from being the end of an
-// answer, also for those who speak HTTP/1.0.
+// TestAnswersHaveContentLength guards against answers without a length: clients would take the end
+// of the connection for the end of the answer, also those that use HTTP/1.0.
 func TestAnswersHaveContentLength(t *testing.T) {
 	long := strings.Repeat("x", 4000)
 	for name, answer := range map[string]func(w http.ResponseWriter){
@@ -34,14 +34,14 @@
 
 func TestLongAnswersAreCompressedForClientsThatAcceptGzip(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		length int
-		asks   string
-		packed bool
+		name           string
+		length         int
+		acceptEncoding string
+		compressed     bool
 	}{
 		{"long", 40_000, "gzip", true},
 		{"short", minCompressedBytes / 2, "gzip", false},
-		{"to one that cannot read it", 40_000, "", false},
+		{"to a client that does not accept gzip", 40_000, "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -50,13 +50,13 @@
 			defer srv.Close()
 			r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, srv.URL, nil)
 			g.Expect(err).NotTo(HaveOccurred())
-			r.Header.Set("Accept-Encoding", tc.asks)
+			r.Header.Set("Accept-Encoding", tc.acceptEncoding)
 			resp, err := http.DefaultClient.Do(r)
 			g.Expect(err).NotTo(HaveOccurred())
 			defer func() { g.Expect(resp.Body.Close()).To(Succeed()) }()
-			g.Expect(resp.Header.Get("Content-Encoding") == "gzip").To(Equal(tc.packed))
+			g.Expect(resp.Header.Get("Content-Encoding") == "gzip").To(Equal(tc.compressed))
 			body := io.Reader(resp.Body)
-			if tc.packed {
+			if tc.compressed {
 				g.Expect(resp.ContentLength).To(BeNumerically("<", tc.length/10))
 				body, err = gzip.NewReader(body)
 				g.Expect(err).NotTo(HaveOccurred())
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -39,7 +39,7 @@
 type Log struct {
 	out           io.Writer
 	queue         *ring.Queue[line] // Its capacity is that of all classes together.
-	urgent        chan struct{}     // Holds a value once an urgent line is queued: it may be the last line before the process ends.
+	urgent        chan struct{}     // Holds a value once an urgent line is queued; it may be the process's last line.
 	flushInterval time.Duration     // How long lines that are not urgent are collected.
 	dropped       atomic.Int64
 
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package plots draws the outcomes of experiments. It computes nothing.
+// Package plots draws the results of experiments. It computes no results itself.
 package plots
 
 import (
@@ -17,13 +17,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/experiment"
 )
 
-// colors of the lines, in order.
+// colors holds the colors of the lines, in the order of the runs.
 var colors = []color.RGBA{
 	{R: 120, G: 120, B: 120, A: 255}, {R: 214, G: 96, B: 40, A: 255},
 	{R: 30, G: 90, B: 180, A: 255}, {R: 40, G: 140, B: 70, A: 255},
 }
 
-// Rebalance draws skew and bytes over time, one line a method.
+// Rebalance draws the step-time skew and the moved bytes over time, one line per run, and writes the
+// image to the file name.
 func Rebalance(name string, runs []experiment.Run) (err error) {
 	defer func() { err = errors.Wrapf(err, "plot %s", name) }()
 	skew, err := newLinePlot("step-time skew", runs, func(r experiment.Run) []float64 { return r.Skews })
