--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -135,8 +135,8 @@
 // controlBytesPerSecond returns the traffic of a process apart from its requests, sent and received,
 // in bytes per second.
 func (s Site) controlBytesPerSecond() float64 {
-	changes := s.ChangesPerDay / secondsPerDay * (exchangesPerChange.Value*bytesPerExchange.Value + 2*bytesPerDelta.Value)
-	return 2*gossipBytesPerSecond.Value + changes
+	changeBytesPerSecond := s.ChangesPerDay / secondsPerDay * (exchangesPerChange.Value*bytesPerExchange.Value + 2*bytesPerDelta.Value)
+	return 2*gossipBytesPerSecond.Value + changeBytesPerSecond
 }
 
 func (s Site) memory(streams float64) float64 {
@@ -146,24 +146,24 @@
 // Figures returns the computed figures of all roles.
 func (s Site) Figures() []Figure {
 	streams := s.RequestsPerSecond * s.StreamSeconds
-	atEntry, atAgent := streams/s.Entries, streams/s.Agents
-	borrow := s.HotCustomers * borrowMessagesPerSecond.Value * bytesPerBorrowMessage.Value
-	calls := s.Domains * watchersPerDomain * (1/(25.0) + 1/max(1, 0.04*s.members()) + s.ChangesPerDay/secondsPerDay*2)
-	cold := coldStartReaders*(s.PublishedValues+2) + s.members()
+	streamsPerEntry, streamsPerAgent := streams/s.Entries, streams/s.Agents
+	borrowBytesPerSecond := s.HotCustomers * borrowMessagesPerSecond.Value * bytesPerBorrowMessage.Value
+	callsPerSecond := s.Domains * watchersPerDomain * (1/(25.0) + 1/max(1, 0.04*s.members()) + s.ChangesPerDay/secondsPerDay*2)
+	coldStartReads := coldStartReaders*(s.PublishedValues+2) + s.members()
 	return []Figure{
-		{"entry", "memory, streams included", s.memory(atEntry), "MB", TargetMemoryMB, "base, a member, a value, a stream"},
+		{"entry", "memory, streams included", s.memory(streamsPerEntry), "MB", TargetMemoryMB, "base, a member, a value, a stream"},
 		{"entry", "processor of control", s.controlCores(), "core", TargetCores, "idle, decisions a member, judging each change whole"},
-		{"entry", "bytes of control", s.controlBytesPerSecond() + borrow, "B/s", TargetBytesPerSecond, "gossip both ways, changes as differences, borrowing"},
+		{"entry", "bytes of control", s.controlBytesPerSecond() + borrowBytesPerSecond, "B/s", TargetBytesPerSecond, "gossip both ways, changes as differences, borrowing"},
 		{"entry", "messages of control", 2*gossipMessagesPerSecond.Value + s.HotCustomers*borrowMessagesPerSecond.Value, "1/s", 0, "probes, answers, borrowing"},
 		{"entry", "processor of the relay", s.TokensPerSecond / s.Entries * cpuSecondsPerEntryToken.Value, "core", 0, "a token"},
-		{"agent", "memory, streams included", s.memory(atAgent), "MB", TargetMemoryMB, "base, a member, a value, a stream"},
+		{"agent", "memory, streams included", s.memory(streamsPerAgent), "MB", TargetMemoryMB, "base, a member, a value, a stream"},
 		{"agent", "processor of control", s.controlCores(), "core", TargetCores, "as the entry"},
 		{"agent", "bytes of control", s.controlBytesPerSecond(), "B/s", TargetBytesPerSecond, "as the entry, without borrowing"},
 		{"agent", "processor of the relay", s.TokensPerSecond / s.Agents * cpuSecondsPerAgentToken.Value, "core", 0, "a token"},
 		{"leading agent", "processor of planning", cpuSecondsPerPlanLayer.Value * s.Layers / s.PlanIntervalSeconds, "core", TargetCores - s.controlCores(), "one plan each time, on top of control"},
 		{"watcher", "bytes of control", s.controlBytesPerSecond() + listReadBytesPerSecond.Value, "B/s", TargetBytesPerSecond, "as the agent, and the list"},
-		{"configuration service", "calls while all is well", calls, "1/s", TargetCallShare * s.ServiceCallsPerSecond, "two watchers a failure domain: a waiting watch, the list, each change"},
-		{"configuration service", "time to read all from nothing", cold / (TargetCallShare * s.ServiceCallsPerSecond), "s", 0, "everybody reads the list once, two read each value, the others have them from peers; kept to a tenth of the service's rate"},
+		{"configuration service", "calls while all is well", callsPerSecond, "1/s", TargetCallShare * s.ServiceCallsPerSecond, "two watchers a failure domain: a waiting watch, the list, each change"},
+		{"configuration service", "time to read all from nothing", coldStartReads / (TargetCallShare * s.ServiceCallsPerSecond), "s", 0, "everybody reads the list once, two read each value, the others have them from peers; kept to a tenth of the service's rate"},
 		{"all", "in force everywhere", effectTime.Value, "s", TargetEffectTime.Seconds(), "pushes to three peers, then probes; measured at 2,980 processes"},
 	}
 }
--- a/internal/cli/gossip.go
+++ b/internal/cli/gossip.go
@@ -10,8 +10,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/experiment"
 )
 
-// gossipCommand runs one of the experiments with many processes at each of the given sizes, which
-// shows how costs grow with the size.
+// gossipCommand runs one of the experiments with many processes, at each of the given sizes, so that
+// the growth of the costs with the size (their slope) can be computed.
 type gossipCommand struct {
 	app     *app
 	run     func(experiment.GossipConfig) experiment.Table
--- a/internal/cli/plays_test.go
+++ b/internal/cli/plays_test.go
@@ -23,7 +23,7 @@
 	for name, tc := range map[string]struct {
 		text string
 		code int
-		says string
+		want string
 	}{
 		"clean":         {playsHeader + calmDayRow + "how tries ended: 200: 3; 502: 1\n", exitOK, "f.log:2: calm --seed 7: 1 times an own 5xx other than 503\n"},
 		"cut":           {playsHeader + calmDayRow + "how tries ended: 200: 3; cut, no answer: 2\n", exitFailed, "f.log:2: calm --seed 7: 2 cut before an answer\n"},
@@ -38,7 +38,7 @@
 			g.Expect(os.WriteFile(file, []byte(tc.text), 0o600)).To(Succeed())
 			var out bytes.Buffer
 			g.Expect(Main([]string{"plays", "--journal", t.TempDir(), file}, &out, &out)).To(Equal(tc.code))
-			g.Expect(out.String()).To(ContainSubstring(tc.says))
+			g.Expect(out.String()).To(ContainSubstring(tc.want))
 		})
 	}
 	t.Run("days without outcomes", func(t *testing.T) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,18 +39,18 @@
 
 	EngineURL          string // Base URL; an agent has either EngineURL or ServiceURL.
 	ServiceURL         string
-	QueueCapacity      int
-	MinLimit           int
-	MaxLimit           int
-	StepTarget         time.Duration
+	QueueCapacity      int           // Maximum number of queued requests.
+	MinLimit           int           // Lowest concurrency limit.
+	MaxLimit           int           // Highest concurrency limit.
+	StepTarget         time.Duration // Step time of the engine above which the concurrency limit falls.
 	EngineChecksFences bool          // The engine itself checks the ballots of orders.
 	KeyRetention       time.Duration // How long idempotency keys are stored.
 	MaxKeys            int           // Maximum number of stored idempotency keys.
 
-	GossipInterval time.Duration
-	SuspectAfter   time.Duration
+	GossipInterval time.Duration // Time between two probes of peers.
+	SuspectAfter   time.Duration // Time from suspicion until a process is declared dead, in a small system.
 	StallAfter     time.Duration // Time without output of an engine after which its requests may be moved.
-	ClockSkew      time.Duration
+	ClockSkew      time.Duration // Maximum difference between the clocks of two processes.
 
 	CA          string
 	Certificate string
