--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -123,7 +123,7 @@
 func (a *Agent) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
-	left := a.node.Left()
+	left := a.node.Leaving()
 	for {
 		select {
 		case <-ctx.Done():
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// Busy returns the number of requests that run or wait.
-func (a *Agent) Busy() int {
+// InFlight returns the number of requests that run or wait.
+func (a *Agent) InFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queue.Running() + a.queue.Waiting()
--- a/internal/cli/plays.go
+++ b/internal/cli/plays.go
@@ -67,23 +67,23 @@
 // which the command fails.
 func (v *playsCommand) print(list []*plays.Play) (failing int) {
 	out := v.app.out
-	ends, probes := plays.Ends{}, plays.Ends{}
+	ends, probes := plays.Outcomes{}, plays.Outcomes{}
 	reported := 0
 	for _, p := range list {
-		outcomes, ok := p.Ends()
+		outcomes, ok := p.Outcomes()
 		if !ok {
 			continue
 		}
 		reported++
 		ends.Add(outcomes)
 		probes.Add(p.Probes())
-		fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), outcomes)
+		fmt.Fprintf(out, "%s: %s: %s\n", p.Location(), p.Day(), outcomes)
 	}
 	fmt.Fprintf(out, "\n%d plays, %d tell how tries ended: %s\nprobes of the configuration: %s\n", len(list), reported, ends, probes)
 	for _, p := range list {
 		summary, fails := findings(p)
 		if summary != "" {
-			fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), summary)
+			fmt.Fprintf(out, "%s: %s: %s\n", p.Location(), p.Day(), summary)
 		}
 		if fails {
 			failing++
@@ -101,18 +101,18 @@
 	var list []string
 	if n := p.Unanswered(); n > 0 {
 		text := fmt.Sprintf("%d cut before an answer", n)
-		if kills := p.Kills(); len(kills) > 0 {
+		if kills := p.KillFaults(); len(kills) > 0 {
 			text += " (to be told from those of " + strings.Join(kills, ", ") + ")"
 		}
-		list, fails = append(list, text), len(p.Kills()) == 0
+		list, fails = append(list, text), len(p.KillFaults()) == 0
 	}
-	if b := p.Broken(); len(b) > 0 {
+	if b := p.BrokenRules(); len(b) > 0 {
 		list, fails = append(list, "rules broken: "+strings.Join(b, ", ")), true
 	}
-	if n := p.Exits(); n > 0 {
+	if n := p.UnexpectedExits(); n > 0 {
 		list = append(list, fmt.Sprintf("%d processes ended by themselves", n))
 	}
-	if n := p.OwnFailures(); n > 0 {
+	if n := p.GatewayErrors(); n > 0 {
 		list = append(list, fmt.Sprintf("%d times an own 5xx other than 503", n))
 	}
 	return strings.Join(list, "; "), fails
@@ -122,7 +122,7 @@
 func withoutOutcomes(list []*plays.Play) (missing []*plays.Play) {
 	for _, p := range list {
 		if !slices.ContainsFunc(list, func(q *plays.Play) bool {
-			_, ok := q.Ends()
+			_, ok := q.Outcomes()
 			return ok && q.SameDay(p)
 		}) {
 			missing = append(missing, p)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -79,7 +79,7 @@
 		return d.entry.PeerHandler()
 	}
 	kept := &http.Client{Transport: adapter.NewTransport(d.set.SourceIP)}
-	single := &http.Client{Transport: adapter.NewSingleTransport(d.set.SourceIP)}
+	single := &http.Client{Transport: adapter.NewSingleUseTransport(d.set.SourceIP)}
 	if d.set.EngineURL != "" {
 		d.agent = agent.New(d.node, adapter.NewEngine(d.set.EngineURL, kept), nil)
 	} else {
@@ -92,7 +92,7 @@
 	var t *tls.Config
 	if name != callersName {
 		t = d.node.Credentials().Server(func(err error) {
-			d.node.Trail().Add(audit.PeerRefused, name, err.Error())
+			d.node.Trail().Add(audit.PeerRejected, name, err.Error())
 		}, roles...)
 	}
 	d.listeners = append(d.listeners, newListener(l, h, t, d.newTracker(name), newServerLog(d.log)))
@@ -118,9 +118,9 @@
 // inFlight returns the number of requests in flight.
 func (d *Daemon) inFlight() int {
 	if d.entry != nil {
-		return d.entry.Busy()
+		return d.entry.InFlight()
 	}
-	return d.agent.Busy()
+	return d.agent.InFlight()
 }
 
 // Run serves until a planned stop is complete or ctx ends, which cuts off requests in flight. The
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -220,7 +220,7 @@
 		EndpointHeader: platform.EndpointHeader,
 		CallerHeader:   platform.CallerHeader,
 		ReadAnswer:     platform.ReadAnswer,
-		MarkAnswer:     platform.MarkAnswer,
-		EventWeights:   platform.EventWeights,
+		MarkAnswer:     platform.SetAttemptID,
+		EventWeights:   platform.EventWeightsVersion,
 	}
 }
--- a/internal/daemon/process_end_test.go
+++ b/internal/daemon/process_end_test.go
@@ -156,7 +156,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	d.listeners[0].netListener = &panickingListener{Listener: d.listeners[0].netListener}
 	g.Expect(d.Run(context.Background())).To(MatchError(ContainSubstring("duty listener")))
-	g.Expect(d.Node().Left()).To(BeClosed())
+	g.Expect(d.Node().Leaving()).To(BeClosed())
 }
 
 // Guards against a process that ends with all its requests because one connection cannot be
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -50,5 +50,5 @@
 // otherEngine returns a client of another rank's engine. It is used rarely, so its connections are
 // not kept.
 func (p *fleetProcess) otherEngine(address string) rank.Engine {
-	return platform.NewDistantEngine(address, p.set.SourceIP)
+	return platform.NewUnpooledEngine(address, p.set.SourceIP)
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -186,13 +186,13 @@
 	}
 	q.service = q.pickService()
 	callerTimeout := defaultCallerTimeout
-	if q.call.HasPatience {
-		callerTimeout = q.call.Patience
+	if q.call.HasCallerTimeout {
+		callerTimeout = q.call.CallerTimeout
 		q.refusedBefore, q.maybeRefused = q.g.callerTimeouts.classify(q.route.Name, callerTimeout, q.route.Timeout)
 	}
 	q.deadline = q.arrived.Add(min(callerTimeout, q.route.Timeout))
 	if q.route.Kind == fleet.Streaming && q.route.Resumable {
-		q.cursor = cursorFrom(q.call.LastEvent)
+		q.cursor = cursorFrom(q.call.LastEventID)
 	}
 	return true
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -181,12 +181,12 @@
 	return n.life.State()
 }
 
-// Left is closed when the planned stop begins.
-func (n *Node) Left() <-chan struct{} { return n.left }
+// Leaving is closed when the planned stop begins.
+func (n *Node) Leaving() <-chan struct{} { return n.left }
 
-// OnGone sets the function that is told of each member that is given up. It
+// OnDead sets the function that is told of each member that is given up. It
 // must be called before Run.
-func (n *Node) OnGone(f func(member.Member)) { n.gone = f }
+func (n *Node) OnDead(f func(member.Member)) { n.gone = f }
 
 // Members lists the members that satisfy keep, the node itself included.
 func (n *Node) Members(keep func(member.Member) bool) []member.Member {
@@ -259,9 +259,9 @@
 	n.pushSome()
 }
 
-// Idle takes note that nothing runs any more; it reports whether the planned
+// MarkIdle takes note that nothing runs any more; it reports whether the planned
 // stop is complete.
-func (n *Node) Idle() bool {
+func (n *Node) MarkIdle() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.life.Apply(eventIdle)
@@ -286,7 +286,7 @@
 func (n *Node) Refusal() *wire.Refusal {
 	switch n.State() {
 	case Serving:
-		if early := n.set.ClockSkew + ident.KeyGrain - time.Since(n.start); early > 0 {
+		if early := n.set.ClockSkew + ident.KeyTimeResolution - time.Since(n.start); early > 0 {
 			// Keys minted now cannot yet be told from those of an earlier life.
 			return wire.Refuse(http.StatusServiceUnavailable, early, "process has just started")
 		}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -34,7 +34,7 @@
 			wait.For(ctx, n.set.GossipInterval)
 			continue
 		}
-		raw, err := n.conf.Wait(ctx, published.ManifestKey, seen)
+		raw, err := n.conf.Watch(ctx, published.ManifestKey, seen)
 		if err == nil && raw != nil {
 			err = n.takeWatched(ctx, raw)
 		}
--- a/internal/published/parse.go
+++ b/internal/published/parse.go
@@ -62,19 +62,19 @@
 
 func (p *parsed) readCustomer(name string, f *inifile.File) {
 	cust := &Customer{
-		Name:     name,
-		Hashes:   f.Words(kindCustomer, "key-hash"),
-		Policy:   f.String(kindCustomer, "policy", ""),
-		Rate:     f.Float(kindCustomer, "rate", 0, 0, 1e6),
-		Weight:   f.Float(kindCustomer, "weight", 1, 0.01, 1000),
-		Services: f.Words(kindCustomer, "services"),
+		Name:      name,
+		KeyHashes: f.Words(kindCustomer, "key-hash"),
+		Policy:    f.String(kindCustomer, "policy", ""),
+		Rate:      f.Float(kindCustomer, "rate", 0, 0, 1e6),
+		Weight:    f.Float(kindCustomer, "weight", 1, 0.01, 1000),
+		Services:  f.Words(kindCustomer, "services"),
 	}
 	p.customer = cust
 	cust.Burst = f.Float(kindCustomer, "burst", max(1, cust.Rate), 1, 1e6)
-	if len(cust.Hashes) == 0 {
+	if len(cust.KeyHashes) == 0 {
 		f.AddProblem(kindCustomer, "key-hash", "must be set")
 	}
-	for _, h := range cust.Hashes {
+	for _, h := range cust.KeyHashes {
 		if raw, err := hex.DecodeString(h); err != nil || len(raw) != 32 {
 			f.AddProblem(kindCustomer, "key-hash", "%q is not a hex SHA-256", h)
 		}
@@ -84,7 +84,7 @@
 func (p *parsed) readPolicy(name string, f *inifile.File) {
 	pol := &Policy{
 		Name: name,
-		Texts: policy.Texts{
+		Sources: policy.Sources{
 			Priority: f.String(kindPolicy, "priority", ""),
 			Retry:    f.String(kindPolicy, "retry", ""),
 			Move:     f.String(kindPolicy, "move", ""),
@@ -93,8 +93,8 @@
 		SkewPrice:  f.Float(kindPolicy, "skew-price", 1, 0, 1e6),
 		MovePrice:  f.Float(kindPolicy, "move-price", 1, 0, 1e6),
 	}
-	var faults []policy.Fault
-	pol.Programs, faults = policy.New(pol.Texts)
+	var faults []policy.CompileFault
+	pol.Programs, faults = policy.New(pol.Sources)
 	for _, one := range faults {
 		f.AddProblem(kindPolicy, one.Key, "%s", one.Text)
 	}
@@ -111,7 +111,7 @@
 		s.ExpertBytes = f.Float(kind, "expert-bytes", 50e6, 1, 1e12)
 		s.StoreRate = f.Float(kind, "store-rate", 0, 0, 1e15)
 		s.HourlyBytes = f.Float(kind, "hourly-bytes", 0, 0, 1e18)
-		s.Rebalance = f.Duration(kind, "rebalance-every", 0)
+		s.RebalanceInterval = f.Duration(kind, "rebalance-every", 0)
 		s.Policy = f.String(kind, "policy", "")
 	} else {
 		s.Path = f.Required(kind, "path")
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -303,7 +303,7 @@
 // nothing of the previous one's counts and measurements, so these are dropped. It returns false for
 // an earlier one, whose answer arrived late. The caller holds mu.
 func (s *Sidecar) recordIncarnation(startedAt int64) (accepted bool) {
-	switch fleet.CompareLives(s.engineStartedAt, startedAt) {
+	switch fleet.CompareIncarnations(s.engineStartedAt, startedAt) {
 	case -1:
 		s.log.Info("answer of an earlier incarnation of the engine ignored", zap.Int64("born", startedAt), zap.Int64("newest", s.engineStartedAt))
 		return false
@@ -375,7 +375,7 @@
 // and incarnation.
 func difference(last window, from, to rank.Counts) (w window) {
 	w = window{number: last.number + 1, epoch: to.Epoch}
-	if from.Epoch != to.Epoch || fleet.CompareLives(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
+	if from.Epoch != to.Epoch || fleet.CompareIncarnations(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
 		return w
 	}
 	w.flat = make([]uint64, len(to.Flat))
