--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package chart interprets state charts written in INI files, one file a life
-// cycle. A file is checked when it is loaded: in every state every event is
-// either handled or named as ignored, and every state can be reached. The
-// package knows nothing of what the states mean.
+// Package chart interprets state charts written in INI files, one file per life cycle. A file is
+// checked when it is loaded: every state handles every event or explicitly ignores it, and
+// every state can be reached. The package does not depend on the meaning of the states.
 package chart
 
 import (
@@ -19,23 +18,23 @@
 //go:embed charts/*.ini
 var files embed.FS
 
-// Names of states and events are typed so that they are not mixed up.
+// State and Event are names. They have types of their own so that they are not mixed up.
 type (
 	State string
 	Event string
 )
 
-// ignored is the target that names an event as having no effect.
-const ignored = "ignore"
+// ignoreTarget is the target state of an event that has no effect.
+const ignoreTarget = "ignore"
 
-// Chart is one checked life cycle. A Chart is immutable.
+// Chart is the checked state chart of one life cycle. A Chart is immutable.
 type Chart struct {
-	name  string
-	start State
-	next  map[State]map[Event]State
+	name        string
+	start       State
+	transitions map[State]map[Event]State
 }
 
-// Load reads the named chart that is built into the program.
+// Load parses the named chart, which is embedded in the program.
 func Load(name string) (c *Chart, err error) {
 	file := "charts/" + name + ".ini"
 	raw, err := files.ReadFile(file)
@@ -45,22 +44,22 @@
 	return Parse(name, raw)
 }
 
-// MustLoad is Load for the charts that the program itself brings.
+// MustLoad is like Load, but panics if the embedded chart is missing or invalid.
 func MustLoad(name string) *Chart {
 	c, err := Load(name)
 	if err != nil {
-		panic(err) // The file is part of the program; a test loads each.
+		panic(err) // Cannot happen: the files are embedded, and a test loads each of them.
 	}
 	return c
 }
 
-// Parse reads and checks a chart.
+// Parse parses and checks a chart.
 func Parse(name string, raw []byte) (c *Chart, err error) {
 	f, err := inifile.Parse(name, raw)
 	if err != nil {
 		return nil, err
 	}
-	c = &Chart{name: name, next: map[State]map[Event]State{}}
+	c = &Chart{name: name, transitions: map[State]map[Event]State{}}
 	c.start = State(f.Required("chart", "start"))
 	events := f.Words("chart", "events")
 	if len(events) == 0 {
@@ -68,7 +67,7 @@
 	}
 	for _, section := range f.Sections() {
 		if state, ok := strings.CutPrefix(section, "state "); ok {
-			c.next[State(state)] = readState(f, section, State(state), events)
+			c.transitions[State(state)] = readState(f, section, State(state), events)
 		}
 	}
 	c.check(f)
@@ -79,7 +78,7 @@
 	next := map[Event]State{}
 	for _, e := range events {
 		to := f.Required(section, e)
-		if to == ignored {
+		if to == ignoreTarget {
 			to = string(s)
 		}
 		next[Event(e)] = State(to)
@@ -87,63 +86,63 @@
 	return next
 }
 
-// check finds targets that do not exist and states that cannot be reached.
+// check reports targets that do not exist and states that cannot be reached from the start state.
 func (c *Chart) check(f *inifile.File) {
-	if _, ok := c.next[c.start]; !ok {
+	if _, ok := c.transitions[c.start]; !ok {
 		f.AddProblem("chart", "start", "no state %q", c.start)
 		return
 	}
 	reached := map[State]bool{c.start: true}
-	work := []State{c.start}
-	for len(work) > 0 {
-		s := work[0]
-		work = work[1:]
-		for e, to := range c.next[s] {
-			if _, ok := c.next[to]; !ok {
+	pending := []State{c.start}
+	for len(pending) > 0 {
+		s := pending[0]
+		pending = pending[1:]
+		for e, to := range c.transitions[s] {
+			if _, ok := c.transitions[to]; !ok {
 				f.AddProblem("state "+string(s), string(e), "no state %q", to)
 				continue
 			}
 			if !reached[to] {
 				reached[to] = true
-				work = append(work, to)
+				pending = append(pending, to)
 			}
 		}
 	}
-	for s := range c.next {
+	for s := range c.transitions {
 		if !reached[s] {
 			f.AddProblem("state "+string(s), "", "cannot be reached")
 		}
 	}
 }
 
-// States lists the states in order of name.
+// States lists the states, ordered by name.
 func (c *Chart) States() []State {
 	var list []State
-	for s := range c.next {
+	for s := range c.transitions {
 		list = append(list, s)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 	return list
 }
 
-// Machine is one life that follows a chart. It is not safe for concurrent use.
+// Machine is a state machine that follows a chart. It is not safe for concurrent use.
 type Machine struct {
 	chart *Chart
 	state State
 }
 
-// NewMachine returns a life in the chart's first state.
+// NewMachine returns a state machine in the chart's start state.
 func (c *Chart) NewMachine() *Machine { return &Machine{chart: c, state: c.start} }
 
-// State returns the present state.
+// State returns the current state.
 func (m *Machine) State() State { return m.state }
 
-// Apply takes in an event and reports whether the state changed. An event that
-// the chart does not know is an error of the program.
+// Apply processes an event and reports whether the state changed. It panics on an event that the
+// chart does not define, which is a programming error.
 func (m *Machine) Apply(e Event) (changed bool) {
-	to, ok := m.chart.next[m.state][e]
+	to, ok := m.chart.transitions[m.state][e]
 	if !ok {
-		panic(errors.AssertionFailedf("chart %s: no event %q", m.chart.name, e))
+		panic(errors.AssertionFailedf("chart %s: event %q is not defined", m.chart.name, e))
 	}
 	changed = to != m.state
 	m.state = to
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -13,7 +13,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// readFolder reads a folder of configuration; keys are paths below it.
+// readFolder reads the INI files of a configuration folder; keys are paths relative to it.
 func readFolder(dir string) (values map[string][]byte, err error) {
 	values = map[string][]byte{}
 	err = filepath.WalkDir(dir, func(name string, d fs.DirEntry, err error) error {
@@ -30,8 +30,8 @@
 	return values, err
 }
 
-// checkVerb judges a folder as the daemon judges a generation.
-type checkVerb struct {
+// checkCommand validates a folder as the daemon validates a generation.
+type checkCommand struct {
 	app  *app
 	JSON bool `long:"json" description:"print the faults as JSON"`
 	Args struct {
@@ -39,8 +39,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints every fault; it fails when there is one.
-func (v *checkVerb) Execute([]string) (err error) {
+// Execute prints all problems; it fails when there is one.
+func (v *checkCommand) Execute([]string) (err error) {
 	values, err := readFolder(v.Args.Dir)
 	if err != nil {
 		return err
--- a/internal/cli/pack.go
+++ b/internal/cli/pack.go
@@ -16,8 +16,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// packVerb signs a folder as one generation.
-type packVerb struct {
+// packCommand signs a folder of configuration as one generation.
+type packCommand struct {
 	app        *app
 	Generation uint64 `long:"generation" required:"yes" description:"number of the generation; higher than the one in force"`
 	Parent     string `long:"parent" value-name:"FILE.json" description:"bundle that this one was made from"`
@@ -42,8 +42,8 @@
 	return ed25519.NewKeyFromSeed(seed), nil
 }
 
-// Execute checks, signs and writes; a faulty folder is not packed.
-func (v *packVerb) Execute([]string) (err error) {
+// Execute validates the folder, signs it and writes the bundle; an invalid folder is not packed.
+func (v *packCommand) Execute([]string) (err error) {
 	if v.Generation == 0 {
 		return errors.New("--generation must be at least 1")
 	}
@@ -74,8 +74,9 @@
 	return nil
 }
 
-// parent returns the hash of the bundle that this one follows.
-func (v *packVerb) parent() (hash string, err error) {
+// parent returns the hash of the parent bundle, or "" when there is none. The parent's generation must be
+// lower.
+func (v *packCommand) parent() (hash string, err error) {
 	if v.Parent == "" {
 		return "", nil
 	}
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -13,14 +13,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// policyVerb has the sub-verb try.
-type policyVerb struct {
-	Try tryVerb `command:"try" description:"say what a policy file answers for one request"`
+// policyCommand has the subcommand try.
+type policyCommand struct {
+	Try tryCommand `command:"try" description:"say what a policy file answers for one request"`
 	app *app
 }
 
-// tryVerb asks one policy about one request.
-type tryVerb struct {
+// tryCommand evaluates a policy for one request.
+type tryCommand struct {
 	Customer   string `long:"customer" description:"name of the customer"`
 	Service    string `long:"service" description:"model or service"`
 	Class      string `long:"class" description:"the caller's class"`
@@ -36,8 +36,8 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute prints the three answers; a program that fails shows its default.
-func (v *tryVerb) Execute([]string) (err error) {
+// Execute prints the results of the three programs; one that fails is shown with its default.
+func (v *tryCommand) Execute([]string) (err error) {
 	raw, err := os.ReadFile(v.Args.File)
 	if err != nil {
 		return err
@@ -60,5 +60,5 @@
 	retry, err2 := p.Retry(req)
 	move, err3 := p.Move(req)
 	fmt.Printf("priority = %d\nretry = %v\nmove = %v\n", priority, retry, move)
-	return failed(errors.Join(err1, err2, err3))
+	return markFailed(errors.Join(err1, err2, err3))
 }
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -17,8 +17,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/soak"
 )
 
-// soakVerb runs gateways and sidecars as processes under trouble.
-type soakVerb struct {
+// soakCommand runs gateways and sidecars as processes while faults are injected.
+type soakCommand struct {
 	app     *app
 	Seed    uint64  `long:"seed" default:"1" description:"first seed; the schedule of the trouble follows from it"`
 	Runs    int     `long:"runs" default:"1" description:"seeds to run, one after the other"`
@@ -34,8 +34,8 @@
 	Quiet bool `long:"quiet" description:"tell only what became of each run"`
 }
 
-// Execute runs the verb.
-func (v *soakVerb) Execute([]string) error {
+// Execute runs the seeds one after the other; it fails when a guarantee was violated.
+func (v *soakCommand) Execute([]string) error {
 	daemon := v.Daemon
 	if daemon == "" {
 		self, err := os.Executable()
@@ -44,7 +44,7 @@
 		}
 		daemon = filepath.Join(filepath.Dir(self), "canvaspulleyd")
 	}
-	// A run that is broken off ends the processes that it started.
+	// An interrupted run ends the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
 	broken := 0
@@ -67,7 +67,7 @@
 		broken += len(r.Broken)
 	}
 	if broken > 0 {
-		return failed(errors.Newf("%d promises broken", broken))
+		return markFailed(errors.Newf("%d promises broken", broken))
 	}
 	return nil
 }
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package plots draws the outcomes of experiments. It computes nothing.
+// Package plots draws the results of experiments. It computes no results itself.
 package plots
 
 import (
@@ -17,20 +17,21 @@
 	"github.com/canvaspulley/canvaspulley/internal/experiment"
 )
 
-// colors of the lines, in order.
+// colors holds the colors of the lines, in the order of the runs.
 var colors = []color.RGBA{
 	{R: 120, G: 120, B: 120, A: 255}, {R: 214, G: 96, B: 40, A: 255},
 	{R: 30, G: 90, B: 180, A: 255}, {R: 40, G: 140, B: 70, A: 255},
 }
 
-// Rebalance draws skew and bytes over time, one line a method.
+// Rebalance draws the step-time skew and the moved bytes over time, one line per run, and writes the
+// image to the file name.
 func Rebalance(name string, runs []experiment.Run) (err error) {
 	defer func() { err = errors.Wrapf(err, "plot %s", name) }()
-	skew, err := lines("step-time skew", runs, func(r experiment.Run) []float64 { return r.Skews })
+	skew, err := newLinePlot("step-time skew", runs, func(r experiment.Run) []float64 { return r.Skews })
 	if err != nil {
 		return err
 	}
-	bytes, err := lines("GB moved", runs, func(r experiment.Run) []float64 { return r.Bytes })
+	moved, err := newLinePlot("GB moved", runs, func(r experiment.Run) []float64 { return r.Bytes })
 	if err != nil {
 		return err
 	}
@@ -38,7 +39,7 @@
 	tiles := draw.Tiles{Rows: 2, Cols: 1, PadY: vg.Millimeter * 4}
 	canvas := draw.New(img)
 	skew.Draw(tiles.At(canvas, 0, 0))
-	bytes.Draw(tiles.At(canvas, 0, 1))
+	moved.Draw(tiles.At(canvas, 0, 1))
 	f, err := os.Create(name)
 	if err != nil {
 		return err
@@ -48,7 +49,7 @@
 	return err
 }
 
-func lines(title string, runs []experiment.Run, values func(experiment.Run) []float64) (p *plot.Plot, err error) {
+func newLinePlot(title string, runs []experiment.Run, values func(experiment.Run) []float64) (p *plot.Plot, err error) {
 	p = plot.New()
 	p.Title.Text = title
 	p.X.Label.Text = "sample"
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package settings reads the daemon's own settings from an INI file: who it is,
-// where it listens and how it reaches the platform. It is not the published
-// configuration, which every process shares.
+// Package settings reads the settings of one process from an INI file: its name and role,
+// the addresses on which it listens and those of the platform's services. The published
+// configuration, which all processes share, is not part of it.
 package settings
 
 import (
@@ -19,38 +19,38 @@
 	"github.com/canvaspulley/canvaspulley/internal/inifile"
 )
 
-// Settings is one checked settings file.
+// Settings holds the validated settings file of an entry or an endpoint agent.
 type Settings struct {
 	Name     string
 	Role     adapter.Role
 	Domain   string
-	Endpoint string // Slot that an agent fills; "" for entries.
+	Endpoint string // Name of the endpoint that an agent serves; "" for entries.
 
-	CallersAddress    string // Entry only.
+	CallersAddress    string // Listener for callers; entries only.
 	PeersAddress      string
 	OperatorsAddress  string
-	AdvertisedAddress string // Peer address that others use; Peers when not set.
-	SourceIP          string // IP number that connections to others come from; "" for any.
+	AdvertisedAddress string // Address under which peers reach the process; PeersAddress when not set.
+	SourceIP          string // Source IP address of outgoing connections; "" for any.
 
 	ConfigServiceURL string
 	InstancesURL     string
 	OperatorKey      ed25519.PublicKey
-	Seeds            []string // Peer addresses to ask before the list is read.
+	Seeds            []string // Addresses of peers to contact before the list of instances is read.
 
-	EngineURL          string // Base URL; an agent has Engine or Service.
+	EngineURL          string // Base URL; an agent has either EngineURL or ServiceURL.
 	ServiceURL         string
-	QueueCapacity      int
-	MinLimit           int
-	MaxLimit           int
-	StepTarget         time.Duration
-	EngineChecksFences bool          // The engine checks the ballots of orders by itself.
-	KeyRetention       time.Duration // How long idempotency keys are remembered.
-	MaxKeys            int           // Idempotency keys remembered at most.
-
-	GossipInterval time.Duration
-	SuspectAfter   time.Duration
-	StallAfter     time.Duration // Silence of an engine after which its work may move.
-	ClockSkew      time.Duration
+	QueueCapacity      int           // Maximum number of queued requests.
+	MinLimit           int           // Lowest concurrency limit.
+	MaxLimit           int           // Highest concurrency limit.
+	StepTarget         time.Duration // Step time of the engine above which the concurrency limit falls.
+	EngineChecksFences bool          // The engine itself checks the ballots of orders.
+	KeyRetention       time.Duration // How long idempotency keys are stored.
+	MaxKeys            int           // Maximum number of stored idempotency keys.
+
+	GossipInterval time.Duration // Time between two probes of peers.
+	SuspectAfter   time.Duration // Time from suspicion until a process is declared dead, in a small system.
+	StallAfter     time.Duration // Time without output of an engine after which its requests may be moved.
+	ClockSkew      time.Duration // Maximum difference between the clocks of two processes.
 
 	CA          string
 	Certificate string
@@ -60,7 +60,7 @@
 	Pprof    bool
 }
 
-// Load reads the file and returns every fault in it together.
+// Load reads and validates a settings file. The error lists all problems found in it.
 func Load(name string) (s *Settings, err error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -69,7 +69,7 @@
 	return Parse(name, raw)
 }
 
-// Parse checks the text of a settings file.
+// Parse parses and validates the text of a settings file. The error lists all problems found in it.
 func Parse(name string, raw []byte) (s *Settings, err error) {
 	f, err := inifile.Parse(name, raw)
 	if err != nil {
@@ -110,21 +110,21 @@
 
 func (s *Settings) readListen(f *inifile.File) {
 	const section = "listen"
-	s.PeersAddress = address(f, section, "peers", true)
-	s.OperatorsAddress = address(f, section, "operators", true)
-	s.CallersAddress = address(f, section, "callers", s.Role == adapter.RoleEntry)
+	s.PeersAddress = readAddress(f, section, "peers", true)
+	s.OperatorsAddress = readAddress(f, section, "operators", true)
+	s.CallersAddress = readAddress(f, section, "callers", s.Role == adapter.RoleEntry)
 	if s.CallersAddress != "" && s.Role == adapter.RoleEndpoint {
 		f.AddProblem(section, "callers", "is set, but the role is endpoint")
 	}
-	s.AdvertisedAddress = address(f, section, "advertise", false)
+	s.AdvertisedAddress = readAddress(f, section, "advertise", false)
 	s.SourceIP = f.String(section, "source", "")
 	if s.SourceIP != "" && net.ParseIP(s.SourceIP) == nil {
-		f.AddProblem(section, "source", "%q is not an IP number", s.SourceIP)
+		f.AddProblem(section, "source", "%q is not an IP address", s.SourceIP)
 	}
 }
 
-// address reads an IP number and port.
-func address(f *inifile.File, section, key string, required bool) string {
+// readAddress reads an address of the form IP:PORT.
+func readAddress(f *inifile.File, section, key string, required bool) string {
 	v := f.String(section, key, "")
 	if v == "" {
 		if required {
@@ -138,8 +138,8 @@
 	return v
 }
 
-// baseURL reads an http or https URL with an IP number.
-func baseURL(f *inifile.File, section, key string, required bool) string {
+// readBaseURL reads an http or https URL whose host is an IP address, without a trailing slash.
+func readBaseURL(f *inifile.File, section, key string, required bool) string {
 	v := f.String(section, key, "")
 	if v == "" {
 		if required {
@@ -156,8 +156,8 @@
 
 func (s *Settings) readPlatform(f *inifile.File) {
 	const section = "platform"
-	s.ConfigServiceURL = baseURL(f, section, "config-service", true)
-	s.InstancesURL = baseURL(f, section, "instances", true)
+	s.ConfigServiceURL = readBaseURL(f, section, "config-service", true)
+	s.InstancesURL = readBaseURL(f, section, "instances", true)
 	for _, seed := range f.Words(section, "seeds") {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
 			f.AddProblem(section, "seeds", "%q is not IP:PORT", seed)
@@ -177,8 +177,8 @@
 
 func (s *Settings) readEndpoint(f *inifile.File) {
 	const section = "endpoint"
-	s.EngineURL = baseURL(f, section, "engine", false)
-	s.ServiceURL = baseURL(f, section, "service", false)
+	s.EngineURL = readBaseURL(f, section, "engine", false)
+	s.ServiceURL = readBaseURL(f, section, "service", false)
 	agent := s.Role == adapter.RoleEndpoint
 	if agent && (s.EngineURL == "") == (s.ServiceURL == "") {
 		f.AddProblem(section, "", "exactly one of engine and service must be set")
@@ -211,23 +211,23 @@
 
 func (s *Settings) readTLS(f *inifile.File) {
 	const section = "tls"
-	s.CA = existing(f, section, "ca")
-	s.Certificate = existing(f, section, "certificate")
-	s.PrivateKey = existing(f, section, "private-key")
+	s.CA = readFilePath(f, section, "ca")
+	s.Certificate = readFilePath(f, section, "certificate")
+	s.PrivateKey = readFilePath(f, section, "private-key")
 	if !f.HasSection(section) {
 		return
 	}
-	for _, one := range []struct{ key, value string }{
+	for _, setting := range []struct{ key, value string }{
 		{"ca", s.CA}, {"certificate", s.Certificate}, {"private-key", s.PrivateKey},
 	} {
-		if one.value == "" {
-			f.AddProblem(section, one.key, "must be set beside the others")
+		if setting.value == "" {
+			f.AddProblem(section, setting.key, "must be set together with the others")
 		}
 	}
 }
 
-// existing reads the name of a file that must be readable.
-func existing(f *inifile.File, section, key string) string {
+// readFilePath reads the path of a file that must exist.
+func readFilePath(f *inifile.File, section, key string) string {
 	v := f.String(section, key, "")
 	if v == "" {
 		return ""
