--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -51,7 +51,7 @@
 func startHarness(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) (*harness, *node.Node) {
 	t.Helper()
 	g := gomega.NewWithT(t)
-	layout, err := example.New(example.RefundDesk, example.Small, 0)
+	layout, err := example.New(example.RefundDesk, example.MinimalSize, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	dir := standin.NewDirectory()
 	dir.Publish(standin.Bundle{Manifest: layout.Pack(1, "", layout.Published()), Values: layout.Published()})
--- a/internal/agent/mapper_test.go
+++ b/internal/agent/mapper_test.go
@@ -36,7 +36,7 @@
 // when another process may hold the lease.
 func TestOrdersNeedTheLease(t *testing.T) {
 	g := gomega.NewWithT(t)
-	group := standin.NewGroup(standin.GroupConfig{Ranks: 1, NoFences: true})
+	group := standin.NewGroup(standin.GroupConfig{Ranks: 1, IgnoreFences: true})
 	srv := httptest.NewServer(group.Rank(0).Handler())
 	t.Cleanup(srv.Close)
 	b := newHarness(t, func(s *settings.Settings) {
@@ -66,7 +66,7 @@
 	check := func(name string, restart bool, throughAgent bool, executed bool) {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			group := standin.NewGroup(standin.GroupConfig{Ranks: 1, NoFences: true})
+			group := standin.NewGroup(standin.GroupConfig{Ranks: 1, IgnoreFences: true})
 			srv := httptest.NewServer(group.Rank(0).Handler())
 			t.Cleanup(srv.Close)
 			engine := adapter.NewEngine(srv.URL, srv.Client())
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	moved, err := newLinePlot("GB moved", runs, func(r experiment.Run) []float64 { return r.Bytes })
+	moved, err := newLinePlot("GB moved", runs, func(r experiment.Run) []float64 { return r.CumulativeBytes })
 	if err != nil {
 		return err
 	}
