--- a/internal/agent/mapper_test.go
+++ b/internal/agent/mapper_test.go
@@ -36,7 +36,7 @@
 // nothing on.
 func TestOrdersNeedTheLease(t *testing.T) {
 	g := gomega.NewWithT(t)
-	group := standin.NewGroup(standin.GroupConfig{Ranks: 1, NoFences: true})
+	group := standin.NewGroup(standin.GroupConfig{Ranks: 1, IgnoreFences: true})
 	srv := httptest.NewServer(group.Rank(0).Handler())
 	t.Cleanup(srv.Close)
 	b := newBench(t, func(s *settings.Settings) {
@@ -66,7 +66,7 @@
 	check := func(name string, restart bool, through bool, obeyed bool) {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			group := standin.NewGroup(standin.GroupConfig{Ranks: 1, NoFences: true})
+			group := standin.NewGroup(standin.GroupConfig{Ranks: 1, IgnoreFences: true})
 			srv := httptest.NewServer(group.Rank(0).Handler())
 			t.Cleanup(srv.Close)
 			engine := adapter.NewEngine(srv.URL, srv.Client())
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -111,13 +111,13 @@
 func (s *Site) Publish(generation uint64, values map[string][]byte) {
 	m := s.layout.Pack(generation, s.parent.Hash, values)
 	s.parent = m.Version()
-	s.stand.Dir.Publish(standin.Bundle{Manifest: m, Values: values})
+	s.stand.Directory.Publish(standin.Bundle{Manifest: m, Values: values})
 }
 
 // Cut cuts a failure domain off from the others and from the platform.
 func (s *Site) Cut(domain string, on bool) {
-	s.stand.Net.Cut(domain, on)
-	s.stand.Views[domain].Down(on)
+	s.stand.Network.SetPartitioned(domain, on)
+	s.stand.Views[domain].SetDown(on)
 }
 
 // InForce returns how many running daemons have the newest generation, and how
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -191,7 +191,7 @@
 		second := s.agentOf(fresh.rank)
 		slow := s.open(s.Entries[1], "slow group", 12, "")
 		Expect(slow.read(10)).To(BeTrue())
-		s.fault(standin.Fault{Kind: standin.FaultSlow, Target: second.Backend, MS: 2500})
+		s.fault(standin.Fault{Kind: standin.FaultSlow, Target: second.Backend, Milliseconds: 2500})
 		slow.expectWhole("slow group", 12)
 		Expect(slow.ids).To(HaveEach(ContainSubstring(second.Endpoint)), "a slow step is no stall")
 	})
@@ -273,7 +273,7 @@
 		s := startSite(example.RefundDesk, pair)
 		for _, a := range s.Agents {
 			if !s.IsRank(a) {
-				s.fault(standin.Fault{Kind: standin.FaultMute, Target: a.Endpoint, On: true})
+				s.fault(standin.Fault{Kind: standin.FaultNoAnswer, Target: a.Endpoint, On: true})
 			}
 		}
 		key := s.mint(s.Entries[0])
@@ -337,7 +337,7 @@
 // payLate calls the service at an endpoint that answers late, and returns once it runs.
 func (s *site) payLate(endpoint, key, id string) (answer chan reply) {
 	GinkgoHelper()
-	s.fault(standin.Fault{Kind: standin.FaultDelay, Target: endpoint, MS: 300})
+	s.fault(standin.Fault{Kind: standin.FaultDelay, Target: endpoint, Milliseconds: 300})
 	answer = make(chan reply, 1)
 	inBackground(func() {
 		r, _ := s.pay(s.Entries[0], key, id) // Judged by its outcome.
--- a/internal/e2e/fleet_faults_test.go
+++ b/internal/e2e/fleet_faults_test.go
@@ -62,7 +62,7 @@
 		last := s.Domains[2]
 		c := counts(s.loaded(func() {
 			time.Sleep(500 * time.Millisecond)
-			s.fault(standin.Fault{Kind: standin.FaultCut, Target: last, On: true})
+			s.fault(standin.Fault{Kind: standin.FaultPartition, Target: last, On: true})
 			s.fault(standin.Fault{Kind: standin.FaultDown, Target: last, On: true})
 			s.publish(2, s.Published())
 			inside := s.Entries[2]
@@ -71,7 +71,7 @@
 				return r.outcome, err
 			}, patience, "50ms").Should(Equal(wire.Done), "a caller inside the cut domain")
 			time.Sleep(time.Second)
-			s.fault(standin.Fault{Kind: standin.FaultCut, Target: last, On: false})
+			s.fault(standin.Fault{Kind: standin.FaultPartition, Target: last, On: false})
 			s.fault(standin.Fault{Kind: standin.FaultDown, Target: last, On: false})
 		}, "--rate", "40", "--duration", "4s", "--streams", "0.4", "--payments", "0.5", "--tokens", "20"))
 		Expect(c.Sent).To(Equal(160))
@@ -84,11 +84,11 @@
 		last := s.Domains[2]
 		c := counts(s.loaded(func() {
 			time.Sleep(300 * time.Millisecond)
-			s.fault(standin.Fault{Kind: standin.FaultCut, Target: last, On: true})
+			s.fault(standin.Fault{Kind: standin.FaultPartition, Target: last, On: true})
 			time.Sleep(300 * time.Millisecond)
 			s.kill(s.Agents[1].Name)
 			time.Sleep(time.Second)
-			s.fault(standin.Fault{Kind: standin.FaultCut, Target: last, On: false})
+			s.fault(standin.Fault{Kind: standin.FaultPartition, Target: last, On: false})
 			s.startDaemon(s.Agents[1])
 		}, "--rate", "40", "--duration", "3s", "--streams", "0.3", "--payments", "0.6", "--tokens", "20"))
 		Expect(c.Broken).To(BeZero())
@@ -99,7 +99,7 @@
 	It("holds over all entries, also in a cut", func() {
 		s := startSite(example.Archive, three, func(s *site) { s.Customers[0].Rate = 30 })
 		for _, d := range s.Domains[:2] {
-			s.fault(standin.Fault{Kind: standin.FaultCut, Target: d, On: true})
+			s.fault(standin.Fault{Kind: standin.FaultPartition, Target: d, On: true})
 		}
 		const seconds = 4
 		start := time.Now()
--- a/internal/e2e/maps_test.go
+++ b/internal/e2e/maps_test.go
@@ -45,15 +45,15 @@
 		Expect(busy.read(1)).To(BeTrue())
 
 		s.heat(0)
-		Eventually(func() uint64 { return s.maps().Map }, patience, "10ms").ShouldNot(BeZero(), "a first switch")
-		first := s.maps().Map
+		Eventually(func() uint64 { return s.maps().MapVersion }, patience, "10ms").ShouldNot(BeZero(), "a first switch")
+		first := s.maps().MapVersion
 
 		s.heat(1)
 		s.signal(leader, syscall.SIGSTOP)
 		time.Sleep(300 * time.Millisecond)
 		s.signal(leader, syscall.SIGCONT)
-		Eventually(func() uint64 { return s.maps().Map }, patience, "10ms").ShouldNot(Equal(first), "the frozen agent or the next one goes on")
-		second := s.maps().Map
+		Eventually(func() uint64 { return s.maps().MapVersion }, patience, "10ms").ShouldNot(Equal(first), "the frozen agent or the next one goes on")
+		second := s.maps().MapVersion
 
 		s.heat(2)
 		s.kill(leader)
@@ -61,7 +61,7 @@
 		Eventually(func() uint64 { return s.maps().Step }, patience).Should(BeNumerically(">", step+20), "without a switch the group does not wait for a dead agent")
 		s.startDaemon(s.Agents[0])
 		s.waitReady(s.Agents[0])
-		Eventually(func() uint64 { return s.maps().Map }, patience, "10ms").ShouldNot(Equal(second), "the agent that starts anew reads back its engine")
+		Eventually(func() uint64 { return s.maps().MapVersion }, patience, "10ms").ShouldNot(Equal(second), "the agent that starts anew reads back its engine")
 
 		report := s.maps()
 		Expect(report.Violations).To(BeZero())
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// maxHeld bounds the KV caches that can be exported.
-const maxHeld = 4096
+// maxExportable bounds the KV caches that can be exported.
+const maxExportable = 4096
 
 // kvCache is what one engine hands to another.
 type kvCache struct {
@@ -17,7 +17,7 @@
 
 func (e *Engine) exportCache(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	prompt, ok := e.held[r.PathValue("id")]
+	prompt, ok := e.exportable[r.PathValue("id")]
 	ok = ok && !e.down
 	e.mu.Unlock()
 	if !ok {
@@ -34,7 +34,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.taken[r.PathValue("id")] = c.Prompt
+	e.imported[r.PathValue("id")] = c.Prompt
 	e.imports++
 	e.mu.Unlock()
 	writeJSON(w, struct{}{})
@@ -49,24 +49,24 @@
 
 // prefixCache remembers the newest prompt prefixes, whole blocks only.
 type prefixCache struct {
-	limit int
-	used  int
-	seen  map[string]bool
-	order []string
+	limit    int
+	used     int
+	prefixes map[string]bool
+	order    []string
 }
 
 // prefixBlock is the unit of caching, in bytes of prompt.
 const prefixBlock = 64
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, seen: map[string]bool{}}
+	return &prefixCache{limit: limit, prefixes: map[string]bool{}}
 }
 
-// hit returns the bytes of prompt that were cached and takes in the rest.
-func (c *prefixCache) hit(prompt string) (n int) {
+// lookup returns the bytes of prompt that were cached and takes in the rest.
+func (c *prefixCache) lookup(prompt string) (n int) {
 	for end := prefixBlock; end <= len(prompt); end += prefixBlock {
 		prefix := prompt[:end]
-		if c.seen[prefix] {
+		if c.prefixes[prefix] {
 			n = end
 			continue
 		}
@@ -76,11 +76,11 @@
 }
 
 func (c *prefixCache) add(prefix string) {
-	c.seen[prefix] = true
+	c.prefixes[prefix] = true
 	c.order = append(c.order, prefix)
 	c.used += prefixBlock
 	for c.used > c.limit && len(c.order) > 0 {
-		delete(c.seen, c.order[0])
+		delete(c.prefixes, c.order[0])
 		c.order = c.order[1:]
 		c.used -= prefixBlock
 	}
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -26,8 +26,8 @@
 	changed   chan struct{} // Closed and replaced at each change.
 }
 
-// watchTime is how long a watch waits before it answers that nothing changed.
-const watchTime = 25 * time.Second
+// watchTimeout is how long a watch waits before it answers that nothing changed.
+const watchTimeout = 25 * time.Second
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
@@ -46,11 +46,11 @@
 		d.values[k] = v
 	}
 	d.values[published.ManifestKey] = b.Manifest.Encode()
-	d.wake()
+	d.notifyWatches()
 }
 
-// wake tells all watches that something changed; d.mu is held.
-func (d *Directory) wake() {
+// notifyWatches tells all watches that something changed; d.mu is held.
+func (d *Directory) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
@@ -77,41 +77,41 @@
 type View struct {
 	dir *Directory
 
-	mu    sync.Mutex
-	down  bool
-	stale map[string][]byte // Values as of the moment the view went stale.
-	list  []adapter.Instance
-	late  late[[]adapter.Instance]
-	calls int
+	mu          sync.Mutex
+	down        bool
+	staleValues map[string][]byte // Values as of the moment the view went stale.
+	staleList   []adapter.Instance
+	delayedList delayed[[]adapter.Instance]
+	calls       int
 }
 
 // NewView returns a faultless view of d.
 func NewView(d *Directory) *View { return &View{dir: d} }
 
-// Down makes every call through the view fail.
-func (v *View) Down(on bool) {
+// SetDown makes every call through the view fail.
+func (v *View) SetDown(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.down = on
 }
 
-// Stale freezes what the view shows, or lets it follow again.
-func (v *View) Stale(on bool) {
+// SetStale freezes what the view shows, or lets it follow again.
+func (v *View) SetStale(on bool) {
 	values, list := v.dir.snapshot()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.stale, v.list = nil, nil
+	v.staleValues, v.staleList = nil, nil
 	if on {
-		v.stale, v.list = values, list
+		v.staleValues, v.staleList = values, list
 	}
 }
 
-// ListLag makes the list lag: each read is kept, and the newest one that is old
+// SetListLag makes the list lag: each read is kept, and the newest one that is old
 // enough is shown.
-func (v *View) ListLag(d time.Duration) {
+func (v *View) SetListLag(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.late.lag = d
+	v.delayedList.lag = d
 }
 
 // Calls returns the number of calls so far.
@@ -134,12 +134,12 @@
 	return values, list
 }
 
-// enter counts a call; ok is false when the view is down.
-func (v *View) enter() (stale map[string][]byte, list []adapter.Instance, ok bool) {
+// countCall counts a call; ok is false when the view is down.
+func (v *View) countCall() (stale map[string][]byte, list []adapter.Instance, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.calls++
-	return v.stale, v.list, !v.down
+	return v.staleValues, v.staleList, !v.down
 }
 
 // Handler serves the configuration service and the list.
@@ -152,7 +152,7 @@
 }
 
 func (v *View) value(key string) (value []byte, changed <-chan struct{}, ok bool) {
-	stale, _, ok := v.enter()
+	stale, _, ok := v.countCall()
 	if !ok {
 		return nil, nil, false
 	}
@@ -166,10 +166,10 @@
 
 func (v *View) get(w http.ResponseWriter, r *http.Request) {
 	value, _, ok := v.value(r.PathValue("key"))
-	v.answer(w, value, ok)
+	v.writeValue(w, value, ok)
 }
 
-func (v *View) answer(w http.ResponseWriter, value []byte, ok bool) {
+func (v *View) writeValue(w http.ResponseWriter, value []byte, ok bool) {
 	switch {
 	case !ok:
 		http.Error(w, "service is down", http.StatusServiceUnavailable)
@@ -182,12 +182,12 @@
 
 func (v *View) watch(w http.ResponseWriter, r *http.Request) {
 	hash := r.URL.Query().Get("hash")
-	timer := time.NewTimer(watchTime)
+	timer := time.NewTimer(watchTimeout)
 	defer timer.Stop()
 	for {
 		value, changed, ok := v.value(r.PathValue("key"))
 		if !ok || value != nil && published.HashOf(value) != hash {
-			v.answer(w, value, ok)
+			v.writeValue(w, value, ok)
 			return
 		}
 		select {
@@ -202,7 +202,7 @@
 }
 
 func (v *View) instances(w http.ResponseWriter, _ *http.Request) {
-	_, list, ok := v.enter()
+	_, list, ok := v.countCall()
 	if !ok {
 		http.Error(w, "service is down", http.StatusServiceUnavailable)
 		return
@@ -211,8 +211,8 @@
 		_, list = v.dir.snapshot()
 		now := time.Now()
 		v.mu.Lock()
-		v.late.add(now, list)
-		list = v.late.get(now)
+		v.delayedList.add(now, list)
+		list = v.delayedList.get(now)
 		v.mu.Unlock()
 	}
 	writeJSON(w, list)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,15 +17,15 @@
 
 // GroupConfig sizes a stand-in engine group.
 type GroupConfig struct {
-	Ranks       int
-	StepTime    time.Duration // Step time of an idle group.
-	PerSequence time.Duration // Added by each sequence on the fullest rank.
-	PrefillStep int           // Prompt bytes that one step takes in.
-	CacheBytes  int           // Prompt prefixes kept by a rank, in bytes.
-	ReportLag   time.Duration // Age of what State reports.
-	Store       *Store        // Where weights come from; nil for a store without bounds.
-	ExpertBytes float64       // Of one expert of one layer.
-	NoFences    bool          // The engines obey any ballot.
+	Ranks           int
+	StepTime        time.Duration // Step time of an idle group.
+	TimePerSequence time.Duration // Added by each sequence on the fullest rank.
+	PrefillBytes    int           // Prompt bytes that one step takes in.
+	CacheBytes      int           // Prompt prefixes kept by a rank, in bytes.
+	ReportLag       time.Duration // Age of what State reports.
+	Store           *Store        // Where weights come from; nil for a store without bounds.
+	ExpertBytes     float64       // Of one expert of one layer.
+	IgnoreFences    bool          // The engines obey any ballot.
 }
 
 // Group is ranks that advance in lock-step: the slowest one paces all.
@@ -36,18 +36,18 @@
 	mu         sync.Mutex
 	step       uint64
 	violations int         // Steps that ran on two maps.
-	held       int         // Times the group waited for a decision.
+	waits      int         // Times the group waited for a decision.
 	demand     [][]float64 // Tokens by layer and expert, as reported.
 	sample     int
 }
 
 // sequence is one request at a rank.
 type sequence struct {
-	req    adapter.Generate
-	next   int // Next token to make.
-	fill   int // Prompt bytes not yet taken in.
-	tokens chan int
-	gone   <-chan struct{}
+	req         adapter.Generate
+	next        int // Next token to make.
+	prefillLeft int // Prompt bytes not yet taken in.
+	tokens      chan int
+	cancelled   <-chan struct{}
 }
 
 // Engine is one rank of a group.
@@ -55,19 +55,19 @@
 	group *Group
 	rank  int
 
-	mu      sync.Mutex
-	active  map[*sequence]bool
-	maps    mapswitch.RankState // What the engine must not forget about its map.
-	loaded  time.Time           // When the weights of maps.Prepared are there.
-	held    map[string]string   // Prompts whose KV cache can be exported, by request id.
-	taken   map[string]string   // Prompts whose KV cache was imported, by request id.
-	cache   *prefixCache
-	imports int
-	down    bool
-	stall   bool
-	slow    time.Duration
-	report  late[adapter.EngineState]
-	content map[uint64][][][]int // Ranks by layer and expert: the map in force and the newest one prepared.
+	mu            sync.Mutex
+	active        map[*sequence]bool
+	maps          mapswitch.RankState // What the engine must not forget about its map.
+	loadedAt      time.Time           // When the weights of maps.Prepared are there.
+	exportable    map[string]string   // Prompts whose KV cache can be exported, by request id.
+	imported      map[string]string   // Prompts whose KV cache was imported, by request id.
+	cache         *prefixCache
+	imports       int
+	down          bool
+	stalled       bool
+	addedStepTime time.Duration
+	delayedState  delayed[adapter.EngineState]
+	layouts       map[uint64][][][]int // Ranks by layer and expert: the map in force and the newest one prepared.
 }
 
 // NewGroup returns a group whose steps are made by Run.
@@ -75,13 +75,13 @@
 	g := &Group{cfg: cfg}
 	for i := range cfg.Ranks {
 		g.ranks = append(g.ranks, &Engine{
-			group:  g,
-			rank:   i,
-			active: map[*sequence]bool{},
-			held:   map[string]string{},
-			taken:  map[string]string{},
-			cache:  newPrefixCache(cfg.CacheBytes),
-			report: late[adapter.EngineState]{lag: cfg.ReportLag},
+			group:        g,
+			rank:         i,
+			active:       map[*sequence]bool{},
+			exportable:   map[string]string{},
+			imported:     map[string]string{},
+			cache:        newPrefixCache(cfg.CacheBytes),
+			delayedState: delayed[adapter.EngineState]{lag: cfg.ReportLag},
 		})
 	}
 	return g
@@ -102,35 +102,35 @@
 			return nil
 		case <-timer.C:
 		}
-		if ok && g.begin() {
+		if ok && g.beginStep() {
 			g.advance(d)
 		}
 	}
 }
 
-// begin begins the next step on all ranks, if none holds, and checks that all
+// beginStep begins the next step on all ranks, if none holds, and checks that all
 // run on one map.
-func (g *Group) begin() bool {
+func (g *Group) beginStep() bool {
 	for _, e := range g.ranks {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 	}
 	for _, e := range g.ranks {
 		if !e.maps.CanBegin() {
-			g.count(&g.held)
+			g.increment(&g.waits)
 			return false
 		}
 	}
 	for _, e := range g.ranks {
 		e.maps = e.maps.BeginStep()
 		if e.maps.Map != g.ranks[0].maps.Map {
-			g.count(&g.violations)
+			g.increment(&g.violations)
 		}
 	}
 	return true
 }
 
-func (g *Group) count(n *int) {
+func (g *Group) increment(n *int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	*n++
@@ -138,10 +138,10 @@
 
 // MapReport is what a group saw of its maps.
 type MapReport struct {
-	Map        uint64 `json:"map"` // In force.
+	MapVersion uint64 `json:"map"` // In force.
 	Step       uint64 `json:"step"`
 	Violations int    `json:"violations"` // Steps that ran on two maps.
-	Held       int    `json:"held"`       // Times that the group waited for a decision.
+	Waits      int    `json:"held"`       // Times that the group waited for a decision.
 }
 
 // Maps returns what the group saw of its maps.
@@ -151,11 +151,11 @@
 	g.ranks[0].mu.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return MapReport{Map: m.Map, Step: m.LastStep, Violations: g.violations, Held: g.held}
+	return MapReport{MapVersion: m.Map, Step: m.LastStep, Violations: g.violations, Waits: g.waits}
 }
 
-// Demand sets the tokens that the engines report, by layer and expert.
-func (g *Group) Demand(tokens [][]float64) {
+// SetDemand sets the tokens that the engines report, by layer and expert.
+func (g *Group) SetDemand(tokens [][]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.demand = tokens
@@ -166,13 +166,13 @@
 func (g *Group) stepTime() (d time.Duration, ok bool) {
 	for _, e := range g.ranks {
 		e.mu.Lock()
-		own := g.cfg.StepTime + time.Duration(len(e.active))*g.cfg.PerSequence + e.slow
-		stall := e.stall
+		rankTime := g.cfg.StepTime + time.Duration(len(e.active))*g.cfg.TimePerSequence + e.addedStepTime
+		stall := e.stalled
 		e.mu.Unlock()
 		if stall {
 			return g.cfg.StepTime, false
 		}
-		d = max(d, own)
+		d = max(d, rankTime)
 	}
 	return d, true
 }
@@ -193,13 +193,13 @@
 	defer e.mu.Unlock()
 	for s := range e.active {
 		select {
-		case <-s.gone:
+		case <-s.cancelled:
 			delete(e.active, s)
 			continue
 		default:
 		}
-		if s.fill > 0 {
-			s.fill -= e.group.cfg.PrefillStep
+		if s.prefillLeft > 0 {
+			s.prefillLeft -= e.group.cfg.PrefillBytes
 			continue
 		}
 		select {
@@ -212,47 +212,47 @@
 			close(s.tokens)
 		}
 	}
-	e.report.add(time.Now(), adapter.EngineState{
+	e.delayedState.add(time.Now(), adapter.EngineState{
 		Step: step, StepMS: float64(d) / float64(time.Millisecond), Running: len(e.active),
 	})
 }
 
 // start adds a sequence; ok is false while the engine is down.
-func (e *Engine) start(req adapter.Generate, gone <-chan struct{}) (s *sequence, ok bool) {
+func (e *Engine) start(req adapter.Generate, cancelled <-chan struct{}) (s *sequence, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
 		return nil, false
 	}
-	cached := e.cache.hit(req.Prompt)
-	if e.taken[req.ID] == req.Prompt {
+	cached := e.cache.lookup(req.Prompt)
+	if e.imported[req.ID] == req.Prompt {
 		cached = len(req.Prompt)
 	}
-	delete(e.taken, req.ID)
-	if len(e.held) >= maxHeld {
-		clear(e.held)
+	delete(e.imported, req.ID)
+	if len(e.exportable) >= maxExportable {
+		clear(e.exportable)
 	}
-	e.held[req.ID] = req.Prompt
+	e.exportable[req.ID] = req.Prompt
 	s = &sequence{
-		req: req, next: req.From, fill: len(req.Prompt) - cached,
-		tokens: make(chan int, 64), gone: gone,
+		req: req, next: req.From, prefillLeft: len(req.Prompt) - cached,
+		tokens: make(chan int, 64), cancelled: cancelled,
 	}
 	e.active[s] = true
 	return s, true
 }
 
-// Stall stops or resumes the whole group through this rank.
-func (e *Engine) Stall(on bool) {
+// SetStalled stops or resumes the whole group through this rank.
+func (e *Engine) SetStalled(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stall = on
+	e.stalled = on
 }
 
-// Slow adds time to each step of the group through this rank.
-func (e *Engine) Slow(d time.Duration) {
+// SetAddedStepTime adds time to each step of the group through this rank.
+func (e *Engine) SetAddedStepTime(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = d
+	e.addedStepTime = d
 }
 
 // Kill ends all sequences of this rank without a last word and refuses new
@@ -279,7 +279,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.generate)
 	mux.HandleFunc("GET /v1/state", e.state)
-	mux.HandleFunc("POST /v1/order", e.order)
+	mux.HandleFunc("POST /v1/order", e.handleOrder)
 	mux.HandleFunc("GET /v1/experts", e.experts)
 	mux.HandleFunc("GET /v1/map", e.mapContent)
 	mux.HandleFunc("GET /v1/kv/{id}", e.exportCache)
@@ -301,16 +301,16 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	_ = rc.Flush()
-	e.write(w, rc, s)
+	e.writeStream(w, rc, s)
 }
 
-// write sends the tokens of s, and the last event only when all were made.
-func (e *Engine) write(w http.ResponseWriter, rc *http.ResponseController, s *sequence) {
+// writeStream sends the tokens of s, and the last event only when all were made.
+func (e *Engine) writeStream(w http.ResponseWriter, rc *http.ResponseController, s *sequence) {
 	var buf []byte
 	sent := s.req.From
 	for {
 		select {
-		case <-s.gone:
+		case <-s.cancelled:
 			return
 		case n, ok := <-s.tokens:
 			if !ok {
@@ -337,7 +337,7 @@
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	s := e.report.get(time.Now())
+	s := e.delayedState.get(time.Now())
 	down := e.down
 	e.mu.Unlock()
 	if down {
@@ -347,9 +347,9 @@
 	writeJSON(w, s)
 }
 
-// order obeys or refuses a fenced order. A Prepare is confirmed only when the
+// handleOrder obeys or refuses a fenced order. A Prepare is confirmed only when the
 // weights have had the time to come from the store.
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o adapter.MapOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -363,7 +363,7 @@
 	}
 	before := e.maps.Prepared
 	fence := e.maps.Fence
-	if e.group.cfg.NoFences {
+	if e.group.cfg.IgnoreFences {
 		e.maps.Fence = 0
 	}
 	var reply mapswitch.Reply
@@ -371,37 +371,37 @@
 	e.maps.Fence = max(e.maps.Fence, fence)
 	reply.State.Fence = e.maps.Fence
 	if e.maps.Prepared != before {
-		e.loaded = e.load(o.Plan.Version, o.Experts, time.Now())
+		e.loadedAt = e.loadExperts(o.Plan.Version, o.Experts, time.Now())
 	}
-	if o.Kind == mapswitch.Prepare && time.Now().Before(e.loaded) {
+	if o.Kind == mapswitch.Prepare && time.Now().Before(e.loadedAt) {
 		reply.OK = false
 	}
 	writeJSON(w, reply)
 }
 
-// load asks the store for the experts that this rank lacks of a map, and returns
+// loadExperts asks the store for the experts that this rank lacks of a map, and returns
 // when they will be there; e.mu is held.
-func (e *Engine) load(version uint64, next [][][]int, now time.Time) time.Time {
-	lacking := 0
-	has := e.content[e.maps.Map]
+func (e *Engine) loadExperts(version uint64, next [][][]int, now time.Time) time.Time {
+	missing := 0
+	held := e.layouts[e.maps.Map]
 	for l, layer := range next {
 		for x, ranks := range layer {
-			if slices.Contains(ranks, e.rank) && (has == nil || !slices.Contains(has[l][x], e.rank)) {
-				lacking++
+			if slices.Contains(ranks, e.rank) && (held == nil || !slices.Contains(held[l][x], e.rank)) {
+				missing++
 			}
 		}
 	}
-	e.content = map[uint64][][][]int{e.maps.Map: has, version: next}
+	e.layouts = map[uint64][][][]int{e.maps.Map: held, version: next}
 	if e.group.cfg.Store == nil {
 		return now
 	}
-	return e.group.cfg.Store.Load(float64(lacking)*e.group.cfg.ExpertBytes, now)
+	return e.group.cfg.Store.Load(float64(missing)*e.group.cfg.ExpertBytes, now)
 }
 
 // mapContent shows the map in force.
 func (e *Engine) mapContent(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	m := adapter.MapContent{Version: e.maps.Map, Experts: e.content[e.maps.Map]}
+	m := adapter.MapContent{Version: e.maps.Map, Experts: e.layouts[e.maps.Map]}
 	e.mu.Unlock()
 	writeJSON(w, m)
 }
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -7,35 +7,35 @@
 	"time"
 )
 
-// late shows what was put in at least a lag ago; before that it shows the first
+// delayed shows what was put in at least a lag ago; before that it shows the first
 // value.
-type late[T any] struct {
-	lag  time.Duration
-	past []timed[T]
+type delayed[T any] struct {
+	lag     time.Duration
+	entries []timedValue[T]
 }
 
-type timed[T any] struct {
+type timedValue[T any] struct {
 	at    time.Time
 	value T
 }
 
-func (l *late[T]) add(now time.Time, v T) {
-	l.past = append(l.past, timed[T]{now, v})
+func (l *delayed[T]) add(now time.Time, v T) {
+	l.entries = append(l.entries, timedValue[T]{now, v})
 	l.trim(now)
 }
 
-func (l *late[T]) trim(now time.Time) {
-	for len(l.past) > 1 && now.Sub(l.past[1].at) >= l.lag {
-		l.past = l.past[1:]
+func (l *delayed[T]) trim(now time.Time) {
+	for len(l.entries) > 1 && now.Sub(l.entries[1].at) >= l.lag {
+		l.entries = l.entries[1:]
 	}
 }
 
-func (l *late[T]) get(now time.Time) (v T) {
+func (l *delayed[T]) get(now time.Time) (v T) {
 	l.trim(now)
-	if len(l.past) == 0 {
+	if len(l.entries) == 0 {
 		return v
 	}
-	return l.past[0].value
+	return l.entries[0].value
 }
 
 // Store is the weight store: its rate is shared by all engines of a site, one
@@ -43,9 +43,9 @@
 type Store struct {
 	rate float64 // Bytes a second.
 
-	mu    sync.Mutex
-	until time.Time // When all that was asked for has been given.
-	given float64
+	mu        sync.Mutex
+	busyUntil time.Time // When all that was asked for has been given.
+	requested float64
 }
 
 // NewStore returns a store of so many bytes a second.
@@ -55,17 +55,17 @@
 func (s *Store) Load(bytes float64, now time.Time) (done time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.until.Before(now) {
-		s.until = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	s.given += bytes
-	s.until = s.until.Add(time.Duration(bytes / s.rate * float64(time.Second)))
-	return s.until
+	s.requested += bytes
+	s.busyUntil = s.busyUntil.Add(time.Duration(bytes / s.rate * float64(time.Second)))
+	return s.busyUntil
 }
 
-// Given returns the bytes that were asked for so far.
-func (s *Store) Given() float64 {
+// BytesRequested returns the bytes that were asked for so far.
+func (s *Store) BytesRequested() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.given
+	return s.requested
 }
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -15,40 +15,40 @@
 // listeners carry all connections; a cut holds them, so that bytes sent into a
 // cut are neither refused nor delivered, as on a real network.
 type Network struct {
-	mu      sync.Mutex
-	domains map[string]string // Failure domain by source IP number.
-	cut     map[string]bool
-	changed chan struct{} // Closed and replaced at each change.
+	mu          sync.Mutex
+	domains     map[string]string // Failure domain by source IP number.
+	partitioned map[string]bool
+	changed     chan struct{} // Closed and replaced at each change.
 }
 
 // NewNetwork returns a network without cuts.
 func NewNetwork() *Network {
-	return &Network{domains: map[string]string{}, cut: map[string]bool{}, changed: make(chan struct{})}
+	return &Network{domains: map[string]string{}, partitioned: map[string]bool{}, changed: make(chan struct{})}
 }
 
-// Name says which failure domain a source IP number is in.
-func (n *Network) Name(source, domain string) {
+// SetDomain says which failure domain a source IP number is in.
+func (n *Network) SetDomain(source, domain string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.domains[source] = domain
 }
 
-// Cut cuts a failure domain off from all others, or heals it. Connections that
+// SetPartitioned cuts a failure domain off from all others, or heals it. Connections that
 // were held are closed when it heals.
-func (n *Network) Cut(domain string, on bool) {
+func (n *Network) SetPartitioned(domain string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[domain] = on
+	n.partitioned[domain] = on
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// open reports whether two failure domains reach each other, and a channel
+// reachable reports whether two failure domains reach each other, and a channel
 // that is closed when that may have changed.
-func (n *Network) open(a, b string) (ok bool, changed <-chan struct{}) {
+func (n *Network) reachable(a, b string) (ok bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return a == b || !n.cut[a] && !n.cut[b], n.changed
+	return a == b || !n.partitioned[a] && !n.partitioned[b], n.changed
 }
 
 func (n *Network) domainOf(addr net.Addr) string {
@@ -74,16 +74,16 @@
 			return err
 		}
 		g.Go(func() error {
-			n.carry(ctx, c, target, domain)
+			n.forward(ctx, c, target, domain)
 			return nil
 		})
 	}
 }
 
-func (n *Network) carry(ctx context.Context, in net.Conn, target, domain string) {
+func (n *Network) forward(ctx context.Context, in net.Conn, target, domain string) {
 	defer func() { _ = in.Close() }()
 	from := n.domainOf(in.RemoteAddr())
-	if !n.wait(ctx, from, domain) {
+	if !n.awaitReachable(ctx, from, domain) {
 		return
 	}
 	out, err := net.Dial("tcp", target)
@@ -97,9 +97,9 @@
 	})
 	defer stop()
 	g := &errgroup.Group{}
-	for _, way := range [][2]net.Conn{{in, out}, {out, in}} {
+	for _, pair := range [][2]net.Conn{{in, out}, {out, in}} {
 		g.Go(func() error {
-			n.copy(ctx, way[1], way[0], from, domain)
+			n.copyWhileReachable(ctx, pair[1], pair[0], from, domain)
 			_ = in.Close()
 			_ = out.Close()
 			return nil
@@ -108,11 +108,11 @@
 	_ = g.Wait()
 }
 
-// wait returns true at once when the way is open; it holds during a cut and
+// awaitReachable returns true at once when the way is open; it holds during a cut and
 // then returns false.
-func (n *Network) wait(ctx context.Context, a, b string) bool {
+func (n *Network) awaitReachable(ctx context.Context, a, b string) bool {
 	for first := true; ; first = false {
-		ok, changed := n.open(a, b)
+		ok, changed := n.reachable(a, b)
 		if ok {
 			return first
 		}
@@ -124,12 +124,12 @@
 	}
 }
 
-// copy carries bytes while the way is open.
-func (n *Network) copy(ctx context.Context, dst io.Writer, src io.Reader, a, b string) {
+// copyWhileReachable carries bytes while the way is open.
+func (n *Network) copyWhileReachable(ctx context.Context, dst io.Writer, src io.Reader, a, b string) {
 	buf := make([]byte, 4<<10)
 	for {
 		k, err := src.Read(buf)
-		if !n.wait(ctx, a, b) {
+		if !n.awaitReachable(ctx, a, b) {
 			return
 		}
 		if k > 0 {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -32,10 +32,10 @@
 
 // Fault switches one fault on or off.
 type Fault struct {
-	Kind   string `json:"kind"`   // One of the kinds below.
-	Target string `json:"target"` // View, service, instance, or address of an engine.
-	On     bool   `json:"on"`
-	MS     int    `json:"ms,omitempty"` // Time, for slow, delay and listlag.
+	Kind         string `json:"kind"`   // One of the kinds below.
+	Target       string `json:"target"` // View, service, instance, or address of an engine.
+	On           bool   `json:"on"`
+	Milliseconds int    `json:"ms,omitempty"` // Time, for slow, delay and listlag.
 }
 
 // Demand sets what the engines of a group report on the load of experts.
@@ -46,37 +46,37 @@
 
 // Kinds of faults.
 const (
-	FaultDown    = "down"    // A view answers nothing.
-	FaultStale   = "stale"   // A view stays as it is.
-	FaultListLag = "listlag" // A view shows the list as it was so many milliseconds ago.
-	FaultStall   = "stall"   // An engine stops its group.
-	FaultKill    = "kill"    // An engine dies.
-	FaultSlow    = "slow"    // An engine adds time to each step.
-	FaultDelay   = "delay"   // A service takes its time.
-	FaultMute    = "mute"    // A service runs and does not answer.
-	FaultLeaving = "leaving" // The list has an instance as leaving.
-	FaultCut     = "cut"     // A failure domain is cut off from the others and from the platform.
+	FaultDown      = "down"    // A view answers nothing.
+	FaultStale     = "stale"   // A view stays as it is.
+	FaultListLag   = "listlag" // A view shows the list as it was so many milliseconds ago.
+	FaultStall     = "stall"   // An engine stops its group.
+	FaultKill      = "kill"    // An engine dies.
+	FaultSlow      = "slow"    // An engine adds time to each step.
+	FaultDelay     = "delay"   // A service takes its time.
+	FaultNoAnswer  = "mute"    // A service runs and does not answer.
+	FaultLeaving   = "leaving" // The list has an instance as leaving.
+	FaultPartition = "cut"     // A failure domain is cut off from the others and from the platform.
 )
 
 // Server is the stand-ins of one site behind their listeners.
 type Server struct {
-	Dir      *Directory
-	Views    map[string]*View    // By failure domain.
-	Engines  map[string]*Engine  // By address.
-	Services map[string]*Service // By endpoint.
-	Groups   map[string]*Group   // By name.
+	Directory *Directory
+	Views     map[string]*View    // By failure domain.
+	Engines   map[string]*Engine  // By address.
+	Services  map[string]*Service // By endpoint.
+	Groups    map[string]*Group   // By name.
 
-	Net   *Network
-	Store *Store // Weight store of all engines.
+	Network *Network
+	Store   *Store // Weight store of all engines.
 
 	groups    []*Group
-	listeners []served
+	listeners []listenerHandler
 	relays    []relay
 }
 
-type served struct {
-	l net.Listener
-	h http.Handler
+type listenerHandler struct {
+	listener net.Listener
+	handler  http.Handler
 }
 
 // Load opens the stand-ins that a settings file describes. All faults of the
@@ -100,9 +100,9 @@
 // New opens the stand-ins of a parsed settings file.
 func New(f *inifile.File) (s *Server, err error) {
 	s = &Server{
-		Dir: NewDirectory(), Views: map[string]*View{},
+		Directory: NewDirectory(), Views: map[string]*View{},
 		Engines: map[string]*Engine{}, Services: map[string]*Service{},
-		Groups: map[string]*Group{}, Net: NewNetwork(),
+		Groups: map[string]*Group{}, Network: NewNetwork(),
 	}
 	defer func() {
 		if err != nil {
@@ -113,7 +113,7 @@
 		f.Fault("standin", "bundle", "%v", err)
 	}
 	s.Store = NewStore(f.Float("standin", "store-rate", 100e9, 1, 1e15))
-	if err := s.listen(f.Required("standin", "control"), s.control()); err != nil {
+	if err := s.listen(f.Required("standin", "control"), s.controlHandler()); err != nil {
 		return s, err
 	}
 	for _, section := range f.Sections() {
@@ -128,7 +128,7 @@
 func (s *Server) add(f *inifile.File, section, kind, name string) (err error) {
 	switch kind {
 	case "view":
-		v := NewView(s.Dir)
+		v := NewView(s.Directory)
 		s.Views[name] = v
 		return s.listen(f.Required(section, "address"), v.Handler())
 	case "service":
@@ -150,17 +150,17 @@
 		Domain: f.Required(section, "domain"), Address: f.Required(section, "address"),
 		Endpoint: f.String(section, "endpoint", ""),
 	}
-	s.Dir.SetInstance(in)
+	s.Directory.SetInstance(in)
 	target, source := f.String(section, "relay-to", ""), f.String(section, "source", "")
 	if target == "" {
 		return nil
 	}
-	s.Net.Name(source, in.Domain)
+	s.Network.SetDomain(source, in.Domain)
 	l, err := net.Listen("tcp", in.Address)
 	if err != nil {
 		return errors.Wrap(err, "stand-in relay")
 	}
-	s.relays = append(s.relays, relay{l: l, target: target, domain: in.Domain})
+	s.relays = append(s.relays, relay{listener: l, target: target, domain: in.Domain})
 	return nil
 }
 
@@ -171,15 +171,15 @@
 		return nil
 	}
 	g := NewGroup(GroupConfig{
-		Ranks:       len(ranks),
-		StepTime:    max(time.Millisecond, f.Duration(section, "step", 5*time.Millisecond)),
-		PerSequence: f.Duration(section, "per-sequence", 20*time.Microsecond),
-		PrefillStep: f.Int(section, "prefill-bytes", 4096, 1, 1<<20),
-		CacheBytes:  f.Int(section, "cache-bytes", 1<<20, 0, 1<<30),
-		ReportLag:   f.Duration(section, "report-lag", 100*time.Millisecond),
-		Store:       s.Store,
-		ExpertBytes: f.Float(section, "expert-bytes", 50e6, 1, 1e12),
-		NoFences:    !f.Bool(section, "fences", true),
+		Ranks:           len(ranks),
+		StepTime:        max(time.Millisecond, f.Duration(section, "step", 5*time.Millisecond)),
+		TimePerSequence: f.Duration(section, "per-sequence", 20*time.Microsecond),
+		PrefillBytes:    f.Int(section, "prefill-bytes", 4096, 1, 1<<20),
+		CacheBytes:      f.Int(section, "cache-bytes", 1<<20, 0, 1<<30),
+		ReportLag:       f.Duration(section, "report-lag", 100*time.Millisecond),
+		Store:           s.Store,
+		ExpertBytes:     f.Float(section, "expert-bytes", 50e6, 1, 1e12),
+		IgnoreFences:    !f.Bool(section, "fences", true),
 	})
 	s.groups = append(s.groups, g)
 	s.Groups[strings.TrimPrefix(section, "group ")] = g
@@ -204,7 +204,7 @@
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return err
 	}
-	s.Dir.Publish(b)
+	s.Directory.Publish(b)
 	return nil
 }
 
@@ -213,17 +213,17 @@
 	if err != nil {
 		return errors.Wrap(err, "stand-in")
 	}
-	s.listeners = append(s.listeners, served{l, h})
+	s.listeners = append(s.listeners, listenerHandler{l, h})
 	return nil
 }
 
 // Close closes the listeners, if Run is never called.
 func (s *Server) Close() {
 	for _, one := range s.listeners {
-		_ = one.l.Close()
+		_ = one.listener.Close()
 	}
 	for _, one := range s.relays {
-		_ = one.l.Close()
+		_ = one.listener.Close()
 	}
 }
 
@@ -234,12 +234,12 @@
 		g.Go(func() error { return group.Run(ctx) })
 	}
 	for _, one := range s.relays {
-		g.Go(func() error { return s.Net.Relay(ctx, one.l, one.target, one.domain) })
+		g.Go(func() error { return s.Network.Relay(ctx, one.listener, one.target, one.domain) })
 	}
 	for _, one := range s.listeners {
-		srv := &http.Server{Handler: one.h, ReadHeaderTimeout: 10 * time.Second}
+		srv := &http.Server{Handler: one.handler, ReadHeaderTimeout: 10 * time.Second}
 		g.Go(func() error {
-			if err := srv.Serve(one.l); !errors.Is(err, http.ErrServerClosed) {
+			if err := srv.Serve(one.listener); !errors.Is(err, http.ErrServerClosed) {
 				return err
 			}
 			return nil
@@ -260,13 +260,13 @@
 		return s.viewFault(f)
 	case FaultStall, FaultKill, FaultSlow:
 		return s.engineFault(f)
-	case FaultDelay, FaultMute:
+	case FaultDelay, FaultNoAnswer:
 		return s.serviceFault(f)
 	case FaultLeaving:
-		s.Dir.SetLeaving(f.Target)
+		s.Directory.SetLeaving(f.Target)
 		return nil
-	case FaultCut:
-		s.Net.Cut(f.Target, f.On)
+	case FaultPartition:
+		s.Network.SetPartitioned(f.Target, f.On)
 		return nil
 	}
 	return errors.New("no such kind")
@@ -274,9 +274,9 @@
 
 // relay is a place for a relay on the way to a process.
 type relay struct {
-	l      net.Listener
-	target string
-	domain string
+	listener net.Listener
+	target   string
+	domain   string
 }
 
 func (s *Server) viewFault(f Fault) error {
@@ -286,11 +286,11 @@
 	}
 	switch f.Kind {
 	case FaultDown:
-		v.Down(f.On)
+		v.SetDown(f.On)
 	case FaultStale:
-		v.Stale(f.On)
+		v.SetStale(f.On)
 	case FaultListLag:
-		v.ListLag(time.Duration(f.MS) * time.Millisecond)
+		v.SetListLag(time.Duration(f.Milliseconds) * time.Millisecond)
 	}
 	return nil
 }
@@ -302,9 +302,9 @@
 	}
 	switch {
 	case f.Kind == FaultStall:
-		e.Stall(f.On)
+		e.SetStalled(f.On)
 	case f.Kind == FaultSlow:
-		e.Slow(time.Duration(f.MS) * time.Millisecond)
+		e.SetAddedStepTime(time.Duration(f.Milliseconds) * time.Millisecond)
 	case f.On:
 		e.Kill()
 	default:
@@ -319,9 +319,9 @@
 		return errors.New("no such service")
 	}
 	if f.Kind == FaultDelay {
-		svc.Delay(time.Duration(f.MS) * time.Millisecond)
+		svc.SetDelay(time.Duration(f.Milliseconds) * time.Millisecond)
 	} else {
-		svc.Mute(f.On)
+		svc.SetNoAnswer(f.On)
 	}
 	return nil
 }
@@ -330,24 +330,24 @@
 func (s *Server) Runs() map[string]int {
 	all := map[string]int{}
 	for _, svc := range s.Services {
-		for id, n := range svc.AllRuns() {
+		for id, n := range svc.Runs() {
 			all[id] += n
 		}
 	}
 	return all
 }
 
-func (s *Server) control() http.Handler {
+func (s *Server) controlHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+PathPublish, decoded(func(b Bundle) error {
-		s.Dir.Publish(b)
+	mux.HandleFunc("POST "+PathPublish, jsonHandler(func(b Bundle) error {
+		s.Directory.Publish(b)
 		return nil
 	}))
-	mux.HandleFunc("POST "+PathInstance, decoded(func(in adapter.Instance) error {
-		s.Dir.SetInstance(in)
+	mux.HandleFunc("POST "+PathInstance, jsonHandler(func(in adapter.Instance) error {
+		s.Directory.SetInstance(in)
 		return nil
 	}))
-	mux.HandleFunc("POST "+PathFault, decoded(s.Apply))
+	mux.HandleFunc("POST "+PathFault, jsonHandler(s.Apply))
 	mux.HandleFunc("GET "+PathImports, func(w http.ResponseWriter, _ *http.Request) {
 		imports := 0
 		for _, e := range s.Engines {
@@ -369,20 +369,20 @@
 		}
 		writeJSON(w, reports)
 	})
-	mux.HandleFunc("POST "+PathDemand, decoded(func(d Demand) error {
+	mux.HandleFunc("POST "+PathDemand, jsonHandler(func(d Demand) error {
 		g, ok := s.Groups[d.Group]
 		if !ok {
 			return errors.Newf("no group %q", d.Group)
 		}
-		g.Demand(d.Tokens)
+		g.SetDemand(d.Tokens)
 		return nil
 	}))
 	mux.HandleFunc("GET "+PathRuns, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Runs()) })
 	return mux
 }
 
-// decoded makes a handler of a function of one JSON value.
-func decoded[T any](do func(T) error) http.HandlerFunc {
+// jsonHandler makes a handler of a function of one JSON value.
+func jsonHandler[T any](do func(T) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var v T
 		err := json.NewDecoder(r.Body).Decode(&v)
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -13,10 +13,10 @@
 // Service is a plain service that counts its runs: a catalogue, or the API
 // that pays refunds.
 type Service struct {
-	mu    sync.Mutex
-	runs  map[string]int // Runs by the id in the request.
-	delay time.Duration
-	mute  bool // Takes the request, runs it and closes without an answer.
+	mu       sync.Mutex
+	runs     map[string]int // Runs by the id in the request.
+	delay    time.Duration
+	noAnswer bool // Takes the request, runs it and closes without an answer.
 }
 
 // NewService returns a service with no runs.
@@ -29,8 +29,8 @@
 	Echo string `json:"echo"`
 }
 
-// AllRuns returns a copy of all counts.
-func (s *Service) AllRuns() map[string]int {
+// Runs returns a copy of all counts.
+func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make(map[string]int, len(s.runs))
@@ -40,18 +40,18 @@
 	return all
 }
 
-// Delay makes each run take that long.
-func (s *Service) Delay(d time.Duration) {
+// SetDelay makes each run take that long.
+func (s *Service) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Mute makes the service run requests and close without an answer.
-func (s *Service) Mute(on bool) {
+// SetNoAnswer makes the service run requests and close without an answer.
+func (s *Service) SetNoAnswer(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute = on
+	s.noAnswer = on
 }
 
 // Handler serves the service: any method and path; the run is counted under
@@ -68,7 +68,7 @@
 		}
 		s.mu.Lock()
 		s.runs[id]++
-		n, delay, mute := s.runs[id], s.delay, s.mute
+		n, delay, mute := s.runs[id], s.delay, s.noAnswer
 		s.mu.Unlock()
 		time.Sleep(delay)
 		if mute {
