--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -52,7 +52,7 @@
 func startBench(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) (*bench, *node.Node) {
 	t.Helper()
 	g := gomega.NewWithT(t)
-	layout, err := example.New(example.RefundDesk, example.Small, 0)
+	layout, err := example.New(example.RefundDesk, example.MinimalSize, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	dir := standin.NewDirectory()
 	dir.Publish(standin.Bundle{Manifest: layout.Pack(1, "", layout.Published()), Values: layout.Published()})
--- a/internal/daemon/closed_under_request_test.go
+++ b/internal/daemon/closed_under_request_test.go
@@ -70,7 +70,7 @@
 func newTestProcess(t *testing.T, role adapter.Role, secure bool) *testProcess {
 	t.Helper()
 	g := NewWithT(t)
-	layout, err := example.New(example.RefundDesk, example.Small, 0)
+	layout, err := example.New(example.RefundDesk, example.MinimalSize, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	s := &testProcess{layout: layout, service: &countingService{runs: map[string]int{}}}
 	p := layout.Entries[0]
@@ -81,7 +81,7 @@
 	}
 	if secure {
 		s.dir = t.TempDir()
-		layout.Keys = s.dir
+		layout.TLSDir = s.dir
 		var ca []byte
 		s.authority, ca, _, err = trust.NewAuthority(time.Now(), time.Hour)
 		g.Expect(err).NotTo(HaveOccurred())
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -21,21 +21,21 @@
 
 // Site is one site in this process: its stand-ins and the daemons' own code.
 type Site struct {
-	layout *example.Site
-	stand  *standin.Server
-	group  *errgroup.Group
-	ctx    context.Context
+	layout   *example.Site
+	standins *standin.Server
+	group    *errgroup.Group
+	ctx      context.Context
 
 	mu      sync.Mutex
 	daemons map[string]*daemon.Daemon // By process name.
-	kills   map[string]context.CancelFunc
+	cancels map[string]context.CancelFunc
 	parent  published.Version
 }
 
 // Start starts a site; it stops when ctx ends, and the function waits for that.
 func Start(ctx context.Context, layout *example.Site) (s *Site, wait func() error, err error) {
 	defer func() { err = errors.Wrap(err, "start site") }()
-	f, err := inifile.Parse("standin.ini", layout.Standin(""))
+	f, err := inifile.Parse("standin.ini", layout.StandinSettings(""))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -44,8 +44,8 @@
 		return nil, nil, err
 	}
 	s = &Site{
-		layout: layout, stand: stand, group: &errgroup.Group{}, ctx: ctx,
-		daemons: map[string]*daemon.Daemon{}, kills: map[string]context.CancelFunc{},
+		layout: layout, standins: stand, group: &errgroup.Group{}, ctx: ctx,
+		daemons: map[string]*daemon.Daemon{}, cancels: map[string]context.CancelFunc{},
 	}
 	s.Publish(1, layout.Published())
 	s.group.Go(func() error { return stand.Run(ctx) })
@@ -73,18 +73,18 @@
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.mu.Lock()
-	s.daemons[p.Name], s.kills[p.Name] = d, cancel
+	s.daemons[p.Name], s.cancels[p.Name] = d, cancel
 	s.mu.Unlock()
 	s.group.Go(func() error {
 		defer cancel()
-		defer s.forget(p.Name, d)
+		defer s.remove(p.Name, d)
 		return d.Run(ctx)
 	})
 	return nil
 }
 
-// forget takes a daemon that has ended off the list.
-func (s *Site) forget(name string, d *daemon.Daemon) {
+// remove takes a daemon that has ended off the list.
+func (s *Site) remove(name string, d *daemon.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.daemons[name] == d {
@@ -96,11 +96,11 @@
 func (s *Site) Kill(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kills[name]()
+	s.cancels[name]()
 }
 
-// Leave begins the planned stop of a daemon.
-func (s *Site) Leave(name string) {
+// BeginPlannedStop begins the planned stop of a daemon.
+func (s *Site) BeginPlannedStop(name string) {
 	s.mu.Lock()
 	d := s.daemons[name]
 	s.mu.Unlock()
@@ -111,27 +111,27 @@
 func (s *Site) Publish(generation uint64, values map[string][]byte) {
 	m := s.layout.Pack(generation, s.parent.Hash, values)
 	s.parent = m.Version()
-	s.stand.Directory.Publish(standin.Bundle{Manifest: m, Values: values})
+	s.standins.Dir.Publish(standin.Bundle{Manifest: m, Values: values})
 }
 
-// Cut cuts a failure domain off from the others and from the platform.
-func (s *Site) Cut(domain string, on bool) {
-	s.stand.Network.SetPartitioned(domain, on)
-	s.stand.Views[domain].SetDown(on)
+// SetPartitioned cuts a failure domain off from the others and from the platform.
+func (s *Site) SetPartitioned(domain string, on bool) {
+	s.standins.Net.SetPartitioned(domain, on)
+	s.standins.Views[domain].SetDown(on)
 }
 
-// InForce returns how many running daemons have the newest generation, and how
+// CountUpToDate returns how many running daemons have the newest generation, and how
 // many there are.
-func (s *Site) InForce() (have, all int) {
+func (s *Site) CountUpToDate() (upToDate, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.daemons {
-		all++
+		running++
 		if c, ok := d.Node().Config(); ok && c.Version() == s.parent {
-			have++
+			upToDate++
 		}
 	}
-	return have, all
+	return upToDate, running
 }
 
 // Callers returns the customers as the load generator takes them.
@@ -145,7 +145,7 @@
 // Targets returns the callers' listeners of all entries.
 func (s *Site) Targets() (list []string) {
 	for _, p := range s.layout.Entries {
-		list = append(list, p.Callers)
+		list = append(list, p.CallerAddress)
 	}
 	return list
 }
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -129,7 +129,7 @@
 func newRig(t *testing.T) *rig {
 	t.Helper()
 	g := gomega.NewWithT(t)
-	layout, err := example.New(example.Archive, example.Size{Domains: 1, EntriesADomain: 1, RanksADomain: 3, ServicesADomain: 2, Customers: 1}, 0)
+	layout, err := example.New(example.Archive, example.Size{Domains: 1, EntriesPerDomain: 1, RanksPerDomain: 3, ServicesPerDomain: 2, Customers: 1}, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	r := &rig{t: t, layout: layout}
 	dir := standin.NewDirectory()
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -13,22 +13,22 @@
 // origin is the start of scripted time.
 var origin = time.Unix(1_800_000_000, 0)
 
-// admissionRun is one endpoint under overload by one large customer, with
+// admissionSim is one endpoint under overload by one large customer, with
 // kiosks that have deadlines and a small customer without.
-type admissionRun struct {
+type admissionSim struct {
 	offer func(admit.Request, time.Time) admit.Actions
 	done  func(string, time.Time) admit.Actions
 	tick  func(time.Time) admit.Actions
 
-	ends    map[string]time.Time // By id of what runs.
-	asked   map[string]admit.Request
-	small   []float64 // Waits of the small customer, in milliseconds.
-	served  int
-	late    int // Served after their deadline, and so in vain.
-	refused int
-	inTime  int // Kiosk requests served in time.
-	kiosks  int
-	delays  []float64 // From arrival to refusal, in milliseconds.
+	endTimes      map[string]time.Time // By id of what runs.
+	requests      map[string]admit.Request
+	smallWaits    []float64 // Waits of the small customer, in milliseconds.
+	served        int
+	servedLate    int // Served after their deadline, and so in vain.
+	refused       int
+	kiosksInTime  int // Kiosk requests served in time.
+	kiosks        int
+	refusalDelays []float64 // From arrival to refusal, in milliseconds.
 }
 
 // fifo is the naive version: first come, first served, at a fixed limit, with
@@ -39,7 +39,7 @@
 	waiting         []admit.Request
 }
 
-func (f *fifo) fill(a *admit.Actions) {
+func (f *fifo) startWaiting(a *admit.Actions) {
 	for len(f.waiting) > 0 && f.running < f.limit {
 		a.Start = append(a.Start, f.waiting[0])
 		f.waiting = f.waiting[1:]
@@ -53,13 +53,13 @@
 		return a
 	}
 	f.waiting = append(f.waiting, r)
-	f.fill(&a)
+	f.startWaiting(&a)
 	return a
 }
 
 func (f *fifo) done(string, time.Time) (a admit.Actions) {
 	f.running--
-	f.fill(&a)
+	f.startWaiting(&a)
 	return a
 }
 
@@ -69,7 +69,7 @@
 const (
 	admissionLimit    = 16
 	admissionCapacity = 128
-	admissionHold     = 100 * time.Millisecond
+	serviceTime       = 100 * time.Millisecond
 	kioskDeadline     = 400 * time.Millisecond
 	admissionTick     = 5 * time.Millisecond
 )
@@ -78,30 +78,30 @@
 // endpoint's capacity, over so many seconds.
 func Admission(seconds int, seed uint64) Table {
 	t := Table{Title: fmt.Sprintf("Admission: one endpoint, %d places of %v, offered 1.5 times its capacity for %d s; 80 in 100 from one large customer",
-		admissionLimit, admissionHold, seconds)}
+		admissionLimit, serviceTime, seconds)}
 	f := &fifo{limit: admissionLimit, capacity: admissionCapacity}
 	q := admit.New(admit.Config{Capacity: admissionCapacity, MinLimit: admissionLimit, MaxLimit: admissionLimit, AgingInterval: 2 * time.Second})
 	for _, m := range []struct {
 		name string
-		run  *admissionRun
+		run  *admissionSim
 	}{
-		{"first come, first served", &admissionRun{offer: f.offer, done: f.done, tick: f.tick}},
-		{"canvaspulley", &admissionRun{offer: q.Offer, done: q.Done, tick: q.Tick}},
+		{"first come, first served", &admissionSim{offer: f.offer, done: f.done, tick: f.tick}},
+		{"canvaspulley", &admissionSim{offer: q.Offer, done: q.Done, tick: q.Tick}},
 	} {
-		m.run.drive(seconds, seed)
+		m.run.simulate(seconds, seed)
 		t.Rows = append(t.Rows, m.run.row(m.name))
 	}
 	return t
 }
 
-func (r *admissionRun) drive(seconds int, seed uint64) {
+func (r *admissionSim) simulate(seconds int, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	r.ends, r.asked = map[string]time.Time{}, map[string]admit.Request{}
-	perTick := 1.5 * admissionLimit * float64(admissionTick) / float64(admissionHold)
+	r.endTimes, r.requests = map[string]time.Time{}, map[string]admit.Request{}
+	perTick := 1.5 * admissionLimit * float64(admissionTick) / float64(serviceTime)
 	n := 0
 	for now := origin; now.Before(origin.Add(time.Duration(seconds) * time.Second)); now = now.Add(admissionTick) {
-		for _, id := range sortedEnds(r.ends, now) {
-			delete(r.ends, id)
+		for _, id := range endedBy(r.endTimes, now) {
+			delete(r.endTimes, id)
 			r.apply(r.done(id, now), now)
 		}
 		r.apply(r.tick(now), now)
@@ -112,7 +112,7 @@
 	}
 }
 
-func (r *admissionRun) arrival(n int, rnd *rand.Rand, now time.Time) admit.Request {
+func (r *admissionSim) arrival(n int, rnd *rand.Rand, now time.Time) admit.Request {
 	req := admit.Request{ID: fmt.Sprint(n), Weight: 1, Arrived: now}
 	switch k := rnd.IntN(100); {
 	case k < 80:
@@ -123,45 +123,45 @@
 	default:
 		req.Customer = "small"
 	}
-	r.asked[req.ID] = req
+	r.requests[req.ID] = req
 	return req
 }
 
-func (r *admissionRun) apply(a admit.Actions, now time.Time) {
+func (r *admissionSim) apply(a admit.Actions, now time.Time) {
 	for _, s := range a.Start {
-		r.ends[s.ID] = now.Add(admissionHold)
+		r.endTimes[s.ID] = now.Add(serviceTime)
 		r.served++
 		wait := float64(now.Sub(s.Arrived)) / float64(time.Millisecond)
 		if s.Customer == "small" {
-			r.small = append(r.small, wait)
+			r.smallWaits = append(r.smallWaits, wait)
 		}
 		switch {
 		case s.Deadline.IsZero():
-		case now.Add(admissionHold).After(s.Deadline):
-			r.late++
+		case now.Add(serviceTime).After(s.Deadline):
+			r.servedLate++
 		default:
-			r.inTime++
+			r.kiosksInTime++
 		}
 	}
-	for _, one := range a.Refuse {
+	for _, refusal := range a.Refuse {
 		r.refused++
-		r.delays = append(r.delays, float64(now.Sub(one.Request.Arrived))/float64(time.Millisecond))
+		r.refusalDelays = append(r.refusalDelays, float64(now.Sub(refusal.Request.Arrived))/float64(time.Millisecond))
 	}
 }
 
-func (r *admissionRun) row(name string) Row {
+func (r *admissionSim) row(name string) Row {
 	return Row{name, []Cell{
-		{"small customer's wait p99", "ms", quantile(r.small, 0.99)},
-		{"kiosks served in time", "share", float64(r.inTime) / float64(r.kiosks)},
-		{"served after the deadline", "", float64(r.late)},
+		{"small customer's wait p99", "ms", quantile(r.smallWaits, 0.99)},
+		{"kiosks served in time", "share", float64(r.kiosksInTime) / float64(r.kiosks)},
+		{"served after the deadline", "", float64(r.servedLate)},
 		{"served", "", float64(r.served)},
 		{"refused", "", float64(r.refused)},
-		{"refusal after arrival p99", "ms", quantile(r.delays, 0.99)},
+		{"refusal after arrival p99", "ms", quantile(r.refusalDelays, 0.99)},
 	}}
 }
 
-// sortedEnds lists what has ended by now, in a fixed order.
-func sortedEnds(ends map[string]time.Time, now time.Time) (ids []string) {
+// endedBy lists what has ended by now, in a fixed order.
+func endedBy(ends map[string]time.Time, now time.Time) (ids []string) {
 	for id, at := range ends {
 		if !at.After(now) {
 			ids = append(ids, id)
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -14,8 +14,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/trace"
 )
 
-// below asserts that the first figure is below factor times the second.
-func below(t *testing.T, tab Table, figure, method, naive string, factor float64) {
+// expectBelow asserts that the first figure is below factor times the second.
+func expectBelow(t *testing.T, tab Table, figure, method, naive string, factor float64) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	g.Expect(tab.Row(method).Value(figure)).To(gomega.BeNumerically("<=", factor*tab.Row(naive).Value(figure)),
@@ -24,28 +24,28 @@
 
 func TestOwnershipMovesFewKeys(t *testing.T) {
 	tab := Ownership(15, 20000)
-	below(t, tab, "share moved", "rendezvous", "modulo", 0.1)
-	below(t, tab, "fullest owner to mean", "rendezvous", "modulo", 1.1)
+	expectBelow(t, tab, "share moved", "rendezvous", "modulo", 0.1)
+	expectBelow(t, tab, "fullest owner to mean", "rendezvous", "modulo", 1.1)
 }
 
 func TestAdmissionAgainstFirstComeFirstServed(t *testing.T) {
 	tab := Admission(20, 7)
 	const naive = "first come, first served"
-	below(t, tab, "small customer's wait p99", "canvaspulley", naive, 0.2)
-	below(t, tab, "served after the deadline", "canvaspulley", naive, 0)
+	expectBelow(t, tab, "small customer's wait p99", "canvaspulley", naive, 0.2)
+	expectBelow(t, tab, "served after the deadline", "canvaspulley", naive, 0)
 	g := gomega.NewWithT(t)
 	g.Expect(tab.Row("canvaspulley").Value("kiosks served in time")).To(gomega.BeNumerically(">", 0.99))
 	g.Expect(tab.Row("canvaspulley").Value("served")).To(gomega.BeNumerically(">=", tab.Row(naive).Value("served")), "no work is lost")
 }
 
-func TestRetriesMakeNoStorm(t *testing.T) {
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	tab := Retries(60000, 7)
-	below(t, tab, "sent to the failing group", "canvaspulley", "three retries", 0.4)
+	expectBelow(t, tab, "sent to the failing group", "canvaspulley", "three retries", 0.4)
 	g := gomega.NewWithT(t)
 	g.Expect(tab.Row("canvaspulley").Value("answered otherwise")).To(gomega.BeNumerically(">", 0.999))
 }
 
-func TestLimitsAddUp(t *testing.T) {
+func TestBorrowedLimitsStayWithinTheTotal(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		tab := Limits(6, 60, 600, seed)
 		g := gomega.NewWithT(t)
@@ -61,22 +61,22 @@
 	cfg.Steps = 6000
 	tab := Routing(cfg)
 	for _, naive := range []string{"random", "round robin"} {
-		below(t, tab, "first token p95", "canvaspulley", naive, 1)
-		below(t, tab, "fullest rank mean", "canvaspulley", naive, 0.95)
-		below(t, tab, "step skew mean", "canvaspulley", naive, 1)
+		expectBelow(t, tab, "first token p95", "canvaspulley", naive, 1)
+		expectBelow(t, tab, "fullest rank mean", "canvaspulley", naive, 0.95)
+		expectBelow(t, tab, "step skew mean", "canvaspulley", naive, 1)
 	}
 	g := gomega.NewWithT(t)
 	g.Expect(tab.Row("canvaspulley").Value("prefix hits")).To(gomega.BeNumerically(">", 0.8))
 }
 
-// day runs a made trace under a user's prices.
-func day(t *testing.T, kind trace.Kind, prices rebalance.Prices) map[string]Run {
+// rebalanceDay runs a made trace under a user's prices.
+func rebalanceDay(t *testing.T, kind trace.Kind, prices rebalance.Prices) map[string]Run {
 	t.Helper()
-	tr, err := trace.Make(trace.Config{Kind: kind, Layers: 2, Experts: 64, Steps: 1440, Seed: 1})
+	tr, err := trace.Generate(trace.Config{Kind: kind, Layers: 2, Experts: 64, Steps: 1440, Seed: 1})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	runs := map[string]Run{}
-	for _, r := range Rebalance(RebalanceConfig{Trace: tr, Ranks: 4, Slots: 20, Prices: prices, Lag: 1,
-		ExpertBytes: 50e6, StoreRate: 1e9, SampleMS: 60000, Repack: 30, Seed: 1}) {
+	for _, r := range Rebalance(RebalanceConfig{Trace: tr, Ranks: 4, Slots: 20, Prices: prices, ReportLag: 1,
+		ExpertBytes: 50e6, StoreRate: 1e9, SampleMS: 60000, RepackInterval: 30, Seed: 1}) {
 		runs[r.Name] = r
 	}
 	return runs
@@ -90,24 +90,24 @@
 
 func TestRebalanceOnTheUsersDay(t *testing.T) {
 	g := gomega.NewWithT(t)
-	a := day(t, trace.Daily, archive)
+	a := rebalanceDay(t, trace.Daily, archive)
 	g.Expect(a["canvaspulley"].SkewMean).To(gomega.BeNumerically("<=", 1.05*a["lower bound"].SkewMean))
 	g.Expect(a["canvaspulley"].BytesMoved).To(gomega.BeNumerically("<=", a["repack"].BytesMoved/4))
 	g.Expect(a["canvaspulley"].StepsLost).To(gomega.BeZero())
-	r := day(t, trace.Daily, refunds)
+	r := rebalanceDay(t, trace.Daily, refunds)
 	g.Expect(r["canvaspulley"].BytesMoved).To(gomega.BeNumerically("<=", r["repack"].BytesMoved/10))
 	gain := func(name string) float64 { return r["static"].SkewMean - r[name].SkewMean }
 	g.Expect(gain("canvaspulley")).To(gomega.BeNumerically(">=", gain("repack")/2))
 }
 
-func TestRebalanceIsNotChased(t *testing.T) {
+func TestRebalanceUnderAdversarialLoad(t *testing.T) {
 	for _, prices := range []rebalance.Prices{archive, refunds} {
-		runs := day(t, trace.Adversarial, prices)
+		runs := rebalanceDay(t, trace.Adversarial, prices)
 		gomega.NewWithT(t).Expect(runs["canvaspulley"].SkewMean).To(gomega.BeNumerically("<=", 1.02*runs["static"].SkewMean))
 	}
 }
 
-func TestLivingProcessesAreNotGivenUp(t *testing.T) {
+func TestLiveProcessesAreNotDeclaredDead(t *testing.T) {
 	for _, one := range []struct {
 		loss  float64
 		nodes int
@@ -119,11 +119,11 @@
 	}
 }
 
-func TestGenerationIsInForceEverywhereAlsoAfterACut(t *testing.T) {
+func TestGenerationReachesAllProcessesAfterAPartition(t *testing.T) {
 	for _, cfg := range []GossipConfig{
 		{Nodes: 60, Domains: 3, Seconds: 20, Seed: 1},
 		{Nodes: 60, Domains: 3, Seconds: 30, Seed: 1, Loss: 0.2},
-		{Nodes: 60, Domains: 3, Seconds: 40, Seed: 1, Cut: 8 * time.Second},
+		{Nodes: 60, Domains: 3, Seconds: 40, Seed: 1, PartitionTime: 8 * time.Second},
 	} {
 		row := Spread(cfg).Rows[0]
 		g := gomega.NewWithT(t)
@@ -132,10 +132,10 @@
 	}
 }
 
-// TestEditsAgainstRepackOnRandomLayers lets the planner, at the archive's
+// TestPlannerAgainstRepackOnRandomLayers lets the planner, at the archive's
 // prices, and the full re-pack answer the same drifts of load: the planner
 // comes close to its balance and moves less.
-func TestEditsAgainstRepackOnRandomLayers(t *testing.T) {
+func TestPlannerAgainstRepackOnRandomLayers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rnd := rand.New(rand.NewPCG(7, 7))
 	shape := rebalance.Shape{Ranks: 4, Experts: 32, Slots: 10}
@@ -164,9 +164,9 @@
 			next = plan.Map
 		}
 		packed := rebalance.Map{repackLayer(shape, tokens[0])}
-		mine, mean := next.StepTime(tokens, shape.Ranks, nil)
-		theirs, _ := packed.StepTime(tokens, shape.Ranks, nil)
-		edits, packs = edits+mine/mean, packs+theirs/mean
+		editTime, mean := next.StepTime(tokens, shape.Ranks, nil)
+		repackTime, _ := packed.StepTime(tokens, shape.Ranks, nil)
+		edits, packs = edits+editTime/mean, packs+repackTime/mean
 		movedByEdits += float64(rebalance.Transfers(current, next))
 		movedByPacks += float64(rebalance.Transfers(current, packed))
 	}
--- a/internal/experiment/limits.go
+++ b/internal/experiment/limits.go
@@ -10,15 +10,15 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/limit"
 )
 
-// limitsTick is the step of scripted time; limitsRound that of borrowing, as
+// limitsStep is the step of scripted time; borrowInterval that of borrowing, as
 // in the daemon.
 const (
-	limitsTick  = 20 * time.Millisecond
-	limitsRound = 200 * time.Millisecond
+	limitsStep     = 20 * time.Millisecond
+	borrowInterval = 200 * time.Millisecond
 )
 
-// limitsSite is the entries that split one customer's limit.
-type limitsSite struct {
+// limitsSim is the entries that split one customer's limit.
+type limitsSim struct {
 	limit    float64
 	entries  int
 	shares   []*limit.Share
@@ -30,17 +30,17 @@
 // demand of the entries over time: the load sits at one entry and moves to
 // another every ten seconds, with a little everywhere; it is as much as the
 // limit allows.
-func (s *limitsSite) demand(entry int, at time.Duration) float64 {
-	busy := int(at/(10*time.Second)) % s.entries
-	if entry == busy {
+func (s *limitsSim) demand(entry int, at time.Duration) float64 {
+	busyEntry := int(at/(10*time.Second)) % s.entries
+	if entry == busyEntry {
 		return 0.85 * s.limit
 	}
 	return 0.15 * s.limit / float64(s.entries-1)
 }
 
-// cut reports whether two entries cannot reach each other: from second 20 to
+// partitioned reports whether two entries cannot reach each other: from second 20 to
 // 40 the site is in two halves.
-func (s *limitsSite) cut(a, b int, at time.Duration) bool {
+func (s *limitsSim) partitioned(a, b int, at time.Duration) bool {
 	return at >= 20*time.Second && at < 40*time.Second && (a < s.entries/2) != (b < s.entries/2)
 }
 
@@ -49,8 +49,8 @@
 func Limits(entries, seconds int, rate float64, seed uint64) Table {
 	t := Table{Title: fmt.Sprintf("Limits: %g a second over %d entries for %d s; the load moves each 10 s; cut in two from 20 s to 40 s", rate, entries, seconds)}
 	for _, method := range []string{"even split", "central counter", "canvaspulley"} {
-		s := &limitsSite{limit: rate, entries: entries, rnd: rand.New(rand.NewPCG(seed, 3))}
-		t.Rows = append(t.Rows, s.run(method, seconds))
+		s := &limitsSim{limit: rate, entries: entries, rnd: rand.New(rand.NewPCG(seed, 3))}
+		t.Rows = append(t.Rows, s.simulate(method, seconds))
 	}
 	return t
 }
@@ -58,22 +58,22 @@
 // burst is what may come at once: a tenth of a second's worth.
 func burst(rate float64) float64 { return max(1, rate/10) }
 
-func (s *limitsSite) run(method string, seconds int) Row {
-	part := s.limit / float64(s.entries)
+func (s *limitsSim) simulate(method string, seconds int) Row {
+	evenShare := s.limit / float64(s.entries)
 	for range s.entries {
-		s.shares = append(s.shares, limit.NewShare(part, origin))
-		s.buckets = append(s.buckets, limit.NewBucket(part, burst(part), origin))
+		s.shares = append(s.shares, limit.NewShare(evenShare, origin))
+		s.buckets = append(s.buckets, limit.NewBucket(evenShare, burst(evenShare), origin))
 	}
 	central := [2]*limit.Bucket{limit.NewBucket(s.limit, burst(s.limit), origin), limit.NewBucket(s.limit, burst(s.limit), origin)}
 	admitted, offered := 0, 0.0
 	perSecond := map[int]int{}
-	for at := time.Duration(0); at < time.Duration(seconds)*time.Second; at += limitsTick {
+	for at := time.Duration(0); at < time.Duration(seconds)*time.Second; at += limitsStep {
 		now := origin.Add(at)
-		if method == "canvaspulley" && at%limitsRound == 0 {
-			s.borrow(now, at)
+		if method == "canvaspulley" && at%borrowInterval == 0 {
+			s.borrowRound(now, at)
 		}
 		for e := range s.entries {
-			for range poisson(s.rnd, s.demand(e, at)*limitsTick.Seconds()) {
+			for range poisson(s.rnd, s.demand(e, at)*limitsStep.Seconds()) {
 				offered++
 				b := s.buckets[e]
 				s.shares[e].CountRequest()
@@ -95,22 +95,22 @@
 			}
 		}
 	}
-	most := 0
+	maxPerSecond := 0
 	for _, n := range perSecond {
-		most = max(most, n)
+		maxPerSecond = max(maxPerSecond, n)
 	}
 	return Row{method, []Cell{
-		{"worst second to the limit", "", float64(most) / s.limit},
+		{"worst second to the limit", "", float64(maxPerSecond) / s.limit},
 		{"let in of what was allowed", "share", float64(admitted) / min(offered, s.limit*float64(seconds))},
 		{"messages an entry and second", "", float64(s.messages) / float64(s.entries*seconds)},
 	}}
 }
 
-// borrow is one round: each entry in want asks one random other.
-func (s *limitsSite) borrow(now time.Time, at time.Duration) {
+// borrowRound is one round: each entry in want asks one random other.
+func (s *limitsSim) borrowRound(now time.Time, at time.Duration) {
 	for e, share := range s.shares {
-		want := share.Shortfall(now)
-		if want == 0 {
+		shortfall := share.Shortfall(now)
+		if shortfall == 0 {
 			continue
 		}
 		peer := s.rnd.IntN(s.entries - 1)
@@ -118,8 +118,8 @@
 			peer++
 		}
 		s.messages += 2
-		if !s.cut(e, peer, at) {
-			share.Borrow(s.shares[peer].Lend(want, now), now)
+		if !s.partitioned(e, peer, at) {
+			share.Borrow(s.shares[peer].Lend(shortfall, now), now)
 		}
 	}
 }
--- a/internal/experiment/ownership.go
+++ b/internal/experiment/ownership.go
@@ -25,19 +25,19 @@
 		load := map[string]int{}
 		for k := range keys {
 			key := fmt.Sprintf("prefix-%d", k)
-			was := m.owner(key, before)
-			load[was]++
-			if m.owner(key, after) != was {
+			oldOwner := m.owner(key, before)
+			load[oldOwner]++
+			if m.owner(key, after) != oldOwner {
 				moved++
 			}
 		}
-		most := 0
+		maxKeys := 0
 		for _, n := range load {
-			most = max(most, n)
+			maxKeys = max(maxKeys, n)
 		}
 		t.Rows = append(t.Rows, Row{m.name, []Cell{
 			{"share moved", "", float64(moved) / float64(keys)},
-			{"fullest owner to mean", "", float64(most) * float64(owners) / float64(keys)},
+			{"fullest owner to mean", "", float64(maxKeys) * float64(owners) / float64(keys)},
 		}})
 	}
 	return t
--- a/internal/experiment/repack.go
+++ b/internal/experiment/repack.go
@@ -38,37 +38,37 @@
 		return tokens[a]/float64(count[a]) > tokens[b]/float64(count[b])
 	})
 	layer := make(rebalance.Layer, s.Experts)
-	loads, held := make([]float64, s.Ranks), make([]int, s.Ranks)
+	loads, usedSlots := make([]float64, s.Ranks), make([]int, s.Ranks)
 	for _, e := range order {
 		for range count[e] {
-			r := lightestRank(s, layer[e], loads, held)
+			r := leastLoadedRank(s, layer[e], loads, usedSlots)
 			if r < 0 {
 				break
 			}
 			layer[e] = append(layer[e], r)
-			held[r]++
+			usedSlots[r]++
 			loads[r] += tokens[e] / float64(count[e])
 		}
 		slices.Sort(layer[e])
 	}
-	return complete(layer)
+	return placeMissing(layer)
 }
 
-// lightestRank returns the least loaded rank that has a slot and lacks the
+// leastLoadedRank returns the least loaded rank that has a slot and lacks the
 // expert, or -1.
-func lightestRank(s rebalance.Shape, holders []int, loads []float64, held []int) int {
+func leastLoadedRank(s rebalance.Shape, holders []int, loads []float64, usedSlots []int) int {
 	best := -1
 	for r := range loads {
-		if held[r] < s.Slots && !slices.Contains(holders, r) && (best < 0 || loads[r] < loads[best]) {
+		if usedSlots[r] < s.Slots && !slices.Contains(holders, r) && (best < 0 || loads[r] < loads[best]) {
 			best = r
 		}
 	}
 	return best
 }
 
-// complete gives a place to experts that found none, from replicas that can be
+// placeMissing gives a place to experts that found none, from replicas that can be
 // spared.
-func complete(layer rebalance.Layer) rebalance.Layer {
+func placeMissing(layer rebalance.Layer) rebalance.Layer {
 	for e := range layer {
 		for len(layer[e]) == 0 {
 			for f := range layer {
--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -24,17 +24,17 @@
 		{"canvaspulley", func(attempt int) bool { return attempt < retry.MaxAttempts && budget.Take() }, budget.Success},
 	} {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		var sent, good [3]int
+		var sent, answered [3]int
 		for i := range requests {
 			phase := i * 3 / requests
 			for attempt := 1; ; attempt++ {
 				sent[phase]++
-				fail := 0.005
+				failureRate := 0.005
 				if phase == 1 {
-					fail = 0.9
+					failureRate = 0.9
 				}
-				if rnd.Float64() >= fail {
-					good[phase]++
+				if rnd.Float64() >= failureRate {
+					answered[phase]++
 					m.success()
 					break
 				}
@@ -46,8 +46,8 @@
 		third := float64(requests) / 3
 		t.Rows = append(t.Rows, Row{m.name, []Cell{
 			{"sent to the failing group", "times the requests", float64(sent[1]) / third},
-			{"answered while it fails", "share", float64(good[1]) / third},
-			{"answered otherwise", "share", float64(good[0]+good[2]) / (2 * third)},
+			{"answered while it fails", "share", float64(answered[1]) / third},
+			{"answered otherwise", "share", float64(answered[0]+answered[2]) / (2 * third)},
 		}})
 	}
 	return t
--- a/internal/experiment/routing.go
+++ b/internal/experiment/routing.go
@@ -11,41 +11,41 @@
 
 // RoutingConfig sizes the routing experiment. Time goes in engine steps.
 type RoutingConfig struct {
-	Entries   int
-	Endpoints int // All of one group: the fullest one paces the step.
-	Limit     int // Sequences an endpoint runs at once.
-	Steps     int
-	Lag       int     // Steps until an entry hears a report.
-	Load      float64 // Share of the endpoints' capacity that is offered.
-	Tokens    int     // Mean length of an answer, in steps.
-	Prefixes  int     // Different prompt prefixes.
-	Cached    int     // Prefixes that an endpoint's cache holds.
-	Prefill   int     // Steps that an uncached prefix costs.
-	Seed      uint64
+	Entries        int
+	Endpoints      int // All of one group: the fullest one paces the step.
+	Limit          int // Sequences an endpoint runs at once.
+	Steps          int
+	ReportLag      int     // Steps until an entry hears a report.
+	OfferedLoad    float64 // Share of the endpoints' capacity that is offered.
+	AnswerSteps    int     // Mean length of an answer, in steps.
+	Prefixes       int     // Different prompt prefixes.
+	CachedPrefixes int     // Prefixes that an endpoint's cache holds.
+	PrefillSteps   int     // Steps that an uncached prefix costs.
+	Seed           uint64
 }
 
 // DefaultRouting is the setting of docs/MEASUREMENTS.md.
-var DefaultRouting = RoutingConfig{Entries: 6, Endpoints: 12, Limit: 32, Steps: 20000, Lag: 1, Load: 0.8,
-	Tokens: 60, Prefixes: 60, Cached: 10, Prefill: 10, Seed: 1}
+var DefaultRouting = RoutingConfig{Entries: 6, Endpoints: 12, Limit: 32, Steps: 20000, ReportLag: 1, OfferedLoad: 0.8,
+	AnswerSteps: 60, Prefixes: 60, CachedPrefixes: 10, PrefillSteps: 10, Seed: 1}
 
-// sequenceEnd is one answer that runs at an endpoint.
-type sequenceEnd struct {
+// sequence is one answer that runs at an endpoint.
+type sequence struct {
 	entry int
 	end   int // Step at which it ends.
 }
 
 // engineSim is one endpoint: places, a queue and a cache of prefixes.
 type engineSim struct {
-	running []sequenceEnd
+	running []sequence
 	queue   []arrival
 	cache   []int
 }
 
 type arrival struct {
-	entry  int
-	prefix int
-	at     int
-	length int
+	entry     int
+	prefix    int
+	arrivedAt int
+	length    int
 }
 
 // report is what an entry hears of an endpoint, late.
@@ -57,48 +57,48 @@
 	queued   int
 }
 
-// routingRun is one method under the load.
-type routingRun struct {
-	cfg     RoutingConfig
-	rnd     *rand.Rand
-	engines []engineSim
-	views   [][]route.Candidate // By entry, then endpoint.
-	news    []report
-	next    int // For round robin.
-	waits   []float64
-	skews   []float64
-	fullest []float64
-	hits    int
-	starts  int
+// routingSim is one method under the load.
+type routingSim struct {
+	cfg            RoutingConfig
+	rnd            *rand.Rand
+	engines        []engineSim
+	views          [][]route.Candidate // By entry, then endpoint.
+	pendingReports []report
+	nextRank       int // For round robin.
+	waits          []float64
+	skews          []float64
+	fullest        []float64
+	hits           int
+	starts         int
 }
 
 // Routing compares the choice of rank under late reports.
 func Routing(cfg RoutingConfig) Table {
 	t := Table{Title: fmt.Sprintf("Routing: %d entries, %d ranks of %d places, load %.2f, reports %d steps old, %d prefixes, %d cached a rank",
-		cfg.Entries, cfg.Endpoints, cfg.Limit, cfg.Load, cfg.Lag, cfg.Prefixes, cfg.Cached)}
+		cfg.Entries, cfg.Endpoints, cfg.Limit, cfg.OfferedLoad, cfg.ReportLag, cfg.Prefixes, cfg.CachedPrefixes)}
 	for _, m := range []struct {
 		name string
-		pick func(r *routingRun, entry, prefix int) int
+		pick func(r *routingSim, entry, prefix int) int
 	}{
-		{"random", func(r *routingRun, _, _ int) int { return r.rnd.IntN(cfg.Endpoints) }},
-		{"round robin", func(r *routingRun, _, _ int) int { r.next++; return r.next % cfg.Endpoints }},
+		{"random", func(r *routingSim, _, _ int) int { return r.rnd.IntN(cfg.Endpoints) }},
+		{"round robin", func(r *routingSim, _, _ int) int { r.nextRank++; return r.nextRank % cfg.Endpoints }},
 		{"least by report", leastByReport},
-		{"two choices, no prefix", func(r *routingRun, entry, _ int) int {
+		{"two choices, no prefix", func(r *routingSim, entry, _ int) int {
 			return route.Pick(r.views[entry], route.Request{Random: r.rnd.Uint64()})
 		}},
-		{"canvaspulley", func(r *routingRun, entry, prefix int) int {
+		{"canvaspulley", func(r *routingSim, entry, prefix int) int {
 			return route.Pick(r.views[entry], route.Request{Prefix: fmt.Sprint(prefix), Random: r.rnd.Uint64()})
 		}},
 	} {
-		r := newRoutingRun(cfg)
-		r.drive(m.pick)
+		r := newRoutingSim(cfg)
+		r.simulate(m.pick)
 		t.Rows = append(t.Rows, r.row(m.name))
 	}
 	return t
 }
 
 // leastByReport trusts the reports as they are.
-func leastByReport(r *routingRun, entry, _ int) int {
+func leastByReport(r *routingSim, entry, _ int) int {
 	best := 0
 	for i, c := range r.views[entry] {
 		if c.Running+c.Queued < r.views[entry][best].Running+r.views[entry][best].Queued {
@@ -108,8 +108,8 @@
 	return best
 }
 
-func newRoutingRun(cfg RoutingConfig) *routingRun {
-	r := &routingRun{cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 4)), engines: make([]engineSim, cfg.Endpoints)}
+func newRoutingSim(cfg RoutingConfig) *routingSim {
+	r := &routingSim{cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 4)), engines: make([]engineSim, cfg.Endpoints)}
 	for range cfg.Entries {
 		view := make([]route.Candidate, cfg.Endpoints)
 		for i := range view {
@@ -120,13 +120,13 @@
 	return r
 }
 
-func (r *routingRun) drive(pick func(*routingRun, int, int) int) {
+func (r *routingSim) simulate(pick func(*routingSim, int, int) int) {
 	c := r.cfg
-	perStep := c.Load * float64(c.Endpoints*c.Limit) / (float64(c.Tokens) + float64(c.Prefill)/2)
+	perStep := c.OfferedLoad * float64(c.Endpoints*c.Limit) / (float64(c.AnswerSteps) + float64(c.PrefillSteps)/2)
 	for step := range c.Steps {
-		r.hear(step)
+		r.deliverReports(step)
 		for range poisson(r.rnd, perStep) {
-			a := arrival{entry: r.rnd.IntN(c.Entries), prefix: r.prefix(), at: step, length: 1 + int(r.rnd.ExpFloat64()*float64(c.Tokens))}
+			a := arrival{entry: r.rnd.IntN(c.Entries), prefix: r.prefix(), arrivedAt: step, length: 1 + int(r.rnd.ExpFloat64()*float64(c.AnswerSteps))}
 			to := pick(r, a.entry, a.prefix)
 			r.views[a.entry][to].InFlight++
 			r.engines[to].queue = append(r.engines[to].queue, a)
@@ -134,27 +134,27 @@
 		for i := range r.engines {
 			r.advance(i, step)
 		}
-		r.measure()
+		r.recordSkew()
 	}
 }
 
 // prefix draws a prefix; a few are popular.
-func (r *routingRun) prefix() int {
+func (r *routingSim) prefix() int {
 	return int(float64(r.cfg.Prefixes) * r.rnd.Float64() * r.rnd.Float64())
 }
 
-// hear brings reports that have become old enough to the entries.
-func (r *routingRun) hear(step int) {
-	for len(r.news) > 0 && r.news[0].at <= step {
-		n := r.news[0]
-		r.news = r.news[1:]
+// deliverReports brings reports that have become old enough to the entries.
+func (r *routingSim) deliverReports(step int) {
+	for len(r.pendingReports) > 0 && r.pendingReports[0].at <= step {
+		n := r.pendingReports[0]
+		r.pendingReports = r.pendingReports[1:]
 		c := &r.views[n.entry][n.endpoint]
 		c.Running, c.Queued, c.InFlight = n.running, n.queued, 0
 	}
 }
 
 // advance ends and starts sequences; at both the entry concerned gets a report.
-func (r *routingRun) advance(i, step int) {
+func (r *routingSim) advance(i, step int) {
 	e := &r.engines[i]
 	kept := e.running[:0]
 	for _, s := range e.running {
@@ -170,24 +170,24 @@
 		e.queue = e.queue[1:]
 		length := a.length
 		r.starts++
-		if e.hit(a.prefix, r.cfg.Cached) {
+		if e.lookup(a.prefix, r.cfg.CachedPrefixes) {
 			r.hits++
 		} else {
-			length += r.cfg.Prefill
+			length += r.cfg.PrefillSteps
 		}
-		e.running = append(e.running, sequenceEnd{a.entry, step + length})
-		r.waits = append(r.waits, float64(step-a.at+length-a.length))
+		e.running = append(e.running, sequence{a.entry, step + length})
+		r.waits = append(r.waits, float64(step-a.arrivedAt+length-a.length))
 		r.report(i, a.entry, step)
 	}
 }
 
-func (r *routingRun) report(endpoint, entry, step int) {
+func (r *routingSim) report(endpoint, entry, step int) {
 	e := &r.engines[endpoint]
-	r.news = append(r.news, report{step + r.cfg.Lag, entry, endpoint, len(e.running), len(e.queue)})
+	r.pendingReports = append(r.pendingReports, report{step + r.cfg.ReportLag, entry, endpoint, len(e.running), len(e.queue)})
 }
 
-// hit looks a prefix up and makes it the newest in the cache.
-func (e *engineSim) hit(prefix, size int) bool {
+// lookup looks a prefix up and makes it the newest in the cache.
+func (e *engineSim) lookup(prefix, size int) bool {
 	found := false
 	for i, p := range e.cache {
 		if p == prefix {
@@ -203,20 +203,20 @@
 	return found
 }
 
-// measure takes the step's skew: the fullest rank to the mean.
-func (r *routingRun) measure() {
-	most, total := 0, 0
+// recordSkew takes the step's skew: the fullest rank to the mean.
+func (r *routingSim) recordSkew() {
+	maxRunning, total := 0, 0
 	for _, e := range r.engines {
-		most = max(most, len(e.running))
+		maxRunning = max(maxRunning, len(e.running))
 		total += len(e.running)
 	}
-	r.fullest = append(r.fullest, float64(most))
+	r.fullest = append(r.fullest, float64(maxRunning))
 	if total > 0 {
-		r.skews = append(r.skews, float64(most)*float64(len(r.engines))/float64(total))
+		r.skews = append(r.skews, float64(maxRunning)*float64(len(r.engines))/float64(total))
 	}
 }
 
-func (r *routingRun) row(name string) Row {
+func (r *routingSim) row(name string) Row {
 	return Row{name, []Cell{
 		{"first token p50", "steps", quantile(r.waits, 0.5)},
 		{"first token p95", "steps", quantile(r.waits, 0.95)},
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -20,47 +20,47 @@
 const wantName = "want"
 
 // Run makes one subtest of each testdata/*.txtar.
-func Run(t *testing.T, got func(files map[string][]byte) string) {
+func Run(t *testing.T, render func(files map[string][]byte) string) {
 	t.Helper()
 	names, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(names) == 0 {
 		t.Fatalf("no cases: %v", err)
 	}
 	for _, name := range names {
-		t.Run(filepath.Base(name), func(t *testing.T) { runCase(t, name, got) })
+		t.Run(filepath.Base(name), func(t *testing.T) { runCase(t, name, render) })
 	}
 }
 
-func runCase(t *testing.T, name string, got func(files map[string][]byte) string) {
+func runCase(t *testing.T, name string, render func(files map[string][]byte) string) {
 	t.Helper()
 	a, err := txtar.ParseFile(name)
 	if err != nil {
 		t.Fatal(err)
 	}
 	files := map[string][]byte{}
-	want := -1
+	wantIndex := -1
 	for i, f := range a.Files {
 		if f.Name == wantName {
-			want = i
+			wantIndex = i
 			continue
 		}
 		files[f.Name] = f.Data
 	}
-	if want < 0 {
+	if wantIndex < 0 {
 		t.Fatalf("%s has no file %q", name, wantName)
 	}
-	text := got(files)
+	text := render(files)
 	if text != "" && text[len(text)-1] != '\n' {
 		text += "\n"
 	}
-	if text == string(a.Files[want].Data) {
+	if text == string(a.Files[wantIndex].Data) {
 		return
 	}
 	if !*update {
-		t.Errorf("got:\n%swant:\n%s", text, a.Files[want].Data)
+		t.Errorf("got:\n%swant:\n%s", text, a.Files[wantIndex].Data)
 		return
 	}
-	a.Files[want].Data = []byte(text)
+	a.Files[wantIndex].Data = []byte(text)
 	if err := os.WriteFile(name, txtar.Format(a), 0o644); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,47 +27,47 @@
 
 // Config says what to send.
 type Config struct {
-	Targets  []string // Callers' listeners, IP:port; used in turn.
-	Rate     float64  // Requests a second.
-	Duration time.Duration
-	Callers  []Caller
-	Model    string
-	Path     string  // Path of the plain service.
-	Streams  float64 // Share of streamed requests to the model.
-	Payments float64 // Share of calls that may not be repeated; the rest reads.
-	Tokens   int     // Tokens of an answer.
-	Deadline time.Duration
-	Seed     uint64
-	Attempts int // Attempts of a caller with one key, or to resume one stream.
+	Targets         []string // Callers' listeners, IP:port; used in turn.
+	Rate            float64  // Requests a second.
+	Duration        time.Duration
+	Callers         []Caller
+	Model           string
+	Path            string  // Path of the plain service.
+	StreamShare     float64 // Share of streamed requests to the model.
+	PaymentShare    float64 // Share of calls that may not be repeated; the rest reads.
+	TokensPerAnswer int     // Tokens of an answer.
+	Deadline        time.Duration
+	Seed            uint64
+	MaxAttempts     int // Attempts of a caller with one key, or to resume one stream.
 }
 
 // Result is what came back.
 type Result struct {
-	Sent    int `json:"sent"`
-	Whole   int `json:"whole"`
-	NotRun  int `json:"not_run"`
-	Unknown int `json:"unknown"`
-	Broken  int `json:"broken"` // Ended without an outcome.
-	Wrong   int `json:"wrong"`  // Not whole, out of order or somebody else's, yet called done or framed as complete.
-
-	FirstToken *hdrhistogram.Histogram `json:"-"` // Microseconds.
-	Between    *hdrhistogram.Histogram `json:"-"`
-	Answer     *hdrhistogram.Histogram `json:"-"`
-
-	// Said is the final word on each payment by its id, for Judge.
-	Said map[string]wire.Outcome `json:"-"`
+	Sent      int `json:"sent"`
+	Complete  int `json:"whole"`
+	NotRun    int `json:"not_run"`
+	Unknown   int `json:"unknown"`
+	NoOutcome int `json:"broken"` // Ended without an outcome.
+	Wrong     int `json:"wrong"`  // Not whole, out of order or somebody else's, yet called done or framed as complete.
+
+	FirstToken    *hdrhistogram.Histogram `json:"-"` // Microseconds.
+	BetweenTokens *hdrhistogram.Histogram `json:"-"`
+	Answer        *hdrhistogram.Histogram `json:"-"`
+
+	// PaymentOutcomes is the final word on each payment by its id, for Judge.
+	PaymentOutcomes map[string]wire.Outcome `json:"-"`
 }
 
-// Verdict compares what callers were told of payments with what ran.
-type Verdict struct {
+// PaymentErrors compares what callers were told of payments with what ran.
+type PaymentErrors struct {
 	Lost        int `json:"lost"`          // Told done, did not run.
 	Doubled     int `json:"doubled"`       // Ran more than once.
 	FalseNotRun int `json:"false_not_run"` // Told not run, did run.
 }
 
-// Judge compares the words on payments with the runs that services counted.
-func Judge(said map[string]wire.Outcome, runs map[string]int) (v Verdict) {
-	for id, o := range said {
+// CheckPayments compares the words on payments with the runs that services counted.
+func CheckPayments(outcomes map[string]wire.Outcome, runs map[string]int) (v PaymentErrors) {
+	for id, o := range outcomes {
 		switch n := runs[id]; {
 		case n > 1:
 			v.Doubled++
@@ -82,9 +82,9 @@
 
 // Histogram bounds, in microseconds.
 const (
-	lowestMicros  = 1
-	highestMicros = 120_000_000
-	digits        = 3
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 3
 )
 
 // runner is one run of a Config.
@@ -99,13 +99,13 @@
 // Run sends at the rate until the duration is over or ctx ends, and waits for
 // the answers.
 func Run(ctx context.Context, cfg Config) (res Result, err error) {
-	cfg.Attempts = max(1, cfg.Attempts)
+	cfg.MaxAttempts = max(1, cfg.MaxAttempts)
 	r := &runner{cfg: cfg, client: &http.Client{Transport: adapter.NewTransport("")}}
 	r.res = Result{
-		Said:       map[string]wire.Outcome{},
-		FirstToken: hdrhistogram.New(lowestMicros, highestMicros, digits),
-		Between:    hdrhistogram.New(lowestMicros, highestMicros, digits),
-		Answer:     hdrhistogram.New(lowestMicros, highestMicros, digits),
+		PaymentOutcomes: map[string]wire.Outcome{},
+		FirstToken:      hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		BetweenTokens:   hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		Answer:          hdrhistogram.New(minMicros, maxMicros, significantDigits),
 	}
 	defer r.client.CloseIdleConnections()
 	g := &errgroup.Group{}
@@ -117,9 +117,9 @@
 			break
 		}
 		time.Sleep(time.Until(at))
-		j := r.plan(n, rnd)
+		j := r.planRequest(n, rnd)
 		g.Go(func() error {
-			r.do(ctx, j)
+			r.send(ctx, j)
 			return nil
 		})
 	}
@@ -129,7 +129,7 @@
 
 // job is one request that was planned.
 type job struct {
-	n      int
+	index  int
 	kind   kind
 	caller Caller
 	nonce  string
@@ -143,35 +143,35 @@
 	kindRead
 )
 
-func (r *runner) plan(n int, rnd *rand.Rand) job {
-	j := job{n: n, kind: kindRead, caller: r.cfg.Callers[rnd.IntN(len(r.cfg.Callers))]}
+func (r *runner) planRequest(n int, rnd *rand.Rand) job {
+	j := job{index: n, kind: kindRead, caller: r.cfg.Callers[rnd.IntN(len(r.cfg.Callers))]}
 	j.nonce = nonce(rnd)
 	switch draw := rnd.Float64(); {
-	case draw < r.cfg.Streams:
+	case draw < r.cfg.StreamShare:
 		j.kind = kindStream
-	case draw < r.cfg.Streams+r.cfg.Payments:
+	case draw < r.cfg.StreamShare+r.cfg.PaymentShare:
 		j.kind = kindPayment
 	}
 	return j
 }
 
-func (r *runner) do(ctx context.Context, j job) {
-	r.note(func(res *Result) { res.Sent++ })
+func (r *runner) send(ctx context.Context, j job) {
+	r.record(func(res *Result) { res.Sent++ })
 	start := time.Now()
 	var o wire.Outcome
 	switch j.kind {
 	case kindStream:
-		o = r.stream(ctx, j)
+		o = r.sendStream(ctx, j)
 	case kindPayment:
-		o = r.payment(ctx, j)
+		o = r.sendPayment(ctx, j)
 	default:
-		o = r.read(ctx, j)
+		o = r.sendRead(ctx, j)
 	}
 	took := time.Since(start)
-	r.note(func(res *Result) {
+	r.record(func(res *Result) {
 		switch o {
 		case wire.Done:
-			res.Whole++
+			res.Complete++
 			_ = res.Answer.RecordValue(took.Microseconds()) // Beyond the bounds it is not counted.
 		case wire.NotRun:
 			res.NotRun++
@@ -180,7 +180,7 @@
 		case wrong:
 			res.Wrong++
 		default:
-			res.Broken++
+			res.NoOutcome++
 		}
 	})
 }
@@ -189,7 +189,7 @@
 // right.
 const wrong wire.Outcome = "wrong"
 
-func (r *runner) note(f func(*Result)) {
+func (r *runner) record(f func(*Result)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f(&r.res)
@@ -197,5 +197,5 @@
 
 // target spreads requests, and the attempts of one, over the entries.
 func (r *runner) target(j job, attempt int) string {
-	return r.cfg.Targets[(j.n+attempt)%len(r.cfg.Targets)]
+	return r.cfg.Targets[(j.index+attempt)%len(r.cfg.Targets)]
 }
--- a/internal/load/requests.go
+++ b/internal/load/requests.go
@@ -40,42 +40,42 @@
 	return req, nil
 }
 
-// stream asks the model and follows the answer; a broken stream is resumed at
+// sendStream asks the model and follows the answer; a broken stream is resumed at
 // the next entry after its last event.
-func (r *runner) stream(ctx context.Context, j job) wire.Outcome {
-	content := topics[j.n%len(topics)] + j.nonce
+func (r *runner) sendStream(ctx context.Context, j job) wire.Outcome {
+	content := topics[j.index%len(topics)] + j.nonce
 	prompt := "user: " + content + "\n"
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
-		r.cfg.Model, r.cfg.Tokens, content)
-	f := &follower{runner: r, prompt: prompt, start: time.Now()}
+		r.cfg.Model, r.cfg.TokensPerAnswer, content)
+	f := &streamChecker{runner: r, prompt: prompt, start: time.Now()}
 	var o wire.Outcome
-	for attempt := range r.cfg.Attempts {
+	for attempt := range r.cfg.MaxAttempts {
 		req, err := r.newRequest(ctx, j, attempt, http.MethodPost, "/v1/chat/completions", body)
 		if err != nil {
 			return ""
 		}
-		if f.last != "" {
-			req.Header.Set(wire.HeaderResume, f.last)
+		if f.lastID != "" {
+			req.Header.Set(wire.HeaderResume, f.lastID)
 		}
-		o = f.follow(req)
+		o = f.readAttempt(req)
 		if o == wire.Done || o == wrong {
 			break
 		}
 	}
-	if o == wire.Done && f.next != r.cfg.Tokens {
+	if o == wire.Done && f.next != r.cfg.TokensPerAnswer {
 		return wrong
 	}
 	return o
 }
 
-// follower checks one answer over all its attempts.
-type follower struct {
+// streamChecker checks one answer over all its attempts.
+type streamChecker struct {
 	runner *runner
 	prompt string
 	start  time.Time
 	next   int    // Next token that is expected.
-	last   string // Id of the last event.
-	at     time.Time
+	lastID string // Id of the last event.
+	lastAt time.Time
 }
 
 type chunk struct {
@@ -86,7 +86,7 @@
 	} `json:"choices"`
 }
 
-func (f *follower) follow(req *http.Request) wire.Outcome {
+func (f *streamChecker) readAttempt(req *http.Request) wire.Outcome {
 	resp, err := f.runner.client.Do(req)
 	if err != nil {
 		return ""
@@ -95,56 +95,56 @@
 	if resp.StatusCode != http.StatusOK {
 		return wire.Outcome(resp.Header.Get(wire.HeaderOutcome))
 	}
-	body := &endReader{r: resp.Body}
+	body := &eofReader{r: resp.Body}
 	frames := wire.NewFrameReader(body)
 	var last wire.Refusal
-	marker := false // The event after which nothing comes.
+	sawDone := false // The event after which nothing comes.
 	for {
 		fr, err := frames.Next()
 		switch {
-		case err != nil && body.orderly:
-			return complete(resp, last.Outcome, marker)
+		case err != nil && body.sawEOF:
+			return checkComplete(resp, last.Outcome, sawDone)
 		case err != nil && last.Outcome == wire.Done:
 			return "" // The end did not come, so that "done" is not proven.
 		case err != nil:
 			return last.Outcome
-		case marker:
+		case sawDone:
 			return wrong
 		case last.Outcome == wire.Done && fr.ID == "" && fr.Event == "" && string(fr.Data) == "[DONE]":
-			marker = true
+			sawDone = true
 		case last.Outcome != "":
 			return wrong // After an outcome there is only the marker.
 		case fr.Event == "outcome":
 			_ = json.Unmarshal(fr.Data, &last) // An outcome that cannot be read counts as none.
-		case !f.take(fr):
+		case !f.checkToken(fr):
 			return wrong
 		}
 	}
 }
 
-// complete judges a stream whose framing is complete: that claims a whole answer,
+// checkComplete judges a stream whose framing is complete: that claims a whole answer,
 // and everything else must say the same.
-func complete(resp *http.Response, o wire.Outcome, marker bool) wire.Outcome {
-	if o != wire.Done || !marker || resp.Trailer.Get(wire.HeaderOutcome) != string(wire.Done) {
+func checkComplete(resp *http.Response, o wire.Outcome, sawDone bool) wire.Outcome {
+	if o != wire.Done || !sawDone || resp.Trailer.Get(wire.HeaderOutcome) != string(wire.Done) {
 		return wrong
 	}
 	return wire.Done
 }
 
-// endReader notes whether what it reads ended in order.
-type endReader struct {
-	r       io.Reader
-	orderly bool
+// eofReader notes whether what it reads ended in order.
+type eofReader struct {
+	r      io.Reader
+	sawEOF bool
 }
 
-func (e *endReader) Read(p []byte) (n int, err error) {
+func (e *eofReader) Read(p []byte) (n int, err error) {
 	n, err = e.r.Read(p)
-	e.orderly = err == io.EOF
+	e.sawEOF = err == io.EOF
 	return n, err
 }
 
-// take checks one token: the right text at the right place.
-func (f *follower) take(fr wire.Frame) bool {
+// checkToken checks one token: the right text at the right place.
+func (f *streamChecker) checkToken(fr wire.Frame) bool {
 	var c chunk
 	id, err := wire.ParseEventID(fr.ID)
 	if err != nil || json.Unmarshal(fr.Data, &c) != nil || len(c.Choices) != 1 {
@@ -154,46 +154,46 @@
 		return false
 	}
 	now := time.Now()
-	f.runner.note(func(res *Result) {
+	f.runner.record(func(res *Result) {
 		if f.next == 0 {
 			_ = res.FirstToken.RecordValue(now.Sub(f.start).Microseconds())
 		} else {
-			_ = res.Between.RecordValue(now.Sub(f.at).Microseconds())
+			_ = res.BetweenTokens.RecordValue(now.Sub(f.lastAt).Microseconds())
 		}
 	})
-	f.at, f.last = now, fr.ID
+	f.lastAt, f.lastID = now, fr.ID
 	f.next++
 	return true
 }
 
-// payment mints a key and calls the service under it until the outcome is
+// sendPayment mints a key and calls the service under it until the outcome is
 // known or the attempts are used up.
-func (r *runner) payment(ctx context.Context, j job) wire.Outcome {
+func (r *runner) sendPayment(ctx context.Context, j job) wire.Outcome {
 	key := ""
-	for attempt := 0; attempt < r.cfg.Attempts && key == ""; attempt++ {
-		key = r.mint(ctx, j, attempt)
+	for attempt := 0; attempt < r.cfg.MaxAttempts && key == ""; attempt++ {
+		key = r.createKey(ctx, j, attempt)
 	}
 	if key == "" {
 		return wire.NotRun
 	}
 	id := j.nonce
-	said := wire.NotRun
-	for attempt := range r.cfg.Attempts {
-		o := r.pay(ctx, j, attempt, key, id)
+	outcome := wire.NotRun
+	for attempt := range r.cfg.MaxAttempts {
+		o := r.attemptPayment(ctx, j, attempt, key, id)
 		if o == wire.Done || o == wrong {
-			said = o
+			outcome = o
 			break
 		}
 		if o != wire.NotRun {
-			said = wire.Unknown // One doubt is not undone by a later "not run".
+			outcome = wire.Unknown // One doubt is not undone by a later "not run".
 		}
 		time.Sleep(20 * time.Millisecond << min(attempt, 6))
 	}
-	r.note(func(res *Result) { res.Said[id] = said })
-	return said
+	r.record(func(res *Result) { res.PaymentOutcomes[id] = outcome })
+	return outcome
 }
 
-func (r *runner) mint(ctx context.Context, j job, attempt int) (key string) {
+func (r *runner) createKey(ctx context.Context, j job, attempt int) (key string) {
 	req, err := r.newRequest(ctx, j, attempt, http.MethodPost, "/v1/keys", fmt.Sprintf(`{"path":%q}`, r.cfg.Path))
 	if err != nil {
 		return ""
@@ -210,31 +210,31 @@
 	return m.Key
 }
 
-func (r *runner) pay(ctx context.Context, j job, attempt int, key, id string) wire.Outcome {
+func (r *runner) attemptPayment(ctx context.Context, j job, attempt int, key, id string) wire.Outcome {
 	req, err := r.newRequest(ctx, j, attempt, http.MethodPost, r.cfg.Path+"pay?id="+id, "amount of "+id)
 	if err != nil {
 		return ""
 	}
 	req.Header.Set(wire.HeaderKey, key)
-	return r.answer(req, id, "amount of "+id)
+	return r.attemptCall(req, id, "amount of "+id)
 }
 
-// read asks for a record; an entry that is gone is passed over, as the
+// sendRead asks for a record; an entry that is gone is passed over, as the
 // platform's balancer does.
-func (r *runner) read(ctx context.Context, j job) wire.Outcome {
+func (r *runner) sendRead(ctx context.Context, j job) wire.Outcome {
 	var o wire.Outcome
-	for attempt := 0; attempt < r.cfg.Attempts && o != wire.Done && o != wrong; attempt++ {
+	for attempt := 0; attempt < r.cfg.MaxAttempts && o != wire.Done && o != wrong; attempt++ {
 		req, err := r.newRequest(ctx, j, attempt, http.MethodGet, r.cfg.Path+"record?id=r"+j.nonce, "")
 		if err != nil {
 			return ""
 		}
-		o = r.answer(req, "r"+j.nonce, "")
+		o = r.attemptCall(req, "r"+j.nonce, "")
 	}
 	return o
 }
 
-// answer checks that the answer of a plain service is whole and its own.
-func (r *runner) answer(req *http.Request, id, echo string) wire.Outcome {
+// attemptCall checks that the answer of a plain service is whole and its own.
+func (r *runner) attemptCall(req *http.Request, id, echo string) wire.Outcome {
 	resp, err := r.client.Do(req)
 	if err != nil {
 		return ""
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -60,14 +60,14 @@
 
 // Server is the stand-ins of one site behind their listeners.
 type Server struct {
-	Directory *Directory
-	Views     map[string]*View    // By failure domain.
-	Engines   map[string]*Engine  // By address.
-	Services  map[string]*Service // By endpoint.
-	Groups    map[string]*Group   // By name.
+	Dir      *Directory
+	Views    map[string]*View    // By failure domain.
+	Engines  map[string]*Engine  // By address.
+	Services map[string]*Service // By endpoint.
+	Groups   map[string]*Group   // By name.
 
-	Network *Network
-	Store   *Store // Weight store of all engines.
+	Net   *Network
+	Store *Store // Weight store of all engines.
 
 	groups    []*Group
 	listeners []listenerHandler
@@ -100,9 +100,9 @@
 // New opens the stand-ins of a parsed settings file.
 func New(f *inifile.File) (s *Server, err error) {
 	s = &Server{
-		Directory: NewDirectory(), Views: map[string]*View{},
+		Dir: NewDirectory(), Views: map[string]*View{},
 		Engines: map[string]*Engine{}, Services: map[string]*Service{},
-		Groups: map[string]*Group{}, Network: NewNetwork(),
+		Groups: map[string]*Group{}, Net: NewNetwork(),
 	}
 	defer func() {
 		if err != nil {
@@ -128,7 +128,7 @@
 func (s *Server) add(f *inifile.File, section, kind, name string) (err error) {
 	switch kind {
 	case "view":
-		v := NewView(s.Directory)
+		v := NewView(s.Dir)
 		s.Views[name] = v
 		return s.listen(f.Required(section, "address"), v.Handler())
 	case "service":
@@ -150,12 +150,12 @@
 		Domain: f.Required(section, "domain"), Address: f.Required(section, "address"),
 		Endpoint: f.String(section, "endpoint", ""),
 	}
-	s.Directory.SetInstance(in)
+	s.Dir.SetInstance(in)
 	target, source := f.String(section, "relay-to", ""), f.String(section, "source", "")
 	if target == "" {
 		return nil
 	}
-	s.Network.SetDomain(source, in.Domain)
+	s.Net.SetDomain(source, in.Domain)
 	l, err := net.Listen("tcp", in.Address)
 	if err != nil {
 		return errors.Wrap(err, "stand-in relay")
@@ -204,7 +204,7 @@
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return err
 	}
-	s.Directory.Publish(b)
+	s.Dir.Publish(b)
 	return nil
 }
 
@@ -234,7 +234,7 @@
 		g.Go(func() error { return group.Run(ctx) })
 	}
 	for _, one := range s.relays {
-		g.Go(func() error { return s.Network.Relay(ctx, one.listener, one.target, one.domain) })
+		g.Go(func() error { return s.Net.Relay(ctx, one.listener, one.target, one.domain) })
 	}
 	for _, one := range s.listeners {
 		srv := &http.Server{Handler: one.handler, ReadHeaderTimeout: 10 * time.Second}
@@ -263,10 +263,10 @@
 	case FaultDelay, FaultNoAnswer:
 		return s.serviceFault(f)
 	case FaultLeaving:
-		s.Directory.SetLeaving(f.Target)
+		s.Dir.SetLeaving(f.Target)
 		return nil
 	case FaultPartition:
-		s.Network.SetPartitioned(f.Target, f.On)
+		s.Net.SetPartitioned(f.Target, f.On)
 		return nil
 	}
 	return errors.New("no such kind")
@@ -330,7 +330,7 @@
 func (s *Server) Runs() map[string]int {
 	all := map[string]int{}
 	for _, svc := range s.Services {
-		for id, n := range svc.Runs() {
+		for id, n := range svc.RunCounts() {
 			all[id] += n
 		}
 	}
@@ -340,11 +340,11 @@
 func (s *Server) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathPublish, jsonHandler(func(b Bundle) error {
-		s.Directory.Publish(b)
+		s.Dir.Publish(b)
 		return nil
 	}))
 	mux.HandleFunc("POST "+PathInstance, jsonHandler(func(in adapter.Instance) error {
-		s.Directory.SetInstance(in)
+		s.Dir.SetInstance(in)
 		return nil
 	}))
 	mux.HandleFunc("POST "+PathFault, jsonHandler(s.Apply))
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -29,8 +29,8 @@
 	Echo string `json:"echo"`
 }
 
-// Runs returns a copy of all counts.
-func (s *Service) Runs() map[string]int {
+// RunCounts returns a copy of all counts.
+func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make(map[string]int, len(s.runs))
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -32,23 +32,23 @@
 	maxIndex = 1 << 12
 )
 
-// FaultError is a malformed line.
-type FaultError struct {
+// LineError is a malformed line.
+type LineError struct {
 	File string
 	Line int
 	Text string
 }
 
-func (e *FaultError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
+func (e *LineError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
 // Read parses a trace; name is used in errors only.
 func Read(name string, r io.Reader) (t Trace, err error) {
 	c := csv.NewReader(r)
 	c.ReuseRecord = true
 	c.FieldsPerRecord = len(header)
-	fault := func(format string, args ...any) error {
+	parseError := func(format string, args ...any) error {
 		line, _ := c.FieldPos(0)
-		return &FaultError{name, line, fmt.Sprintf(format, args...)}
+		return &LineError{name, line, fmt.Sprintf(format, args...)}
 	}
 	for first := true; ; first = false {
 		row, err := c.Read()
@@ -57,7 +57,7 @@
 		}
 		var pe *csv.ParseError
 		if errors.As(err, &pe) {
-			return nil, &FaultError{name, pe.Line, pe.Err.Error()}
+			return nil, &LineError{name, pe.Line, pe.Err.Error()}
 		}
 		if err != nil {
 			return nil, err
@@ -65,29 +65,29 @@
 		if first {
 			for i, want := range header {
 				if row[i] != want {
-					return nil, fault("the header must be step,layer,expert,tokens")
+					return nil, parseError("the header must be step,layer,expert,tokens")
 				}
 			}
 			continue
 		}
 		step, layer, expert, tokens, err := parseRow(row)
 		if err != nil {
-			return nil, fault("%v", err)
+			return nil, parseError("%v", err)
 		}
 		switch {
 		case step < len(t)-1:
-			return nil, fault("step %d comes after step %d", step, len(t)-1)
+			return nil, parseError("step %d comes after step %d", step, len(t)-1)
 		case step > len(t):
-			return nil, fault("step %d is missing", len(t))
+			return nil, parseError("step %d is missing", len(t))
 		case step == len(t):
 			t = append(t, nil)
 		}
-		t[step] = put(t[step], layer, expert, tokens)
+		t[step] = addTokens(t[step], layer, expert, tokens)
 	}
 	if len(t) == 0 {
-		return nil, &FaultError{name, 1, "no rows"}
+		return nil, &LineError{name, 1, "no rows"}
 	}
-	return t.square(), nil
+	return t.pad(), nil
 }
 
 func parseRow(row []string) (step, layer, expert int, tokens float64, err error) {
@@ -105,7 +105,7 @@
 	return n[0], n[1], n[2], tokens, nil
 }
 
-func put(layers [][]float64, layer, expert int, tokens float64) [][]float64 {
+func addTokens(layers [][]float64, layer, expert int, tokens float64) [][]float64 {
 	for len(layers) <= layer {
 		layers = append(layers, nil)
 	}
@@ -116,9 +116,9 @@
 	return layers
 }
 
-// square gives all samples the same layers and all layers the same experts;
+// pad gives all samples the same layers and all layers the same experts;
 // what no row named got no tokens.
-func (t Trace) square() Trace {
+func (t Trace) pad() Trace {
 	layers, experts := 0, 0
 	for _, s := range t {
 		layers = max(layers, len(s))
@@ -127,9 +127,9 @@
 		}
 	}
 	for i := range t {
-		t[i] = put(t[i], layers-1, experts-1, 0)
+		t[i] = addTokens(t[i], layers-1, experts-1, 0)
 		for l := range t[i] {
-			t[i] = put(t[i], l, experts-1, 0)
+			t[i] = addTokens(t[i], l, experts-1, 0)
 		}
 	}
 	return t
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -22,19 +22,19 @@
 	})
 }
 
-func TestMadeTracesSurviveTheFile(t *testing.T) {
+func TestGeneratedTracesRoundTrip(t *testing.T) {
 	for _, k := range []Kind{Daily, Shift, Spike, ZipfWalk, Adversarial} {
 		t.Run(string(k), func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			cfg := Config{Kind: k, Layers: 2, Experts: 8, Steps: 50, Seed: 3}
-			a, err := Make(cfg)
+			a, err := Generate(cfg)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			var buf bytes.Buffer
 			g.Expect(a.Write(&buf)).To(gomega.Succeed())
 			b, err := Read("made", &buf)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(b).To(gomega.Equal(a))
-			again, _ := Make(cfg)
+			again, _ := Generate(cfg)
 			g.Expect(again).To(gomega.Equal(a), "a seed fixes the trace")
 		})
 	}
