--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -7,10 +7,11 @@
 	"net/http"
 )
 
-// maxExportable bounds the KV caches that can be exported.
+// maxExportable is the maximum number of KV caches that an engine holds for export.
 const maxExportable = 4096
 
-// kvCache is what one engine hands to another.
+// kvCache is the KV cache of a request as one engine sends it to another. The
+// prompt stands for its content.
 type kvCache struct {
 	Prompt string `json:"prompt"`
 }
@@ -40,29 +41,31 @@
 	writeJSON(w, struct{}{})
 }
 
-// Imports returns how many KV caches were given to this engine.
+// Imports returns how many KV caches this engine has imported.
 func (e *Engine) Imports() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.imports
 }
 
-// prefixCache remembers the newest prompt prefixes, whole blocks only.
+// prefixCache holds the prompt prefixes that were added last, in complete
+// blocks only. The oldest ones are evicted first.
 type prefixCache struct {
-	limit    int
-	used     int
+	limit    int // Bytes.
+	used     int // Bytes.
 	prefixes map[string]bool
 	order    []string
 }
 
-// prefixBlock is the unit of caching, in bytes of prompt.
+// prefixBlock is the size of a cached block in bytes of the prompt.
 const prefixBlock = 64
 
 func newPrefixCache(limit int) *prefixCache {
 	return &prefixCache{limit: limit, prefixes: map[string]bool{}}
 }
 
-// lookup returns the bytes of prompt that were cached and takes in the rest.
+// lookup returns how many bytes of the prompt were cached, and adds its
+// uncached blocks.
 func (c *prefixCache) lookup(prompt string) (n int) {
 	for end := prefixBlock; end <= len(prompt); end += prefixBlock {
 		prefix := prompt[:end]
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -11,22 +11,24 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// Bundle is one generation as the tool packs it: the manifest and all values.
+// Bundle is one configuration generation as "canvaspulley pack" writes it: the
+// manifest and all values.
 type Bundle struct {
 	Manifest published.Manifest `json:"manifest"`
 	Values   map[string][]byte  `json:"values"`
 }
 
-// Directory is the configuration service and the list of instances. Views of
-// it can be cut, stale or down, each by itself.
+// Directory is a fake configuration service and instance list. It is read
+// through Views, each of which can be down, stale or delayed independently of
+// the others.
 type Directory struct {
 	mu        sync.Mutex
 	values    map[string][]byte
 	instances map[string]adapter.Instance
-	changed   chan struct{} // Closed and replaced at each change.
+	changed   chan struct{} // Closed and replaced on each change.
 }
 
-// watchTimeout is how long a watch waits before it answers that nothing changed.
+// watchTimeout is how long a watch waits before it answers 304 Not Modified.
 const watchTimeout = 25 * time.Second
 
 // NewDirectory returns an empty directory.
@@ -38,7 +40,8 @@
 	}
 }
 
-// Publish puts a generation in place, as an operator does: values first.
+// Publish stores a generation in the order in which an operator does: the
+// values first, then the manifest.
 func (d *Directory) Publish(b Bundle) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -49,20 +52,20 @@
 	d.notifyWatches()
 }
 
-// notifyWatches tells all watches that something changed; d.mu is held.
+// notifyWatches wakes all watches after a change. The caller holds d.mu.
 func (d *Directory) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// SetInstance adds or changes a row of the list.
+// SetInstance adds an instance to the list or replaces it.
 func (d *Directory) SetInstance(in adapter.Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.instances[in.Name] = in
 }
 
-// SetLeaving names an instance as leaving.
+// SetLeaving marks an instance of the list as leaving.
 func (d *Directory) SetLeaving(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,29 +76,29 @@
 	}
 }
 
-// View is one way in to a directory, with faults of its own.
+// View is one access point to a directory, with its own injected faults.
 type View struct {
 	dir *Directory
 
 	mu          sync.Mutex
 	down        bool
-	staleValues map[string][]byte // Values as of the moment the view went stale.
+	staleValues map[string][]byte // Values at the time when the view was made stale; nil otherwise.
 	staleList   []adapter.Instance
 	delayedList delayed[[]adapter.Instance]
 	calls       int
 }
 
-// NewView returns a faultless view of d.
+// NewView returns a view of d without faults.
 func NewView(d *Directory) *View { return &View{dir: d} }
 
-// SetDown makes every call through the view fail.
+// SetDown makes every call through the view fail, or ends that fault.
 func (v *View) SetDown(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.down = on
 }
 
-// SetStale freezes what the view shows, or lets it follow again.
+// SetStale freezes what the view returns, or lets it track the directory again.
 func (v *View) SetStale(on bool) {
 	values, list := v.dir.snapshot()
 	v.mu.Lock()
@@ -106,15 +109,15 @@
 	}
 }
 
-// SetListLag makes the list lag: each read is kept, and the newest one that is old
-// enough is shown.
+// SetListLag makes the instance list lag by d: each read is recorded, and the
+// newest recorded list that is at least d old is returned.
 func (v *View) SetListLag(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.delayedList.lag = d
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls through the view so far.
 func (v *View) Calls() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -134,7 +137,8 @@
 	return values, list
 }
 
-// countCall counts a call; ok is false when the view is down.
+// countCall counts a call and returns the frozen values and list of a stale
+// view; ok is false when the view is down.
 func (v *View) countCall() (stale map[string][]byte, list []adapter.Instance, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -142,7 +146,7 @@
 	return v.staleValues, v.staleList, !v.down
 }
 
-// Handler serves the configuration service and the list.
+// Handler serves the API of the configuration service and of the instance list.
 func (v *View) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/keys/{key...}", v.get)
@@ -176,7 +180,7 @@
 	case value == nil:
 		http.Error(w, "no such key", http.StatusNotFound)
 	default:
-		_, _ = w.Write(value) // The reader may be gone.
+		_, _ = w.Write(value) // The client may have disconnected.
 	}
 }
 
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,37 +15,38 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// GroupConfig sizes a stand-in engine group.
+// GroupConfig configures a fake engine group.
 type GroupConfig struct {
 	Ranks           int
-	StepTime        time.Duration // Step time of an idle group.
-	TimePerSequence time.Duration // Added by each sequence on the fullest rank.
-	PrefillBytes    int           // Prompt bytes that one step takes in.
-	CacheBytes      int           // Prompt prefixes kept by a rank, in bytes.
-	ReportLag       time.Duration // Age of what State reports.
-	Store           *Store        // Where weights come from; nil for a store without bounds.
-	ExpertBytes     float64       // Of one expert of one layer.
-	IgnoreFences    bool          // The engines obey any ballot.
+	StepTime        time.Duration // Time of one step of an idle group.
+	TimePerSequence time.Duration // Added to the step time by each sequence of the rank that has most.
+	PrefillBytes    int           // Prompt bytes that one step processes.
+	CacheBytes      int           // Size of the prefix cache of a rank, in prompt bytes.
+	ReportLag       time.Duration // Age of the state that an engine reports.
+	Store           *Store        // Weight store; nil for one that delivers at once.
+	ExpertBytes     float64       // Size of one expert of one layer.
+	IgnoreFences    bool          // The engines accept orders of any ballot.
 }
 
-// Group is ranks that advance in lock-step: the slowest one paces all.
+// Group is a set of ranks that advance in lockstep: the slowest rank sets the
+// step time of all.
 type Group struct {
 	cfg   GroupConfig
 	ranks []*Engine
 
 	mu         sync.Mutex
 	step       uint64
-	violations int         // Steps that ran on two maps.
-	waits      int         // Times the group waited for a decision.
-	demand     [][]float64 // Tokens by layer and expert, as reported.
+	violations int         // Times that a rank began a step on another map than rank 0.
+	waits      int         // Steps that were put off because a rank waited for a decision on its map.
+	demand     [][]float64 // Tokens that the engines report, by layer and expert.
 	sample     int
 }
 
-// sequence is one request at a rank.
+// sequence is one request that runs on a rank.
 type sequence struct {
 	req         adapter.Generate
-	next        int // Next token to make.
-	prefillLeft int // Prompt bytes not yet taken in.
+	next        int // Next token to generate.
+	prefillLeft int // Prompt bytes not yet processed.
 	tokens      chan int
 	cancelled   <-chan struct{}
 }
@@ -57,8 +58,8 @@
 
 	mu            sync.Mutex
 	active        map[*sequence]bool
-	maps          mapswitch.RankState // What the engine must not forget about its map.
-	loadedAt      time.Time           // When the weights of maps.Prepared are there.
+	maps          mapswitch.RankState // Map state, which the engine must not lose: a restarted agent reads it back.
+	loadedAt      time.Time           // When the weights of maps.Prepared have arrived.
 	exportable    map[string]string   // Prompts whose KV cache can be exported, by request id.
 	imported      map[string]string   // Prompts whose KV cache was imported, by request id.
 	cache         *prefixCache
@@ -67,10 +68,10 @@
 	stalled       bool
 	addedStepTime time.Duration
 	delayedState  delayed[adapter.EngineState]
-	layouts       map[uint64][][][]int // Ranks by layer and expert: the map in force and the newest one prepared.
+	layouts       map[uint64][][][]int // Ranks by map version, layer and expert: the active map and the one prepared last.
 }
 
-// NewGroup returns a group whose steps are made by Run.
+// NewGroup returns a group; its steps are executed by Run.
 func NewGroup(cfg GroupConfig) *Group {
 	g := &Group{cfg: cfg}
 	for i := range cfg.Ranks {
@@ -90,7 +91,7 @@
 // Rank returns the engine of rank i.
 func (g *Group) Rank(i int) *Engine { return g.ranks[i] }
 
-// Run makes steps until ctx ends.
+// Run executes steps until ctx ends.
 func (g *Group) Run(ctx context.Context) error {
 	timer := time.NewTimer(g.cfg.StepTime)
 	defer timer.Stop()
@@ -108,8 +109,9 @@
 	}
 }
 
-// beginStep begins the next step on all ranks, if none holds, and checks that all
-// run on one map.
+// beginStep begins the next step on all ranks and counts a violation for each
+// rank whose map differs from that of rank 0. It returns false, and no rank
+// begins, when a rank has to wait for a decision on its map.
 func (g *Group) beginStep() bool {
 	for _, e := range g.ranks {
 		e.mu.Lock()
@@ -136,15 +138,15 @@
 	*n++
 }
 
-// MapReport is what a group saw of its maps.
+// MapReport reports the active map of a group and how its switches went.
 type MapReport struct {
-	MapVersion uint64 `json:"map"` // In force.
+	MapVersion uint64 `json:"map"` // Version of the active map.
 	Step       uint64 `json:"step"`
-	Violations int    `json:"violations"` // Steps that ran on two maps.
-	Waits      int    `json:"held"`       // Times that the group waited for a decision.
+	Violations int    `json:"violations"` // Times that a rank began a step on another map than rank 0.
+	Waits      int    `json:"held"`       // Steps that were put off because a rank waited for a decision on its map.
 }
 
-// Maps returns what the group saw of its maps.
+// Maps returns the report on the group's maps.
 func (g *Group) Maps() MapReport {
 	g.ranks[0].mu.Lock()
 	m := g.ranks[0].maps
@@ -161,8 +163,8 @@
 	g.demand = tokens
 }
 
-// stepTime is the time of the next step, set by the slowest rank; ok is false
-// while a rank stalls, and then no rank advances.
+// stepTime returns the time of the next step, which the slowest rank sets; ok is
+// false while a rank stalls, and then no rank advances.
 func (g *Group) stepTime() (d time.Duration, ok bool) {
 	for _, e := range g.ranks {
 		e.mu.Lock()
@@ -177,7 +179,8 @@
 	return d, true
 }
 
-// advance makes one step: one token for each sequence of each rank.
+// advance executes one step: each sequence of each rank processes a part of its
+// prompt or generates a token.
 func (g *Group) advance(d time.Duration) {
 	g.mu.Lock()
 	g.step++
@@ -205,7 +208,7 @@
 		select {
 		case s.tokens <- s.next:
 			s.next++
-		default: // The reader is behind; the sequence waits.
+		default: // The client reads too slowly; the sequence waits.
 		}
 		if s.next >= s.req.MaxTokens {
 			delete(e.active, s)
@@ -217,7 +220,7 @@
 	})
 }
 
-// start adds a sequence; ok is false while the engine is down.
+// start adds a sequence for a request; ok is false while the engine is down.
 func (e *Engine) start(req adapter.Generate, cancelled <-chan struct{}) (s *sequence, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -241,22 +244,22 @@
 	return s, true
 }
 
-// SetStalled stops or resumes the whole group through this rank.
+// SetStalled stalls or resumes this rank, and with it the whole group.
 func (e *Engine) SetStalled(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stalled = on
 }
 
-// SetAddedStepTime adds time to each step of the group through this rank.
+// SetAddedStepTime makes each step of this rank, and so of the group, longer by d.
 func (e *Engine) SetAddedStepTime(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.addedStepTime = d
 }
 
-// Kill ends all sequences of this rank without a last word and refuses new
-// ones until Revive.
+// Kill aborts all sequences of this rank without a final event and rejects new
+// requests until Revive.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -267,14 +270,14 @@
 	}
 }
 
-// Revive lets a killed engine take requests again.
+// Revive makes a killed engine accept requests again.
 func (e *Engine) Revive() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
 }
 
-// Handler serves the engine's protocol.
+// Handler serves the engine protocol.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.generate)
@@ -304,7 +307,8 @@
 	e.writeStream(w, rc, s)
 }
 
-// writeStream sends the tokens of s, and the last event only when all were made.
+// writeStream sends the tokens of s, and the end event only after all tokens
+// were generated.
 func (e *Engine) writeStream(w http.ResponseWriter, rc *http.ResponseController, s *sequence) {
 	var buf []byte
 	sent := s.req.From
@@ -315,7 +319,7 @@
 		case n, ok := <-s.tokens:
 			if !ok {
 				if sent < s.req.MaxTokens {
-					panic(http.ErrAbortHandler) // Killed: the stream breaks off.
+					panic(http.ErrAbortHandler) // The engine was killed: abort the stream.
 				}
 				_, _ = w.Write(wire.AppendFrame(buf[:0], e.eventID(s, sent), wire.EventEnd, []byte("{}")))
 				return
@@ -347,8 +351,8 @@
 	writeJSON(w, s)
 }
 
-// handleOrder obeys or refuses a fenced order. A Prepare is confirmed only when the
-// weights have had the time to come from the store.
+// handleOrder executes a fenced order or rejects it. A Prepare is confirmed only
+// after the time that the weights take to arrive from the store.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o adapter.MapOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
@@ -379,8 +383,8 @@
 	writeJSON(w, reply)
 }
 
-// loadExperts asks the store for the experts that this rank lacks of a map, and returns
-// when they will be there; e.mu is held.
+// loadExperts requests from the store the experts of a map that this rank does
+// not hold yet, and returns when they will have arrived. The caller holds e.mu.
 func (e *Engine) loadExperts(version uint64, next [][][]int, now time.Time) time.Time {
 	missing := 0
 	held := e.layouts[e.maps.Map]
@@ -398,7 +402,7 @@
 	return e.group.cfg.Store.Load(float64(missing)*e.group.cfg.ExpertBytes, now)
 }
 
-// mapContent shows the map in force.
+// mapContent returns the active map.
 func (e *Engine) mapContent(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	m := adapter.MapContent{Version: e.maps.Map, Experts: e.layouts[e.maps.Map]}
@@ -406,7 +410,7 @@
 	writeJSON(w, m)
 }
 
-// experts reports the load of experts, a new sample at each call.
+// experts returns the expert load, as a new sample on each call.
 func (e *Engine) experts(w http.ResponseWriter, _ *http.Request) {
 	g := e.group
 	g.mu.Lock()
@@ -418,5 +422,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // The reader may be gone.
+	_ = json.NewEncoder(w).Encode(v) // The client may have disconnected.
 }
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// delayed shows what was put in at least a lag ago; before that it shows the first
-// value.
+// delayed returns the newest value that was added at least lag ago, and the
+// first value as long as there is none.
 type delayed[T any] struct {
 	lag     time.Duration
 	entries []timedValue[T]
@@ -38,20 +38,21 @@
 	return l.entries[0].value
 }
 
-// Store is the weight store: its rate is shared by all engines of a site, one
-// load after the other.
+// Store is a fake weight store. All engines of a site share its transfer rate;
+// their loads run one after the other.
 type Store struct {
-	rate float64 // Bytes a second.
+	rate float64 // Bytes per second.
 
 	mu        sync.Mutex
-	busyUntil time.Time // When all that was asked for has been given.
+	busyUntil time.Time // When the last load that was requested ends.
 	requested float64
 }
 
-// NewStore returns a store of so many bytes a second.
+// NewStore returns a store that delivers rate bytes per second.
 func NewStore(rate float64) *Store { return &Store{rate: rate} }
 
-// Load asks for weights and returns when they will have come.
+// Load requests weights of the given size and returns the time at which their
+// transfer ends.
 func (s *Store) Load(bytes float64, now time.Time) (done time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +64,7 @@
 	return s.busyUntil
 }
 
-// BytesRequested returns the bytes that were asked for so far.
+// BytesRequested returns the bytes that were requested so far.
 func (s *Store) BytesRequested() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -11,30 +11,31 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Network cuts failure domains off from each other. Relays before the peer
-// listeners carry all connections; a cut holds them, so that bytes sent into a
-// cut are neither refused nor delivered, as on a real network.
+// Network simulates partitions between failure domains. All connections pass
+// through relays in front of the peer listeners. During a partition the relays
+// stall the connections, so that bytes are neither rejected nor delivered, as
+// on a real network.
 type Network struct {
 	mu          sync.Mutex
-	domains     map[string]string // Failure domain by source IP number.
+	domains     map[string]string // Failure domain by source IP address.
 	partitioned map[string]bool
-	changed     chan struct{} // Closed and replaced at each change.
+	changed     chan struct{} // Closed and replaced on each change.
 }
 
-// NewNetwork returns a network without cuts.
+// NewNetwork returns a network without partitions.
 func NewNetwork() *Network {
 	return &Network{domains: map[string]string{}, partitioned: map[string]bool{}, changed: make(chan struct{})}
 }
 
-// SetDomain says which failure domain a source IP number is in.
+// SetDomain sets the failure domain of a source IP address.
 func (n *Network) SetDomain(source, domain string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.domains[source] = domain
 }
 
-// SetPartitioned cuts a failure domain off from all others, or heals it. Connections that
-// were held are closed when it heals.
+// SetPartitioned partitions a failure domain off from all others, or heals the
+// partition. Connections that were stalled are closed when it heals.
 func (n *Network) SetPartitioned(domain string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,8 +44,8 @@
 	n.changed = make(chan struct{})
 }
 
-// reachable reports whether two failure domains reach each other, and a channel
-// that is closed when that may have changed.
+// reachable reports whether two failure domains can reach each other, and
+// returns a channel that is closed when that may have changed.
 func (n *Network) reachable(a, b string) (ok bool, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,8 +59,8 @@
 	return n.domains[host]
 }
 
-// Relay carries connections from l to target, in the named failure domain,
-// until ctx ends.
+// Relay forwards connections from l to target, which is in the named failure
+// domain, until ctx ends.
 func (n *Network) Relay(ctx context.Context, l net.Listener, target, domain string) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
@@ -108,8 +109,9 @@
 	_ = g.Wait()
 }
 
-// awaitReachable returns true at once when the way is open; it holds during a cut and
-// then returns false.
+// awaitReachable returns true at once when the domains can reach each other.
+// During a partition it blocks until the partition heals or ctx ends, and then
+// returns false.
 func (n *Network) awaitReachable(ctx context.Context, a, b string) bool {
 	for first := true; ; first = false {
 		ok, changed := n.reachable(a, b)
@@ -124,7 +126,8 @@
 	}
 }
 
-// copyWhileReachable carries bytes while the way is open.
+// copyWhileReachable copies bytes from src to dst until a read or write fails
+// or a partition begins; it returns once that partition has healed.
 func (n *Network) copyWhileReachable(ctx context.Context, dst io.Writer, src io.Reader, a, b string) {
 	buf := make([]byte, 4<<10)
 	for {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -18,7 +18,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/inifile"
 )
 
-// Paths of the control listener, which plays the operators and the faults.
+// Paths of the control listener, which accepts the actions of operators and the
+// faults to inject.
 const (
 	PathPublish  = "/publish"
 	PathInstance = "/instance"
@@ -30,35 +31,35 @@
 	PathDemand   = "/demand"
 )
 
-// Fault switches one fault on or off.
+// Fault is a request to switch one injected fault on or off.
 type Fault struct {
-	Kind         string `json:"kind"`   // One of the kinds below.
-	Target       string `json:"target"` // View, service, instance, or address of an engine.
+	Kind         string `json:"kind"`   // One of the Fault constants.
+	Target       string `json:"target"` // Name of a view, service, instance or failure domain, or address of an engine.
 	On           bool   `json:"on"`
-	Milliseconds int    `json:"ms,omitempty"` // Time, for slow, delay and listlag.
+	Milliseconds int    `json:"ms,omitempty"` // Duration, for FaultSlow, FaultDelay and FaultListLag.
 }
 
-// Demand sets what the engines of a group report on the load of experts.
+// Demand sets the expert load that the engines of a group report.
 type Demand struct {
 	Group  string      `json:"group"`
-	Tokens [][]float64 `json:"tokens"` // By layer and expert.
+	Tokens [][]float64 `json:"tokens"` // Indexed by layer and expert.
 }
 
 // Kinds of faults.
 const (
-	FaultDown      = "down"    // A view answers nothing.
-	FaultStale     = "stale"   // A view stays as it is.
-	FaultListLag   = "listlag" // A view shows the list as it was so many milliseconds ago.
-	FaultStall     = "stall"   // An engine stops its group.
-	FaultKill      = "kill"    // An engine dies.
-	FaultSlow      = "slow"    // An engine adds time to each step.
-	FaultDelay     = "delay"   // A service takes its time.
-	FaultNoAnswer  = "mute"    // A service runs and does not answer.
-	FaultLeaving   = "leaving" // The list has an instance as leaving.
-	FaultPartition = "cut"     // A failure domain is cut off from the others and from the platform.
+	FaultDown      = "down"    // Every call to a view fails.
+	FaultStale     = "stale"   // A view stops changing.
+	FaultListLag   = "listlag" // A view returns the instance list as it was Milliseconds ago.
+	FaultStall     = "stall"   // An engine stalls its group.
+	FaultKill      = "kill"    // An engine is killed.
+	FaultSlow      = "slow"    // An engine adds Milliseconds to each step of its group.
+	FaultDelay     = "delay"   // Each run of a service takes Milliseconds.
+	FaultNoAnswer  = "mute"    // A service runs requests and closes the connection without an answer.
+	FaultLeaving   = "leaving" // The instance list marks an instance as leaving.
+	FaultPartition = "cut"     // A failure domain is partitioned off from the other ones; its view needs FaultDown as well.
 )
 
-// Server is the stand-ins of one site behind their listeners.
+// Server runs the fakes of one site behind their listeners.
 type Server struct {
 	Dir      *Directory
 	Views    map[string]*View    // By failure domain.
@@ -67,7 +68,7 @@
 	Groups   map[string]*Group   // By name.
 
 	Net   *Network
-	Store *Store // Weight store of all engines.
+	Store *Store // Weight store that all engines share.
 
 	groups    []*Group
 	listeners []listenerHandler
@@ -79,8 +80,8 @@
 	handler  http.Handler
 }
 
-// Load opens the stand-ins that a settings file describes. All faults of the
-// file are returned together.
+// Load creates the fakes that a settings file describes and opens their
+// listeners. All errors of the file are returned together.
 func Load(name string) (s *Server, err error) {
 	raw, err := os.ReadFile(name)
 	if err != nil {
@@ -97,7 +98,7 @@
 	return s, f.Problems().Err()
 }
 
-// New opens the stand-ins of a parsed settings file.
+// New creates the fakes of a parsed settings file and opens their listeners.
 func New(f *inifile.File) (s *Server, err error) {
 	s = &Server{
 		Dir: NewDirectory(), Views: map[string]*View{},
@@ -143,7 +144,8 @@
 	return nil
 }
 
-// addInstance puts a row on the list and, if asked, a relay before it.
+// addInstance adds an instance to the list and, if "relay-to" is set, opens the
+// listener of a relay in front of it.
 func (s *Server) addInstance(f *inifile.File, section, name string) (err error) {
 	in := adapter.Instance{
 		Name: name, Role: adapter.Role(f.Required(section, "role")),
@@ -217,7 +219,7 @@
 	return nil
 }
 
-// Close closes the listeners, if Run is never called.
+// Close closes the listeners of a server whose Run is never called.
 func (s *Server) Close() {
 	for _, one := range s.listeners {
 		_ = one.listener.Close()
@@ -252,7 +254,7 @@
 	return g.Wait()
 }
 
-// Apply switches a fault.
+// Apply switches a fault on or off.
 func (s *Server) Apply(f Fault) (err error) {
 	defer func() { err = errors.Wrapf(err, "fault %s of %q", f.Kind, f.Target) }()
 	switch f.Kind {
@@ -272,7 +274,7 @@
 	return errors.New("no such kind")
 }
 
-// relay is a place for a relay on the way to a process.
+// relay is the listener and the target of a relay in front of a process.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -326,7 +328,7 @@
 	return nil
 }
 
-// Runs adds up the runs of all plain services, by id.
+// Runs returns the number of runs by id, summed over all plain services.
 func (s *Server) Runs() map[string]int {
 	all := map[string]int{}
 	for _, svc := range s.Services {
@@ -381,7 +383,7 @@
 	return mux
 }
 
-// jsonHandler makes a handler of a function of one JSON value.
+// jsonHandler returns a handler that decodes the body as JSON and passes it to do.
 func jsonHandler[T any](do func(T) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var v T
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Service is a plain service that counts its runs: a catalogue, or the API
-// that pays refunds.
+// Service is a fake plain service that counts its runs, such as a catalogue or
+// the API that pays refunds.
 type Service struct {
 	mu       sync.Mutex
 	runs     map[string]int // Runs by the id in the request.
 	delay    time.Duration
-	noAnswer bool // Takes the request, runs it and closes without an answer.
+	noAnswer bool // Requests are run, but the connection is closed without an answer.
 }
 
 // NewService returns a service with no runs.
@@ -25,11 +25,11 @@
 // ServiceAnswer is the answer to one run.
 type ServiceAnswer struct {
 	ID   string `json:"id"`
-	Run  int    `json:"run"` // How often this id has run, this time included.
+	Run  int    `json:"run"` // Number of runs of this id, including this one.
 	Echo string `json:"echo"`
 }
 
-// RunCounts returns a copy of all counts.
+// RunCounts returns the number of runs by id.
 func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,27 +40,28 @@
 	return all
 }
 
-// SetDelay makes each run take that long.
+// SetDelay sets how long each run takes.
 func (s *Service) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// SetNoAnswer makes the service run requests and close without an answer.
+// SetNoAnswer makes the service run requests and then close the connection
+// without an answer, or ends that fault.
 func (s *Service) SetNoAnswer(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.noAnswer = on
 }
 
-// Handler serves the service: any method and path; the run is counted under
-// the query value "id", and under "-" without one.
+// Handler accepts any method and path. It counts the run under the query value
+// "id", or under "-" when there is none.
 func (s *Service) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return // Half a request is not run.
+			return // An incomplete request is not run.
 		}
 		id := r.URL.Query().Get("id")
 		if id == "" {
