--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package example lays out a small site: what its operators publish, its
-// stand-ins and the settings of each process. The demonstration, the README
-// and the tests start from it. It starts nothing itself.
+// Package example describes small sites: the configuration that the operators
+// publish, the stand-ins and the settings of each process. The demonstration,
+// the README and the tests use it. It starts no processes itself.
 package example
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// User is which of the two first users a site resembles.
+// User is one of the first two users of the load balancer, which a site resembles.
 type User string
 
 // The users.
@@ -30,21 +30,21 @@
 	RefundDesk User = "refunds"
 )
 
-// Process is one daemon of a site.
+// Process is one daemon of a site. Addresses are IP:port.
 type Process struct {
 	Name              string
 	Role              string
 	Domain            string
 	Endpoint          string
-	SourceIP          string // IP number that its connections come from; one a failure domain.
-	AdvertisedAddress string // Relay before the peer listener.
-	PeerAddress       string // Addresses.
+	SourceIP          string // Source IP address of its connections, the same for all processes of a failure domain.
+	AdvertisedAddress string // Relay in front of the peer listener; peers connect to it.
+	PeerAddress       string // Peer listener.
 	OperatorAddress   string
 	CallerAddress     string
-	BackendAddress    string // Engine or service beside an agent.
+	BackendAddress    string // Engine or service of an agent.
 }
 
-// Site is the layout of one site.
+// Site describes the processes and the configuration of one site.
 type Site struct {
 	User               User
 	Model              string
@@ -52,44 +52,45 @@
 	Domains            []string
 	Entries            []Process
 	Agents             []Process
-	Groups             map[string][]Process // By group name, in the order of ranks.
-	DirectoryAddresses map[string]string    // Address of the platform's services, by failure domain.
-	SourceIPs          map[string]string    // IP number that connections come from, by failure domain.
-	ControlAddress     string               // Address of the stand-ins' control.
+	Groups             map[string][]Process // By group name, in order of rank.
+	DirectoryAddresses map[string]string    // Address of the fake platform services, by failure domain.
+	SourceIPs          map[string]string    // Source IP address of connections, by failure domain.
+	ControlAddress     string               // Control listener of the stand-ins.
 	Customers          []Customer
-	RebalanceInterval  time.Duration // Of the groups, as published.
-	MaxConcurrency     int           // Requests an agent lets in at once; 0 for the daemon's default.
-	GossipInterval     time.Duration // Between two probes; 0 for a fifth of a second.
-	TLSDir             string        // Folder with ca.crt and each process's certificate and key; "" for no TLS.
+	RebalanceInterval  time.Duration // Published setting rebalance-every of the groups.
+	MaxConcurrency     int           // Requests that an agent runs at once; 0 for the default of the daemon.
+	GossipInterval     time.Duration // Time between two probes; 0 for 200 ms.
+	TLSDir             string        // Directory of ca.crt and each process's certificate and key; "" for no TLS.
 	VerifyKey          ed25519.PublicKey
 	SigningKey         ed25519.PrivateKey
 }
 
-// Customer is a caller with its bearer key.
+// Customer is a caller with its bearer key and its rate limit.
 type Customer struct {
 	Name string
 	Key  string
 	Rate float64
 }
 
-// Size says how much of a site to lay out.
+// Size is the number of processes and customers of a site.
 type Size struct {
 	Domains           int
 	EntriesPerDomain  int
-	RanksPerDomain    int // One group of so many ranks in each failure domain.
+	RanksPerDomain    int // Each failure domain has one group.
 	ServicesPerDomain int
 	Customers         int
 }
 
-// FullSize is the size of each user's site of today.
+// FullSize is the present size of each user's site.
 var FullSize = Size{Domains: 3, EntriesPerDomain: 2, RanksPerDomain: 4, ServicesPerDomain: 1, Customers: 10}
 
-// MinimalSize is the least site that has everything.
+// MinimalSize is the smallest site with a process of each kind.
 var MinimalSize = Size{Domains: 1, EntriesPerDomain: 1, RanksPerDomain: 1, ServicesPerDomain: 1, Customers: 2}
 
-// New lays out a site with free ports of this machine. The seed fixes the keys.
+// New returns a site that listens on free ports of this host. The seed determines
+// the signing key.
 func New(user User, size Size, seed byte) (s *Site, err error) {
-	defer func() { err = errors.Wrap(err, "lay out site") }()
+	defer func() { err = errors.Wrap(err, "create example site") }()
 	s = &Site{User: user, Groups: map[string][]Process{}, DirectoryAddresses: map[string]string{}, SourceIPs: map[string]string{}}
 	city := "krk"
 	s.Model, s.Path = "plates", "/catalogue/"
@@ -143,22 +144,22 @@
 	return a
 }
 
-// IsRank reports whether the agent stands beside an engine.
+// IsRank reports whether p is the agent of an engine.
 func (s *Site) IsRank(p Process) bool {
 	return strings.Contains(p.Endpoint, "-rank-")
 }
 
-// ports hands out free ports; all stay reserved until release. From then until the
-// site's processes listen, others could take them, so they are ports of an address that
-// hardly anybody else uses: most programs, tests that run meanwhile among them, take
-// theirs from 127.0.0.1.
+// ports reserves free ports by listening on them until release. Between release and
+// the start of the site's processes, another program could take the ports. They are
+// therefore ports of a loopback address that hardly any other program uses: most
+// programs, including tests that run at the same time, listen on 127.0.0.1.
 type ports struct {
-	ip        string // Of this machine, drawn for each site.
+	ip        string // Loopback address, drawn at random for each site.
 	listeners []net.Listener
 	err       error
 }
 
-// Addresses of sites are drawn from 127.64.0.1 to 127.127.255.1.
+// Addresses of sites are drawn from 127.64.0.1 to 127.127.255.1 and end in .1.
 const (
 	minSecondOctet   = 64
 	secondOctetCount = 64
@@ -184,7 +185,7 @@
 	}
 }
 
-// policies of the two users, as they are published.
+// policies are the published policies of the users.
 var policies = map[User]string{
 	Archive: `; Streams that pace a researcher go before scripts.
 [policy]
@@ -206,7 +207,7 @@
 `,
 }
 
-// Published returns the values that the site's operators publish.
+// Published returns the configuration values that the site's operators publish.
 func (s *Site) Published() map[string][]byte {
 	values := map[string][]byte{}
 	policy := string(s.User)
@@ -236,12 +237,12 @@
 	return values
 }
 
-// Pack returns one signed generation of values.
+// Pack returns the signed manifest of a generation of values.
 func (s *Site) Pack(generation uint64, parent string, values map[string][]byte) published.Manifest {
 	return published.Pack(generation, parent, values, s.SigningKey)
 }
 
-// Settings returns the settings file of a process.
+// Settings returns the settings file of the process p.
 func (s *Site) Settings(p Process) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[instance]\nname = %s\nrole = %s\ndomain = %s\n", p.Name, p.Role, p.Domain)
@@ -277,7 +278,8 @@
 	return []byte(b.String())
 }
 
-// StandinSettings returns the settings file of the stand-ins.
+// StandinSettings returns the settings file of the stand-ins; bundle is the file of the
+// generation that they publish at the start, or "".
 func (s *Site) StandinSettings(bundle string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[standin]\ncontrol = %s\nbundle = %s\n", s.ControlAddress, bundle)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package load sends requests to entries at a given rate, whatever comes back,
-// and judges every answer: whole, in order, its own, run as often as was said.
-// It relies on stand-ins whose answers follow from the request.
+// Package load is an open-loop load generator: it sends requests to entries at a
+// fixed rate, regardless of the answers. It checks that each answer is complete,
+// in order and meant for its request, and that each payment ran as often as its
+// outcome says. It needs stand-ins whose answers are determined by the request.
 package load
 
 import (
@@ -19,53 +20,55 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// Caller is one customer's key.
+// Caller is a customer with its bearer key.
 type Caller struct {
 	Name string
 	Key  string
 }
 
-// Config says what to send.
+// Config configures a run.
 type Config struct {
-	Targets         []string // Callers' listeners, IP:port; used in turn.
-	Rate            float64  // Requests a second.
+	Targets         []string // Callers' listeners of the entries, IP:port; used in turn.
+	Rate            float64  // Requests per second.
 	Duration        time.Duration
 	Callers         []Caller
 	Model           string
 	Path            string  // Path of the plain service.
-	StreamShare     float64 // Share of streamed requests to the model.
-	PaymentShare    float64 // Share of calls that may not be repeated; the rest reads.
-	TokensPerAnswer int     // Tokens of an answer.
+	StreamShare     float64 // Share of requests that are streams from the model.
+	PaymentShare    float64 // Share of requests that must not run twice; the rest are reads.
+	TokensPerAnswer int     // Tokens that a stream asks for.
 	Deadline        time.Duration
 	Seed            uint64
-	MaxAttempts     int // Attempts of a caller with one key, or to resume one stream.
+	MaxAttempts     int // Attempts per request: with one idempotency key, or to resume one stream.
 }
 
-// Result is what came back.
+// Result counts the requests of a run by outcome.
 type Result struct {
 	Sent      int `json:"sent"`
 	Complete  int `json:"whole"`
 	NotRun    int `json:"not_run"`
 	Unknown   int `json:"unknown"`
-	NoOutcome int `json:"broken"` // Ended without an outcome.
-	Wrong     int `json:"wrong"`  // Not whole, out of order or somebody else's, yet called done or framed as complete.
+	NoOutcome int `json:"broken"` // The last attempt ended without an outcome.
+	Wrong     int `json:"wrong"`  // An incorrect token, or an incomplete answer that claims to be complete.
 
-	FirstToken    *hdrhistogram.Histogram `json:"-"` // Microseconds.
-	BetweenTokens *hdrhistogram.Histogram `json:"-"`
-	Answer        *hdrhistogram.Histogram `json:"-"`
+	FirstToken    *hdrhistogram.Histogram `json:"-"` // Time to the first token, in microseconds.
+	BetweenTokens *hdrhistogram.Histogram `json:"-"` // Time between two tokens, in microseconds.
+	Answer        *hdrhistogram.Histogram `json:"-"` // Time to the end of a complete answer, in microseconds.
 
-	// PaymentOutcomes is the final word on each payment by its id, for Judge.
+	// PaymentOutcomes is the final outcome of each payment by id, for CheckPayments.
 	PaymentOutcomes map[string]wire.Outcome `json:"-"`
 }
 
-// PaymentErrors compares what callers were told of payments with what ran.
+// PaymentErrors counts the payments that ran more than once, or whose outcome
+// contradicts what ran.
 type PaymentErrors struct {
-	Lost        int `json:"lost"`          // Told done, did not run.
+	Lost        int `json:"lost"`          // Reported as done, but did not run.
 	Doubled     int `json:"doubled"`       // Ran more than once.
-	FalseNotRun int `json:"false_not_run"` // Told not run, did run.
+	FalseNotRun int `json:"false_not_run"` // Reported as not run, but ran.
 }
 
-// CheckPayments compares the words on payments with the runs that services counted.
+// CheckPayments compares the reported outcomes of payments with the runs that the
+// services counted.
 func CheckPayments(outcomes map[string]wire.Outcome, runs map[string]int) (v PaymentErrors) {
 	for id, o := range outcomes {
 		switch n := runs[id]; {
@@ -80,14 +83,14 @@
 	return v
 }
 
-// Histogram bounds, in microseconds.
+// Histogram bounds in microseconds, and its precision.
 const (
 	minMicros         = 1
 	maxMicros         = 120_000_000
 	significantDigits = 3
 )
 
-// runner is one run of a Config.
+// runner executes one run of a Config.
 type runner struct {
 	cfg    Config
 	client *http.Client
@@ -96,8 +99,8 @@
 	res Result
 }
 
-// Run sends at the rate until the duration is over or ctx ends, and waits for
-// the answers.
+// Run sends requests at cfg.Rate until cfg.Duration is over or ctx ends, and waits
+// for their answers.
 func Run(ctx context.Context, cfg Config) (res Result, err error) {
 	cfg.MaxAttempts = max(1, cfg.MaxAttempts)
 	r := &runner{cfg: cfg, client: &http.Client{Transport: adapter.NewTransport("")}}
@@ -127,7 +130,7 @@
 	return r.res, err
 }
 
-// job is one request that was planned.
+// job is one planned request.
 type job struct {
 	index  int
 	kind   kind
@@ -172,7 +175,7 @@
 		switch o {
 		case wire.Done:
 			res.Complete++
-			_ = res.Answer.RecordValue(took.Microseconds()) // Beyond the bounds it is not counted.
+			_ = res.Answer.RecordValue(took.Microseconds()) // Values out of bounds are not counted.
 		case wire.NotRun:
 			res.NotRun++
 		case wire.Unknown:
@@ -185,8 +188,8 @@
 	})
 }
 
-// wrong marks an answer that was called done or framed as complete and was not
-// right.
+// wrong marks an incorrect answer: a token of another request or out of order, or
+// an incomplete answer that was reported as done or framed as complete.
 const wrong wire.Outcome = "wrong"
 
 func (r *runner) record(f func(*Result)) {
@@ -195,7 +198,7 @@
 	f(&r.res)
 }
 
-// target spreads requests, and the attempts of one, over the entries.
+// target spreads requests, and the attempts of each request, over the entries.
 func (r *runner) target(j job, attempt int) string {
 	return r.cfg.Targets[(j.index+attempt)%len(r.cfg.Targets)]
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -20,10 +20,10 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// tokens is how many tokens an answer of these tests has.
+// tokens is the number of tokens of an answer in these tests.
 const tokens = 3
 
-// answer writes one answer as an entry might.
+// answer writes one answer in the form that an entry uses.
 type answer struct {
 	w      http.ResponseWriter
 	prompt string
@@ -36,7 +36,7 @@
 	e.flush()
 }
 
-// token writes the event of token n with the text of token m.
+// token writes an event with the offset n and the text of token m.
 func (e answer) token(n, m int) {
 	text, _ := json.Marshal(standin.Token(e.prompt, m))
 	e.write(fmt.Sprintf("id: r/e/%d\ndata: {\"choices\":[{\"delta\":{\"content\":%s}}]}\n\n", n, text))
@@ -65,8 +65,8 @@
 
 func (e answer) abort() { panic(http.ErrAbortHandler) }
 
-// runAgainst runs one request of a kind against a server and returns what the load
-// generator counts.
+// runAgainst sends one request, a stream if streamShare is 1, to a server with the
+// given handler and returns the result of the load generator.
 func runAgainst(t *testing.T, streamShare float64, attempts int, h http.HandlerFunc) Result {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -80,8 +80,8 @@
 	return res
 }
 
-// runStream answers a stream's attempts with the functions, the last one for all
-// that follow.
+// runStream sends one stream and answers its attempts with the given functions; the
+// last one also answers all further attempts.
 func runStream(t *testing.T, attempts ...func(answer)) Result {
 	t.Helper()
 	var n atomic.Int32
@@ -103,21 +103,21 @@
 		want Result
 	}{
 		{"whole", answer.complete, Result{Complete: 1}},
-		{"broken off with an outcome", func(e answer) { e.send(2); e.outcome(wire.Unknown); e.abort() }, Result{Unknown: 1}},
-		{"broken off without one", func(e answer) { e.send(2); e.abort() }, Result{NoOutcome: 1}},
-		{"broken off after the last token", func(e answer) { e.send(tokens); e.abort() }, Result{NoOutcome: 1}},
-		{"broken off after the outcome done", func(e answer) { e.send(tokens); e.outcome(wire.Done); e.abort() }, Result{NoOutcome: 1}},
-		{"broken off after the marker", func(e answer) { e.complete(); e.abort() }, Result{NoOutcome: 1}},
-
-		{"short, framed as whole", func(e answer) { e.send(2) }, Result{Wrong: 1}},
-		{"short, framed as whole, not done", func(e answer) { e.send(2); e.trailer(wire.Unknown); e.outcome(wire.Unknown) }, Result{Wrong: 1}},
-		{"ends inside an event, framed as whole", func(e answer) { e.send(2); e.write("id: r/e/2\ndata: ") }, Result{Wrong: 1}},
-		{"empty, framed as whole", func(answer) {}, Result{Wrong: 1}},
-		{"short, called done", func(e answer) { e.send(2); e.trailer(wire.Done); e.outcome(wire.Done); e.done() }, Result{Wrong: 1}},
+		{"aborted with an outcome", func(e answer) { e.send(2); e.outcome(wire.Unknown); e.abort() }, Result{Unknown: 1}},
+		{"aborted without an outcome", func(e answer) { e.send(2); e.abort() }, Result{NoOutcome: 1}},
+		{"aborted after the last token", func(e answer) { e.send(tokens); e.abort() }, Result{NoOutcome: 1}},
+		{"aborted after the outcome done", func(e answer) { e.send(tokens); e.outcome(wire.Done); e.abort() }, Result{NoOutcome: 1}},
+		{"aborted after the marker", func(e answer) { e.complete(); e.abort() }, Result{NoOutcome: 1}},
+
+		{"short, framed as complete", func(e answer) { e.send(2) }, Result{Wrong: 1}},
+		{"short, framed as complete, not done", func(e answer) { e.send(2); e.trailer(wire.Unknown); e.outcome(wire.Unknown) }, Result{Wrong: 1}},
+		{"ends inside an event, framed as complete", func(e answer) { e.send(2); e.write("id: r/e/2\ndata: ") }, Result{Wrong: 1}},
+		{"empty, framed as complete", func(answer) {}, Result{Wrong: 1}},
+		{"short, reported as done", func(e answer) { e.send(2); e.trailer(wire.Done); e.outcome(wire.Done); e.done() }, Result{Wrong: 1}},
 		{"no marker", func(e answer) { e.send(tokens); e.trailer(wire.Done); e.outcome(wire.Done) }, Result{Wrong: 1}},
 		{"no outcome", func(e answer) { e.send(tokens); e.trailer(wire.Done); e.done() }, Result{Wrong: 1}},
 		{"no trailer", func(e answer) { e.send(tokens); e.outcome(wire.Done); e.done() }, Result{Wrong: 1}},
-		{"trailer says otherwise", func(e answer) { e.send(tokens); e.trailer(wire.Unknown); e.outcome(wire.Done); e.done() }, Result{Wrong: 1}},
+		{"trailer with another outcome", func(e answer) { e.send(tokens); e.trailer(wire.Unknown); e.outcome(wire.Done); e.done() }, Result{Wrong: 1}},
 		{"marker after an outcome that is not done", func(e answer) { e.send(2); e.outcome(wire.Unknown); e.done(); e.abort() }, Result{Wrong: 1}},
 		{"two outcomes", func(e answer) {
 			e.send(tokens)
@@ -139,7 +139,7 @@
 			e.outcome(wire.Done)
 			e.done()
 		}, Result{Wrong: 1}},
-		{"longer than asked for", func(e answer) {
+		{"longer than requested", func(e answer) {
 			e.send(tokens + 1)
 			e.trailer(wire.Done)
 			e.outcome(wire.Done)
@@ -189,14 +189,14 @@
 		want Result
 	}{
 		{"whole", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)) }, Result{Complete: 1}},
-		{"broken off", func(w http.ResponseWriter, r *http.Request) {
+		{"aborted early", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, body(r)[:5])
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}, Result{NoOutcome: 1}},
-		{"short, framed as whole", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)[:5]) }, Result{Wrong: 1}},
+		{"short, framed as complete", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)[:5]) }, Result{Wrong: 1}},
 		{"more than one answer", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)+body(r)) }, Result{Wrong: 1}},
-		{"somebody else's", func(w http.ResponseWriter, r *http.Request) {
+		{"answer to another request", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, strings.Replace(body(r), `"id":"r`, `"id":"x`, 1))
 		}, Result{Wrong: 1}},
 	} {
--- a/internal/load/requests.go
+++ b/internal/load/requests.go
@@ -19,8 +19,8 @@
 
 func nonce(rnd *rand.Rand) string { return strconv.FormatUint(rnd.Uint64(), 36) }
 
-// topics are the first lines of prompts, shared by many requests, as the
-// users' question types are.
+// topics are prompt prefixes that many requests share, like the question types of
+// the users.
 var topics = []string{
 	"Describe the plate: emulsion, exposure, defects and the field that it shows. ",
 	"Summarise the logbook entry of the night and list what the observer noted. ",
@@ -40,8 +40,8 @@
 	return req, nil
 }
 
-// sendStream asks the model and follows the answer; a broken stream is resumed at
-// the next entry after its last event.
+// sendStream requests a stream from the model and checks it; an interrupted stream
+// is resumed at the next entry, after the last event received.
 func (r *runner) sendStream(ctx context.Context, j job) wire.Outcome {
 	content := topics[j.index%len(topics)] + j.nonce
 	prompt := "user: " + content + "\n"
@@ -68,13 +68,13 @@
 	return o
 }
 
-// streamChecker checks one answer over all its attempts.
+// streamChecker checks one streamed answer over all its attempts.
 type streamChecker struct {
 	runner *runner
 	prompt string
 	start  time.Time
-	next   int    // Next token that is expected.
-	lastID string // Id of the last event.
+	next   int    // Index of the token that is expected next.
+	lastID string // ID of the last event.
 	lastAt time.Time
 }
 
@@ -98,14 +98,14 @@
 	body := &eofReader{r: resp.Body}
 	frames := wire.NewFrameReader(body)
 	var last wire.Refusal
-	sawDone := false // The event after which nothing comes.
+	sawDone := false // Set by the [DONE] event, after which nothing may follow.
 	for {
 		fr, err := frames.Next()
 		switch {
 		case err != nil && body.sawEOF:
 			return checkComplete(resp, last.Outcome, sawDone)
 		case err != nil && last.Outcome == wire.Done:
-			return "" // The end did not come, so that "done" is not proven.
+			return "" // The end was not received, so "done" is not confirmed.
 		case err != nil:
 			return last.Outcome
 		case sawDone:
@@ -113,17 +113,17 @@
 		case last.Outcome == wire.Done && fr.ID == "" && fr.Event == "" && string(fr.Data) == "[DONE]":
 			sawDone = true
 		case last.Outcome != "":
-			return wrong // After an outcome there is only the marker.
+			return wrong // Only [DONE] may follow an outcome.
 		case fr.Event == "outcome":
-			_ = json.Unmarshal(fr.Data, &last) // An outcome that cannot be read counts as none.
+			_ = json.Unmarshal(fr.Data, &last) // An invalid outcome counts as none.
 		case !f.checkToken(fr):
 			return wrong
 		}
 	}
 }
 
-// checkComplete judges a stream whose framing is complete: that claims a whole answer,
-// and everything else must say the same.
+// checkComplete checks a stream whose framing is complete. The framing claims a
+// complete answer, so the outcome, [DONE] and the trailer must agree with it.
 func checkComplete(resp *http.Response, o wire.Outcome, sawDone bool) wire.Outcome {
 	if o != wire.Done || !sawDone || resp.Trailer.Get(wire.HeaderOutcome) != string(wire.Done) {
 		return wrong
@@ -131,7 +131,7 @@
 	return wire.Done
 }
 
-// eofReader notes whether what it reads ended in order.
+// eofReader records whether its reader ended with io.EOF, the regular end.
 type eofReader struct {
 	r      io.Reader
 	sawEOF bool
@@ -143,7 +143,8 @@
 	return n, err
 }
 
-// checkToken checks one token: the right text at the right place.
+// checkToken reports whether an event is the expected token, with its text and its
+// offset, and records its latency.
 func (f *streamChecker) checkToken(fr wire.Frame) bool {
 	var c chunk
 	id, err := wire.ParseEventID(fr.ID)
@@ -166,8 +167,8 @@
 	return true
 }
 
-// sendPayment mints a key and calls the service under it until the outcome is
-// known or the attempts are used up.
+// sendPayment requests an idempotency key and calls the service with it until the
+// outcome is known or the attempts are used up.
 func (r *runner) sendPayment(ctx context.Context, j job) wire.Outcome {
 	key := ""
 	for attempt := 0; attempt < r.cfg.MaxAttempts && key == ""; attempt++ {
@@ -185,7 +186,7 @@
 			break
 		}
 		if o != wire.NotRun {
-			outcome = wire.Unknown // One doubt is not undone by a later "not run".
+			outcome = wire.Unknown // A later "not run" does not settle an earlier unknown outcome.
 		}
 		time.Sleep(20 * time.Millisecond << min(attempt, 6))
 	}
@@ -206,7 +207,7 @@
 	var m struct {
 		Key string `json:"key"`
 	}
-	_ = json.NewDecoder(resp.Body).Decode(&m) // No key is no key.
+	_ = json.NewDecoder(resp.Body).Decode(&m) // An invalid answer counts as no key.
 	return m.Key
 }
 
@@ -219,8 +220,8 @@
 	return r.attemptCall(req, id, "amount of "+id)
 }
 
-// sendRead asks for a record; an entry that is gone is passed over, as the
-// platform's balancer does.
+// sendRead reads a record. It goes on to the next entry when one fails, as the
+// platform's load balancer does.
 func (r *runner) sendRead(ctx context.Context, j job) wire.Outcome {
 	var o wire.Outcome
 	for attempt := 0; attempt < r.cfg.MaxAttempts && o != wire.Done && o != wrong; attempt++ {
@@ -233,7 +234,8 @@
 	return o
 }
 
-// attemptCall checks that the answer of a plain service is whole and its own.
+// attemptCall sends one request to the plain service and checks that its answer is
+// complete and belongs to the request.
 func (r *runner) attemptCall(req *http.Request, id, echo string) wire.Outcome {
 	resp, err := r.client.Do(req)
 	if err != nil {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -56,7 +56,7 @@
 	FaultDelay     = "delay"   // Each run of a service takes Milliseconds.
 	FaultNoAnswer  = "mute"    // A service runs requests and closes the connection without an answer.
 	FaultLeaving   = "leaving" // The instance list marks an instance as leaving.
-	FaultPartition = "cut"     // A failure domain is partitioned off from the other ones; its view needs FaultDown as well.
+	FaultPartition = "cut"     // A failure domain is partitioned off; its view needs FaultDown as well.
 )
 
 // Server runs the fakes of one site behind their listeners.
