--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package demo runs the two users' sites of today in one process, under load
-// and under failures, and judges every promise that a caller can see. It uses
-// the daemons' own code and the stand-ins over loopback.
+// Package demo runs the sites of both users at their present size in one process,
+// under load and failures, and checks every guarantee that a caller can observe. It
+// runs the code of the daemons and the stand-ins over the loopback interface.
 package demo
 
 import (
@@ -18,23 +18,23 @@
 	"github.com/canvaspulley/canvaspulley/internal/load"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Rate     float64       // Requests a second at each site.
-	Duration time.Duration // Of the load.
+	Rate     float64       // Requests per second at each site.
+	Duration time.Duration // Duration of the load.
 	Seed     uint64
 }
 
-// Report is what a site's callers saw.
+// Report is the result of one site, as its callers observed it.
 type Report struct {
 	User     example.User       `json:"user"`
 	Result   load.Result        `json:"result"`
 	Verdict  load.PaymentErrors `json:"verdict"`
-	UpToDate int                `json:"in_force"` // Processes with the newest generation.
+	UpToDate int                `json:"in_force"` // Running processes that have the newest generation.
 	Running  int                `json:"running"`
 }
 
-// Violations lists the promises that did not hold.
+// Violations lists the guarantees that were violated.
 func (r Report) Violations() (list []string) {
 	for _, one := range []struct {
 		count int
@@ -54,14 +54,14 @@
 	return list
 }
 
-// event is something that happens to a site, at a part of the duration.
+// event is an action on a site, at a fraction of the duration of the load.
 type event struct {
 	fraction float64
 	text     string
 	do       func(s *Site)
 }
 
-// scenario is what happens to each site.
+// scenario returns the events of a site.
 func scenario(s *Site) []event {
 	l := s.layout
 	last := l.Domains[len(l.Domains)-1]
@@ -83,11 +83,11 @@
 	}
 }
 
-// settleTimeout is how long a site has after the load to agree on the newest
-// generation.
+// settleTimeout is how long the processes of a site may take after the start, and
+// again after the load, to apply the newest generation.
 const settleTimeout = 5 * time.Second
 
-// Run runs both sites and returns a report on each.
+// Run runs both sites, writes the events to out and returns a report on each site.
 func Run(ctx context.Context, o Options, out io.Writer) (reports []Report, err error) {
 	defer func() { err = errors.Wrap(err, "demo") }()
 	ctx, cancel := context.WithCancel(ctx)
@@ -149,14 +149,14 @@
 	if err := g.Wait(); err != nil {
 		return r, err
 	}
-	_ = s.awaitReady(ctx, 0) // Who has not got it by then is reported.
+	_ = s.awaitReady(ctx, 0) // On a timeout, the report shows how many processes lag behind.
 	r.UpToDate, r.Running = s.CountUpToDate()
 	r.Verdict = load.CheckPayments(r.Result.PaymentOutcomes, s.standins.Runs())
 	return r, nil
 }
 
-// awaitReady waits until all daemons have the newest generation and, for members
-// above 0, see all others.
+// awaitReady waits until all daemons have the newest generation and, if checkMembers
+// is not 0, until allReady.
 func (s *Site) awaitReady(ctx context.Context, checkMembers int) error {
 	deadline := time.Now().Add(settleTimeout)
 	for {
@@ -171,7 +171,7 @@
 	}
 }
 
-// allReady reports whether every daemon knows every other and takes work in.
+// allReady reports whether every daemon knows all others and accepts requests.
 func (s *Site) allReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -183,7 +183,7 @@
 	return true
 }
 
-// Print writes the table of reports.
+// Print writes the reports as a table.
 func Print(out io.Writer, reports []Report) {
 	fmt.Fprintf(out, "\n%-9s %6s %6s %8s %8s %7s %6s %5s %8s %14s %9s\n", "user", "sent", "whole", "not run",
 		"unknown", "broken", "wrong", "lost", "doubled", "false not run", "in force")
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -19,7 +19,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// Site is one site in this process: its stand-ins and the daemons' own code.
+// Site is one site that runs in this process: the stand-ins and the code of the
+// daemons.
 type Site struct {
 	layout   *example.Site
 	standins *standin.Server
@@ -32,7 +33,7 @@
 	parent  published.Version
 }
 
-// Start starts a site; it stops when ctx ends, and the function waits for that.
+// Start starts a site, which stops when ctx ends; wait returns after it has stopped.
 func Start(ctx context.Context, layout *example.Site) (s *Site, wait func() error, err error) {
 	defer func() { err = errors.Wrap(err, "start site") }()
 	f, err := inifile.Parse("standin.ini", layout.StandinSettings(""))
@@ -61,7 +62,7 @@
 	return append(append([]example.Process(nil), s.layout.Agents...), s.layout.Entries...)
 }
 
-// StartDaemon starts one process of the layout.
+// StartDaemon starts the daemon of the process p.
 func (s *Site) StartDaemon(p example.Process) (err error) {
 	set, err := settings.Parse(p.Name+".ini", s.layout.Settings(p))
 	if err != nil {
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// remove takes a daemon that has ended off the list.
+// remove removes a daemon that has ended, unless the process runs a new one.
 func (s *Site) remove(name string, d *daemon.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,14 +93,14 @@
 	}
 }
 
-// Kill ends a daemon without a last word.
+// Kill ends a daemon at once, without a planned stop or a final message.
 func (s *Site) Kill(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancels[name]()
 }
 
-// BeginPlannedStop begins the planned stop of a daemon.
+// BeginPlannedStop tells a daemon to drain and stop.
 func (s *Site) BeginPlannedStop(name string) {
 	s.mu.Lock()
 	d := s.daemons[name]
@@ -107,21 +108,22 @@
 	d.Node().Leave("planned stop")
 }
 
-// Publish puts a generation in place.
+// Publish signs a generation of values and stores it in the configuration service.
 func (s *Site) Publish(generation uint64, values map[string][]byte) {
 	m := s.layout.Pack(generation, s.parent.Hash, values)
 	s.parent = m.Version()
 	s.standins.Dir.Publish(standin.Bundle{Manifest: m, Values: values})
 }
 
-// SetPartitioned cuts a failure domain off from the others and from the platform.
+// SetPartitioned partitions a failure domain off from the other ones and from the
+// platform, or heals the partition.
 func (s *Site) SetPartitioned(domain string, on bool) {
 	s.standins.Net.SetPartitioned(domain, on)
 	s.standins.Views[domain].SetDown(on)
 }
 
-// CountUpToDate returns how many running daemons have the newest generation, and how
-// many there are.
+// CountUpToDate returns how many running daemons have the newest generation, and
+// how many are running.
 func (s *Site) CountUpToDate() (upToDate, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +136,7 @@
 	return upToDate, running
 }
 
-// Callers returns the customers as the load generator takes them.
+// Callers returns the customers in the form that the load generator uses.
 func (s *Site) Callers() (list []load.Caller) {
 	for _, c := range s.layout.Customers {
 		list = append(list, load.Caller{Name: c.Name, Key: c.Key})
@@ -142,7 +144,7 @@
 	return list
 }
 
-// Targets returns the callers' listeners of all entries.
+// Targets returns the addresses of the callers' listeners of all entries.
 func (s *Site) Targets() (list []string) {
 	for _, p := range s.layout.Entries {
 		list = append(list, p.CallerAddress)
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package golden runs tests whose cases are txtar files under testdata: the
-// file "want" of each must be what the test makes of the others. It is for
-// tests only. With -update the files are written anew.
+// Package golden runs tests whose cases are txtar archives under testdata. The file
+// "want" of an archive holds the expected output for its other files. With -update
+// the archives are rewritten with the actual output. The package is for tests only.
 package golden
 
 import (
@@ -16,15 +16,16 @@
 
 var update = flag.Bool("update", false, "write the golden files anew")
 
-// wantName is the file of a case that holds what is expected.
+// wantName is the name of the file that holds the expected output of a case.
 const wantName = "want"
 
-// Run makes one subtest of each testdata/*.txtar.
+// Run runs one subtest for each testdata/*.txtar and compares the output of render
+// for its files with the file "want".
 func Run(t *testing.T, render func(files map[string][]byte) string) {
 	t.Helper()
 	names, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(names) == 0 {
-		t.Fatalf("no cases: %v", err)
+		t.Fatalf("no test cases in testdata/*.txtar: %v", err)
 	}
 	for _, name := range names {
 		t.Run(filepath.Base(name), func(t *testing.T) { runCase(t, name, render) })
--- a/internal/trace/make.go
+++ b/internal/trace/make.go
@@ -9,43 +9,43 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind is a way in which load drifts.
+// Kind is the way in which the load of a generated trace changes over time.
 type Kind string
 
 // The kinds.
 const (
-	Daily       Kind = "daily"       // Question types shift over the day; kiosks in the morning and evening.
-	Shift       Kind = "shift"       // The mix of question types jumps a few times.
-	Spike       Kind = "spike"       // Single experts are hot for a few samples.
-	ZipfWalk    Kind = "zipf-walk"   // Popularity wanders.
-	Adversarial Kind = "adversarial" // The load flips as soon as it has been chased.
+	Daily       Kind = "daily"       // Question types follow the time of day; kiosks in the morning and evening.
+	Shift       Kind = "shift"       // The mix of question types changes abruptly, four times.
+	Spike       Kind = "spike"       // One expert per layer is hot for a few samples.
+	ZipfWalk    Kind = "zipf-walk"   // The popularity of experts follows a random walk.
+	Adversarial Kind = "adversarial" // The load changes as soon as a rebalancer has followed it.
 )
 
-// Config sizes a made trace.
+// Config configures a generated trace.
 type Config struct {
 	Kind    Kind
 	Layers  int
 	Experts int
-	Steps   int // Samples; daily spreads one day over them.
+	Steps   int // Number of samples; Daily spreads one day over them.
 	Seed    uint64
 }
 
-// Shape of the made load.
+// Parameters of the generated load.
 const (
-	tokensPerLayer = 1e6 // A sample.
-	zipfExponent   = 0.7 // Of the popularity of experts within a question type.
-	relativeNoise  = 0.02
-	flipInterval   = 24 // Samples between two flips of the adversarial load.
+	tokensPerLayer = 1e6  // Per sample.
+	zipfExponent   = 0.7  // Of the popularity of experts within a question type.
+	relativeNoise  = 0.02 // Standard deviation relative to the mean.
+	flipInterval   = 24   // Samples between two changes of the adversarial load.
 )
 
-// generator draws one trace.
+// generator generates one trace.
 type generator struct {
 	cfg           Config
 	rnd           *rand.Rand
 	questionTypes [][][]float64 // Popularity by question type, layer and expert.
 }
 
-// Generate draws a trace; equal configs give equal traces.
+// Generate returns a random trace; equal configs give equal traces.
 func Generate(cfg Config) (t Trace, err error) {
 	if cfg.Layers < 1 || cfg.Experts < 2 || cfg.Steps < 1 {
 		return nil, errors.New("a trace needs at least 1 layer, 2 experts and 1 step")
@@ -73,8 +73,8 @@
 	return t, nil
 }
 
-// popularity draws which experts a question type uses: Zipf over a random
-// order of the experts.
+// popularity draws the share of each expert in a question type: a Zipf
+// distribution over a random order of the experts.
 func (m *generator) popularity() [][]float64 {
 	layers := make([][]float64, m.cfg.Layers)
 	for l := range layers {
@@ -91,7 +91,7 @@
 	return layers
 }
 
-// sample draws one sample of a mix of question types.
+// sample draws one sample for the weights of the question types in mix.
 func (m *generator) sample(mix []float64) [][]float64 {
 	total := 0.0
 	for _, w := range mix {
@@ -111,8 +111,8 @@
 	return out
 }
 
-// dailyMix is survey, logbook and comparison over the day, and kiosks in the
-// morning and the evening.
+// dailyMix returns the weights of the question types at a time of the day: survey,
+// logbook and comparison over the day, and kiosks in the morning and the evening.
 func (m *generator) dailyMix(step int) []float64 {
 	day := float64(step) / float64(m.cfg.Steps)
 	peak := func(at, width float64) float64 {
@@ -128,7 +128,8 @@
 	}
 }
 
-// shiftMix jumps to another mix four times.
+// shiftMix gives one question type most of the load, and changes the type four
+// times in a trace.
 func (m *generator) shiftMix(step int) []float64 {
 	mix := []float64{0.1, 0.1, 0.1, 0.1}
 	mix[step*5/m.cfg.Steps%4] = 1
@@ -137,7 +138,7 @@
 
 func (m *generator) uniformMix(int) []float64 { return []float64{1, 1, 1, 1} }
 
-// adversarialMix turns the load from one question type to another and back.
+// adversarialMix alternates between two question types every flipInterval samples.
 func (m *generator) adversarialMix(step int) []float64 {
 	if step/flipInterval%2 == 0 {
 		return []float64{1, 0, 0, 0}
@@ -145,7 +146,7 @@
 	return []float64{0, 1, 0, 0}
 }
 
-// addSpike makes one expert a layer hot for a few samples out of many.
+// addSpike makes one expert per layer hot for the first few samples of each interval.
 func (m *generator) addSpike(sample [][]float64, step int) {
 	const interval, duration, factor = 60, 6, 6
 	if step%interval >= duration {
@@ -156,7 +157,7 @@
 	}
 }
 
-// perturb multiplies popularities by small random steps.
+// perturb multiplies each popularity by a small random factor.
 func (m *generator) perturb() {
 	const stepSize = 0.02
 	for _, layers := range m.questionTypes {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package trace reads, writes and makes traces of expert load: how many tokens
-// each expert of each layer got in each sample. Traces feed experiments only.
+// Package trace reads, writes and generates traces of expert load: how many tokens
+// each expert of each layer received in each sample. Traces are used in experiments
+// only.
 package trace
 
 import (
@@ -14,25 +15,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Trace is tokens by sample, layer and expert.
+// Trace is the number of tokens, indexed by sample, layer and expert.
 type Trace [][][]float64
 
 // Layers returns the number of layers.
 func (t Trace) Layers() int { return len(t[0]) }
 
-// Experts returns the number of experts a layer.
+// Experts returns the number of experts per layer.
 func (t Trace) Experts() int { return len(t[0][0]) }
 
 // header is the first line of a trace file.
 var header = []string{"step", "layer", "expert", "tokens"}
 
-// Bounds of what is read.
+// Exclusive upper bounds of the indices that Read accepts.
 const (
 	maxStep  = 1 << 20
 	maxIndex = 1 << 12
 )
 
-// LineError is a malformed line.
+// LineError reports a malformed line of a trace file.
 type LineError struct {
 	File string
 	Line int
@@ -41,7 +42,7 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// Read parses a trace; name is used in errors only.
+// Read parses a trace file; name is used in errors only.
 func Read(name string, r io.Reader) (t Trace, err error) {
 	c := csv.NewReader(r)
 	c.ReuseRecord = true
@@ -116,8 +117,8 @@
 	return layers
 }
 
-// pad gives all samples the same layers and all layers the same experts;
-// what no row named got no tokens.
+// pad gives all samples the same layers and all layers the same experts. An expert
+// without a row in the file received no tokens.
 func (t Trace) pad() Trace {
 	layers, experts := 0, 0
 	for _, s := range t {
@@ -135,7 +136,7 @@
 	return t
 }
 
-// Write writes t as a trace file.
+// Write writes t in the format that Read parses.
 func (t Trace) Write(w io.Writer) (err error) {
 	b := bufio.NewWriter(w)
 	fmt.Fprintln(b, "step,layer,expert,tokens")
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -35,7 +35,7 @@
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(b).To(gomega.Equal(a))
 			again, _ := Generate(cfg)
-			g.Expect(again).To(gomega.Equal(a), "a seed fixes the trace")
+			g.Expect(again).To(gomega.Equal(a), "the seed determines the trace")
 		})
 	}
 }
@@ -46,7 +46,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		tr, err := Read("fuzz", bytes.NewReader(raw))
 		if err == nil && (len(tr) == 0 || tr.Layers() == 0 || tr.Experts() == 0) {
-			t.Fatal("took an empty trace")
+			t.Fatal("accepted an empty trace")
 		}
 	})
 }
