--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -10,29 +10,30 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/admit"
 )
 
-// origin is the start of scripted time.
+// origin is the start of simulated time.
 var origin = time.Unix(1_800_000_000, 0)
 
-// admissionSim is one endpoint under overload by one large customer, with
-// kiosks that have deadlines and a small customer without.
+// admissionSim simulates one endpoint that a large customer overloads. It also
+// receives requests of kiosks, which have deadlines, and of a small customer, which
+// have none.
 type admissionSim struct {
 	offer func(admit.Request, time.Time) admit.Actions
 	done  func(string, time.Time) admit.Actions
 	tick  func(time.Time) admit.Actions
 
-	endTimes      map[string]time.Time // By id of what runs.
+	endTimes      map[string]time.Time // End times of the running requests, by id.
 	requests      map[string]admit.Request
-	smallWaits    []float64 // Waits of the small customer, in milliseconds.
+	smallWaits    []float64 // Waiting times of the small customer, in milliseconds.
 	served        int
-	servedLate    int // Served after their deadline, and so in vain.
+	servedLate    int // Requests that were served after their deadline, and so in vain.
 	refused       int
-	kiosksInTime  int // Kiosk requests served in time.
+	kiosksInTime  int // Kiosk requests that were served in time.
 	kiosks        int
 	refusalDelays []float64 // From arrival to refusal, in milliseconds.
 }
 
-// fifo is the naive version: first come, first served, at a fixed limit, with
-// the same bound on the queue and no look at deadlines.
+// fifo is the naive method: first come, first served, at a fixed limit, with the
+// same bound on the queue. It ignores deadlines.
 type fifo struct {
 	limit, capacity int
 	running         int
@@ -65,7 +66,7 @@
 
 func (f *fifo) tick(time.Time) admit.Actions { return admit.Actions{} }
 
-// Sizes of the admission experiment.
+// Parameters of the admission experiment.
 const (
 	admissionLimit    = 16
 	admissionCapacity = 128
@@ -74,8 +75,8 @@
 	admissionTick     = 5 * time.Millisecond
 )
 
-// Admission compares the queue with first come, first served, at 1.5 times the
-// endpoint's capacity, over so many seconds.
+// Admission compares the admission queue with first come, first served, at an
+// offered load of 1.5 times the endpoint's capacity, over the given simulated time.
 func Admission(seconds int, seed uint64) Table {
 	t := Table{Title: fmt.Sprintf("Admission: one endpoint, %d places of %v, offered 1.5 times its capacity for %d s; 80 in 100 from one large customer",
 		admissionLimit, serviceTime, seconds)}
@@ -160,7 +161,7 @@
 	}}
 }
 
-// endedBy lists what has ended by now, in a fixed order.
+// endedBy returns the ids of the requests that have ended by now, in sorted order.
 func endedBy(ends map[string]time.Time, now time.Time) (ids []string) {
 	for id, at := range ends {
 		if !at.After(now) {
--- a/internal/experiment/chance.go
+++ b/internal/experiment/chance.go
@@ -8,7 +8,7 @@
 	"sort"
 )
 
-// poisson draws the number of events when so many are expected.
+// poisson draws from the Poisson distribution with the given mean.
 func poisson(rnd *rand.Rand, expected float64) (n int) {
 	limit := math.Exp(-expected)
 	for p := rnd.Float64(); p > limit; p *= rnd.Float64() {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package experiment measures the decisions against their naive versions, with
-// scripted time and fixed seeds: each loop drives the very code that the
-// daemons run. It is no simulator of a cluster; what a loop leaves out is said
-// beside its figures.
+// Package experiment compares the decision algorithms with naive ones, in simulated
+// time and with fixed seeds. Each simulation drives the decision code that the
+// daemons run. It is not a cluster simulator; what a simulation leaves out is stated
+// next to its figures.
 package experiment
 
 import (
@@ -12,20 +12,20 @@
 	"sort"
 )
 
-// Cell is one figure of a method.
+// Cell is one figure that was measured for a method.
 type Cell struct {
 	Name  string  `json:"name"`
 	Unit  string  `json:"unit,omitempty"`
 	Value float64 `json:"value"`
 }
 
-// Row is the figures of one method.
+// Row holds the figures of one method.
 type Row struct {
 	Name  string `json:"name"`
 	Cells []Cell `json:"cells"`
 }
 
-// Value returns the named figure; it panics on a name that is not there.
+// Value returns the named figure; it panics if there is none.
 func (r Row) Value(name string) float64 {
 	for _, c := range r.Cells {
 		if c.Name == name {
@@ -35,13 +35,13 @@
 	panic("no figure " + name + " in row " + r.Name)
 }
 
-// Table is the outcome of one experiment.
+// Table is the result of one experiment.
 type Table struct {
 	Title string `json:"title"`
 	Rows  []Row  `json:"runs"`
 }
 
-// Row returns the row of the named method; it panics when there is none.
+// Row returns the row of the named method; it panics if there is none.
 func (t Table) Row(name string) Row {
 	for _, r := range t.Rows {
 		if r.Name == name {
@@ -78,7 +78,7 @@
 	return c.Name + ", " + c.Unit
 }
 
-// quantile returns the q-quantile of values, 0 for none; it sorts them.
+// quantile returns the q-quantile of values, 0 for no values. It sorts values in place.
 func quantile(values []float64, q float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -14,12 +14,12 @@
 	"github.com/canvaspulley/canvaspulley/internal/trace"
 )
 
-// expectBelow asserts that the first figure is below factor times the second.
+// expectBelow asserts that a figure of method is at most factor times that of naive.
 func expectBelow(t *testing.T, tab Table, figure, method, naive string, factor float64) {
 	t.Helper()
 	g := gomega.NewWithT(t)
 	g.Expect(tab.Row(method).Value(figure)).To(gomega.BeNumerically("<=", factor*tab.Row(naive).Value(figure)),
-		"%s: %s against %s", figure, method, naive)
+		"%s: %s compared with %s", figure, method, naive)
 }
 
 func TestOwnershipMovesFewKeys(t *testing.T) {
@@ -35,7 +35,7 @@
 	expectBelow(t, tab, "served after the deadline", "canvaspulley", naive, 0)
 	g := gomega.NewWithT(t)
 	g.Expect(tab.Row("canvaspulley").Value("kiosks served in time")).To(gomega.BeNumerically(">", 0.99))
-	g.Expect(tab.Row("canvaspulley").Value("served")).To(gomega.BeNumerically(">=", tab.Row(naive).Value("served")), "no work is lost")
+	g.Expect(tab.Row("canvaspulley").Value("served")).To(gomega.BeNumerically(">=", tab.Row(naive).Value("served")), "the queue serves no fewer requests")
 }
 
 func TestRetryBudgetLimitsRetries(t *testing.T) {
@@ -49,7 +49,7 @@
 	for _, seed := range []uint64{1, 2, 3} {
 		tab := Limits(6, 60, 600, seed)
 		g := gomega.NewWithT(t)
-		const burst = 0.1 // What may come at once on top.
+		const burst = 0.1 // Burst allowance, as a share of the limit.
 		g.Expect(tab.Row("canvaspulley").Value("worst second to the limit")).To(gomega.BeNumerically("<=", 1+burst))
 		g.Expect(tab.Row("canvaspulley").Value("let in of what was allowed")).To(
 			gomega.BeNumerically(">", 1.5*tab.Row("even split").Value("let in of what was allowed")))
@@ -69,7 +69,8 @@
 	g.Expect(tab.Row("canvaspulley").Value("prefix hits")).To(gomega.BeNumerically(">", 0.8))
 }
 
-// rebalanceDay runs a made trace under a user's prices.
+// rebalanceDay simulates a generated trace under the prices of a user, and returns the
+// runs by name.
 func rebalanceDay(t *testing.T, kind trace.Kind, prices rebalance.Prices) map[string]Run {
 	t.Helper()
 	tr, err := trace.Generate(trace.Config{Kind: kind, Layers: 2, Experts: 64, Steps: 1440, Seed: 1})
@@ -82,7 +83,7 @@
 	return runs
 }
 
-// The users' prices, as in their published policies.
+// Prices of the users, as in their published policies.
 var (
 	archive = rebalance.Prices{Skew: 10, Move: 1}
 	refunds = rebalance.Prices{Skew: 1, Move: 10}
@@ -114,7 +115,7 @@
 	}{{0, 22}, {0.1, 22}, {0.1, 100}} {
 		row := Members(GossipConfig{Nodes: one.nodes, Domains: 3, Loss: one.loss, Seconds: 30, Seed: 2}).Rows[0]
 		g := gomega.NewWithT(t)
-		g.Expect(row.Value("gave it up")).To(gomega.Equal(1.0), "the dead one is given up by all")
+		g.Expect(row.Value("gave it up")).To(gomega.Equal(1.0), "all processes detect the killed one")
 		g.Expect(row.Value("false deaths")).To(gomega.BeZero(), "%d nodes, loss %g", one.nodes, one.loss)
 	}
 }
@@ -128,13 +129,13 @@
 		row := Spread(cfg).Rows[0]
 		g := gomega.NewWithT(t)
 		g.Expect(row.Value("without it")).To(gomega.BeZero())
-		g.Expect(row.Value("in force p99")).To(gomega.BeNumerically("<", 3), "scripted seconds")
+		g.Expect(row.Value("in force p99")).To(gomega.BeNumerically("<", 3), "simulated seconds")
 	}
 }
 
-// TestPlannerAgainstRepackOnRandomLayers lets the planner, at the archive's
-// prices, and the full re-pack answer the same drifts of load: the planner
-// comes close to its balance and moves less.
+// TestPlannerAgainstRepackOnRandomLayers compares the planner, at the archive's
+// prices, with a full repack after the same changes of load: the planner must come
+// within 3 % of the repack's skew and move at most 60 % of its copies.
 func TestPlannerAgainstRepackOnRandomLayers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	rnd := rand.New(rand.NewPCG(7, 7))
@@ -150,7 +151,7 @@
 	const layers = 60
 	for range layers {
 		tokens := draw()
-		current := rebalance.Map{repackLayer(shape, tokens[0])} // Fits an earlier load.
+		current := rebalance.Map{repackLayer(shape, tokens[0])} // Packed for the load before the change.
 		for e := range tokens[0] {
 			tokens[0][e] *= math.Exp(0.3 * rnd.NormFloat64())
 		}
@@ -170,7 +171,7 @@
 		movedByEdits += float64(rebalance.Transfers(current, next))
 		movedByPacks += float64(rebalance.Transfers(current, packed))
 	}
-	t.Logf("skew %.4f by edits, %.4f by re-packing; copies moved %.1f and %.1f a layer",
+	t.Logf("skew %.4f by edits, %.4f by repacking; copies moved %.1f and %.1f per layer",
 		edits/layers, packs/layers, movedByEdits/layers, movedByPacks/layers)
 	g.Expect(edits).To(gomega.BeNumerically("<=", 1.03*packs))
 	g.Expect(movedByEdits).To(gomega.BeNumerically("<=", 0.6*movedByPacks))
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -13,53 +13,54 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// GossipConfig sizes the experiments on membership and the spread of
+// GossipConfig configures the experiments on membership and on the distribution of
 // configuration.
 type GossipConfig struct {
 	Nodes         int
 	Domains       int
 	Loss          float64       // Share of messages that are lost.
-	PartitionTime time.Duration // The last failure domain is cut off for so long, from second 10 on.
-	PauseTime     time.Duration // One process is paused for so long, from second 5 on.
-	Seconds       int
+	PartitionTime time.Duration // How long the last failure domain is partitioned off, from second 10 on.
+	PauseTime     time.Duration // How long one process is paused, from second 5 on.
+	Seconds       int           // Simulated time.
 	Seed          uint64
 }
 
-// Figures of the daemon that the loop repeats.
+// Settings of the daemon that the simulation uses.
 const (
-	gossipTick     = 10 * time.Millisecond // Time of one hop, and of a fetch.
+	gossipTick     = 10 * time.Millisecond // Simulated time of one hop, and of a fetch.
 	gossipInterval = time.Second
-	pushFanout     = 3 // Peers told at once of a new generation.
-	headerBytes    = 180
-	maxUpdates     = 12
+	pushFanout     = 3   // Peers to which a process sends a new generation or a refutation at once.
+	headerBytes    = 180 // Added to the size of each message for its headers.
+	maxUpdates     = 12  // Member updates per message.
 )
 
-// peer is one process in the loop.
+// peer is one simulated process.
 type peer struct {
 	table       *member.Table
 	config      *spread.State
-	phase       time.Duration // Of its ticks.
+	phase       time.Duration // Offset of its probes within gossipInterval.
 	domain      int
 	down        bool
-	pausedUntil time.Duration // End of its pause, in time since the start.
+	pausedUntil time.Duration // End of its pause, as time since the start.
 	bytes       int
 	sent        int
-	adoptedAt   time.Duration // When it took the present generation in.
+	adoptedAt   time.Duration // Time since the start at which it adopted its current generation.
 }
 
-// gossipSim is the loop: the daemons' decisions, and messages that take a tick.
+// gossipSim simulates processes that run the decision code of the daemons and
+// exchange messages, which take one tick.
 type gossipSim struct {
 	cfg          GossipConfig
 	rnd          *rand.Rand
 	peers        []*peer
 	index        map[string]int
 	elapsed      time.Duration
-	fetches      [][2]int // Pushes and fetches of the next tick: from, to.
-	falseDeaths  int      // Deaths of processes that lived and were reachable.
+	fetches      [][2]int // Fetches of the next tick, as pairs of source and destination.
+	falseDeaths  int      // Times that a process which ran and was reachable was declared dead.
 	detectedAt   map[int]time.Duration
 	killed       int
-	refuted      []int         // Processes that tell of a denial at the next tick.
-	decisionTime time.Duration // Of all decisions.
+	refuted      []int         // Processes that spread a refutation on the next tick.
+	decisionTime time.Duration // Time that all decisions took.
 	version      published.Version
 }
 
@@ -93,7 +94,8 @@
 	return !r.peers[b].down && r.elapsed >= r.peers[b].pausedUntil && cutOff(a) == cutOff(b) && r.rnd.Float64() >= r.cfg.Loss
 }
 
-// exchange is one message and its answer.
+// exchange sends one message and its reply. It returns false when the message is
+// lost.
 func (r *gossipSim) exchange(a, b int) bool {
 	pa, pb := r.peers[a], r.peers[b]
 	now := origin.Add(r.elapsed)
@@ -115,8 +117,8 @@
 	return true
 }
 
-// merge takes news in; a process that had to deny something tells a few peers
-// at the next tick.
+// merge applies received updates. A process that had to refute one spreads the
+// refutation on the next tick.
 func (r *gossipSim) merge(i int, rows []member.Member, now time.Time) {
 	p := r.peers[i]
 	before := p.table.Self().Incarnation
@@ -135,7 +137,7 @@
 	p.sent++
 }
 
-// countChanges counts detections and false deaths.
+// countChanges records the detections of the killed process and counts false deaths.
 func (r *gossipSim) countChanges(by int, changes []member.Change) {
 	for _, c := range changes {
 		i := r.index[c.Member.Name]
@@ -152,7 +154,8 @@
 	}
 }
 
-// tick lets every process that is due probe, and carries pushes out.
+// tick executes the fetches that are due, spreads refutations, and lets each process
+// probe once per gossipInterval.
 func (r *gossipSim) tick() {
 	start := time.Now()
 	fetches := r.fetches
@@ -197,7 +200,7 @@
 	r.countChanges(i, p.table.ProbeUnanswered(name, now))
 }
 
-// fetch takes a newer generation from a peer and tells a few others.
+// fetch adopts a newer generation from a peer and sends it on to a few other peers.
 func (r *gossipSim) fetch(from, to int) {
 	v := r.peers[from].config.Current()
 	if !r.delivers(to, from) || !r.peers[to].config.Adopt(v) {
@@ -207,7 +210,7 @@
 	r.exchangeWithRandom(to, pushFanout)
 }
 
-// exchangeWithRandom exchanges messages with so many random peers.
+// exchangeWithRandom exchanges messages with the given number of random peers.
 func (r *gossipSim) exchangeWithRandom(i, peers int) {
 	t := r.peers[i].table
 	for peers > 0 {
@@ -222,8 +225,8 @@
 	}
 }
 
-// publish gives a new generation to the watchers: two of each failure domain
-// that reaches the configuration service.
+// publish delivers a new generation to the watchers: two processes of each failure
+// domain that reaches the configuration service.
 func (r *gossipSim) publish() {
 	r.version = published.Version{Generation: r.version.Generation + 1, Hash: "h"}
 	for i, p := range r.peers {
@@ -236,15 +239,15 @@
 	}
 }
 
-// runUntil goes on until the given time.
+// runUntil executes ticks until the given time since the start.
 func (r *gossipSim) runUntil(until time.Duration) {
 	for r.elapsed < until {
 		r.tick()
 	}
 }
 
-// perNode returns the messages and bytes that a process sends in a second, and
-// the processor time its decisions take.
+// perNode returns the messages and bytes that a process sends per second, and the
+// processor time that its decisions take.
 func (r *gossipSim) perNode() []Cell {
 	bytes, sent := 0, 0
 	for _, p := range r.peers {
@@ -259,8 +262,8 @@
 	}
 }
 
-// Members measures how fast a killed process is given up by all, and how many
-// living ones are given up by mistake.
+// Members measures how fast all processes detect that one was killed, and how many
+// live processes are declared dead by mistake.
 func Members(cfg GossipConfig) Table {
 	r := newGossipSim(cfg)
 	r.runUntil(5 * time.Second)
@@ -286,9 +289,9 @@
 		Rows: []Row{{fmt.Sprintf("%d nodes", cfg.Nodes), append(cells, r.perNode()...)}}}
 }
 
-// Spread measures how long a generation takes to be in force everywhere. With
-// a cut, it is published in the cut, and the time of the cut domain is counted
-// from the healing.
+// Spread measures how long a generation takes to reach all processes. With a
+// partition, it is published during the partition, and the time of the partitioned
+// domain is counted from the end of the partition.
 func Spread(cfg GossipConfig) Table {
 	r := newGossipSim(cfg)
 	r.runUntil(11 * time.Second)
--- a/internal/experiment/limits.go
+++ b/internal/experiment/limits.go
@@ -10,16 +10,16 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/limit"
 )
 
-// limitsStep is the step of scripted time; borrowInterval that of borrowing, as
-// in the daemon.
+// limitsStep is the step of simulated time; borrowInterval is the time between two
+// rounds of borrowing, as in the daemon.
 const (
 	limitsStep     = 20 * time.Millisecond
 	borrowInterval = 200 * time.Millisecond
 )
 
-// limitsSim is the entries that split one customer's limit.
+// limitsSim simulates the entries that share the rate limit of one customer.
 type limitsSim struct {
-	limit    float64
+	limit    float64 // Requests per second.
 	entries  int
 	shares   []*limit.Share
 	buckets  []*limit.Bucket
@@ -27,9 +27,9 @@
 	rnd      *rand.Rand
 }
 
-// demand of the entries over time: the load sits at one entry and moves to
-// another every ten seconds, with a little everywhere; it is as much as the
-// limit allows.
+// demand returns the requests per second that an entry receives. Most of the load is
+// at one entry and moves to the next one every ten seconds; the other ones receive a
+// little. The total equals the limit.
 func (s *limitsSim) demand(entry int, at time.Duration) float64 {
 	busyEntry := int(at/(10*time.Second)) % s.entries
 	if entry == busyEntry {
@@ -39,13 +39,13 @@
 }
 
 // partitioned reports whether two entries cannot reach each other: from second 20 to
-// 40 the site is in two halves.
+// 40 the site is partitioned into two halves.
 func (s *limitsSim) partitioned(a, b int, at time.Duration) bool {
 	return at >= 20*time.Second && at < 40*time.Second && (a < s.entries/2) != (b < s.entries/2)
 }
 
-// Limits compares borrowing with an even split and with a central counter that
-// everybody reaches except during the cut, when each half counts for itself.
+// Limits compares borrowing with an even split and with a central counter. All
+// entries reach the counter, except during the partition, when each half has its own.
 func Limits(entries, seconds int, rate float64, seed uint64) Table {
 	t := Table{Title: fmt.Sprintf("Limits: %g a second over %d entries for %d s; the load moves each 10 s; cut in two from 20 s to 40 s", rate, entries, seconds)}
 	for _, method := range []string{"even split", "central counter", "canvaspulley"} {
@@ -55,7 +55,8 @@
 	return t
 }
 
-// burst is what may come at once: a tenth of a second's worth.
+// burst returns how many requests may arrive at once: those of a tenth of a second,
+// and at least one.
 func burst(rate float64) float64 { return max(1, rate/10) }
 
 func (s *limitsSim) simulate(method string, seconds int) Row {
@@ -106,7 +107,8 @@
 	}}
 }
 
-// borrowRound is one round: each entry in want asks one random other.
+// borrowRound simulates one round of borrowing: each entry whose share is too small
+// asks one other entry at random.
 func (s *limitsSim) borrowRound(now time.Time, at time.Duration) {
 	for e, share := range s.shares {
 		shortfall := share.Shortfall(now)
--- a/internal/experiment/ownership.go
+++ b/internal/experiment/ownership.go
@@ -8,8 +8,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/own"
 )
 
-// Ownership compares rendezvous hashing with modulo when one owner is added to
-// so many: the share of keys whose owner changes, and how even the keys lie.
+// Ownership compares rendezvous hashing with modulo when one owner is added: the share
+// of keys whose owner changes, and how evenly the keys are distributed.
 func Ownership(owners, keys int) Table {
 	before, after := make([]string, owners), make([]string, owners+1)
 	for i := range after {
--- a/internal/experiment/rebalance.go
+++ b/internal/experiment/rebalance.go
@@ -11,47 +11,48 @@
 	"github.com/canvaspulley/canvaspulley/internal/trace"
 )
 
-// RebalanceConfig is the setting of the rebalancing experiment.
+// RebalanceConfig configures the rebalancing experiment.
 type RebalanceConfig struct {
 	Trace          trace.Trace
 	Ranks          int
 	Slots          int
 	Prices         rebalance.Prices
-	ReportLag      int     // Samples until a report is heard.
+	ReportLag      int     // Samples until a report arrives.
 	ReportLoss     float64 // Share of reports that are lost.
-	ExpertBytes    float64
-	StoreRate      float64 // Bytes a second.
-	SampleMS       float64
-	RepackInterval int // Samples between two full re-packs of the naive version.
+	ExpertBytes    float64 // Size of one expert of one layer.
+	StoreRate      float64 // Bytes per second.
+	SampleMS       float64 // Duration of a sample.
+	RepackInterval int     // Samples between two full repacks of the naive method.
 	Seed           uint64
 }
 
-// Run is one method's figures over a trace.
+// Run holds the figures of one method over a trace.
 type Run struct {
 	Name           string  `json:"name"`
 	SkewMean       float64 `json:"skew_mean"`
 	SkewP99        float64 `json:"skew_p99"`
 	BytesMoved     float64 `json:"bytes_moved"`
 	Switches       int     `json:"switches"`
-	StepsLost      float64 `json:"steps_lost"` // Samples during which the group stood still.
-	TwoMapsSeconds float64 `json:"two_maps_s"` // Seconds with two versions in memory.
+	StepsLost      float64 `json:"steps_lost"` // Time that the group stalled for transfers, in samples.
+	TwoMapsSeconds float64 `json:"two_maps_s"` // Time with two map versions in memory.
 	PlanMS         float64 `json:"plan_ms_p99"`
 
-	Skews           []float64 `json:"-"` // By sample.
-	CumulativeBytes []float64 `json:"-"` // Moved up to each sample.
+	Skews           []float64 `json:"-"` // Skew of each sample.
+	CumulativeBytes []float64 `json:"-"` // Bytes moved up to each sample.
 }
 
-// method decides on a map at a sample; ok is false when it stays.
+// method is one method of rebalancing. decide returns the next map at a sample; ok
+// is false to keep the current one.
 type method struct {
 	name    string
-	stalls  bool // The group stands still during the transfer.
+	stalls  bool // The group stalls during the transfer.
 	observe func(sample int, tokens [][]float64)
 	decide  func(sample int, current rebalance.Map) (next rebalance.Map, ok bool)
 	done    func()
 }
 
-// Rebalance runs a trace through static, repack, canvaspulley and the lower
-// bound.
+// Rebalance simulates a static map, full repacks and the planner of canvaspulley over
+// a trace, and adds the lower bound.
 func Rebalance(cfg RebalanceConfig) []Run {
 	shape := rebalance.Shape{Ranks: cfg.Ranks, Experts: cfg.Trace.Experts(), Slots: cfg.Slots}
 	planner := rebalance.New(rebalance.Config{
@@ -75,7 +76,8 @@
 	}
 }
 
-// repack packs anew every interval from the mean of the interval's reports.
+// repack returns the naive method: every RepackInterval it packs a new map for the
+// mean load of the reports since the last one.
 func (cfg RebalanceConfig) repack(s rebalance.Shape) method {
 	var reports [][][]float64
 	return method{
@@ -101,8 +103,8 @@
 	}
 }
 
-// simulate drives one method: it hears late and gappy reports, and a new map is in
-// force when its weights have come from the store.
+// simulate drives one method over the trace. Reports arrive late or are lost, and a
+// new map takes effect when its weights have arrived from the store.
 func (cfg RebalanceConfig) simulate(s rebalance.Shape, m method) (r Run) {
 	r.Name = m.name
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 5))
@@ -149,8 +151,8 @@
 	return r
 }
 
-// lowerBound is what no map can beat: the mean, or the hottest expert spread over
-// all ranks.
+// lowerBound returns the skew that no map can beat: of each layer, the mean load of
+// the ranks, or the load of the hottest expert spread over all ranks if that is more.
 func (cfg RebalanceConfig) lowerBound() (r Run) {
 	r.Name = "lower bound"
 	for _, layers := range cfg.Trace {
@@ -171,7 +173,7 @@
 	return r.summarize()
 }
 
-// RebalanceTable puts runs in the form of the other experiments.
+// RebalanceTable returns the runs as a table like those of the other experiments.
 func RebalanceTable(title string, runs []Run) Table {
 	t := Table{Title: title}
 	for _, r := range runs {
--- a/internal/experiment/repack.go
+++ b/internal/experiment/repack.go
@@ -9,9 +9,9 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/rebalance"
 )
 
-// repackLayer is the naive version: replicas to the hottest experts, and then
-// each replica, the heaviest first, to the least loaded rank, whatever is in
-// force.
+// repackLayer is the naive method: it gives replicas to the hottest experts and then
+// places each replica, the heaviest first, on the least loaded rank. It ignores the
+// map in effect.
 func repackLayer(s rebalance.Shape, tokens []float64) rebalance.Layer {
 	count := make([]int, s.Experts)
 	for e := range count {
@@ -54,8 +54,8 @@
 	return placeMissing(layer)
 }
 
-// leastLoadedRank returns the least loaded rank that has a slot and lacks the
-// expert, or -1.
+// leastLoadedRank returns the least loaded rank that has a free slot and does not
+// hold the expert yet, or -1.
 func leastLoadedRank(s rebalance.Shape, holders []int, loads []float64, usedSlots []int) int {
 	best := -1
 	for r := range loads {
@@ -66,8 +66,8 @@
 	return best
 }
 
-// placeMissing gives a place to experts that found none, from replicas that can be
-// spared.
+// placeMissing places the experts for which no rank was found, in slots of experts
+// that have more than one replica.
 func placeMissing(layer rebalance.Layer) rebalance.Layer {
 	for e := range layer {
 		for len(layer[e]) == 0 {
--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -9,8 +9,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/retry"
 )
 
-// Retries compares the budget with three retries for each failure, while a
-// group fails so large a share of what is sent to it.
+// Retries compares the retry budget with three retries for each failed request and
+// with none. The group fails one request in 200, and nine in ten of the middle third.
 func Retries(requests int, seed uint64) Table {
 	t := Table{Title: fmt.Sprintf("Retries: %d requests, one in 200 fails; for the middle third, nine in ten do", requests)}
 	budget := retry.NewBudget(0.1, 20)
--- a/internal/experiment/routing.go
+++ b/internal/experiment/routing.go
@@ -9,32 +9,33 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/route"
 )
 
-// RoutingConfig sizes the routing experiment. Time goes in engine steps.
+// RoutingConfig configures the routing experiment. Time is counted in engine steps.
 type RoutingConfig struct {
 	Entries        int
-	Endpoints      int // All of one group: the fullest one paces the step.
-	Limit          int // Sequences an endpoint runs at once.
+	Endpoints      int // Ranks of one group; the one with most sequences sets the step time.
+	Limit          int // Sequences that an endpoint runs at once.
 	Steps          int
-	ReportLag      int     // Steps until an entry hears a report.
-	OfferedLoad    float64 // Share of the endpoints' capacity that is offered.
+	ReportLag      int     // Steps until an entry receives a report.
+	OfferedLoad    float64 // Offered load, as a share of the endpoints' capacity.
 	AnswerSteps    int     // Mean length of an answer, in steps.
-	Prefixes       int     // Different prompt prefixes.
-	CachedPrefixes int     // Prefixes that an endpoint's cache holds.
+	Prefixes       int     // Number of different prompt prefixes.
+	CachedPrefixes int     // Number of prefixes that the cache of an endpoint holds.
 	PrefillSteps   int     // Steps that an uncached prefix costs.
 	Seed           uint64
 }
 
-// DefaultRouting is the setting of docs/MEASUREMENTS.md.
+// DefaultRouting is the configuration of the figures in docs/MEASUREMENTS.md.
 var DefaultRouting = RoutingConfig{Entries: 6, Endpoints: 12, Limit: 32, Steps: 20000, ReportLag: 1, OfferedLoad: 0.8,
 	AnswerSteps: 60, Prefixes: 60, CachedPrefixes: 10, PrefillSteps: 10, Seed: 1}
 
-// sequence is one answer that runs at an endpoint.
+// sequence is one request that runs at an endpoint.
 type sequence struct {
 	entry int
 	end   int // Step at which it ends.
 }
 
-// engineSim is one endpoint: places, a queue and a cache of prefixes.
+// engineSim simulates one endpoint, with its running sequences, a queue and a prefix
+// cache whose newest entry is the last.
 type engineSim struct {
 	running []sequence
 	queue   []arrival
@@ -48,7 +49,7 @@
 	length    int
 }
 
-// report is what an entry hears of an endpoint, late.
+// report is a load report of an endpoint, which an entry receives at the step at.
 type report struct {
 	at       int
 	entry    int
@@ -57,14 +58,14 @@
 	queued   int
 }
 
-// routingSim is one method under the load.
+// routingSim simulates one method of choosing a rank.
 type routingSim struct {
 	cfg            RoutingConfig
 	rnd            *rand.Rand
 	engines        []engineSim
 	views          [][]route.Candidate // By entry, then endpoint.
 	pendingReports []report
-	nextRank       int // For round robin.
+	nextRank       int // Next rank for round robin.
 	waits          []float64
 	skews          []float64
 	fullest        []float64
@@ -72,7 +73,7 @@
 	starts         int
 }
 
-// Routing compares the choice of rank under late reports.
+// Routing compares methods of choosing a rank when load reports arrive late.
 func Routing(cfg RoutingConfig) Table {
 	t := Table{Title: fmt.Sprintf("Routing: %d entries, %d ranks of %d places, load %.2f, reports %d steps old, %d prefixes, %d cached a rank",
 		cfg.Entries, cfg.Endpoints, cfg.Limit, cfg.OfferedLoad, cfg.ReportLag, cfg.Prefixes, cfg.CachedPrefixes)}
@@ -97,7 +98,8 @@
 	return t
 }
 
-// leastByReport trusts the reports as they are.
+// leastByReport picks the rank with the lowest reported load and ignores requests
+// that were sent since the report.
 func leastByReport(r *routingSim, entry, _ int) int {
 	best := 0
 	for i, c := range r.views[entry] {
@@ -138,12 +140,12 @@
 	}
 }
 
-// prefix draws a prefix; a few are popular.
+// prefix draws a prefix; prefixes with small numbers are more frequent.
 func (r *routingSim) prefix() int {
 	return int(float64(r.cfg.Prefixes) * r.rnd.Float64() * r.rnd.Float64())
 }
 
-// deliverReports brings reports that have become old enough to the entries.
+// deliverReports delivers the reports that are due at a step to the entries.
 func (r *routingSim) deliverReports(step int) {
 	for len(r.pendingReports) > 0 && r.pendingReports[0].at <= step {
 		n := r.pendingReports[0]
@@ -153,7 +155,8 @@
 	}
 }
 
-// advance ends and starts sequences; at both the entry concerned gets a report.
+// advance ends and starts the sequences of one endpoint; at both, a report is sent
+// to the entry of the sequence.
 func (r *routingSim) advance(i, step int) {
 	e := &r.engines[i]
 	kept := e.running[:0]
@@ -186,7 +189,7 @@
 	r.pendingReports = append(r.pendingReports, report{step + r.cfg.ReportLag, entry, endpoint, len(e.running), len(e.queue)})
 }
 
-// lookup looks a prefix up and makes it the newest in the cache.
+// lookup reports whether a prefix is cached, and makes it the newest in the cache.
 func (e *engineSim) lookup(prefix, size int) bool {
 	found := false
 	for i, p := range e.cache {
@@ -203,7 +206,8 @@
 	return found
 }
 
-// recordSkew takes the step's skew: the fullest rank to the mean.
+// recordSkew records the skew of a step: the sequences of the fullest rank relative to
+// the mean of all ranks.
 func (r *routingSim) recordSkew() {
 	maxRunning, total := 0, 0
 	for _, e := range r.engines {
