--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -53,7 +53,7 @@
 	Entries            []Process
 	Agents             []Process
 	Groups             map[string][]Process // By group name, in order of rank.
-	DirectoryAddresses map[string]string    // Address of the fake platform services, by failure domain.
+	DirectoryAddresses map[string]string    // Address of the stand-in for the platform services, by failure domain.
 	SourceIPs          map[string]string    // Source IP address of connections, by failure domain.
 	ControlAddress     string               // Control listener of the stand-ins.
 	Customers          []Customer
--- a/internal/experiment/admission.go
+++ b/internal/experiment/admission.go
@@ -162,8 +162,8 @@
 }
 
 // endedBy returns the ids of the requests that have ended by now, in sorted order.
-func endedBy(ends map[string]time.Time, now time.Time) (ids []string) {
-	for id, at := range ends {
+func endedBy(endTimes map[string]time.Time, now time.Time) (ids []string) {
+	for id, at := range endTimes {
 		if !at.After(now) {
 			ids = append(ids, id)
 		}
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -86,16 +86,18 @@
 	return r
 }
 
+// delivers reports whether a message from a reaches b: b must run, not be paused
+// and be on the same side of the partition, and the message must not be lost.
 func (r *gossipSim) delivers(a, b int) bool {
-	cutOff := func(i int) bool {
+	partitionedOff := func(i int) bool {
 		return r.cfg.PartitionTime > 0 && r.peers[i].domain == r.cfg.Domains-1 &&
 			r.elapsed >= 10*time.Second && r.elapsed < 10*time.Second+r.cfg.PartitionTime
 	}
-	return !r.peers[b].down && r.elapsed >= r.peers[b].pausedUntil && cutOff(a) == cutOff(b) && r.rnd.Float64() >= r.cfg.Loss
+	return !r.peers[b].down && r.elapsed >= r.peers[b].pausedUntil && partitionedOff(a) == partitionedOff(b) && r.rnd.Float64() >= r.cfg.Loss
 }
 
 // exchange sends one message and its reply. It returns false when the message is
-// lost.
+// not delivered.
 func (r *gossipSim) exchange(a, b int) bool {
 	pa, pb := r.peers[a], r.peers[b]
 	now := origin.Add(r.elapsed)
@@ -128,6 +130,7 @@
 	}
 }
 
+// countMessage adds a message with the given members to the traffic of p.
 func (r *gossipSim) countMessage(p *peer, rows []member.Member) {
 	raw, _ := json.Marshal(struct {
 		Version published.Version
@@ -231,8 +234,8 @@
 	r.version = published.Version{Generation: r.version.Generation + 1, Hash: "h"}
 	for i, p := range r.peers {
 		watcher := i < 2*r.cfg.Domains
-		cut := r.cfg.PartitionTime > 0 && p.domain == r.cfg.Domains-1 && r.elapsed >= 10*time.Second && r.elapsed < 10*time.Second+r.cfg.PartitionTime
-		if watcher && !cut && p.config.Adopt(r.version) {
+		partitioned := r.cfg.PartitionTime > 0 && p.domain == r.cfg.Domains-1 && r.elapsed >= 10*time.Second && r.elapsed < 10*time.Second+r.cfg.PartitionTime
+		if watcher && !partitioned && p.config.Adopt(r.version) {
 			p.adoptedAt = r.elapsed
 			r.exchangeWithRandom(i, pushFanout)
 		}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -69,18 +69,18 @@
 
 // CheckPayments compares the reported outcomes of payments with the runs that the
 // services counted.
-func CheckPayments(outcomes map[string]wire.Outcome, runs map[string]int) (v PaymentErrors) {
+func CheckPayments(outcomes map[string]wire.Outcome, runs map[string]int) (errs PaymentErrors) {
 	for id, o := range outcomes {
 		switch n := runs[id]; {
 		case n > 1:
-			v.Doubled++
+			errs.Doubled++
 		case n == 0 && o == wire.Done:
-			v.Lost++
+			errs.Lost++
 		case n == 1 && o == wire.NotRun:
-			v.FalseNotRun++
+			errs.FalseNotRun++
 		}
 	}
-	return v
+	return errs
 }
 
 // Histogram bounds in microseconds, and its precision.
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -18,8 +18,8 @@
 	Values   map[string][]byte  `json:"values"`
 }
 
-// Directory is a fake configuration service and instance list. It is read
-// through Views, each of which can be down, stale or delayed independently of
+// Directory is a stand-in for the configuration service and the instance list. It
+// is read through Views, each of which can be down, stale or delayed independently of
 // the others.
 type Directory struct {
 	mu        sync.Mutex
@@ -40,8 +40,8 @@
 	}
 }
 
-// Publish stores a generation in the order in which an operator does: the
-// values first, then the manifest.
+// Publish stores a generation in the same order as an operator: the values first,
+// then the manifest.
 func (d *Directory) Publish(b Bundle) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,7 +15,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// GroupConfig configures a fake engine group.
+// GroupConfig configures a stand-in engine group.
 type GroupConfig struct {
 	Ranks           int
 	StepTime        time.Duration // Time of one step of an idle group.
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -19,26 +19,26 @@
 	value T
 }
 
-func (l *delayed[T]) add(now time.Time, v T) {
-	l.entries = append(l.entries, timedValue[T]{now, v})
-	l.trim(now)
+func (d *delayed[T]) add(now time.Time, v T) {
+	d.entries = append(d.entries, timedValue[T]{now, v})
+	d.trim(now)
 }
 
-func (l *delayed[T]) trim(now time.Time) {
-	for len(l.entries) > 1 && now.Sub(l.entries[1].at) >= l.lag {
-		l.entries = l.entries[1:]
+func (d *delayed[T]) trim(now time.Time) {
+	for len(d.entries) > 1 && now.Sub(d.entries[1].at) >= d.lag {
+		d.entries = d.entries[1:]
 	}
 }
 
-func (l *delayed[T]) get(now time.Time) (v T) {
-	l.trim(now)
-	if len(l.entries) == 0 {
+func (d *delayed[T]) get(now time.Time) (v T) {
+	d.trim(now)
+	if len(d.entries) == 0 {
 		return v
 	}
-	return l.entries[0].value
+	return d.entries[0].value
 }
 
-// Store is a fake weight store. All engines of a site share its transfer rate;
+// Store is a stand-in for the weight store. All engines of a site share its rate;
 // their loads run one after the other.
 type Store struct {
 	rate float64 // Bytes per second.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -59,7 +59,7 @@
 	FaultPartition = "cut"     // A failure domain is partitioned off; its view needs FaultDown as well.
 )
 
-// Server runs the fakes of one site behind their listeners.
+// Server runs the stand-ins of one site behind their listeners.
 type Server struct {
 	Dir      *Directory
 	Views    map[string]*View    // By failure domain.
@@ -80,7 +80,7 @@
 	handler  http.Handler
 }
 
-// Load creates the fakes that a settings file describes and opens their
+// Load creates the stand-ins that a settings file describes and opens their
 // listeners. All errors of the file are returned together.
 func Load(name string) (s *Server, err error) {
 	raw, err := os.ReadFile(name)
@@ -98,7 +98,7 @@
 	return s, f.Problems().Err()
 }
 
-// New creates the fakes of a parsed settings file and opens their listeners.
+// New creates the stand-ins of a parsed settings file and opens their listeners.
 func New(f *inifile.File) (s *Server, err error) {
 	s = &Server{
 		Dir: NewDirectory(), Views: map[string]*View{},
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Service is a fake plain service that counts its runs, such as a catalogue or
-// the API that pays refunds.
+// Service is a stand-in for a plain service, such as a catalogue or the API that
+// pays refunds. It counts its runs.
 type Service struct {
 	mu       sync.Mutex
 	runs     map[string]int // Runs by the id in the request.
--- a/internal/standin/token.go
+++ b/internal/standin/token.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package standin implements fakes of the platform for demonstrations and
+// Package standin implements stand-ins for the platform in demonstrations and
 // tests: an engine group that runs in lockstep, a plain service that counts its
 // runs, the configuration service and the instance list, each with faults that
 // can be switched on. They are small fakes at the platform's interfaces, not a
--- a/internal/trace/make.go
+++ b/internal/trace/make.go
@@ -50,23 +50,23 @@
 	if cfg.Layers < 1 || cfg.Experts < 2 || cfg.Steps < 1 {
 		return nil, errors.New("a trace needs at least 1 layer, 2 experts and 1 step")
 	}
-	m := &generator{cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 11))}
+	g := &generator{cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 11))}
 	for range 4 {
-		m.questionTypes = append(m.questionTypes, m.popularity())
+		g.questionTypes = append(g.questionTypes, g.popularity())
 	}
 	mix, ok := map[Kind]func(step int) []float64{
-		Daily: m.dailyMix, Shift: m.shiftMix, Spike: m.uniformMix, ZipfWalk: m.uniformMix, Adversarial: m.adversarialMix,
+		Daily: g.dailyMix, Shift: g.shiftMix, Spike: g.uniformMix, ZipfWalk: g.uniformMix, Adversarial: g.adversarialMix,
 	}[cfg.Kind]
 	if !ok {
 		return nil, errors.Newf("no kind %q of trace", cfg.Kind)
 	}
 	for s := range cfg.Steps {
 		if cfg.Kind == ZipfWalk {
-			m.perturb()
+			g.perturb()
 		}
-		sample := m.sample(mix(s))
+		sample := g.sample(mix(s))
 		if cfg.Kind == Spike {
-			m.addSpike(sample, s)
+			g.addSpike(sample, s)
 		}
 		t = append(t, sample)
 	}
@@ -75,12 +75,12 @@
 
 // popularity draws the share of each expert in a question type: a Zipf
 // distribution over a random order of the experts.
-func (m *generator) popularity() [][]float64 {
-	layers := make([][]float64, m.cfg.Layers)
+func (g *generator) popularity() [][]float64 {
+	layers := make([][]float64, g.cfg.Layers)
 	for l := range layers {
-		layers[l] = make([]float64, m.cfg.Experts)
+		layers[l] = make([]float64, g.cfg.Experts)
 		total := 0.0
-		for rank, e := range m.rnd.Perm(m.cfg.Experts) {
+		for rank, e := range g.rnd.Perm(g.cfg.Experts) {
 			layers[l][e] = 1 / math.Pow(float64(rank+1), zipfExponent)
 			total += layers[l][e]
 		}
@@ -92,20 +92,20 @@
 }
 
 // sample draws one sample for the weights of the question types in mix.
-func (m *generator) sample(mix []float64) [][]float64 {
+func (g *generator) sample(mix []float64) [][]float64 {
 	total := 0.0
 	for _, w := range mix {
 		total += w
 	}
-	out := make([][]float64, m.cfg.Layers)
+	out := make([][]float64, g.cfg.Layers)
 	for l := range out {
-		out[l] = make([]float64, m.cfg.Experts)
+		out[l] = make([]float64, g.cfg.Experts)
 		for e := range out[l] {
 			share := 0.0
 			for i, w := range mix {
-				share += w / total * m.questionTypes[i][l][e]
+				share += w / total * g.questionTypes[i][l][e]
 			}
-			out[l][e] = math.Max(0, math.Round(tokensPerLayer*share*(1+relativeNoise*m.rnd.NormFloat64())))
+			out[l][e] = math.Max(0, math.Round(tokensPerLayer*share*(1+relativeNoise*g.rnd.NormFloat64())))
 		}
 	}
 	return out
@@ -113,8 +113,8 @@
 
 // dailyMix returns the weights of the question types at a time of the day: survey,
 // logbook and comparison over the day, and kiosks in the morning and the evening.
-func (m *generator) dailyMix(step int) []float64 {
-	day := float64(step) / float64(m.cfg.Steps)
+func (g *generator) dailyMix(step int) []float64 {
+	day := float64(step) / float64(g.cfg.Steps)
 	peak := func(at, width float64) float64 {
 		d := math.Abs(day - at)
 		d = math.Min(d, 1-d)
@@ -130,16 +130,16 @@
 
 // shiftMix gives one question type most of the load, and changes the type four
 // times in a trace.
-func (m *generator) shiftMix(step int) []float64 {
+func (g *generator) shiftMix(step int) []float64 {
 	mix := []float64{0.1, 0.1, 0.1, 0.1}
-	mix[step*5/m.cfg.Steps%4] = 1
+	mix[step*5/g.cfg.Steps%4] = 1
 	return mix
 }
 
-func (m *generator) uniformMix(int) []float64 { return []float64{1, 1, 1, 1} }
+func (g *generator) uniformMix(int) []float64 { return []float64{1, 1, 1, 1} }
 
 // adversarialMix alternates between two question types every flipInterval samples.
-func (m *generator) adversarialMix(step int) []float64 {
+func (g *generator) adversarialMix(step int) []float64 {
 	if step/flipInterval%2 == 0 {
 		return []float64{1, 0, 0, 0}
 	}
@@ -147,23 +147,23 @@
 }
 
 // addSpike makes one expert per layer hot for the first few samples of each interval.
-func (m *generator) addSpike(sample [][]float64, step int) {
+func (g *generator) addSpike(sample [][]float64, step int) {
 	const interval, duration, factor = 60, 6, 6
 	if step%interval >= duration {
 		return
 	}
 	for l := range sample {
-		sample[l][(step/interval*7+l*13)%m.cfg.Experts] *= factor
+		sample[l][(step/interval*7+l*13)%g.cfg.Experts] *= factor
 	}
 }
 
 // perturb multiplies each popularity by a small random factor.
-func (m *generator) perturb() {
+func (g *generator) perturb() {
 	const stepSize = 0.02
-	for _, layers := range m.questionTypes {
+	for _, layers := range g.questionTypes {
 		for _, experts := range layers {
 			for e := range experts {
-				experts[e] *= math.Exp(stepSize * m.rnd.NormFloat64())
+				experts[e] *= math.Exp(stepSize * g.rnd.NormFloat64())
 			}
 		}
 	}
