--- a/internal/adapter/adapter.go
+++ b/internal/adapter/adapter.go
@@ -40,9 +40,9 @@
 	return 0
 }
 
-// Rest returns for how long the one that failed a call wants nothing more, 0 when it did not
+// Backoff returns for how long the one that failed a call wants nothing more, 0 when it did not
 // say so.
-func Rest(err error) time.Duration {
+func Backoff(err error) time.Duration {
 	var se *statusError
 	if errors.As(err, &se) {
 		return se.rest
@@ -92,9 +92,9 @@
 	return err
 }
 
-// IdleTime is how long a transport keeps a connection that rests. Servers of ours keep theirs
+// IdleTimeout is how long a transport keeps a connection that rests. Servers of ours keep theirs
 // longer, and wait for as long in a planned stop.
-const IdleTime = 3 * time.Second
+const IdleTimeout = 3 * time.Second
 
 // NewTransport returns a transport that keeps connections to many peers. It is
 // used only for requests that are harmless to repeat: net/http sends some
@@ -109,7 +109,7 @@
 		Proxy:                 nil,
 		DialContext:           d.DialContext,
 		MaxIdleConnsPerHost:   256,
-		IdleConnTimeout:       IdleTime,
+		IdleConnTimeout:       IdleTimeout,
 		ReadBufferSize:        2 << 10,
 		WriteBufferSize:       2 << 10,
 		ResponseHeaderTimeout: 0,
@@ -117,10 +117,10 @@
 	}
 }
 
-// NewSingleTransport returns a transport that opens a connection for each
+// NewSingleUseTransport returns a transport that opens a connection for each
 // request and closes it afterwards. net/http repeats a request by itself only
 // on a connection it has used before, so that one sent here is sent once.
-func NewSingleTransport(source string) *http.Transport {
+func NewSingleUseTransport(source string) *http.Transport {
 	t := NewTransport(source)
 	t.DisableKeepAlives = true
 	return t
--- a/internal/adapter/adapter_test.go
+++ b/internal/adapter/adapter_test.go
@@ -39,10 +39,10 @@
 			g := gomega.NewWithT(t)
 			url, runs := breaking(t)
 			kept := &http.Client{Transport: NewTransport("")}
-			s := NewService(url, kept, &http.Client{Transport: NewSingleTransport("")})
+			s := NewService(url, kept, &http.Client{Transport: NewSingleUseTransport("")})
 			_, err := s.Do(context.Background(), Call{Method: http.MethodGet, Path: "/warm"})
 			g.Expect(err).NotTo(gomega.HaveOccurred())
-			call.Once = once
+			call.SendOnce = once
 			_, err = s.Do(context.Background(), call)
 			g.Expect(err).To(gomega.HaveOccurred())
 			g.Expect(NotSent(err)).To(gomega.BeFalse())
@@ -62,7 +62,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	_ = l.Close()
-	c := &http.Client{Transport: NewSingleTransport("")}
+	c := &http.Client{Transport: NewSingleUseTransport("")}
 	_, err = NewService("http://"+l.Addr().String(), c, c).Do(context.Background(), Call{Method: http.MethodPost, Path: "/"})
 	g.Expect(NotSent(err)).To(gomega.BeTrue())
 }
@@ -87,7 +87,7 @@
 
 func TestAnAnswerCutShortIsNoAnswer(t *testing.T) {
 	ctx := context.Background()
-	kept, single := &http.Client{Transport: NewTransport("")}, &http.Client{Transport: NewSingleTransport("")}
+	kept, single := &http.Client{Transport: NewTransport("")}, &http.Client{Transport: NewSingleUseTransport("")}
 	service := func(call Call) func(url string) error {
 		return func(url string) error {
 			_, err := NewService(url, kept, single).Do(ctx, call)
@@ -96,13 +96,13 @@
 	}
 	readers := map[string]func(url string) error{
 		"record":         service(Call{Method: http.MethodGet, Path: "/"}),
-		"payment":        service(Call{Method: http.MethodPost, Path: "/", Body: []byte("x"), Once: true}),
+		"payment":        service(Call{Method: http.MethodPost, Path: "/", Body: []byte("x"), SendOnce: true}),
 		"engine state":   func(url string) error { _, err := NewEngine(url, kept).State(ctx); return err },
 		"engine experts": func(url string) error { _, err := NewEngine(url, kept).Experts(ctx); return err },
 		"engine order":   func(url string) error { _, err := NewEngine(url, kept).Order(ctx, MapOrder{}); return err },
 		"KV cache":       func(url string) error { _, err := NewEngine(url, kept).Export(ctx, "r"); return err },
 		"configuration":  func(url string) error { _, err := NewConfigService(url, kept).Get(ctx, "k"); return err },
-		"watch":          func(url string) error { _, err := NewConfigService(url, kept).Wait(ctx, "k", ""); return err },
+		"watch":          func(url string) error { _, err := NewConfigService(url, kept).Watch(ctx, "k", ""); return err },
 		"instances":      func(url string) error { _, err := NewInstances(url, kept).List(ctx); return err },
 	}
 	for how, answer := range map[string]string{
@@ -130,7 +130,7 @@
 		"HTTP/1.1 closing, chunked": {http.MethodGet, "HTTP/1.1 200 OK\r\nConnection: close\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := &http.Client{Transport: NewSingleTransport("")}
+			c := &http.Client{Transport: NewSingleUseTransport("")}
 			_, err := NewService(raw(t, one.answer), c, c).Do(context.Background(), Call{Method: one.method, Path: "/"})
 			gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 		})
--- a/internal/adapter/directory.go
+++ b/internal/adapter/directory.go
@@ -51,9 +51,9 @@
 type ConfigService struct {
 	// Get reads the value of a key.
 	Get func(ctx context.Context, key string) (value []byte, err error)
-	// Wait returns the value of a key once its hash is not the one given, or
+	// Watch returns the value of a key once its hash is not the one given, or
 	// nil when it did not change for a while.
-	Wait func(ctx context.Context, key, hash string) (value []byte, err error)
+	Watch func(ctx context.Context, key, hash string) (value []byte, err error)
 }
 
 // waitTimeout bounds one waiting call, above the service's own bound.
@@ -68,7 +68,7 @@
 			value, err = get(ctx, c, base+"/v1/keys/"+key)
 			return value, errors.Wrapf(err, "read %s", key)
 		},
-		Wait: func(ctx context.Context, key, hash string) (value []byte, err error) {
+		Watch: func(ctx context.Context, key, hash string) (value []byte, err error) {
 			ctx, cancel := context.WithTimeout(ctx, waitTimeout)
 			defer cancel()
 			value, err = get(ctx, c, base+"/v1/watch/"+key+"?hash="+url.QueryEscape(hash))
--- a/internal/adapter/service.go
+++ b/internal/adapter/service.go
@@ -14,20 +14,20 @@
 
 // Call is a request to a plain service.
 type Call struct {
-	Method string
-	Path   string
-	Type   string // Content type of Body.
-	Key    string // Idempotency key, "" when there is none.
-	Body   []byte
-	Once   bool // Whether the call may not be repeated, not even by the transport.
+	Method    string
+	Path      string
+	MediaType string // Content type of Body.
+	Key       string // Idempotency key, "" when there is none.
+	Body      []byte
+	SendOnce  bool // Whether the call may not be repeated, not even by the transport.
 }
 
 // Reply is the whole answer of a plain service.
 type Reply struct {
-	Status int
-	Type   string
-	Body   []byte
-	Rest   time.Duration // For which the service wants nothing more; 0 when it did not say so.
+	Status    int
+	MediaType string
+	Body      []byte
+	Backoff   time.Duration // For which the service wants nothing more; 0 when it did not say so.
 }
 
 // Service is the adapter to one plain service.
@@ -46,7 +46,7 @@
 	return &Service{
 		Do: func(ctx context.Context, call Call) (r Reply, err error) {
 			c := kept
-			if call.Once {
+			if call.SendOnce {
 				c = single
 			}
 			return do(ctx, c, base, call)
@@ -65,8 +65,8 @@
 	if err != nil {
 		return r, notSentError{err}
 	}
-	if call.Type != "" {
-		req.Header.Set("Content-Type", call.Type)
+	if call.MediaType != "" {
+		req.Header.Set("Content-Type", call.MediaType)
 	}
 	if call.Key != "" {
 		req.Header.Set("Idempotency-Key", call.Key)
@@ -80,5 +80,5 @@
 	if err != nil {
 		return r, err
 	}
-	return Reply{Status: resp.StatusCode, Type: resp.Header.Get("Content-Type"), Body: raw, Rest: restOf(resp)}, nil
+	return Reply{Status: resp.StatusCode, MediaType: resp.Header.Get("Content-Type"), Body: raw, Backoff: restOf(resp)}, nil
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -64,7 +64,7 @@
 	}
 	set, err := settings.Parse("test.ini", layout.Settings(p))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	set.ConfigService, set.Instances, set.Source = directory.URL, directory.URL, ""
+	set.ConfigServiceURL, set.InstancesURL, set.SourceIP = directory.URL, directory.URL, ""
 	if change != nil {
 		change(set)
 	}
@@ -139,7 +139,7 @@
 		if hold != nil {
 			<-hold
 		}
-		return adapter.Reply{Status: http.StatusOK, Type: "text/plain", Body: []byte("paid")}, err
+		return adapter.Reply{Status: http.StatusOK, MediaType: "text/plain", Body: []byte("paid")}, err
 	}}
 }
 
@@ -152,7 +152,7 @@
 	first := make(chan answer, 1)
 	var beside sync.WaitGroup
 	beside.Go(func() { first <- b.send(env, "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(1))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(1))
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Unknown), "a copy while it runs")
 	close(c.hold)
 	g.Expect((<-first).outcome).To(gomega.Equal(wire.Done))
@@ -204,7 +204,7 @@
 
 func TestNotRunIsNeverSaidAfterTheSend(t *testing.T) {
 	g := gomega.NewWithT(t)
-	gone := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")})
+	gone := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleUseTransport("")})
 	b := newBench(t, nil, nil, gone)
 	env := call(ident.NewKey(b.slot).String())
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "nobody listens: nothing was sent")
@@ -218,7 +218,7 @@
 		panic(http.ErrAbortHandler)
 	}))
 	t.Cleanup(srv.Close)
-	b = newBench(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleTransport("")}))
+	b = newBench(t, nil, nil, adapter.NewService(srv.URL, http.DefaultClient, &http.Client{Transport: adapter.NewSingleUseTransport("")}))
 	g.Expect(b.send(call(""), "").outcome).To(gomega.Equal(wire.Unknown))
 	g.Expect(once.count()).To(gomega.Equal(1))
 }
@@ -234,13 +234,13 @@
 func TestFullQueuesRefuseAsNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := &counter{hold: make(chan struct{})}
-	b := newBench(t, func(s *settings.Settings) { s.Queue, s.MinLimit, s.MaxLimit, s.Keys = 1, 1, 1, 2 }, nil, c.service())
+	b := newBench(t, func(s *settings.Settings) { s.QueueCapacity, s.MinLimit, s.MaxLimit, s.MaxKeys = 1, 1, 1, 2 }, nil, c.service())
 	var beside sync.WaitGroup
 	answers := make(chan answer, 2)
 	for i := range 2 {
 		beside.Go(func() { answers <- b.send(call(ident.NewKey(b.slot).String()), fmt.Sprint(i)) })
 	}
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(2))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(2))
 	refused := b.send(call(""), "")
 	g.Expect(refused.outcome).To(gomega.Equal(wire.NotRun))
 	g.Expect(refused.body).To(gomega.ContainSubstring("queue full"))
@@ -280,9 +280,9 @@
 	var beside sync.WaitGroup
 	runs, waits := make(chan answer, 1), make(chan answer, 1)
 	beside.Go(func() { runs <- b.send(call(""), "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(1))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(1))
 	beside.Go(func() { waits <- b.send(call(""), "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(2))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(2))
 	b.agent.node.Leave("test")
 	g.Expect((<-waits).outcome).To(gomega.Equal(wire.NotRun), "what waits hears at once")
 	g.Expect(b.send(call(""), "").outcome).To(gomega.Equal(wire.NotRun))
@@ -405,7 +405,7 @@
 			g.Expect(got.err).NotTo(gomega.HaveOccurred())
 			g.Expect(got.status).To(gomega.Equal(http.StatusInternalServerError))
 			g.Expect(got.outcome).To(gomega.Equal(tc.outcome))
-			g.Eventually(b.agent.Busy, "20s").Should(gomega.BeZero())
+			g.Eventually(b.agent.InFlight, "20s").Should(gomega.BeZero())
 		})
 	}
 }
--- a/internal/agent/ended_test.go
+++ b/internal/agent/ended_test.go
@@ -77,10 +77,10 @@
 				base := breaker(t, ends, tc.head)
 				var a answer
 				if tc.engine {
-					b := newBench(t, nil, adapter.NewEngine(base, &http.Client{Transport: adapter.NewSingleTransport("")}), nil)
+					b := newBench(t, nil, adapter.NewEngine(base, &http.Client{Transport: adapter.NewSingleUseTransport("")}), nil)
 					a = b.send(wire.Envelope{Kind: wire.KindStream, Customer: "c"}, string(generate))
 				} else {
-					once := &http.Client{Transport: adapter.NewSingleTransport("")}
+					once := &http.Client{Transport: adapter.NewSingleUseTransport("")}
 					b := newBench(t, nil, nil, adapter.NewService(base, once, once))
 					a = b.send(call(""), "x")
 				}
--- a/internal/agent/mapper_test.go
+++ b/internal/agent/mapper_test.go
@@ -26,7 +26,7 @@
 // said to check fences, so that no lease is asked for.
 func guarded(t *testing.T, engine *adapter.Engine) *Agent {
 	t.Helper()
-	n, err := node.New(&settings.Settings{Name: "a", GossipInterval: time.Second, Fences: true}, zap.NewNop())
+	n, err := node.New(&settings.Settings{Name: "a", GossipInterval: time.Second, EngineChecksFences: true}, zap.NewNop())
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	return &Agent{node: n, engine: engine}
 }
@@ -40,7 +40,7 @@
 	srv := httptest.NewServer(group.Rank(0).Handler())
 	t.Cleanup(srv.Close)
 	b := newBench(t, func(s *settings.Settings) {
-		s.Fences = false
+		s.EngineChecksFences = false
 		s.GossipInterval = 100 * time.Millisecond
 	}, adapter.NewEngine(srv.URL, srv.Client()), nil)
 	started := b.agent.node.Started()
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -90,7 +90,7 @@
 
 // contained calls do and reports whether it returned.
 func (a *Agent) contained(do func()) (returned bool) {
-	return duty.Contain("request", a.node.Log(), a.node.Metrics(), do)
+	return duty.RunRecovered("request", a.node.Log(), a.node.Metrics(), do)
 }
 
 // headed notes whether the head of an answer has gone out.
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
-	j = &job{agent: a, env: env, body: body, life: requestChart.Machine(), name: env.ID}
+	j = &job{agent: a, env: env, body: body, life: requestChart.NewMachine(), name: env.ID}
 	return j, j.mark(time.Now())
 }
 
@@ -368,8 +368,8 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(r.Context()), j.timeout())
 	defer cancel()
 	reply, err := a.service.Do(ctx, adapter.Call{
-		Method: j.env.Method, Path: j.env.Path, Type: j.env.ContentType, Key: j.env.Key,
-		Body: j.body, Once: j.env.NoRetry,
+		Method: j.env.Method, Path: j.env.Path, MediaType: j.env.ContentType, Key: j.env.Key,
+		Body: j.body, SendOnce: j.env.NoRetry,
 	})
 	switch {
 	case adapter.NotSent(err):
@@ -383,15 +383,15 @@
 		a.refuse(w, doubt)
 		return
 	}
-	a.rest(reply.Rest)
-	j.finishKey(once.Answer{Status: reply.Status, Type: reply.Type, Body: reply.Body})
+	a.rest(reply.Backoff)
+	j.finishKey(once.Answer{Status: reply.Status, Type: reply.MediaType, Body: reply.Body})
 	j.end(eventFinish)
 	a.count("calls.done")
 	h := w.Header()
 	h.Set(wire.HeaderOutcome, string(wire.Done))
 	h.Set(wire.HeaderRequest, j.name)
 	h.Set(wire.HeaderLoad, wire.EncodeLoad(a.Load()))
-	h.Set("Content-Type", reply.Type)
+	h.Set("Content-Type", reply.MediaType)
 	h.Set("Content-Length", strconv.Itoa(len(reply.Body)))
 	w.WriteHeader(reply.Status)
 	_, _ = w.Write(reply.Body) // The entry may be gone; the outcome is kept.
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -22,19 +22,19 @@
 
 // The kinds of records.
 const (
-	ConfigAdopted Kind = "config-adopted"
-	ConfigRefused Kind = "config-refused"
-	ConfigClash   Kind = "config-clash"
-	MemberChanged Kind = "member-changed"
-	PolicyFailed  Kind = "policy-failed"
-	StrayAnswer   Kind = "stray-answer"
-	StreamMoved   Kind = "stream-moved"
-	Drain         Kind = "drain"
-	Woke          Kind = "woke"
-	Stalled       Kind = "stalled"
-	ShareChanged  Kind = "share-changed"
-	PeerRefused   Kind = "peer-refused"
-	MapSwitch     Kind = "map-switch"
+	ConfigAdopted  Kind = "config-adopted"
+	ConfigRejected Kind = "config-refused"
+	ConfigConflict Kind = "config-clash"
+	MemberChanged  Kind = "member-changed"
+	PolicyFailed   Kind = "policy-failed"
+	StrayAnswer    Kind = "stray-answer"
+	StreamMoved    Kind = "stream-moved"
+	Drain          Kind = "drain"
+	PauseDetected  Kind = "woke"
+	Stalled        Kind = "stalled"
+	ShareChanged   Kind = "share-changed"
+	PeerRejected   Kind = "peer-refused"
+	MapSwitch      Kind = "map-switch"
 )
 
 // Record is one line of the trail.
@@ -51,12 +51,12 @@
 	node string
 	log  *zap.Logger
 	reg  metrics.Registry
-	ring *ring.Last[Record]
+	ring *ring.Buffer[Record]
 }
 
 // New returns an empty trail that also writes to log and counts in reg.
 func New(node string, log *zap.Logger, reg metrics.Registry) *Trail {
-	return &Trail{node: node, log: log, reg: reg, ring: ring.NewLast[Record](kept)}
+	return &Trail{node: node, log: log, reg: reg, ring: ring.NewBuffer[Record](kept)}
 }
 
 // Add puts a record on the trail.
--- a/internal/cli/plays.go
+++ b/internal/cli/plays.go
@@ -66,23 +66,23 @@
 // print prints each play, the sums, and what is wrong; it returns the plays that fail the verb.
 func (v *playsVerb) print(list []*plays.Play) (wrong int) {
 	out := v.app.out
-	ends, probes := plays.Ends{}, plays.Ends{}
+	ends, probes := plays.Outcomes{}, plays.Outcomes{}
 	told := 0
 	for _, p := range list {
-		es, ok := p.Ends()
+		es, ok := p.Outcomes()
 		if !ok {
 			continue
 		}
 		told++
 		ends.Add(es)
 		probes.Add(p.Probes())
-		fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), es)
+		fmt.Fprintf(out, "%s: %s: %s\n", p.Location(), p.Day(), es)
 	}
 	fmt.Fprintf(out, "\n%d plays, %d tell how tries ended: %s\nprobes of the configuration: %s\n", len(list), told, ends, probes)
 	for _, p := range list {
 		what, bad := findings(p)
 		if what != "" {
-			fmt.Fprintf(out, "%s: %s: %s\n", p.At(), p.Day(), what)
+			fmt.Fprintf(out, "%s: %s: %s\n", p.Location(), p.Day(), what)
 		}
 		if bad {
 			wrong++
@@ -99,18 +99,18 @@
 	var list []string
 	if n := p.Unanswered(); n > 0 {
 		text := fmt.Sprintf("%d cut before an answer", n)
-		if kills := p.Kills(); len(kills) > 0 {
+		if kills := p.KillFaults(); len(kills) > 0 {
 			text += " (to be told from those of " + strings.Join(kills, ", ") + ")"
 		}
-		list, bad = append(list, text), len(p.Kills()) == 0
+		list, bad = append(list, text), len(p.KillFaults()) == 0
 	}
-	if b := p.Broken(); len(b) > 0 {
+	if b := p.BrokenRules(); len(b) > 0 {
 		list, bad = append(list, "rules broken: "+strings.Join(b, ", ")), true
 	}
-	if n := p.Exits(); n > 0 {
+	if n := p.UnexpectedExits(); n > 0 {
 		list = append(list, fmt.Sprintf("%d processes ended by themselves", n))
 	}
-	if n := p.OwnFailures(); n > 0 {
+	if n := p.GatewayErrors(); n > 0 {
 		list = append(list, fmt.Sprintf("%d times an own 5xx other than 503", n))
 	}
 	return strings.Join(list, "; "), bad
@@ -120,7 +120,7 @@
 func unread(list []*plays.Play) (left []*plays.Play) {
 	for _, p := range list {
 		if !slices.ContainsFunc(list, func(q *plays.Play) bool {
-			_, ok := q.Ends()
+			_, ok := q.Outcomes()
 			return ok && q.SameDay(p)
 		}) {
 			left = append(left, p)
--- a/internal/daemon/closed_under_request_test.go
+++ b/internal/daemon/closed_under_request_test.go
@@ -96,12 +96,12 @@
 	t.Cleanup(service.Close)
 	s.set, err = settings.Parse("test.ini", layout.Settings(p))
 	g.Expect(err).NotTo(HaveOccurred())
-	s.set.ConfigService, s.set.Instances, s.set.Source, s.set.Seeds = directory.URL, directory.URL, "", nil
-	s.set.Peers, s.set.Operators, s.set.Advertise = "127.0.0.1:0", "127.0.0.1:0", ""
+	s.set.ConfigServiceURL, s.set.InstancesURL, s.set.SourceIP, s.set.Seeds = directory.URL, directory.URL, "", nil
+	s.set.PeersAddress, s.set.OperatorsAddress, s.set.AdvertisedAddress = "127.0.0.1:0", "127.0.0.1:0", ""
 	if role == adapter.RoleEntry {
-		s.set.Callers = "127.0.0.1:0"
+		s.set.CallersAddress = "127.0.0.1:0"
 	} else {
-		s.set.Service = service.URL
+		s.set.ServiceURL = service.URL
 	}
 	return s
 }
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -45,12 +45,12 @@
 	// callersMaxAdvertised is the timeout that is advertised to callers and operators: a planned
 	// stop waits for as long.
 	callersMaxAdvertised = 5 * time.Second
-	// peersIdleTimeout is for peers, which close idle connections after adapter.IdleTime. The extra
+	// peersIdleTimeout is for peers, which close idle connections after adapter.IdleTimeout. The extra
 	// time covers an answer in transit or waiting at a busy peer.
-	peersIdleTimeout = adapter.IdleTime + 2*time.Second
+	peersIdleTimeout = adapter.IdleTimeout + 2*time.Second
 	// peersNewConnTimeout is for peers' connections without a request, in a planned stop: their
 	// transports open some in advance.
-	peersNewConnTimeout = adapter.IdleTime + time.Second
+	peersNewConnTimeout = adapter.IdleTimeout + time.Second
 )
 
 // Times and limits of a planned stop.
@@ -166,7 +166,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-d.node.Left():
+	case <-d.node.Leaving():
 	}
 	began := time.Now()
 	for _, ln := range d.listeners {
@@ -203,7 +203,7 @@
 	if n := d.openConns(); n > 0 {
 		d.log.Warn("stopped with connections open", zap.Int("connections", n))
 	}
-	d.node.Idle()
+	d.node.MarkIdle()
 }
 
 // openConns returns the number of open connections.
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -94,7 +94,7 @@
 // flight. Report returns false for a report of an earlier process, which is ignored.
 func (t *Table) Report(id string, l Load) (accepted bool) {
 	e := t.getOrCreate(id)
-	switch fleet.CompareLives(e.startedAt, l.StartedAt) {
+	switch fleet.CompareIncarnations(e.startedAt, l.StartedAt) {
 	case -1:
 		return false
 	case 1:
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -29,11 +29,11 @@
 // NewShape returns the shape of engines whose callers allow a pause between two events.
 func NewShape(e *fleet.Engine, pause time.Duration) Shape {
 	return Shape{
-		FixedCost:       max(float64(e.StepTime)/float64(e.WriterTime), 1),
+		FixedCost:       max(float64(e.BaseStepTime)/float64(e.DecodeTimePerRequest), 1),
 		Slots:           e.Slots,
-		EmptyPass:       e.StepTime * time.Duration(e.StepsInPass),
+		EmptyPass:       e.BaseStepTime * time.Duration(e.StepsPerPass),
 		MaxPause:        pause,
-		PassesPerAnswer: e.UsualAnswer / float64(max(e.StepsInPass, 1)),
+		PassesPerAnswer: e.MeanAnswerTokens / float64(max(e.StepsPerPass, 1)),
 	}
 }
 
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -79,7 +79,7 @@
 	list := []model{}
 	seen := map[string]bool{}
 	for _, s := range req.cfg.Services() {
-		if s.IsGroup() && !seen[s.Model] && req.customer.May(s.Model) {
+		if s.IsGroup() && !seen[s.Model] && req.customer.MayCall(s.Model) {
 			seen[s.Model] = true
 			list = append(list, model{s.Model, "model"})
 		}
@@ -104,7 +104,7 @@
 	if len(groups) == 0 {
 		return wire.Refuse(http.StatusNotFound, 0, "model "+strconv.Quote(body.Model)+" is not served")
 	}
-	if !req.customer.May(body.Model) {
+	if !req.customer.MayCall(body.Model) {
 		return wire.Refuse(http.StatusForbidden, 0, "the customer may not call "+body.Model)
 	}
 	s := &stream{entry: e, req: req, chat: body, groups: groups}
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -145,7 +145,7 @@
 	t.Cleanup(directory.Close)
 	set, err := settings.Parse("test.ini", layout.Settings(layout.Entries[0]))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	set.ConfigService, set.Instances, set.Source, set.Seeds = directory.URL, directory.URL, "", nil
+	set.ConfigServiceURL, set.InstancesURL, set.SourceIP, set.Seeds = directory.URL, directory.URL, "", nil
 	set.SuspectAfter = time.Hour // The agents do not gossip.
 	set.StallAfter = time.Hour
 	n, err := node.New(set, zap.NewNop())
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -56,7 +56,7 @@
 
 // New returns an entry on a node.
 func New(n *node.Node) *Entry {
-	kept, single := adapter.NewTransport(n.Settings().Source), adapter.NewSingleTransport(n.Settings().Source)
+	kept, single := adapter.NewTransport(n.Settings().SourceIP), adapter.NewSingleUseTransport(n.Settings().SourceIP)
 	kept.TLSClientConfig = n.Credentials().Client()
 	single.TLSClientConfig = n.Credentials().Client()
 	e := &Entry{
@@ -68,7 +68,7 @@
 		now:     clock.Now,
 		limits:  &limits{node: n, all: map[string]*held{}},
 	}
-	n.OnGone(e.tracker.gone)
+	n.OnDead(e.tracker.gone)
 	return e
 }
 
@@ -82,8 +82,8 @@
 // Run does the entry's duties until ctx ends.
 func (e *Entry) Run(ctx context.Context) error { return e.limits.run(ctx) }
 
-// Busy returns the number of callers' requests that have not ended.
-func (e *Entry) Busy() int { return int(e.live.Load()) }
+// InFlight returns the number of callers' requests that have not ended.
+func (e *Entry) InFlight() int { return int(e.live.Load()) }
 
 // Handler returns the callers' listener's handlers.
 func (e *Entry) Handler() http.Handler {
@@ -143,7 +143,7 @@
 // contained calls do and reports whether it returned: a fault of the entry's own must not
 // close the connection without an answer.
 func (e *Entry) contained(id string, do func()) (returned bool) {
-	return duty.Contain("request", e.node.Log(), e.node.Metrics(), do, zap.String("request", id))
+	return duty.RunRecovered("request", e.node.Log(), e.node.Metrics(), do, zap.String("request", id))
 }
 
 // faulty returns the refusal of a request that a fault of the entry's own ended.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -78,7 +78,7 @@
 	if !ok {
 		return wire.Refuse(http.StatusNotFound, 0, "no service has this path")
 	}
-	if !req.customer.May(s.Name) {
+	if !req.customer.MayCall(s.Name) {
 		return wire.Refuse(http.StatusForbidden, 0, "the customer may not call "+s.Name)
 	}
 	body, refusal := readBody(req)
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -74,7 +74,7 @@
 // entries is the number by which limits are split. Without a published number
 // it is that of the entries seen, and a cut can let in more than the limit.
 func (l *limits) entries(cfg *published.Config) int {
-	if n := cfg.Entries(); n > 0 {
+	if n := cfg.MaxEntries(); n > 0 {
 		return n
 	}
 	return max(1, len(l.peers())+1)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,7 +17,7 @@
 
 // The kinds of routes.
 const (
-	Once       Kind = iota // At most one endpoint may run it.
+	AtMostOnce Kind = iota // At most one endpoint may run it.
 	Repeatable             // May run more than once.
 	Streaming              // Answers with a series of events.
 )
@@ -33,19 +33,19 @@
 
 // Route tells how requests of one host and path prefix are served.
 type Route struct {
-	Name       string
-	Host       string
-	PathPrefix string // Begins and ends with a slash.
-	Kind       Kind
-	Timeout    time.Duration // Longest time that a request is held.
-	Target     time.Duration // Time to the answer, or its first event, that earns full credit.
-	PauseLimit time.Duration // Longest pause between events that is in time; 0 when none is given.
-	Silence    time.Duration // After so long without a word callers leave; 0 when they wait until their deadline.
-	Priority   int           // 0 is the most urgent.
-	Attempts   int           // Endpoints that one request may be sent to, at least 1.
-	Public     bool          // Needs no key.
-	Resumable  bool          // A stream may go on at another endpoint.
-	Split      []Share       // At least one.
+	Name           string
+	Host           string
+	PathPrefix     string // Begins and ends with a slash.
+	Kind           Kind
+	Timeout        time.Duration // Longest time that a request is held.
+	TargetLatency  time.Duration // Time to the answer, or its first event, that earns full credit.
+	MaxPause       time.Duration // Longest pause between events that is in time; 0 when none is given.
+	SilenceTimeout time.Duration // After so long without a word callers leave; 0 when they wait until their deadline.
+	Priority       int           // 0 is the most urgent.
+	MaxAttempts    int           // Endpoints that one request may be sent to, at least 1.
+	Public         bool          // Needs no key.
+	Resumable      bool          // A stream may go on at another endpoint.
+	Split          []Share       // At least one.
 }
 
 // MayRepeat reports whether a request of the route may be run a second time.
@@ -55,36 +55,36 @@
 
 // Engine is the published shape and speed of a service's model engines.
 type Engine struct {
-	Slots         int           // Requests that run at once on one endpoint.
-	CacheTokens   int           // Tokens that an endpoint's memory holds.
-	Sets          int           // Sets of layers that are balanced on their own.
-	Experts       int           // A set.
-	Places        int           // Experts that a rank can hold, a set.
-	Spare         int           // Experts that a rank can take on in one change, a set.
-	ExpertBytes   float64       // Of one copy.
-	LinkRate      float64       // Bytes a second between endpoints.
-	ExpertShare   float64       // Part of a token's work that experts do.
-	StepTime      time.Duration // Of a token step without requests.
-	WriterTime    time.Duration // That each writing request adds to a step.
-	ContextTime   time.Duration // That 1,000 tokens of context add to a step.
-	ReadRate      float64       // Prompt tokens a second.
-	PairTime      time.Duration // A million pairs of a prompt token and one before it.
-	ChunkTokens   int           // Prompt tokens read in one step at most.
-	StepsInPass   int           // Steps that a pass makes while requests write.
-	FormTime      time.Duration // From the return of all ranks until the group is open.
-	UsualPrompt   float64       // Mean tokens.
-	UsualAnswer   float64       // Mean tokens.
-	ReportDelayed time.Duration // Age of a report that is asked from another machine.
+	Slots                int           // Requests that run at once on one endpoint.
+	CacheTokens          int           // Tokens that an endpoint's memory holds.
+	LayerSets            int           // Sets of layers that are balanced on their own.
+	ExpertsPerSet        int           // A set.
+	ExpertSlots          int           // Experts that a rank can hold, a set.
+	MaxAddedExperts      int           // Experts that a rank can take on in one change, a set.
+	ExpertBytes          float64       // Of one copy.
+	LinkRate             float64       // Bytes a second between endpoints.
+	ExpertWorkShare      float64       // Part of a token's work that experts do.
+	BaseStepTime         time.Duration // Of a token step without requests.
+	DecodeTimePerRequest time.Duration // That each writing request adds to a step.
+	StepTimePerKTokens   time.Duration // That 1,000 tokens of context add to a step.
+	PrefillRate          float64       // Prompt tokens a second.
+	TimePerMillionPairs  time.Duration // A million pairs of a prompt token and one before it.
+	PrefillChunkTokens   int           // Prompt tokens read in one step at most.
+	StepsPerPass         int           // Steps that a pass makes while requests write.
+	GroupFormTime        time.Duration // From the return of all ranks until the group is open.
+	MeanPromptTokens     float64       // Mean tokens.
+	MeanAnswerTokens     float64       // Mean tokens.
+	ReportLag            time.Duration // Age of a report that is asked from another machine.
 }
 
 // Service is a set of endpoints that are alike.
 type Service struct {
-	Name        string
-	HealthPath  string
-	Connections int           // That one endpoint accepts from all callers together.
-	Engine      *Engine       // Nil for a plain service.
-	ColdTime    time.Duration // For which an endpoint is cold after a start under load; 0 for never.
-	ColdRate    float64       // Requests a second that it bears meanwhile, from all gateways together; 0 for no bound.
+	Name           string
+	HealthPath     string
+	MaxConnections int           // That one endpoint accepts from all callers together.
+	Engine         *Engine       // Nil for a plain service.
+	ColdDuration   time.Duration // For which an endpoint is cold after a start under load; 0 for never.
+	ColdRate       float64       // Requests a second that it bears meanwhile, from all gateways together; 0 for no bound.
 }
 
 // Customer is who a key belongs to.
@@ -167,14 +167,14 @@
 // Services returns all services by name; callers must not change the map.
 func (c *Config) Services() map[string]*Service { return c.services }
 
-// PauseLimit returns the shortest pause between events that a route of a service
+// MaxPause returns the shortest pause between events that a route of a service
 // allows, 0 when none gives one.
-func (c *Config) PauseLimit(service string) (least time.Duration) {
+func (c *Config) MaxPause(service string) (least time.Duration) {
 	for _, routes := range c.byHost {
 		for _, r := range routes {
 			to := slices.ContainsFunc(r.Split, func(s Share) bool { return s.Service == service && s.Weight > 0 })
-			if to && r.PauseLimit > 0 && (least == 0 || r.PauseLimit < least) {
-				least = r.PauseLimit
+			if to && r.MaxPause > 0 && (least == 0 || r.MaxPause < least) {
+				least = r.MaxPause
 			}
 		}
 	}
@@ -200,16 +200,16 @@
 
 // Endpoint is one life of a back end, as the platform lists it.
 type Endpoint struct {
-	// ID is of this life only (LifeID), so that whatever is kept by it ends with the
+	// ID is of this life only (IncarnationID), so that whatever is kept by it ends with the
 	// life: a back end that starts again holds and knows nothing of before.
-	ID       string
-	Born     int64 // When the life began, Unix milliseconds; 0 when not told.
-	Service  string
-	Address  string // IP:PORT.
-	Domain   string
-	Slots    int
-	Leaving  bool          // It ends soon and gets nothing new.
-	ColdLeft time.Duration // How much longer it is slow after its start.
-	Revision uint64        // Of the list entry that told this.
-	Made     uint64        // Revision at which the entry first appeared.
+	ID              string
+	StartedAt       int64 // When the life began, Unix milliseconds; 0 when not told.
+	Service         string
+	Address         string // IP:PORT.
+	Domain          string
+	Slots           int
+	Leaving         bool          // It ends soon and gets nothing new.
+	ColdLeft        time.Duration // How much longer it is slow after its start.
+	Revision        uint64        // Of the list entry that told this.
+	CreatedRevision uint64        // Revision at which the entry first appeared.
 }
--- a/internal/fleet/life.go
+++ b/internal/fleet/life.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// LifeID returns the id of the life of a back end that is listed under a name and
+// IncarnationID returns the id of the life of a back end that is listed under a name and
 // was born at a time, in Unix milliseconds; 0 when that is not told, and the name
 // then stands for one life only.
-func LifeID(name string, born int64) string {
+func IncarnationID(name string, born int64) string {
 	return name + lifeSuffix(born)
 }
 
@@ -24,12 +24,12 @@
 
 // Name returns the name under which the endpoint is listed and which it knows itself
 // by. A later life may have the same one.
-func (e Endpoint) Name() string { return strings.TrimSuffix(e.ID, lifeSuffix(e.Born)) }
+func (e Endpoint) Name() string { return strings.TrimSuffix(e.ID, lifeSuffix(e.StartedAt)) }
 
-// CompareLives compares two births, in Unix milliseconds: it returns -1 when told is
+// CompareIncarnations compares two births, in Unix milliseconds: it returns -1 when told is
 // of an earlier life than known, 1 when it is of a later one, and 0 when both are of
 // one life or either is 0, which is not told.
-func CompareLives(known, told int64) int {
+func CompareIncarnations(known, told int64) int {
 	if known == 0 || told == 0 {
 		return 0
 	}
--- a/internal/follow/life_test.go
+++ b/internal/follow/life_test.go
@@ -16,8 +16,8 @@
 
 // incarnation returns an incarnation of the endpoint that is listed as "a".
 func incarnation(born int64, revision uint64, leaving bool) fleet.Endpoint {
-	e := endpoint(fleet.LifeID("a", born), revision)
-	e.Born, e.Address, e.Made, e.Leaving = born, "a", 1, leaving
+	e := endpoint(fleet.IncarnationID("a", born), revision)
+	e.StartedAt, e.Address, e.CreatedRevision, e.Leaving = born, "a", 1, leaving
 	return e
 }
 
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -245,7 +245,7 @@
 		known, ok = old.byName(name)
 	}
 	if ok {
-		newer := known.Born < e.Born || known.Born == e.Born && known.Revision <= e.Revision
+		newer := known.StartedAt < e.StartedAt || known.StartedAt == e.StartedAt && known.Revision <= e.Revision
 		if !newer {
 			e = known
 		}
@@ -413,10 +413,10 @@
 
 // startedAfter reports whether the incarnation of e started after that of other.
 func startedAfter(e, other fleet.Endpoint) bool {
-	if c := fleet.CompareLives(other.Born, e.Born); c != 0 {
+	if c := fleet.CompareIncarnations(other.StartedAt, e.StartedAt); c != 0 {
 		return c > 0
 	}
-	return e.Made > other.Made
+	return e.CreatedRevision > other.CreatedRevision
 }
 
 // revision returns the revision up to which changes are known.
--- a/internal/follow/view_test.go
+++ b/internal/follow/view_test.go
@@ -25,7 +25,7 @@
 }
 
 func endpoint(id string, revision uint64) fleet.Endpoint {
-	return fleet.Endpoint{ID: id, Service: "s", Address: id, Revision: revision, Made: revision}
+	return fleet.Endpoint{ID: id, Service: "s", Address: id, Revision: revision, CreatedRevision: revision}
 }
 
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
@@ -95,7 +95,7 @@
 	g := NewWithT(t)
 	v := NewView()
 	old, young := endpoint("old", 9), endpoint("young", 8)
-	old.Made, young.Made = 3, 8 // The older incarnation's entry was renewed last.
+	old.CreatedRevision, young.CreatedRevision = 3, 8 // The older incarnation's entry was renewed last.
 	young.Address = old.Address
 	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{old, young}, At: 9}, at(0), false)
 	g.Expect(v.State().ByService["s"]).To(ConsistOf(young))
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -131,7 +131,7 @@
 		fields = append(fields, zap.Int64("first-ms", q.firstByteAt.Sub(q.arrived).Milliseconds()))
 	}
 	if q.refusedBefore {
-		fields = append(fields, zap.Bool("again", true), zap.Int64("patience-ms", q.call.Patience.Milliseconds()))
+		fields = append(fields, zap.Bool("again", true), zap.Int64("patience-ms", q.call.CallerTimeout.Milliseconds()))
 	}
 	if q.waited > 0 {
 		fields = append(fields, zap.Int64("waited-ms", q.waited.Milliseconds()))
--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -19,7 +19,7 @@
 	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() {
 		return // Another endpoint now has this address.
 	}
-	for _, header := range a.Invalid {
+	for _, header := range a.InvalidHeaders {
 		q.note(e.ID + ": invalid header ignored, " + header)
 		q.g.stats.invalidHeaders.Inc(1)
 	}
@@ -29,7 +29,7 @@
 
 // incarnationOf identifies the process of an endpoint for which backoffs are kept.
 func incarnationOf(e fleet.Endpoint) backoff.Process {
-	return backoff.Process{Name: e.Name(), Start: e.Born}
+	return backoff.Process{Name: e.Name(), Start: e.StartedAt}
 }
 
 // applyBackoff records that an endpoint wants no requests for a while, or none at all any more.
@@ -37,14 +37,14 @@
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if a.Rest == 0 {
+	if a.Backoff == 0 {
 		g.backoffs.RecordAnswer(incarnationOf(e), q.sentBoottime)
 	}
-	if a.Rest == 0 && !a.Leaving {
+	if a.Backoff == 0 && !a.Leaving {
 		return
 	}
-	if a.Rest > 0 && g.backoffs.Backoff(incarnationOf(e), a.Rest, now) {
-		g.log.Info("endpoint requests backoff", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Rest))
+	if a.Backoff > 0 && g.backoffs.Backoff(incarnationOf(e), a.Backoff, now) {
+		g.log.Info("endpoint requests backoff", zap.String("endpoint", e.ID), zap.String("request", q.call.ID), zap.Duration("for", a.Backoff))
 	}
 	if a.Leaving && g.backoffs.MarkLeaving(incarnationOf(e), now) {
 		g.log.Info("endpoint announces that it is leaving", zap.String("endpoint", e.ID), zap.String("request", q.call.ID))
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -85,7 +85,7 @@
 
 // mayAttemptMore reports whether the request may be sent to one more endpoint.
 func (q *request) mayAttemptMore() bool {
-	return len(q.attempted) < q.route.Attempts && len(q.unreachable) <= maxUnreached
+	return len(q.attempted) < q.route.MaxAttempts && len(q.unreachable) <= maxUnreached
 }
 
 // candidates returns the endpoints of the service that may be tried, and what excludes others for
@@ -254,7 +254,7 @@
 // without engines.
 func (g *Gateway) shape(c *fleet.Config, service string) (s passes.Shape, ok bool) {
 	svc := c.Service(service)
-	if svc == nil || svc.Engine == nil || svc.Engine.WriterTime <= 0 {
+	if svc == nil || svc.Engine == nil || svc.Engine.DecodeTimePerRequest <= 0 {
 		return s, false
 	}
 	g.shapesMu.Lock()
@@ -263,7 +263,7 @@
 		g.shapesConfig, g.shapes = c, map[string]passes.Shape{}
 	}
 	if s, ok = g.shapes[service]; !ok {
-		s = passes.NewShape(svc.Engine, c.PauseLimit(service))
+		s = passes.NewShape(svc.Engine, c.MaxPause(service))
 		g.shapes[service] = s
 	}
 	return s, true
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -25,7 +25,7 @@
 // coldTerms returns the published limits for cold endpoints of a service.
 func coldTerms(c *fleet.Config, service string) (t cold.Params) {
 	if svc := c.Service(service); svc != nil {
-		t = cold.Params{Period: svc.ColdTime, Rate: svc.ColdRate}
+		t = cold.Params{Period: svc.ColdDuration, Rate: svc.ColdRate}
 	}
 	return t
 }
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -32,7 +32,7 @@
 		snap.Endpoints[i].Domain = fmt.Sprint("d", i)
 	}
 	svc := snap.Config.Service("s")
-	svc.ColdTime, svc.ColdRate = time.Hour, rate
+	svc.ColdDuration, svc.ColdRate = time.Hour, rate
 	view.Replace(snap, time.Now(), false)
 	s.ViewChanged()
 	return s, view, list
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -40,7 +40,7 @@
 // Codec reads and writes the headers of requests and answers.
 type Codec struct {
 	ReadCall       func(h http.Header) fleet.Call
-	EndpointHeader func(in http.Header, s fleet.Stamp) http.Header
+	EndpointHeader func(in http.Header, s fleet.AttemptInfo) http.Header
 	CallerHeader   func(in http.Header) http.Header
 	ReadAnswer     func(status int, h http.Header) fleet.Answer
 	MarkAnswer     func(h http.Header, callID string)
@@ -227,7 +227,7 @@
 	if !ok || s.Config == nil {
 		return
 	}
-	if fleet.CompareLives(e.Born, l.StartedAt) < 0 {
+	if fleet.CompareIncarnations(e.StartedAt, l.StartedAt) < 0 {
 		return
 	}
 	shape, ranked := g.shape(s.Config, e.Service)
--- a/internal/gateway/kept_test.go
+++ b/internal/gateway/kept_test.go
@@ -75,7 +75,7 @@
 		t.Run("length "+length, func(t *testing.T) {
 			g := NewWithT(t)
 			goOn := make(chan struct{})
-			s := newSiteWith(t, func(r *fleet.Route) { r.Kind, r.Attempts = fleet.Once, 1 }, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			s := newSiteWith(t, func(r *fleet.Route) { r.Kind, r.MaxAttempts = fleet.AtMostOnce, 1 }, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set(headerID, r.Header.Get(headerID))
 				w.Header().Set("Content-Type", "text/plain")
 				if length != "" {
@@ -142,7 +142,7 @@
 
 // Guards against leaving a caller without an answer if its endpoint violates the protocol.
 func TestInvalidStatusIsAnswered(t *testing.T) {
-	s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.Once }, http.HandlerFunc(invalidStatus))
+	s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.AtMostOnce }, http.HandlerFunc(invalidStatus))
 	s.expectStatus(NewWithT(t), http.StatusBadGateway)
 }
 
@@ -185,7 +185,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.Once }, newStreamingEndpoint(0))
+			s := newSiteWith(t, func(r *fleet.Route) { r.Kind = fleet.AtMostOnce }, newStreamingEndpoint(0))
 			s.reportLoad(0, 0, 1)
 			var faulty atomic.Bool
 			tc.inject(s, func() {
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -72,7 +72,7 @@
 }
 
 func endpointAt(id string, revision uint64) fleet.Endpoint {
-	return fleet.Endpoint{ID: id, Service: "s", Address: id + ":1", Revision: revision, Made: revision}
+	return fleet.Endpoint{ID: id, Service: "s", Address: id + ":1", Revision: revision, CreatedRevision: revision}
 }
 
 func hello(s testPeer, domain string, blind bool) peers.Hello {
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -16,9 +16,9 @@
 
 // applyLimit applies what an answer says about its endpoint's rate limit.
 func (q *request) applyLimit(e fleet.Endpoint, a fleet.Answer) {
-	w := throttle.Report{Limited: a.Limited, Limit: a.Limit, At: q.g.cfg.Now()}
+	w := throttle.Report{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
 	switch {
-	case a.Limited:
+	case a.HasRateLimit:
 	case a.Signed:
 		w.At = q.sentBoottime // A limit announced since the request was sent remains in effect.
 	default:
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -19,8 +19,8 @@
 // asked to retry, and returns the state of the view.
 func (q *request) awaitConfig() *follow.State {
 	callerTimeout := defaultCallerTimeout
-	if q.call.HasPatience {
-		callerTimeout = q.call.Patience
+	if q.call.HasCallerTimeout {
+		callerTimeout = q.call.CallerTimeout
 	}
 	timer := time.NewTimer(time.Until(hold.UntilConfig(q.arrived, callerTimeout)))
 	defer timer.Stop()
@@ -48,7 +48,7 @@
 	if !q.wontReturn() || !q.mayAttemptMore() || q.fallback != nil {
 		return e, false
 	}
-	until := q.holdUntil(max(q.turnover.FirstEvent, q.route.Target/2))
+	until := q.holdUntil(max(q.turnover.FirstEvent, q.route.TargetLatency/2))
 	if q.allGroupsDown && q.groupOpensAt.After(until) {
 		return e, false // The caller would have left by then.
 	}
--- a/internal/gateway/recover_test.go
+++ b/internal/gateway/recover_test.go
@@ -68,7 +68,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			one, two := twoSilentFirst(tc.after)
-			s := newSiteWith(t, func(r *fleet.Route) { r.Target = 50 * time.Millisecond }, one, two)
+			s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency = 50 * time.Millisecond }, one, two)
 			s.expectServed(g, "a", "")
 			g.Expect(append(one.startEvents(), two.startEvents()...)).To(Equal([]int{tc.from}))
 			g.Expect(s.stats.silentAttempts.Count()).To(BeEquivalentTo(1))
@@ -82,7 +82,7 @@
 func TestSilentAttemptContinuesElsewhereInAFullGroup(t *testing.T) {
 	g := NewWithT(t)
 	one, two := twoSilentFirst(0)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target = 400 * time.Millisecond }, one, two)
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency = 400 * time.Millisecond }, one, two)
 	tell := func(running int) {
 		s.reportLoad(0, running, 1)
 		s.reportLoad(1, running, 1)
@@ -103,15 +103,15 @@
 		retryFloor float64
 	}{
 		{"it may run once only", func(r *fleet.Route) { r.Resumable = false }, 1000},
-		{"no attempt is left", func(r *fleet.Route) { r.Attempts = 1 }, 1000},
+		{"no attempt is left", func(r *fleet.Route) { r.MaxAttempts = 1 }, 1000},
 		{"no retry is left", func(*fleet.Route) {}, 0},
-		{"there is no measure of too long", func(r *fleet.Route) { r.Target = 0 }, 1000},
+		{"there is no measure of too long", func(r *fleet.Route) { r.TargetLatency = 0 }, 1000},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			one, two := twoSilentFirst(0)
 			s := newSiteWith(t, func(r *fleet.Route) {
-				r.Target = 20 * time.Millisecond
+				r.TargetLatency = 20 * time.Millisecond
 				tc.change(r)
 			}, one, two)
 			s.cfg.RetryFloor = tc.retryFloor
@@ -130,7 +130,7 @@
 func TestCallerThatWouldNotRetryWaitsForGroup(t *testing.T) {
 	g := NewWithT(t)
 	only := newStreamingEndpoint(0)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = time.Second, testTimeout }, only)
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency, r.SilenceTimeout = time.Second, testTimeout }, only)
 	group := func(closed bool) {
 		s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: closed, PassTime: 20 * time.Millisecond, At: time.Now()})
 	}
@@ -148,7 +148,7 @@
 func TestAHeldRequestIsRefusedBeforeItsCallerLeaves(t *testing.T) {
 	g := NewWithT(t)
 	only := newStreamingEndpoint(0)
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target, r.Silence = 100*time.Millisecond, 400*time.Millisecond }, only)
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency, r.SilenceTimeout = 100*time.Millisecond, 400*time.Millisecond }, only)
 	s.ReportLoad(s.addresses[0], balance.Load{Group: "g", Closed: true, At: time.Now().Add(time.Hour)})
 	s.expectRefused(g, "again", "20000")
 	g.Expect(only.startEvents()).To(BeEmpty(), "it did not run")
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -130,7 +130,7 @@
 // runRecovered calls do and reports whether it returned without a panic. A fault in the gateway
 // must not close the connection, not even while the answer is still in the server's buffer.
 func (q *request) runRecovered(do func()) (returned bool) {
-	return duty.Contain("request", q.g.log, q.g.stats.reg, do, zap.String("id", q.call.ID))
+	return duty.RunRecovered("request", q.g.log, q.g.stats.reg, do, zap.String("id", q.call.ID))
 }
 
 // handle gives the request its final answer.
@@ -186,13 +186,13 @@
 	}
 	q.service = q.pickService()
 	callerTimeout := defaultCallerTimeout
-	if q.call.HasPatience {
-		callerTimeout = q.call.Patience
+	if q.call.HasCallerTimeout {
+		callerTimeout = q.call.CallerTimeout
 		q.refusedBefore, q.maybeRefused = q.g.callerTimeouts.classify(q.route.Name, callerTimeout, q.route.Timeout)
 	}
 	q.deadline = q.arrived.Add(min(callerTimeout, q.route.Timeout))
 	if q.route.Kind == fleet.Streaming && q.route.Resumable {
-		q.cursor = cursorFrom(q.call.LastEvent)
+		q.cursor = cursorFrom(q.call.LastEventID)
 	}
 	return true
 }
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -38,11 +38,11 @@
 	return Codec{
 		ReadCall: func(h http.Header) fleet.Call {
 			ms, err := strconv.Atoi(h.Get(headerCallerTimeout))
-			return fleet.Call{ID: h.Get(headerID), Patience: time.Duration(ms) * time.Millisecond, HasPatience: err == nil}
+			return fleet.Call{ID: h.Get(headerID), CallerTimeout: time.Duration(ms) * time.Millisecond, HasCallerTimeout: err == nil}
 		},
-		EndpointHeader: func(in http.Header, s fleet.Stamp) http.Header {
+		EndpointHeader: func(in http.Header, s fleet.AttemptInfo) http.Header {
 			out := in.Clone()
-			out.Set(headerLast, s.LastEvent)
+			out.Set(headerLast, s.LastEventID)
 			return out
 		},
 		CallerHeader: func(in http.Header) http.Header { return in },
@@ -120,18 +120,18 @@
 	t.Cleanup(cleanup)
 	s = site{Gateway: gw}
 	route := fleet.Route{
-		Name: "r", Host: "caller.test", PathPrefix: "/", Kind: fleet.Streaming, Resumable: true, Attempts: 2,
-		Timeout: 30 * time.Second, Target: 20 * time.Second, PauseLimit: 120 * time.Millisecond, Split: []fleet.Share{{Service: "s", Weight: 1}},
+		Name: "r", Host: "caller.test", PathPrefix: "/", Kind: fleet.Streaming, Resumable: true, MaxAttempts: 2,
+		Timeout: 30 * time.Second, TargetLatency: 20 * time.Second, MaxPause: 120 * time.Millisecond, Split: []fleet.Share{{Service: "s", Weight: 1}},
 	}
 	change(&route)
 	snap = follow.Snapshot{Config: fleet.NewConfig(1, []fleet.Route{route},
-		[]fleet.Service{{Name: "s", Engine: &fleet.Engine{Slots: slots, StepTime: 5 * time.Millisecond, WriterTime: time.Millisecond, StepsInPass: 4, UsualAnswer: 4 * streamEvents}}},
+		[]fleet.Service{{Name: "s", Engine: &fleet.Engine{Slots: slots, BaseStepTime: 5 * time.Millisecond, DecodeTimePerRequest: time.Millisecond, StepsPerPass: 4, MeanAnswerTokens: 4 * streamEvents}}},
 		nil, fleet.Limits{HeaderBytes: 1 << 16, BodyBytes: 1 << 16}), At: 1}
 	for i, h := range endpoints {
 		srv := httptest.NewServer(h)
 		t.Cleanup(srv.Close)
 		s.addresses = append(s.addresses, strings.TrimPrefix(srv.URL, "http://"))
-		snap.Endpoints = append(snap.Endpoints, fleet.Endpoint{ID: fmt.Sprint(i), Service: "s", Address: s.addresses[i], Slots: slots, Revision: 1, Made: 1})
+		snap.Endpoints = append(snap.Endpoints, fleet.Endpoint{ID: fmt.Sprint(i), Service: "s", Address: s.addresses[i], Slots: slots, Revision: 1, CreatedRevision: 1})
 	}
 	srv := httptest.NewUnstartedServer(gw.Handler())
 	gw.CallerConns().Attach(srv.Config)
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -19,7 +19,7 @@
 // watchSilence has an attempt aborted if its answer is silent for too long and the request can be
 // continued elsewhere. Without a target latency there is no measure of too long.
 func (q *request) watchSilence(e fleet.Endpoint, x *upstream.Exchange) {
-	if q.route.Target <= 0 || !q.route.MayRepeat() || len(q.attempted) >= q.route.Attempts {
+	if q.route.TargetLatency <= 0 || !q.route.MayRepeat() || len(q.attempted) >= q.route.MaxAttempts {
 		return
 	}
 	x.Watch(upstream.SilenceWatch{
@@ -39,15 +39,15 @@
 
 // callerLeavesAfter returns how long the caller waits without receiving anything.
 func (q *request) callerLeavesAfter() time.Duration {
-	if q.route.Silence > 0 {
-		return q.route.Silence
+	if q.route.SilenceTimeout > 0 {
+		return q.route.SilenceTimeout
 	}
 	return time.Duration(deadlineShare * float64(q.deadline.Sub(q.arrived)))
 }
 
 // answerTiming returns what is known of the timing of the current attempt's answer.
 func (q *request) answerTiming(e fleet.Endpoint) silence.Answer {
-	a := silence.Answer{Target: q.route.Target, CallerTimeout: q.callerLeavesAfter()}
+	a := silence.Answer{Target: q.route.TargetLatency, CallerTimeout: q.callerLeavesAfter()}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	a.FirstEvent, a.PassTime = q.g.passes.TypicalTimes(e.ID)
--- a/internal/gateway/slow_stream_test.go
+++ b/internal/gateway/slow_stream_test.go
@@ -65,7 +65,7 @@
 // elsewhere.
 func TestStreamCutAfterASilenceIsContinued(t *testing.T) {
 	t.Parallel()
-	s := newSiteWith(t, func(r *fleet.Route) { r.Target = 0 }, http.HandlerFunc(cutsAfterPause), http.HandlerFunc(cutsAfterPause))
+	s := newSiteWith(t, func(r *fleet.Route) { r.TargetLatency = 0 }, http.HandlerFunc(cutsAfterPause), http.HandlerFunc(cutsAfterPause))
 	s.expectServed(NewWithT(t), "one", "")
 }
 
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -40,8 +40,8 @@
 	switch {
 	case !q.isStream(resp):
 		return errors.Newf("status %d where a stream is continued", resp.StatusCode)
-	case a.Weights != "" && q.cursor.weights != "" && a.Weights != q.cursor.weights:
-		return errors.Newf("weights %s where a stream of weights %s is continued", a.Weights, q.cursor.weights)
+	case a.WeightsVersion != "" && q.cursor.weights != "" && a.WeightsVersion != q.cursor.weights:
+		return errors.Newf("weights %s where a stream of weights %s is continued", a.WeightsVersion, q.cursor.weights)
 	}
 	return nil
 }
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -25,7 +25,7 @@
 )
 
 func (q *request) maxIdle(e fleet.Endpoint) time.Duration {
-	lastRepeat := len(q.attempted) > 0 && len(q.attempted)+1 >= q.route.Attempts
+	lastRepeat := len(q.attempted) > 0 && len(q.attempted)+1 >= q.route.MaxAttempts
 	if !q.route.MayRepeat() || lastRepeat || e.ID == q.closedReused {
 		return maxIdleNonRepeatable
 	}
@@ -186,8 +186,8 @@
 		}
 	}
 	if q.isStream(resp) {
-		if answer.Weights != "" {
-			q.cursor.weights = answer.Weights
+		if answer.WeightsVersion != "" {
+			q.cursor.weights = answer.WeightsVersion
 		}
 		return q.relayStream(e, x, resp)
 	}
@@ -195,14 +195,14 @@
 }
 
 // stamp returns what is sent to the endpoint in addition to the caller's headers.
-func (q *request) stamp(e fleet.Endpoint) fleet.Stamp {
-	s := fleet.Stamp{EndpointName: e.Name(), Left: q.remaining(), Priority: q.priority()}
+func (q *request) stamp(e fleet.Endpoint) fleet.AttemptInfo {
+	s := fleet.AttemptInfo{EndpointName: e.Name(), TimeLeft: q.remaining(), Priority: q.priority()}
 	if q.customer != nil {
 		s.Customer = q.customer.Name
 	}
-	s.LastEvent = q.cursor.lastEvent()
+	s.LastEventID = q.cursor.lastEvent()
 	if q.reply.begun() {
-		s.Weights = q.cursor.weights
+		s.WeightsVersion = q.cursor.weights
 	}
 	return s
 }
@@ -247,13 +247,13 @@
 
 // notRunByEndpoint records an answer saying that the request was not run.
 func (q *request) notRunByEndpoint(e fleet.Endpoint, status int, a fleet.Answer) {
-	q.recordFailure(e, 0, fmt.Sprintf("rejected without running it: %d %s", status, a.AtFault)) // Being full is no fault.
+	q.recordFailure(e, 0, fmt.Sprintf("rejected without running it: %d %s", status, a.BlamedEndpoint)) // Being full is no fault.
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if status == http.StatusMisdirectedRequest && a.Endpoint != e.Name() && !q.pinsWeights() {
 		q.g.table.MarkMisplaced(e.ID, time.Now())
 	}
-	if a.AtFault != "" {
+	if a.BlamedEndpoint != "" {
 		q.rejectingGroup, q.groupRejected, q.groupRejectedAt = q.g.passes.GroupOf(e.ID), true, time.Now()
 	}
 }
@@ -261,7 +261,7 @@
 // pinsWeights reports whether the endpoint may reject the request because of its weights version:
 // the caller asked for a version, or a stream is continued under one.
 func (q *request) pinsWeights() bool {
-	return q.call.Weights != "" || q.reply.begun() && q.cursor.weights != ""
+	return q.call.WeightsVersion != "" || q.reply.begun() && q.cursor.weights != ""
 }
 
 // noteCallerLeft records the attempt in flight when the caller left, which has no result of its
--- a/internal/gateway/vacate.go
+++ b/internal/gateway/vacate.go
@@ -27,7 +27,7 @@
 	if g.movable[id] == nil {
 		g.movable[id] = map[*request]movableRequest{}
 	}
-	g.movable[id][q] = movableRequest{conn: conn, mayRetry: len(q.attempted) < q.route.Attempts}
+	g.movable[id][q] = movableRequest{conn: conn, mayRetry: len(q.attempted) < q.route.MaxAttempts}
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
--- a/internal/gateway/vacate_test.go
+++ b/internal/gateway/vacate_test.go
@@ -134,15 +134,15 @@
 func TestStreamThatMayNotContinueElsewhereIsNotMoved(t *testing.T) {
 	t.Parallel()
 	const silent = 2500 * time.Millisecond // More than the silence after which a stream continues elsewhere.
-	elsewhere := fleet.Route{Name: "r", Host: "caller.test", PathPrefix: "/", Kind: fleet.Streaming, Resumable: true, Attempts: 2,
-		Timeout: 30 * time.Second, Target: 20 * time.Second, Split: []fleet.Share{{Service: "other", Weight: 1}}}
+	elsewhere := fleet.Route{Name: "r", Host: "caller.test", PathPrefix: "/", Kind: fleet.Streaming, Resumable: true, MaxAttempts: 2,
+		Timeout: 30 * time.Second, TargetLatency: 20 * time.Second, Split: []fleet.Share{{Service: "other", Weight: 1}}}
 	for name, routes := range map[string][]fleet.Route{"route moved": {elsewhere}, "route dropped": nil} {
 		for _, slow := range []bool{true, false} {
 			t.Run(name+map[bool]string{true: ", slow", false: ", silent"}[slow], func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
 				ranks := []*streamingEndpoint{newStreamingEndpoint(3), newStreamingEndpoint(3)}
-				s, view, snap := newSiteOf(t, func(r *fleet.Route) { r.Silence = time.Second }, ranks[0], ranks[1])
+				s, view, snap := newSiteOf(t, func(r *fleet.Route) { r.SilenceTimeout = time.Second }, ranks[0], ranks[1])
 				view.Replace(snap, time.Now(), false)
 				s.reportLoad(0, 0, 1)
 				s.reportLoad(1, 0, 1)
@@ -212,7 +212,7 @@
 			<-r.Context().Done()
 		}
 	})
-	s, view, snap := newSiteOf(t, func(r *fleet.Route) { r.Kind, r.Target = fleet.Repeatable, 20*time.Millisecond }, silent, silent)
+	s, view, snap := newSiteOf(t, func(r *fleet.Route) { r.Kind, r.TargetLatency = fleet.Repeatable, 20*time.Millisecond }, silent, silent)
 	core, logs := observer.New(zap.WarnLevel)
 	s.log = zap.New(core)
 	view.Replace(snap, time.Now(), false)
@@ -239,9 +239,9 @@
 		status, runs int // Of the second request.
 	}{
 		{"a second attempt", func(*fleet.Route) {}, 1000, http.StatusOK, 2},
-		{"no attempt is left", func(r *fleet.Route) { r.Attempts = 1 }, 1000, http.StatusBadGateway, 1},
+		{"no attempt is left", func(r *fleet.Route) { r.MaxAttempts = 1 }, 1000, http.StatusBadGateway, 1},
 		{"no retry is left", func(*fleet.Route) {}, 0, http.StatusBadGateway, 1},
-		{"it may run once only", func(r *fleet.Route) { r.Kind = fleet.Once }, 1000, http.StatusOK, 1},
+		{"it may run once only", func(r *fleet.Route) { r.Kind = fleet.AtMostOnce }, 1000, http.StatusOK, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -22,7 +22,7 @@
 // served in time. It reports whether an endpoint is available now.
 func (q *request) awaitCapacity(now time.Time) (e fleet.Endpoint, ok bool) {
 	g := q.g
-	until := q.arrived.Add(q.route.Target - q.turnover.FirstEvent)
+	until := q.arrived.Add(q.route.TargetLatency - q.turnover.FirstEvent)
 	if q.wontReturn() {
 		until = q.holdUntil(q.turnover.FirstEvent)
 	}
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -102,7 +102,7 @@
 
 // mayTryAnother reports whether the request could be sent to another endpoint.
 func (q *request) mayTryAnother() bool {
-	if !q.route.MayRepeat() || len(q.attempted) >= q.route.Attempts {
+	if !q.route.MayRepeat() || len(q.attempted) >= q.route.MaxAttempts {
 		return false
 	}
 	now := time.Now()
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -17,9 +17,9 @@
 // New returns a request id.
 func New() string { return uuid.Must(uuid.NewV7()).String() }
 
-// KeyGrain is how much earlier than it was made a key may say that it was: a
+// KeyTimeResolution is how much earlier than it was made a key may say that it was: a
 // UUIDv7 tells its time in whole milliseconds.
-const KeyGrain = time.Millisecond
+const KeyTimeResolution = time.Millisecond
 
 // Key is an idempotency key.
 type Key struct {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		return m, err
 	}
-	return published.ParseTold(raw, own)
+	return published.ParseUpdate(raw, own)
 }
 
 // PeerGet reads a path of a peer's listener, for at most a second.
@@ -121,7 +121,7 @@
 func (n *Node) takeManifest(ctx context.Context, src source, m published.Manifest) (err error) {
 	v := m.Version()
 	if err := m.Verify(n.set.OperatorKey); err != nil {
-		n.trail.Add(audit.ConfigRefused, generationName(v), err.Error()+", from "+src.name)
+		n.trail.Add(audit.ConfigRejected, generationName(v), err.Error()+", from "+src.name)
 		return err
 	}
 	var decision spread.Decision
@@ -157,7 +157,7 @@
 	if again {
 		return
 	}
-	n.trail.Add(audit.ConfigClash, generationName(v), "another manifest has the same generation; publish a higher one")
+	n.trail.Add(audit.ConfigConflict, generationName(v), "another manifest has the same generation; publish a higher one")
 }
 
 // maxAsked and maxToldBytes bound one exchange of values, so that question and
@@ -249,7 +249,7 @@
 	c, err := published.Next(n.config.Load(), v, byKey)
 	if err != nil {
 		duty.Locked(&n.mu, func() { n.spread.Refuse(v) })
-		n.trail.Add(audit.ConfigRefused, generationName(v), err.Error())
+		n.trail.Add(audit.ConfigRejected, generationName(v), err.Error())
 		return err
 	}
 	var old published.Version
@@ -299,9 +299,9 @@
 	for _, old := range older {
 		if have != "" && old.hash == have {
 			d := m.DeltaFrom(old.manifest)
-			httpjson.Reply(w, published.Told{Delta: &d})
+			httpjson.Reply(w, published.ManifestUpdate{Delta: &d})
 			return
 		}
 	}
-	httpjson.Reply(w, published.Told{Whole: &m})
+	httpjson.Reply(w, published.ManifestUpdate{Full: &m})
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -34,7 +34,7 @@
 			wait.For(ctx, n.set.GossipInterval)
 			continue
 		}
-		raw, err := n.conf.Wait(ctx, published.ManifestKey, seen)
+		raw, err := n.conf.Watch(ctx, published.ManifestKey, seen)
 		if err == nil && raw != nil {
 			err = n.takeWatched(ctx, raw)
 		}
@@ -65,7 +65,7 @@
 // may be stale, is trusted.
 func (n *Node) bootstrap(ctx context.Context) {
 	for _, address := range n.set.Seeds {
-		if address != n.set.Advertise {
+		if address != n.set.AdvertisedAddress {
 			_ = n.Exchange(ctx, address) // Whoever is silent now is heard later.
 		}
 	}
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -6,20 +6,20 @@
 
 import "sync"
 
-// Last keeps the newest values; when it is full, the oldest is dropped and
+// Buffer keeps the newest values; when it is full, the oldest is dropped and
 // counted.
-type Last[T any] struct {
+type Buffer[T any] struct {
 	mu      sync.Mutex
 	buf     []T // Invariant: len(buf) <= cap(buf), which never changes.
 	next    int // Place of the next value once buf is full.
 	dropped uint64
 }
 
-// NewLast returns a ring for n values.
-func NewLast[T any](n int) *Last[T] { return &Last[T]{buf: make([]T, 0, n)} }
+// NewBuffer returns a ring for n values.
+func NewBuffer[T any](n int) *Buffer[T] { return &Buffer[T]{buf: make([]T, 0, n)} }
 
 // Add puts v in, over the oldest value when the ring is full.
-func (r *Last[T]) Add(v T) {
+func (r *Buffer[T]) Add(v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.buf) < cap(r.buf) {
@@ -32,7 +32,7 @@
 }
 
 // All returns the values, oldest first, and the number dropped.
-func (r *Last[T]) All() (values []T, dropped uint64) {
+func (r *Buffer[T]) All() (values []T, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	values = make([]T, 0, len(r.buf))
--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -116,7 +116,7 @@
 // acceptReport stores a rank's report. A report of an earlier incarnation than the known one is
 // ignored, and the rank counts as not having answered.
 func (m *member) acceptReport(r rank.Report, now time.Time) {
-	if fleet.CompareLives(max(m.endpoint.Born, m.report.StartedAt), r.StartedAt) < 0 {
+	if fleet.CompareIncarnations(max(m.endpoint.StartedAt, m.report.StartedAt), r.StartedAt) < 0 {
 		return
 	}
 	m.report, m.lastSeen = r, now
@@ -139,7 +139,7 @@
 // even if its epoch number is the same.
 func anyRestarted(before, now []int64) bool {
 	for r := range min(len(before), len(now)) {
-		if fleet.CompareLives(before[r], now[r]) != 0 {
+		if fleet.CompareIncarnations(before[r], now[r]) != 0 {
 			return true
 		}
 	}
@@ -173,7 +173,7 @@
 	switch {
 	case err == nil && len(a.Ranks) == 1 && a.Ranks[0].Report != nil:
 		m.acceptReport(*a.Ranks[0].Report, time.Now())
-	case engine != nil && fleet.CompareLives(max(m.endpoint.Born, m.report.StartedAt), engine.StartedAt) >= 0:
+	case engine != nil && fleet.CompareIncarnations(max(m.endpoint.StartedAt, m.report.StartedAt), engine.StartedAt) >= 0:
 		m.report, m.lastSeen, m.answered = *engine, time.Now(), true
 	case err != nil:
 		l.s.log.Debug("sidecar unreachable", zap.String("endpoint", m.endpoint.ID), zap.String("error", err.Error()))
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -101,7 +101,7 @@
 func (l *leader) ingestCounts() {
 	p := &l.planner
 	duty.Locked(&l.s.mu, func() { p.passTime = l.s.passes.mean })
-	if l.shape == nil || l.shape.Sets == 0 || l.lastResponse.SummedRanks == 0 || l.lastResponse.Epoch != l.epoch || l.lastResponse.Window == p.lastWindow {
+	if l.shape == nil || l.shape.LayerSets == 0 || l.lastResponse.SummedRanks == 0 || l.lastResponse.Epoch != l.epoch || l.lastResponse.Window == p.lastWindow {
 		return
 	}
 	if p.follower == nil {
@@ -110,7 +110,7 @@
 	p.lastWindow = l.lastResponse.Window
 	now := time.Now()
 	flat, err := decodeCounts(l.lastResponse.Counts)
-	if err != nil || len(flat) != l.shape.Sets*l.shape.Experts {
+	if err != nil || len(flat) != l.shape.LayerSets*l.shape.ExpertsPerSet {
 		l.s.log.Warn("invalid counts ignored", zap.Int("ranks", l.lastResponse.SummedRanks), zap.Int("numbers", len(flat)), zap.Error(err))
 		return
 	}
@@ -122,22 +122,22 @@
 func (l *leader) demandConfig() demand.Config {
 	e := l.shape
 	memory := defaultSmoothing
-	if e.UsualAnswer > 0 && e.StepTime > 0 {
-		step := e.StepTime + time.Duration(e.Slots)*e.WriterTime/2
-		memory = time.Duration(smoothingShare * e.UsualAnswer * float64(step))
+	if e.MeanAnswerTokens > 0 && e.BaseStepTime > 0 {
+		step := e.BaseStepTime + time.Duration(e.Slots)*e.DecodeTimePerRequest/2
+		memory = time.Duration(smoothingShare * e.MeanAnswerTokens * float64(step))
 	}
-	return demand.Config{Sets: e.Sets, Experts: e.Experts, Ranks: len(l.byRank), SmoothingTime: memory}
+	return demand.Config{Sets: e.LayerSets, Experts: e.ExpertsPerSet, Ranks: len(l.byRank), SmoothingTime: memory}
 }
 
 // group returns the group as a remap.Group.
 func (l *leader) group() remap.Group {
-	share := l.shape.ExpertShare
+	share := l.shape.ExpertWorkShare
 	if share <= 0 {
 		share = defaultExpertShare
 	}
 	return remap.Group{
-		Shape:          rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.Experts, Slots: l.shape.Places},
-		MaxNewPerLayer: l.shape.Spare,
+		Shape:          rebalance.Shape{Ranks: len(l.byRank), Experts: l.shape.ExpertsPerSet, Slots: l.shape.ExpertSlots},
+		MaxNewPerLayer: l.shape.MaxAddedExperts,
 		ExpertShare:    share,
 		Speed:          l.speeds(),
 	}
@@ -221,7 +221,7 @@
 // encodeMaps encodes the map of a change that starts, in full and as a delta.
 func (l *leader) encodeMaps(next layout) {
 	base := layoutOf(l.planner.current, len(l.byRank))
-	experts := l.shape.Experts
+	experts := l.shape.ExpertsPerSet
 	l.fullMap = encodedMap{Experts: experts, Data: encodeMap(next)}
 	l.mapDelta = encodedMap{Base: fingerprint(base), Experts: experts, Data: encodeDelta(base, next)}
 	l.s.maps.put(next) // Orders to this rank do not carry an encoded map.
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -202,7 +202,7 @@
 		}
 	}
 	if shape := engineShape(snap.Config, l.service); shape != nil {
-		l.shape, l.pauseLimit = shape, snap.Config.PauseLimit(l.service)
+		l.shape, l.pauseLimit = shape, snap.Config.MaxPause(l.service)
 	}
 	known := map[string]*member{}
 	for _, m := range l.members {
--- a/internal/sidecar/life_test.go
+++ b/internal/sidecar/life_test.go
@@ -68,7 +68,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
-			m := &member{endpoint: fleet.Endpoint{Born: tc.listed}, report: rank.Report{StartedAt: tc.before}, sidecarSilent: true}
+			m := &member{endpoint: fleet.Endpoint{StartedAt: tc.listed}, report: rank.Report{StartedAt: tc.before}, sidecarSilent: true}
 			m.acceptReport(rank.Report{StartedAt: tc.reported, Step: 9}, time.Now())
 			g.Expect(m.answered).To(Equal(tc.accepted))
 			g.Expect(m.sidecarSilent).To(Equal(!tc.accepted))
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -136,7 +136,7 @@
 // limitPerRank returns how many requests a rank of the group may hold on average, or 0 if that is
 // unknown, as right after the group opened.
 func (l *leader) limitPerRank(pass time.Duration, now time.Time) (limit float64) {
-	if l.shape == nil || l.shape.WriterTime <= 0 {
+	if l.shape == nil || l.shape.DecodeTimePerRequest <= 0 {
 		return 0
 	}
 	ranks := make([]passes.RankReport, 0, len(l.byRank))
--- a/internal/sidecar/readmap.go
+++ b/internal/sidecar/readmap.go
@@ -20,19 +20,19 @@
 	}
 	ranks := len(l.byRank)
 	if version == 0 {
-		return l.takeMap(version, roundRobinLayout(l.shape.Sets, ranks, l.shape.Experts))
+		return l.takeMap(version, roundRobinLayout(l.shape.LayerSets, ranks, l.shape.ExpertsPerSet))
 	}
 	rows := make([][][]int, ranks)
 	for r, m := range l.byRank {
 		call, cancel := context.WithTimeout(ctx, engineTimeout)
 		h, err := l.s.dial(m.endpoint.Address).HeldExperts(call)
 		cancel()
-		if err != nil || h.Version != version || len(h.ExpertsBySet) != l.shape.Sets {
+		if err != nil || h.Version != version || len(h.ExpertsBySet) != l.shape.LayerSets {
 			return false // The map has just changed or the engine did not answer; the next poll tries again.
 		}
 		rows[r] = h.ExpertsBySet
 	}
-	bySet := make(layout, l.shape.Sets)
+	bySet := make(layout, l.shape.LayerSets)
 	for k := range bySet {
 		bySet[k] = make([][]int, ranks)
 		for r := range rows {
@@ -46,7 +46,7 @@
 func (l *leader) takeMap(version uint64, m layout) bool {
 	current := make(rebalance.Map, len(m))
 	for k, rows := range m {
-		layer, ok := rebalance.FromRows(rows, l.shape.Experts)
+		layer, ok := rebalance.FromRows(rows, l.shape.ExpertsPerSet)
 		if !ok {
 			l.s.log.Warn("map in force does not fit the group's shape", zap.Uint64("version", version), zap.Int("set", k))
 			return false
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -196,11 +196,11 @@
 
 // containPanic calls a function that queries or orders other ranks and recovers from a panic in it;
 // a rank whose answer is missing is queried again later.
-func (s *Sidecar) containPanic(ask func()) { duty.Contain("ask", s.log, s.reg, ask) }
+func (s *Sidecar) containPanic(ask func()) { duty.RunRecovered("ask", s.log, s.reg, ask) }
 
 // receive handles a message. A message that causes a panic is dropped.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
-	duty.Contain("message", s.log, s.reg, func() {
+	duty.RunRecovered("message", s.log, s.reg, func() {
 		s.suspects.MergeEnds(m.Ends, time.Now())
 		switch {
 		case m.Hello != nil:
@@ -303,7 +303,7 @@
 // nothing of the previous one's counts and measurements, so these are dropped. It returns false for
 // an earlier one, whose answer arrived late. The caller holds mu.
 func (s *Sidecar) recordIncarnation(startedAt int64) (accepted bool) {
-	switch fleet.CompareLives(s.engineStartedAt, startedAt) {
+	switch fleet.CompareIncarnations(s.engineStartedAt, startedAt) {
 	case -1:
 		s.log.Info("answer of an earlier incarnation of the engine ignored", zap.Int64("born", startedAt), zap.Int64("newest", s.engineStartedAt))
 		return false
@@ -375,7 +375,7 @@
 // and incarnation.
 func difference(last window, from, to rank.Counts) (w window) {
 	w = window{number: last.number + 1, epoch: to.Epoch}
-	if from.Epoch != to.Epoch || fleet.CompareLives(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
+	if from.Epoch != to.Epoch || fleet.CompareIncarnations(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
 		return w
 	}
 	w.flat = make([]uint64, len(to.Flat))
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -65,7 +65,7 @@
 	address := func(r int) string { return fmt.Sprintf("127.0.0.%d:9", r+1) }
 	source := follow.Source{Snapshot: func(context.Context, bool) (follow.Snapshot, error) {
 		snap := follow.Snapshot{Config: fleet.NewConfig(1, nil, []fleet.Service{{Name: "s", Engine: &fleet.Engine{
-			Sets: sets, Experts: experts, Places: places, Spare: 2, ExpertBytes: 1e9, LinkRate: 1e11, ExpertShare: 0.9,
+			LayerSets: sets, ExpertsPerSet: experts, ExpertSlots: places, MaxAddedExperts: 2, ExpertBytes: 1e9, LinkRate: 1e11, ExpertWorkShare: 0.9,
 		}}}, nil, fleet.Limits{})}
 		for r := range ranks {
 			snap.Endpoints = append(snap.Endpoints, fleet.Endpoint{ID: fmt.Sprint(r), Service: "s", Address: address(r)})
--- a/internal/soak/asks.go
+++ b/internal/soak/asks.go
@@ -29,16 +29,16 @@
 var limits = [...]float64{0.5, 1, 2, 6}
 
 // wishes returns what an endpoint asks for now.
-func (e *endpointAt) wishes() standin.Asks {
+func (e *endpointAt) wishes() standin.Signals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	asks := e.asks
-	asks.Rest = max(time.Until(e.restsUntil), 0)
+	asks.Backoff = max(time.Until(e.restsUntil), 0)
 	return asks
 }
 
 // wish changes what an endpoint asks for.
-func (e *endpointAt) wish(change func(a *standin.Asks)) {
+func (e *endpointAt) wish(change func(a *standin.Signals)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change(&e.asks)
@@ -48,9 +48,9 @@
 func (s *site) nameLimit(f fault) {
 	e := s.endpoint(f.which)
 	limit := limits[f.how%len(limits)]
-	e.wish(func(a *standin.Asks) { a.Limited, a.Limit = true, limit })
+	e.wish(func(a *standin.Signals) { a.Limited, a.Limit = true, limit })
 	time.Sleep(min(limitLasts, s.cfg.Length-settleTime-f.at))
-	e.wish(func(a *standin.Asks) { a.Limited = false })
+	e.wish(func(a *standin.Signals) { a.Limited = false })
 }
 
 // askRest has an endpoint turn all requests away for a while and ask for rest.
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	old.wish(func(a *standin.Asks) { a.Leaving = true })
+	old.wish(func(a *standin.Signals) { a.Leaving = true })
 	time.Sleep(drainBound + restLasts)
 	s.store.Remove(old.name)
 	time.Sleep(patience)
@@ -98,7 +98,7 @@
 		slices.SortFunc(list, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
 		byGateway := map[int][]standin.Arrival{}
 		for _, a := range list {
-			g := gatewayOf(a.From)
+			g := gatewayOf(a.GatewayIP)
 			byGateway[g] = append(byGateway[g], a)
 		}
 		for g, own := range byGateway {
@@ -113,18 +113,18 @@
 // judgeRests checks one gateway's requests to an endpoint against the rests that it asked for.
 func (l *ledger) judgeRests(endpoint string, g int, list []standin.Arrival) []string {
 	for i, asked := range list {
-		if asked.Asks.Rest == 0 {
+		if asked.Signals.Backoff == 0 {
 			continue
 		}
 		n := 0
 		for _, a := range list[i+1:] {
 			since := a.At.Sub(asked.At)
-			if since > toldAfter+slack && since < asked.Asks.Rest && !l.halted(g, asked.At, a.At) {
+			if since > toldAfter+slack && since < asked.Signals.Backoff && !l.halted(g, asked.At, a.At) {
 				n++
 			}
 		}
 		if n > restAllowed {
-			return []string{fmt.Sprintf("%s asked gateway %d for %v of rest at %s and got %d requests in it", endpoint, g, asked.Asks.Rest, asked.At.Format(clock), n)}
+			return []string{fmt.Sprintf("%s asked gateway %d for %v of rest at %s and got %d requests in it", endpoint, g, asked.Signals.Backoff, asked.At.Format(clock), n)}
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 
 // judgeLeaving checks that a gateway sends nothing to an endpoint whose answers say that it leaves.
 func (l *ledger) judgeLeaving(endpoint string, g int, list []standin.Arrival) []string {
-	i := slices.IndexFunc(list, func(a standin.Arrival) bool { return a.Asks.Leaving && a.Told })
+	i := slices.IndexFunc(list, func(a standin.Arrival) bool { return a.Signals.Leaving && a.HeadSent })
 	if i < 0 {
 		return nil
 	}
@@ -148,27 +148,27 @@
 // that were told.
 func (l *ledger) judgeLimit(endpoint string, list []standin.Arrival) []string {
 	var first time.Time                // Of the answers that name the limit.
-	var named standin.Asks             // The newest.
+	var named standin.Signals          // The newest.
 	told := map[int]time.Time{}        // When gateways got the first of them.
 	var counted []standin.Arrival      // Of gateways that were told.
 	within := func(at time.Time) int { // Those of the window that ends then.
 		return len(counted) - slices.IndexFunc(counted, func(a standin.Arrival) bool { return at.Sub(a.At) <= limitWindow })
 	}
 	for _, a := range list {
-		if a.Asks.Limited != named.Limited || a.Asks.Limit != named.Limit {
-			first, named, counted = a.At, a.Asks, nil
+		if a.Signals.Limited != named.Limited || a.Signals.Limit != named.Limit {
+			first, named, counted = a.At, a.Signals, nil
 			clear(told)
 		}
 		if !named.Limited {
 			continue
 		}
-		g := gatewayOf(a.From)
+		g := gatewayOf(a.GatewayIP)
 		at, known := told[g]
 		if known && l.halted(g, at, a.At) {
 			delete(told, g) // It may have forgotten.
 			known = false
 		}
-		if !known && a.Told {
+		if !known && a.HeadSent {
 			told[g] = a.At
 		}
 		if !known || a.At.Sub(at) < toldAfter+slack || a.At.Sub(first) < calmBefore {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -72,7 +72,7 @@
 		panic(err) // The address is one of ours.
 	}
 	out.Host = host
-	standin.Call(out.Header, r.id, r.key, patience)
+	standin.SetCallHeaders(out.Header, r.id, r.key, patience)
 	return r, out
 }
 
@@ -112,7 +112,7 @@
 
 func readBody(body io.Reader, id string) (a answer) {
 	raw, err := io.ReadAll(body)
-	want := standin.Body(id)
+	want := standin.AnswerBody(id)
 	a.whole = err == nil
 	switch {
 	case !a.whole && !strings.HasPrefix(want, string(raw)):
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -84,23 +84,23 @@
 		body   answer
 	}{
 		{standin.Serves, answer{whole: true}, answer{whole: true}},
-		{standin.CutsShort, answer{}, answer{}},
+		{standin.Truncates, answer{}, answer{}},
 		{standin.AnswersTwice, answer{whole: true}, answer{whole: true}},
 		{standin.Unframed, answer{whole: true}, answer{whole: true}},
 		{standin.UnframedReset, answer{}, answer{}},
-		{standin.GoesSilent, answer{}, answer{whole: true}},
+		{standin.Stalls, answer{}, answer{whole: true}},
 	} {
 		for _, s := range []speech{keeps, closes} {
 			t.Run(fmt.Sprintf("%d over %s", tc.does, s), func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
 				runs := make(chan standin.Run, 2)
-				srv := httptest.NewServer(&standin.Endpoint{Pause: time.Millisecond, Ran: func(r standin.Run) { runs <- r }, Behave: func(string) standin.Behaviour { return tc.does }})
+				srv := httptest.NewServer(&standin.Endpoint{Delay: time.Millisecond, OnRun: func(r standin.Run) { runs <- r }, Behave: func(string) standin.Behaviour { return tc.does }})
 				t.Cleanup(srv.Close)
 				ask := func(query string) *http.Response {
 					r, err := http.NewRequest(http.MethodPost, srv.URL+"/x"+query, strings.NewReader("body"))
 					g.Expect(err).NotTo(HaveOccurred())
-					standin.Call(r.Header, id, "key", patience)
+					standin.SetCallHeaders(r.Header, id, "key", patience)
 					client := http.Client{Transport: s.transport(), Timeout: time.Second}
 					resp, err := client.Do(r)
 					g.Expect(err).NotTo(HaveOccurred())
@@ -110,7 +110,7 @@
 				}
 				g.Expect(readEvents(ask(fmt.Sprintf("?events=%d", events)).Body, id)).To(Equal(tc.stream))
 				g.Expect(readBody(ask("").Body, id)).To(Equal(tc.body))
-				g.Expect((<-runs).Does).To(Equal(tc.does))
+				g.Expect((<-runs).Behaviour).To(Equal(tc.does))
 			})
 		}
 	}
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -85,7 +85,7 @@
 		panic(err) // The address is one of ours.
 	}
 	out.Host = host
-	standin.Call(out.Header, r.id, r.key, patience)
+	standin.SetCallHeaders(out.Header, r.id, r.key, patience)
 	r.sent = time.Now()
 	s.ledger.begin(r)
 	resp, err := (&http.Client{Transport: closes.transport()}).Do(out.WithContext(s.ledger.watch(ctx, r)))
--- a/internal/soak/ends_test.go
+++ b/internal/soak/ends_test.go
@@ -32,7 +32,7 @@
 	stopped := &life{name: "gateway-2", pid: 3, began: start, met: at(1), term: at(2), over: at(3.3)}
 	next := &life{name: "gateway-2", pid: 4, began: at(2.5), met: at(2.6)}
 	ran := []standin.Run{{Endpoint: "east-1", At: at(3.1), ID: "2-1-1"}}
-	spoiled := []standin.Run{{Endpoint: "east-1", At: at(3.1), ID: "2-1-1", Does: standin.CutsShort}}
+	spoiled := []standin.Run{{Endpoint: "east-1", At: at(3.1), ID: "2-1-1", Behaviour: standin.Truncates}}
 	for _, tc := range []struct {
 		name    string
 		lives   []*life
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -179,17 +179,17 @@
 	case spoilStoreLink:
 		s.spoil(g, s.storeVia, f)
 	case storeRefuses, storeSilent:
-		mode := standin.Refuses
+		mode := standin.RespondsUnavailable
 		if f.kind == storeSilent {
-			mode = standin.Silent
+			mode = standin.NeverResponds
 		}
 		s.disturbAll(f.lasts, func() {
 			s.store.SetMode(mode)
 			time.Sleep(f.lasts)
-			s.store.SetMode(standin.Well)
+			s.store.SetMode(standin.Responds)
 		})
 	case storeForgets:
-		s.disturbAll(0, s.store.Forget)
+		s.disturbAll(0, s.store.CompactHistory)
 	case takeKey, moveRoute, manyVersions:
 		return s.change(f)
 	case replaceEndpoint:
@@ -197,7 +197,7 @@
 	case crashEndpoint:
 		return s.crash(f)
 	case misbehave:
-		kinds := []standin.Behaviour{standin.TurnsAway, standin.Fails, standin.CutsShort, standin.LosesAnswer, standin.AnswersTwice}
+		kinds := []standin.Behaviour{standin.NotExecuted, standin.Fails, standin.Truncates, standin.DropsAnswer, standin.AnswersTwice}
 		s.endpoint(f.which).misbehave(f.lasts, 100, kinds[f.how%len(kinds)])
 	case failAtRandom:
 		s.failAtRandom(f)
@@ -225,8 +225,8 @@
 
 // What failAtRandom draws from, and the least and the most of 100 requests that
 // draw. Those that are there twice come more often, as what they do takes no time.
-var randomBehaviours = []standin.Behaviour{standin.Fails, standin.Fails, standin.CutsShort, standin.CutsShort, standin.LosesAnswer, standin.TurnsAway,
-	standin.AnswersTwice, standin.Unframed, standin.UnframedReset, standin.GoesSilent, standin.Rejects}
+var randomBehaviours = []standin.Behaviour{standin.Fails, standin.Fails, standin.Truncates, standin.Truncates, standin.DropsAnswer, standin.NotExecuted,
+	standin.AnswersTwice, standin.Unframed, standin.UnframedReset, standin.Stalls, standin.NotFound}
 
 const leastPart, mostPart = 20, 80
 
@@ -364,7 +364,7 @@
 	s.mu.Lock()
 	leaving := old.entry(true)
 	s.mu.Unlock()
-	if err := s.store.List(leaving); err != nil {
+	if err := s.store.PutEndpoint(leaving); err != nil {
 		return err
 	}
 	s.ledger.note(func(l *ledger) { l.left[old.name] = time.Now() })
@@ -383,7 +383,7 @@
 	old, busy := e.srv, e.restarts
 	e.restarts = true
 	if !busy && f.how%2 == 0 {
-		err = s.store.List(e.entry(true))
+		err = s.store.PutEndpoint(e.entry(true))
 	}
 	s.mu.Unlock()
 	if err != nil || busy {
@@ -412,7 +412,7 @@
 	}
 	e.srv = s.serveOn(l, e.handler)
 	e.born = max(e.born+1, time.Now().UnixMilli())
-	return s.store.List(e.entry(false))
+	return s.store.PutEndpoint(e.entry(false))
 }
 
 // evacuate has nothing new go to the endpoints of a failure domain for a while. Two may
@@ -441,7 +441,7 @@
 	if err != nil {
 		return err
 	}
-	old.misbehave(time.Hour, 100, standin.LosesAnswer) // What it has begun is lost, too.
+	old.misbehave(time.Hour, 100, standin.DropsAnswer) // What it has begun is lost, too.
 	s.ledger.endpointEnds(old.name)
 	if err := old.srv.Close(); err != nil {
 		return err
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -64,14 +64,14 @@
 
 // spoiled reports whether an endpoint was made to answer badly.
 func (r *request) spoiled() bool {
-	return slices.ContainsFunc(r.runs, func(run standin.Run) bool { return !run.Does.Whole() })
+	return slices.ContainsFunc(r.runs, func(run standin.Run) bool { return !run.Behaviour.IsComplete() })
 }
 
 // cutThenFailed reports whether a stream was cut off after events and the
 // endpoint that was to go on with it answered with a failure of its own.
 func (r *request) cutThenFailed() bool {
-	i := slices.IndexFunc(r.runs, func(run standin.Run) bool { return run.Does.Cuts() })
-	return r.kind == stream && i >= 0 && slices.ContainsFunc(r.runs[i:], func(run standin.Run) bool { return run.Does == standin.Fails || run.Does == standin.Rejects })
+	i := slices.IndexFunc(r.runs, func(run standin.Run) bool { return run.Behaviour.StopsEarly() })
+	return r.kind == stream && i >= 0 && slices.ContainsFunc(r.runs[i:], func(run standin.Run) bool { return run.Behaviour == standin.Fails || run.Behaviour == standin.NotFound })
 }
 
 // span is a time in which something disturbed a gateway.
@@ -295,7 +295,7 @@
 	for _, r := range l.requests {
 		bad := 0
 		for _, run := range r.runs {
-			if !run.Does.Whole() {
+			if !run.Behaviour.IsComplete() {
 				bad++
 			}
 		}
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -65,7 +65,7 @@
 	part  int // In 100 requests: those that are not served.
 	until time.Time
 
-	asks       standin.Asks // But for its rest.
+	asks       standin.Signals // But for its rest.
 	restsUntil time.Time
 }
 
@@ -73,7 +73,7 @@
 // and what it draws follows from the seed.
 func (e *endpointAt) behave(id string) standin.Behaviour {
 	if strings.HasPrefix(id, crashingID) {
-		return standin.Ends
+		return standin.ExitsProcess
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -285,7 +285,7 @@
 func (s *site) addEndpoint(service, domain string, last int, engine http.Handler) (e *endpointAt, err error) {
 	s.births++
 	e = &endpointAt{name: fmt.Sprintf("%s-%d", service, s.births), service: service, domain: domain, seed: s.cfg.Seed, born: time.Now().UnixMilli()}
-	e.handler = &standin.Endpoint{Name: e.name, Behave: e.behave, Pause: passTime, Engine: engine, Ran: s.ledger.ran, Asks: e.wishes, Arrived: s.ledger.arrived, End: func() { s.end(e) }}
+	e.handler = &standin.Endpoint{Name: e.name, Behave: e.behave, Delay: passTime, Engine: engine, OnRun: s.ledger.ran, Signals: e.wishes, OnArrival: s.ledger.arrived, ExitProcess: func() { s.end(e) }}
 	s.ledger.note(func(l *ledger) { l.domains[e.name] = domain })
 	if e.target, e.srv, err = s.serve(s.ip(last), e.handler); err != nil {
 		return nil, err
@@ -294,13 +294,13 @@
 		return nil, err
 	}
 	s.endpoints = append(s.endpoints, e)
-	return e, s.store.List(e.entry(false))
+	return e, s.store.PutEndpoint(e.entry(false))
 }
 
 // entry returns what the endpoint's present life says of itself. The caller holds the
 // site's mu, or nothing runs yet.
 func (e *endpointAt) entry(leaving bool) fleet.Endpoint {
-	return fleet.Endpoint{ID: fleet.LifeID(e.name, e.born), Born: e.born, Service: e.service, Address: e.address, Domain: e.domain, Slots: 8, Leaving: leaving}
+	return fleet.Endpoint{ID: fleet.IncarnationID(e.name, e.born), StartedAt: e.born, Service: e.service, Address: e.address, Domain: e.domain, Slots: 8, Leaving: leaving}
 }
 
 // serviceOf returns the service of an endpoint's name.
@@ -315,27 +315,27 @@
 	s.version += 1 + uint64(s.births%3)
 	all := []fleet.Share{{Service: plainNames[0], Weight: 1}, {Service: plainNames[1], Weight: 1}}
 	route := func(name string, k fleet.Kind, to ...fleet.Share) fleet.Route {
-		return fleet.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: k, Timeout: patience, Target: 300 * time.Millisecond, Attempts: 2, Split: to, Resumable: k == fleet.Streaming}
+		return fleet.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: k, Timeout: patience, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2, Split: to, Resumable: k == fleet.Streaming}
 	}
-	p := standin.Published{
+	p := standin.PublishedConfig{
 		Version: s.version,
 		Routes: []fleet.Route{
-			route("once", fleet.Once, fleet.Share{Service: s.movedTo, Weight: 1}),
+			route("once", fleet.AtMostOnce, fleet.Share{Service: s.movedTo, Weight: 1}),
 			route("again", fleet.Repeatable, all...),
 			route("stream", fleet.Streaming, fleet.Share{Service: modelName, Weight: 1}),
 		},
 		Services: []fleet.Service{{Name: plainNames[0]}, {Name: plainNames[1]}, {Name: modelName, Engine: &fleet.Engine{
-			Slots: 8, Sets: 2, Experts: 4 * s.cfg.Ranks, Places: 6, Spare: 2, ExpertBytes: 1e8, LinkRate: 1e11, ExpertShare: 0.9,
-			StepTime: passTime, StepsInPass: 1,
+			Slots: 8, LayerSets: 2, ExpertsPerSet: 4 * s.cfg.Ranks, ExpertSlots: 6, MaxAddedExperts: 2, ExpertBytes: 1e8, LinkRate: 1e11, ExpertWorkShare: 0.9,
+			BaseStepTime: passTime, StepsPerPass: 1,
 		}}},
 	}
 	for i, keys := range s.keys {
 		p.Customers = append(p.Customers, fleet.Customer{Name: customerName(i), Keys: keys})
 	}
-	p.Idle = s.idle
+	p.IdleTimeout = s.idle
 	defer s.ledger.publishes(s.idle)()
 	s.ledger.note(func(l *ledger) { l.changes = append(l.changes, time.Now()) })
-	return s.store.Publish(p)
+	return s.store.PublishConfig(p)
 }
 
 // aim chooses the customer and the key of a request. One in twenty tries a key
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -111,7 +111,7 @@
 		}
 	}()
 	if err := s.publishFile(f.String("standin", "bundle", "")); err != nil {
-		f.Fault("standin", "bundle", "%v", err)
+		f.AddProblem("standin", "bundle", "%v", err)
 	}
 	s.Store = NewStore(f.Float("standin", "store-rate", 100e9, 1, 1e15))
 	if err := s.listen(f.Required("standin", "control"), s.controlHandler()); err != nil {
@@ -169,7 +169,7 @@
 func (s *Server) addGroup(f *inifile.File, section string) (err error) {
 	ranks := f.Words(section, "ranks")
 	if len(ranks) == 0 {
-		f.Fault(section, "ranks", "must be set")
+		f.AddProblem(section, "ranks", "must be set")
 		return nil
 	}
 	g := NewGroup(GroupConfig{
