--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package demo runs the two users' sites of today in one process, under load
-// and under failures, and judges every promise that a caller can see. It uses
-// the daemons' own code and the stand-ins over loopback.
+// Package demo runs the sites of both users at their present size in one process,
+// under load and failures, and checks every guarantee that a caller can observe. It
+// runs the code of the daemons and the stand-ins over the loopback interface.
 package demo
 
 import (
@@ -18,23 +18,23 @@
 	"github.com/canvaspulley/canvaspulley/internal/load"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	Rate     float64       // Requests a second at each site.
-	Duration time.Duration // Of the load.
+	Rate     float64       // Requests per second at each site.
+	Duration time.Duration // Duration of the load.
 	Seed     uint64
 }
 
-// Report is what a site's callers saw.
+// Report is the result of one site, as its callers observed it.
 type Report struct {
 	User     example.User       `json:"user"`
 	Result   load.Result        `json:"result"`
 	Verdict  load.PaymentErrors `json:"verdict"`
-	UpToDate int                `json:"in_force"` // Processes with the newest generation.
+	UpToDate int                `json:"in_force"` // Running processes that have the newest generation.
 	Running  int                `json:"running"`
 }
 
-// Violations lists the promises that did not hold.
+// Violations lists the guarantees that were violated.
 func (r Report) Violations() (list []string) {
 	for _, one := range []struct {
 		count int
@@ -54,15 +54,15 @@
 	return list
 }
 
-// event is something that happens to a site, at a part of the duration.
+// event is an action on a site, at a fraction of the duration of the load.
 type event struct {
-	at   float64
-	text string
-	do   func(s *Site)
+	fraction float64
+	text     string
+	do       func(s *Site)
 }
 
-// script is what happens to each site.
-func script(s *Site) []event {
+// scenario returns the events of a site.
+func scenario(s *Site) []event {
 	l := s.layout
 	last := l.Domains[len(l.Domains)-1]
 	stopped, killed := l.Agents[0], l.Agents[2]
@@ -83,11 +83,11 @@
 	}
 }
 
-// settle is how long a site has after the load to agree on the newest
-// generation.
-const settle = 5 * time.Second
+// settleTimeout is how long the processes of a site may take after the start, and
+// again after the load, to apply the newest generation.
+const settleTimeout = 5 * time.Second
 
-// Run runs both sites and returns a report on each.
+// Run runs both sites, writes the events to out and returns a report on each site.
 func Run(ctx context.Context, o Options, out io.Writer) (reports []Report, err error) {
 	defer func() { err = errors.Wrap(err, "demo") }()
 	ctx, cancel := context.WithCancel(ctx)
@@ -124,7 +124,7 @@
 }
 
 func runSite(ctx context.Context, s *Site, o Options, out io.Writer) (r Report, err error) {
-	if err := s.await(ctx, 1); err != nil {
+	if err := s.awaitReady(ctx, 1); err != nil {
 		return r, err
 	}
 	r.User = s.layout.User
@@ -139,8 +139,8 @@
 	})
 	g.Go(func() error {
 		start := time.Now()
-		for _, e := range script(s) {
-			time.Sleep(time.Until(start.Add(time.Duration(e.at * float64(o.Duration)))))
+		for _, e := range scenario(s) {
+			time.Sleep(time.Until(start.Add(time.Duration(e.fraction * float64(o.Duration)))))
 			fmt.Fprintf(out, "%6.1fs  %-8s %s\n", time.Since(start).Seconds(), s.layout.User, e.text)
 			e.do(s)
 		}
@@ -149,30 +149,30 @@
 	if err := g.Wait(); err != nil {
 		return r, err
 	}
-	_ = s.await(ctx, 0) // Who has not got it by then is reported.
+	_ = s.awaitReady(ctx, 0) // On a timeout, the report shows how many processes lag behind.
 	r.UpToDate, r.Running = s.CountUpToDate()
-	r.Verdict = load.CheckPayments(r.Result.PaymentOutcomes, s.stand.Runs())
+	r.Verdict = load.CheckPayments(r.Result.PaymentOutcomes, s.standins.Runs())
 	return r, nil
 }
 
-// await waits until all daemons have the newest generation and, for members
-// above 0, see all others.
-func (s *Site) await(ctx context.Context, members int) error {
-	deadline := time.Now().Add(settle)
+// awaitReady waits until all daemons have the newest generation and, if checkMembers
+// is not 0, until allReady.
+func (s *Site) awaitReady(ctx context.Context, checkMembers int) error {
+	deadline := time.Now().Add(settleTimeout)
 	for {
-		have, all := s.CountUpToDate()
-		if have == all && (members == 0 || s.complete()) {
+		upToDate, running := s.CountUpToDate()
+		if upToDate == running && (checkMembers == 0 || s.allReady()) {
 			return nil
 		}
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errors.Newf("%d of %d processes have the newest generation", have, all)
+			return errors.Newf("%d of %d processes have the newest generation", upToDate, running)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// complete reports whether every daemon knows every other and takes work in.
-func (s *Site) complete() bool {
+// allReady reports whether every daemon knows all others and accepts requests.
+func (s *Site) allReady() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.daemons {
@@ -183,7 +183,7 @@
 	return true
 }
 
-// Print writes the table of reports.
+// Print writes the reports as a table.
 func Print(out io.Writer, reports []Report) {
 	fmt.Fprintf(out, "\n%-9s %6s %6s %8s %8s %7s %6s %5s %8s %14s %9s\n", "user", "sent", "whole", "not run",
 		"unknown", "broken", "wrong", "lost", "doubled", "false not run", "in force")
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -19,20 +19,21 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// Site is one site in this process: its stand-ins and the daemons' own code.
+// Site is one site that runs in this process: the stand-ins and the code of the
+// daemons.
 type Site struct {
-	layout *example.Site
-	stand  *standin.Server
-	group  *errgroup.Group
-	ctx    context.Context
+	layout   *example.Site
+	standins *standin.Server
+	group    *errgroup.Group
+	ctx      context.Context
 
 	mu      sync.Mutex
 	daemons map[string]*daemon.Daemon // By process name.
-	kills   map[string]context.CancelFunc
+	cancels map[string]context.CancelFunc
 	parent  published.Version
 }
 
-// Start starts a site; it stops when ctx ends, and the function waits for that.
+// Start starts a site, which stops when ctx ends; wait returns after it has stopped.
 func Start(ctx context.Context, layout *example.Site) (s *Site, wait func() error, err error) {
 	defer func() { err = errors.Wrap(err, "start site") }()
 	f, err := inifile.Parse("standin.ini", layout.StandinSettings(""))
@@ -44,8 +45,8 @@
 		return nil, nil, err
 	}
 	s = &Site{
-		layout: layout, stand: stand, group: &errgroup.Group{}, ctx: ctx,
-		daemons: map[string]*daemon.Daemon{}, kills: map[string]context.CancelFunc{},
+		layout: layout, standins: stand, group: &errgroup.Group{}, ctx: ctx,
+		daemons: map[string]*daemon.Daemon{}, cancels: map[string]context.CancelFunc{},
 	}
 	s.Publish(1, layout.Published())
 	s.group.Go(func() error { return stand.Run(ctx) })
@@ -61,7 +62,7 @@
 	return append(append([]example.Process(nil), s.layout.Agents...), s.layout.Entries...)
 }
 
-// StartDaemon starts one process of the layout.
+// StartDaemon starts the daemon of the process p.
 func (s *Site) StartDaemon(p example.Process) (err error) {
 	set, err := settings.Parse(p.Name+".ini", s.layout.Settings(p))
 	if err != nil {
@@ -73,18 +74,18 @@
 	}
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.mu.Lock()
-	s.daemons[p.Name], s.kills[p.Name] = d, cancel
+	s.daemons[p.Name], s.cancels[p.Name] = d, cancel
 	s.mu.Unlock()
 	s.group.Go(func() error {
 		defer cancel()
-		defer s.forget(p.Name, d)
+		defer s.remove(p.Name, d)
 		return d.Run(ctx)
 	})
 	return nil
 }
 
-// forget takes a daemon that has ended off the list.
-func (s *Site) forget(name string, d *daemon.Daemon) {
+// remove removes a daemon that has ended, unless the process runs a new one.
+func (s *Site) remove(name string, d *daemon.Daemon) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.daemons[name] == d {
@@ -92,14 +93,14 @@
 	}
 }
 
-// Kill ends a daemon without a last word.
+// Kill ends a daemon at once, without a planned stop or a final message.
 func (s *Site) Kill(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.kills[name]()
+	s.cancels[name]()
 }
 
-// BeginPlannedStop begins the planned stop of a daemon.
+// BeginPlannedStop tells a daemon to drain and stop.
 func (s *Site) BeginPlannedStop(name string) {
 	s.mu.Lock()
 	d := s.daemons[name]
@@ -107,34 +108,35 @@
 	d.Node().Leave("planned stop")
 }
 
-// Publish puts a generation in place.
+// Publish signs a generation of values and stores it in the configuration service.
 func (s *Site) Publish(generation uint64, values map[string][]byte) {
 	m := s.layout.Pack(generation, s.parent.Hash, values)
 	s.parent = m.Version()
-	s.stand.Dir.Publish(standin.Bundle{Manifest: m, Values: values})
+	s.standins.Dir.Publish(standin.Bundle{Manifest: m, Values: values})
 }
 
-// SetPartitioned cuts a failure domain off from the others and from the platform.
+// SetPartitioned partitions a failure domain off from the other ones and from the
+// platform, or heals the partition.
 func (s *Site) SetPartitioned(domain string, on bool) {
-	s.stand.Net.SetPartitioned(domain, on)
-	s.stand.Views[domain].SetDown(on)
+	s.standins.Net.SetPartitioned(domain, on)
+	s.standins.Views[domain].SetDown(on)
 }
 
-// UpToDate returns how many running daemons have the newest generation, and how
-// many there are.
-func (s *Site) CountUpToDate() (have, all int) {
+// CountUpToDate returns how many running daemons have the newest generation, and
+// how many are running.
+func (s *Site) CountUpToDate() (upToDate, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.daemons {
-		all++
+		running++
 		if c, ok := d.Node().Config(); ok && c.Version() == s.parent {
-			have++
+			upToDate++
 		}
 	}
-	return have, all
+	return upToDate, running
 }
 
-// Callers returns the customers as the load generator takes them.
+// Callers returns the customers in the form that the load generator uses.
 func (s *Site) Callers() (list []load.Caller) {
 	for _, c := range s.layout.Customers {
 		list = append(list, load.Caller{Name: c.Name, Key: c.Key})
@@ -142,7 +144,7 @@
 	return list
 }
 
-// Targets returns the callers' listeners of all entries.
+// Targets returns the addresses of the callers' listeners of all entries.
 func (s *Site) Targets() (list []string) {
 	for _, p := range s.layout.Entries {
 		list = append(list, p.CallerAddress)
--- a/internal/experiment/ownership.go
+++ b/internal/experiment/ownership.go
@@ -8,8 +8,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/own"
 )
 
-// Ownership compares rendezvous hashing with modulo when one owner is added to
-// so many: the share of keys whose owner changes, and how even the keys lie.
+// Ownership compares rendezvous hashing with modulo when one owner is added: the share
+// of keys whose owner changes, and how evenly the keys are distributed.
 func Ownership(owners, keys int) Table {
 	before, after := make([]string, owners), make([]string, owners+1)
 	for i := range after {
@@ -25,19 +25,19 @@
 		load := map[string]int{}
 		for k := range keys {
 			key := fmt.Sprintf("prefix-%d", k)
-			was := m.owner(key, before)
-			load[was]++
-			if m.owner(key, after) != was {
+			oldOwner := m.owner(key, before)
+			load[oldOwner]++
+			if m.owner(key, after) != oldOwner {
 				moved++
 			}
 		}
-		most := 0
+		maxKeys := 0
 		for _, n := range load {
-			most = max(most, n)
+			maxKeys = max(maxKeys, n)
 		}
 		t.Rows = append(t.Rows, Row{m.name, []Cell{
 			{"share moved", "", float64(moved) / float64(keys)},
-			{"fullest owner to mean", "", float64(most) * float64(owners) / float64(keys)},
+			{"fullest owner to mean", "", float64(maxKeys) * float64(owners) / float64(keys)},
 		}})
 	}
 	return t
--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -9,8 +9,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/retry"
 )
 
-// Retries compares the budget with three retries for each failure, while a
-// group fails so large a share of what is sent to it.
+// Retries compares the retry budget with three retries for each failed request and
+// with none. The group fails one request in 200, and nine in ten of the middle third.
 func Retries(requests int, seed uint64) Table {
 	t := Table{Title: fmt.Sprintf("Retries: %d requests, one in 200 fails; for the middle third, nine in ten do", requests)}
 	budget := retry.NewBudget(0.1, 20)
@@ -24,17 +24,17 @@
 		{"canvaspulley", func(attempt int) bool { return attempt < retry.MaxAttempts && budget.Take() }, budget.Success},
 	} {
 		rnd := rand.New(rand.NewPCG(seed, 2))
-		var sent, good [3]int
+		var sent, answered [3]int
 		for i := range requests {
 			phase := i * 3 / requests
 			for attempt := 1; ; attempt++ {
 				sent[phase]++
-				fail := 0.005
+				failureRate := 0.005
 				if phase == 1 {
-					fail = 0.9
+					failureRate = 0.9
 				}
-				if rnd.Float64() >= fail {
-					good[phase]++
+				if rnd.Float64() >= failureRate {
+					answered[phase]++
 					m.success()
 					break
 				}
@@ -46,8 +46,8 @@
 		third := float64(requests) / 3
 		t.Rows = append(t.Rows, Row{m.name, []Cell{
 			{"sent to the failing group", "times the requests", float64(sent[1]) / third},
-			{"answered while it fails", "share", float64(good[1]) / third},
-			{"answered otherwise", "share", float64(good[0]+good[2]) / (2 * third)},
+			{"answered while it fails", "share", float64(answered[1]) / third},
+			{"answered otherwise", "share", float64(answered[0]+answered[2]) / (2 * third)},
 		}})
 	}
 	return t
--- a/internal/standin/cache.go
+++ b/internal/standin/cache.go
@@ -7,17 +7,18 @@
 	"net/http"
 )
 
-// maxHeld bounds the KV caches that can be exported.
-const maxHeld = 4096
+// maxExportable is the maximum number of KV caches that an engine holds for export.
+const maxExportable = 4096
 
-// kvCache is what one engine hands to another.
+// kvCache is the KV cache of a request as one engine sends it to another. The
+// prompt stands for its content.
 type kvCache struct {
 	Prompt string `json:"prompt"`
 }
 
 func (e *Engine) exportCache(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	prompt, ok := e.held[r.PathValue("id")]
+	prompt, ok := e.exportable[r.PathValue("id")]
 	ok = ok && !e.down
 	e.mu.Unlock()
 	if !ok {
@@ -34,39 +35,41 @@
 		return
 	}
 	e.mu.Lock()
-	e.taken[r.PathValue("id")] = c.Prompt
+	e.imported[r.PathValue("id")] = c.Prompt
 	e.imports++
 	e.mu.Unlock()
 	writeJSON(w, struct{}{})
 }
 
-// Imports returns how many KV caches were given to this engine.
+// Imports returns how many KV caches this engine has imported.
 func (e *Engine) Imports() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.imports
 }
 
-// prefixCache remembers the newest prompt prefixes, whole blocks only.
+// prefixCache holds the prompt prefixes that were added last, in complete
+// blocks only. The oldest ones are evicted first.
 type prefixCache struct {
-	limit int
-	used  int
-	seen  map[string]bool
-	order []string
+	limit    int // Bytes.
+	used     int // Bytes.
+	prefixes map[string]bool
+	order    []string
 }
 
-// prefixBlock is the unit of caching, in bytes of prompt.
+// prefixBlock is the size of a cached block in bytes of the prompt.
 const prefixBlock = 64
 
 func newPrefixCache(limit int) *prefixCache {
-	return &prefixCache{limit: limit, seen: map[string]bool{}}
+	return &prefixCache{limit: limit, prefixes: map[string]bool{}}
 }
 
-// hit returns the bytes of prompt that were cached and takes in the rest.
-func (c *prefixCache) hit(prompt string) (n int) {
+// lookup returns how many bytes of the prompt were cached, and adds its
+// uncached blocks.
+func (c *prefixCache) lookup(prompt string) (n int) {
 	for end := prefixBlock; end <= len(prompt); end += prefixBlock {
 		prefix := prompt[:end]
-		if c.seen[prefix] {
+		if c.prefixes[prefix] {
 			n = end
 			continue
 		}
@@ -76,11 +79,11 @@
 }
 
 func (c *prefixCache) add(prefix string) {
-	c.seen[prefix] = true
+	c.prefixes[prefix] = true
 	c.order = append(c.order, prefix)
 	c.used += prefixBlock
 	for c.used > c.limit && len(c.order) > 0 {
-		delete(c.seen, c.order[0])
+		delete(c.prefixes, c.order[0])
 		c.order = c.order[1:]
 		c.used -= prefixBlock
 	}
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -11,23 +11,25 @@
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
-// Bundle is one generation as the tool packs it: the manifest and all values.
+// Bundle is one configuration generation as "canvaspulley pack" writes it: the
+// manifest and all values.
 type Bundle struct {
 	Manifest published.Manifest `json:"manifest"`
 	Values   map[string][]byte  `json:"values"`
 }
 
-// Directory is the configuration service and the list of instances. Views of
-// it can be cut, stale or down, each by itself.
+// Directory is a stand-in for the configuration service and the instance list. It
+// is read through Views, each of which can be down, stale or delayed independently of
+// the others.
 type Directory struct {
 	mu        sync.Mutex
 	values    map[string][]byte
 	instances map[string]adapter.Instance
-	changed   chan struct{} // Closed and replaced at each change.
+	changed   chan struct{} // Closed and replaced on each change.
 }
 
-// watchTime is how long a watch waits before it answers that nothing changed.
-const watchTime = 25 * time.Second
+// watchTimeout is how long a watch waits before it answers 304 Not Modified.
+const watchTimeout = 25 * time.Second
 
 // NewDirectory returns an empty directory.
 func NewDirectory() *Directory {
@@ -38,7 +40,8 @@
 	}
 }
 
-// Publish puts a generation in place, as an operator does: values first.
+// Publish stores a generation in the same order as an operator: the values first,
+// then the manifest.
 func (d *Directory) Publish(b Bundle) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,23 +49,23 @@
 		d.values[k] = v
 	}
 	d.values[published.ManifestKey] = b.Manifest.Encode()
-	d.wake()
+	d.notifyWatches()
 }
 
-// wake tells all watches that something changed; d.mu is held.
-func (d *Directory) wake() {
+// notifyWatches wakes all watches after a change. The caller holds d.mu.
+func (d *Directory) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// SetInstance adds or changes a row of the list.
+// SetInstance adds an instance to the list or replaces it.
 func (d *Directory) SetInstance(in adapter.Instance) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.instances[in.Name] = in
 }
 
-// SetLeaving names an instance as leaving.
+// SetLeaving marks an instance of the list as leaving.
 func (d *Directory) SetLeaving(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,48 +76,48 @@
 	}
 }
 
-// View is one way in to a directory, with faults of its own.
+// View is one access point to a directory, with its own injected faults.
 type View struct {
 	dir *Directory
 
-	mu    sync.Mutex
-	down  bool
-	stale map[string][]byte // Values as of the moment the view went stale.
-	list  []adapter.Instance
-	late  late[[]adapter.Instance]
-	calls int
+	mu          sync.Mutex
+	down        bool
+	staleValues map[string][]byte // Values at the time when the view was made stale; nil otherwise.
+	staleList   []adapter.Instance
+	delayedList delayed[[]adapter.Instance]
+	calls       int
 }
 
-// NewView returns a faultless view of d.
+// NewView returns a view of d without faults.
 func NewView(d *Directory) *View { return &View{dir: d} }
 
-// SetDown makes every call through the view fail.
+// SetDown makes every call through the view fail, or ends that fault.
 func (v *View) SetDown(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.down = on
 }
 
-// SetStale freezes what the view shows, or lets it follow again.
+// SetStale freezes what the view returns, or lets it track the directory again.
 func (v *View) SetStale(on bool) {
 	values, list := v.dir.snapshot()
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.stale, v.list = nil, nil
+	v.staleValues, v.staleList = nil, nil
 	if on {
-		v.stale, v.list = values, list
+		v.staleValues, v.staleList = values, list
 	}
 }
 
-// SetListLag makes the list lag: each read is kept, and the newest one that is old
-// enough is shown.
+// SetListLag makes the instance list lag by d: each read is recorded, and the
+// newest recorded list that is at least d old is returned.
 func (v *View) SetListLag(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.late.lag = d
+	v.delayedList.lag = d
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the number of calls through the view so far.
 func (v *View) Calls() int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -134,15 +137,16 @@
 	return values, list
 }
 
-// enter counts a call; ok is false when the view is down.
-func (v *View) enter() (stale map[string][]byte, list []adapter.Instance, ok bool) {
+// countCall counts a call and returns the frozen values and list of a stale
+// view; ok is false when the view is down.
+func (v *View) countCall() (stale map[string][]byte, list []adapter.Instance, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.calls++
-	return v.stale, v.list, !v.down
+	return v.staleValues, v.staleList, !v.down
 }
 
-// Handler serves the configuration service and the list.
+// Handler serves the API of the configuration service and of the instance list.
 func (v *View) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/keys/{key...}", v.get)
@@ -152,7 +156,7 @@
 }
 
 func (v *View) value(key string) (value []byte, changed <-chan struct{}, ok bool) {
-	stale, _, ok := v.enter()
+	stale, _, ok := v.countCall()
 	if !ok {
 		return nil, nil, false
 	}
@@ -166,28 +170,28 @@
 
 func (v *View) get(w http.ResponseWriter, r *http.Request) {
 	value, _, ok := v.value(r.PathValue("key"))
-	v.answer(w, value, ok)
+	v.writeValue(w, value, ok)
 }
 
-func (v *View) answer(w http.ResponseWriter, value []byte, ok bool) {
+func (v *View) writeValue(w http.ResponseWriter, value []byte, ok bool) {
 	switch {
 	case !ok:
 		http.Error(w, "service is down", http.StatusServiceUnavailable)
 	case value == nil:
 		http.Error(w, "no such key", http.StatusNotFound)
 	default:
-		_, _ = w.Write(value) // The reader may be gone.
+		_, _ = w.Write(value) // The client may have disconnected.
 	}
 }
 
 func (v *View) watch(w http.ResponseWriter, r *http.Request) {
 	hash := r.URL.Query().Get("hash")
-	timer := time.NewTimer(watchTime)
+	timer := time.NewTimer(watchTimeout)
 	defer timer.Stop()
 	for {
 		value, changed, ok := v.value(r.PathValue("key"))
 		if !ok || value != nil && published.HashOf(value) != hash {
-			v.answer(w, value, ok)
+			v.writeValue(w, value, ok)
 			return
 		}
 		select {
@@ -202,7 +206,7 @@
 }
 
 func (v *View) instances(w http.ResponseWriter, _ *http.Request) {
-	_, list, ok := v.enter()
+	_, list, ok := v.countCall()
 	if !ok {
 		http.Error(w, "service is down", http.StatusServiceUnavailable)
 		return
@@ -211,8 +215,8 @@
 		_, list = v.dir.snapshot()
 		now := time.Now()
 		v.mu.Lock()
-		v.late.add(now, list)
-		list = v.late.get(now)
+		v.delayedList.add(now, list)
+		list = v.delayedList.get(now)
 		v.mu.Unlock()
 	}
 	writeJSON(w, list)
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -15,39 +15,40 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// GroupConfig sizes a stand-in engine group.
+// GroupConfig configures a stand-in engine group.
 type GroupConfig struct {
 	Ranks           int
-	StepTime        time.Duration // Step time of an idle group.
-	TimePerSequence time.Duration // Added by each sequence on the fullest rank.
-	PrefillBytes    int           // Prompt bytes that one step takes in.
-	CacheBytes      int           // Prompt prefixes kept by a rank, in bytes.
-	ReportLag       time.Duration // Age of what State reports.
-	Store           *Store        // Where weights come from; nil for a store without bounds.
-	ExpertBytes     float64       // Of one expert of one layer.
-	IgnoreFences    bool          // The engines obey any ballot.
+	StepTime        time.Duration // Time of one step of an idle group.
+	TimePerSequence time.Duration // Added to the step time by each sequence of the rank that has most.
+	PrefillBytes    int           // Prompt bytes that one step processes.
+	CacheBytes      int           // Size of the prefix cache of a rank, in prompt bytes.
+	ReportLag       time.Duration // Age of the state that an engine reports.
+	Store           *Store        // Weight store; nil for one that delivers at once.
+	ExpertBytes     float64       // Size of one expert of one layer.
+	IgnoreFences    bool          // The engines accept orders of any ballot.
 }
 
-// Group is ranks that advance in lock-step: the slowest one paces all.
+// Group is a set of ranks that advance in lockstep: the slowest rank sets the
+// step time of all.
 type Group struct {
 	cfg   GroupConfig
 	ranks []*Engine
 
 	mu         sync.Mutex
 	step       uint64
-	violations int         // Steps that ran on two maps.
-	held       int         // Times the group waited for a decision.
-	demand     [][]float64 // Tokens by layer and expert, as reported.
+	violations int         // Times that a rank began a step on another map than rank 0.
+	waits      int         // Steps that were put off because a rank waited for a decision on its map.
+	demand     [][]float64 // Tokens that the engines report, by layer and expert.
 	sample     int
 }
 
-// sequence is one request at a rank.
+// sequence is one request that runs on a rank.
 type sequence struct {
-	req    adapter.Generate
-	next   int // Next token to make.
-	fill   int // Prompt bytes not yet taken in.
-	tokens chan int
-	gone   <-chan struct{}
+	req         adapter.Generate
+	next        int // Next token to generate.
+	prefillLeft int // Prompt bytes not yet processed.
+	tokens      chan int
+	cancelled   <-chan struct{}
 }
 
 // Engine is one rank of a group.
@@ -55,33 +56,33 @@
 	group *Group
 	rank  int
 
-	mu      sync.Mutex
-	active  map[*sequence]bool
-	maps    mapswitch.RankState // What the engine must not forget about its map.
-	loaded  time.Time           // When the weights of maps.Prepared are there.
-	held    map[string]string   // Prompts whose KV cache can be exported, by request id.
-	taken   map[string]string   // Prompts whose KV cache was imported, by request id.
-	cache   *prefixCache
-	imports int
-	down    bool
-	stall   bool
-	slow    time.Duration
-	report  late[adapter.EngineState]
-	content map[uint64][][][]int // Ranks by layer and expert: the map in force and the newest one prepared.
+	mu            sync.Mutex
+	active        map[*sequence]bool
+	maps          mapswitch.RankState // Map state, which the engine must not lose: a restarted agent reads it back.
+	loadedAt      time.Time           // When the weights of maps.Prepared have arrived.
+	exportable    map[string]string   // Prompts whose KV cache can be exported, by request id.
+	imported      map[string]string   // Prompts whose KV cache was imported, by request id.
+	cache         *prefixCache
+	imports       int
+	down          bool
+	stalled       bool
+	addedStepTime time.Duration
+	delayedState  delayed[adapter.EngineState]
+	layouts       map[uint64][][][]int // Ranks by map version, layer and expert: the active map and the one prepared last.
 }
 
-// NewGroup returns a group whose steps are made by Run.
+// NewGroup returns a group; its steps are executed by Run.
 func NewGroup(cfg GroupConfig) *Group {
 	g := &Group{cfg: cfg}
 	for i := range cfg.Ranks {
 		g.ranks = append(g.ranks, &Engine{
-			group:  g,
-			rank:   i,
-			active: map[*sequence]bool{},
-			held:   map[string]string{},
-			taken:  map[string]string{},
-			cache:  newPrefixCache(cfg.CacheBytes),
-			report: late[adapter.EngineState]{lag: cfg.ReportLag},
+			group:        g,
+			rank:         i,
+			active:       map[*sequence]bool{},
+			exportable:   map[string]string{},
+			imported:     map[string]string{},
+			cache:        newPrefixCache(cfg.CacheBytes),
+			delayedState: delayed[adapter.EngineState]{lag: cfg.ReportLag},
 		})
 	}
 	return g
@@ -90,7 +91,7 @@
 // Rank returns the engine of rank i.
 func (g *Group) Rank(i int) *Engine { return g.ranks[i] }
 
-// Run makes steps until ctx ends.
+// Run executes steps until ctx ends.
 func (g *Group) Run(ctx context.Context) error {
 	timer := time.NewTimer(g.cfg.StepTime)
 	defer timer.Stop()
@@ -102,56 +103,57 @@
 			return nil
 		case <-timer.C:
 		}
-		if ok && g.begin() {
+		if ok && g.beginStep() {
 			g.advance(d)
 		}
 	}
 }
 
-// begin begins the next step on all ranks, if none holds, and checks that all
-// run on one map.
-func (g *Group) begin() bool {
+// beginStep begins the next step on all ranks and counts a violation for each
+// rank whose map differs from that of rank 0. It returns false, and no rank
+// begins, when a rank has to wait for a decision on its map.
+func (g *Group) beginStep() bool {
 	for _, e := range g.ranks {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 	}
 	for _, e := range g.ranks {
 		if !e.maps.CanBegin() {
-			g.count(&g.held)
+			g.increment(&g.waits)
 			return false
 		}
 	}
 	for _, e := range g.ranks {
 		e.maps = e.maps.BeginStep()
 		if e.maps.Map != g.ranks[0].maps.Map {
-			g.count(&g.violations)
+			g.increment(&g.violations)
 		}
 	}
 	return true
 }
 
-func (g *Group) count(n *int) {
+func (g *Group) increment(n *int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	*n++
 }
 
-// MapReport is what a group saw of its maps.
+// MapReport reports the active map of a group and how its switches went.
 type MapReport struct {
-	MapVersion uint64 `json:"map"` // In force.
+	MapVersion uint64 `json:"map"` // Version of the active map.
 	Step       uint64 `json:"step"`
-	Violations int    `json:"violations"` // Steps that ran on two maps.
-	Waits      int    `json:"held"`       // Times that the group waited for a decision.
+	Violations int    `json:"violations"` // Times that a rank began a step on another map than rank 0.
+	Waits      int    `json:"held"`       // Steps that were put off because a rank waited for a decision on its map.
 }
 
-// Maps returns what the group saw of its maps.
+// Maps returns the report on the group's maps.
 func (g *Group) Maps() MapReport {
 	g.ranks[0].mu.Lock()
 	m := g.ranks[0].maps
 	g.ranks[0].mu.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return MapReport{MapVersion: m.Map, Step: m.LastStep, Violations: g.violations, Waits: g.held}
+	return MapReport{MapVersion: m.Map, Step: m.LastStep, Violations: g.violations, Waits: g.waits}
 }
 
 // SetDemand sets the tokens that the engines report, by layer and expert.
@@ -161,23 +163,24 @@
 	g.demand = tokens
 }
 
-// stepTime is the time of the next step, set by the slowest rank; ok is false
-// while a rank stalls, and then no rank advances.
+// stepTime returns the time of the next step, which the slowest rank sets; ok is
+// false while a rank stalls, and then no rank advances.
 func (g *Group) stepTime() (d time.Duration, ok bool) {
 	for _, e := range g.ranks {
 		e.mu.Lock()
-		own := g.cfg.StepTime + time.Duration(len(e.active))*g.cfg.TimePerSequence + e.slow
-		stall := e.stall
+		rankTime := g.cfg.StepTime + time.Duration(len(e.active))*g.cfg.TimePerSequence + e.addedStepTime
+		stall := e.stalled
 		e.mu.Unlock()
 		if stall {
 			return g.cfg.StepTime, false
 		}
-		d = max(d, own)
+		d = max(d, rankTime)
 	}
 	return d, true
 }
 
-// advance makes one step: one token for each sequence of each rank.
+// advance executes one step: each sequence of each rank processes a part of its
+// prompt or generates a token.
 func (g *Group) advance(d time.Duration) {
 	g.mu.Lock()
 	g.step++
@@ -193,70 +196,70 @@
 	defer e.mu.Unlock()
 	for s := range e.active {
 		select {
-		case <-s.gone:
+		case <-s.cancelled:
 			delete(e.active, s)
 			continue
 		default:
 		}
-		if s.fill > 0 {
-			s.fill -= e.group.cfg.PrefillBytes
+		if s.prefillLeft > 0 {
+			s.prefillLeft -= e.group.cfg.PrefillBytes
 			continue
 		}
 		select {
 		case s.tokens <- s.next:
 			s.next++
-		default: // The reader is behind; the sequence waits.
+		default: // The client reads too slowly; the sequence waits.
 		}
 		if s.next >= s.req.MaxTokens {
 			delete(e.active, s)
 			close(s.tokens)
 		}
 	}
-	e.report.add(time.Now(), adapter.EngineState{
+	e.delayedState.add(time.Now(), adapter.EngineState{
 		Step: step, StepMS: float64(d) / float64(time.Millisecond), Running: len(e.active),
 	})
 }
 
-// start adds a sequence; ok is false while the engine is down.
-func (e *Engine) start(req adapter.Generate, gone <-chan struct{}) (s *sequence, ok bool) {
+// start adds a sequence for a request; ok is false while the engine is down.
+func (e *Engine) start(req adapter.Generate, cancelled <-chan struct{}) (s *sequence, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down {
 		return nil, false
 	}
-	cached := e.cache.hit(req.Prompt)
-	if e.taken[req.ID] == req.Prompt {
+	cached := e.cache.lookup(req.Prompt)
+	if e.imported[req.ID] == req.Prompt {
 		cached = len(req.Prompt)
 	}
-	delete(e.taken, req.ID)
-	if len(e.held) >= maxHeld {
-		clear(e.held)
+	delete(e.imported, req.ID)
+	if len(e.exportable) >= maxExportable {
+		clear(e.exportable)
 	}
-	e.held[req.ID] = req.Prompt
+	e.exportable[req.ID] = req.Prompt
 	s = &sequence{
-		req: req, next: req.From, fill: len(req.Prompt) - cached,
-		tokens: make(chan int, 64), gone: gone,
+		req: req, next: req.From, prefillLeft: len(req.Prompt) - cached,
+		tokens: make(chan int, 64), cancelled: cancelled,
 	}
 	e.active[s] = true
 	return s, true
 }
 
-// SetStalled stops or resumes the whole group through this rank.
+// SetStalled stalls or resumes this rank, and with it the whole group.
 func (e *Engine) SetStalled(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.stall = on
+	e.stalled = on
 }
 
-// SetAddedStepTime adds time to each step of the group through this rank.
+// SetAddedStepTime makes each step of this rank, and so of the group, longer by d.
 func (e *Engine) SetAddedStepTime(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = d
+	e.addedStepTime = d
 }
 
-// Kill ends all sequences of this rank without a last word and refuses new
-// ones until Revive.
+// Kill aborts all sequences of this rank without a final event and rejects new
+// requests until Revive.
 func (e *Engine) Kill() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -267,19 +270,19 @@
 	}
 }
 
-// Revive lets a killed engine take requests again.
+// Revive makes a killed engine accept requests again.
 func (e *Engine) Revive() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.down = false
 }
 
-// Handler serves the engine's protocol.
+// Handler serves the engine protocol.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/generate", e.generate)
 	mux.HandleFunc("GET /v1/state", e.state)
-	mux.HandleFunc("POST /v1/order", e.order)
+	mux.HandleFunc("POST /v1/order", e.handleOrder)
 	mux.HandleFunc("GET /v1/experts", e.experts)
 	mux.HandleFunc("GET /v1/map", e.mapContent)
 	mux.HandleFunc("GET /v1/kv/{id}", e.exportCache)
@@ -301,21 +304,22 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	_ = rc.Flush()
-	e.write(w, rc, s)
+	e.writeStream(w, rc, s)
 }
 
-// write sends the tokens of s, and the last event only when all were made.
-func (e *Engine) write(w http.ResponseWriter, rc *http.ResponseController, s *sequence) {
+// writeStream sends the tokens of s, and the end event only after all tokens
+// were generated.
+func (e *Engine) writeStream(w http.ResponseWriter, rc *http.ResponseController, s *sequence) {
 	var buf []byte
 	sent := s.req.From
 	for {
 		select {
-		case <-s.gone:
+		case <-s.cancelled:
 			return
 		case n, ok := <-s.tokens:
 			if !ok {
 				if sent < s.req.MaxTokens {
-					panic(http.ErrAbortHandler) // Killed: the stream breaks off.
+					panic(http.ErrAbortHandler) // The engine was killed: abort the stream.
 				}
 				_, _ = w.Write(wire.AppendFrame(buf[:0], e.eventID(s, sent), wire.EventEnd, []byte("{}")))
 				return
@@ -337,7 +341,7 @@
 
 func (e *Engine) state(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	s := e.report.get(time.Now())
+	s := e.delayedState.get(time.Now())
 	down := e.down
 	e.mu.Unlock()
 	if down {
@@ -347,9 +351,9 @@
 	writeJSON(w, s)
 }
 
-// order obeys or refuses a fenced order. A Prepare is confirmed only when the
-// weights have had the time to come from the store.
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+// handleOrder executes a fenced order or rejects it. A Prepare is confirmed only
+// after the time that the weights take to arrive from the store.
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o adapter.MapOrder
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -371,42 +375,42 @@
 	e.maps.Fence = max(e.maps.Fence, fence)
 	reply.State.Fence = e.maps.Fence
 	if e.maps.Prepared != before {
-		e.loaded = e.load(o.Plan.Version, o.Experts, time.Now())
+		e.loadedAt = e.loadExperts(o.Plan.Version, o.Experts, time.Now())
 	}
-	if o.Kind == mapswitch.Prepare && time.Now().Before(e.loaded) {
+	if o.Kind == mapswitch.Prepare && time.Now().Before(e.loadedAt) {
 		reply.OK = false
 	}
 	writeJSON(w, reply)
 }
 
-// load asks the store for the experts that this rank lacks of a map, and returns
-// when they will be there; e.mu is held.
-func (e *Engine) load(version uint64, next [][][]int, now time.Time) time.Time {
-	lacking := 0
-	has := e.content[e.maps.Map]
+// loadExperts requests from the store the experts of a map that this rank does
+// not hold yet, and returns when they will have arrived. The caller holds e.mu.
+func (e *Engine) loadExperts(version uint64, next [][][]int, now time.Time) time.Time {
+	missing := 0
+	held := e.layouts[e.maps.Map]
 	for l, layer := range next {
 		for x, ranks := range layer {
-			if slices.Contains(ranks, e.rank) && (has == nil || !slices.Contains(has[l][x], e.rank)) {
-				lacking++
+			if slices.Contains(ranks, e.rank) && (held == nil || !slices.Contains(held[l][x], e.rank)) {
+				missing++
 			}
 		}
 	}
-	e.content = map[uint64][][][]int{e.maps.Map: has, version: next}
+	e.layouts = map[uint64][][][]int{e.maps.Map: held, version: next}
 	if e.group.cfg.Store == nil {
 		return now
 	}
-	return e.group.cfg.Store.Load(float64(lacking)*e.group.cfg.ExpertBytes, now)
+	return e.group.cfg.Store.Load(float64(missing)*e.group.cfg.ExpertBytes, now)
 }
 
-// mapContent shows the map in force.
+// mapContent returns the active map.
 func (e *Engine) mapContent(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
-	m := adapter.MapContent{Version: e.maps.Map, Experts: e.content[e.maps.Map]}
+	m := adapter.MapContent{Version: e.maps.Map, Experts: e.layouts[e.maps.Map]}
 	e.mu.Unlock()
 	writeJSON(w, m)
 }
 
-// experts reports the load of experts, a new sample at each call.
+// experts returns the expert load, as a new sample on each call.
 func (e *Engine) experts(w http.ResponseWriter, _ *http.Request) {
 	g := e.group
 	g.mu.Lock()
@@ -418,5 +422,5 @@
 
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // The reader may be gone.
+	_ = json.NewEncoder(w).Encode(v) // The client may have disconnected.
 }
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -7,65 +7,66 @@
 	"time"
 )
 
-// late shows what was put in at least a lag ago; before that it shows the first
-// value.
-type late[T any] struct {
-	lag  time.Duration
-	past []timed[T]
+// delayed returns the newest value that was added at least lag ago, and the
+// first value as long as there is none.
+type delayed[T any] struct {
+	lag     time.Duration
+	entries []timedValue[T]
 }
 
-type timed[T any] struct {
+type timedValue[T any] struct {
 	at    time.Time
 	value T
 }
 
-func (l *late[T]) add(now time.Time, v T) {
-	l.past = append(l.past, timed[T]{now, v})
-	l.trim(now)
+func (d *delayed[T]) add(now time.Time, v T) {
+	d.entries = append(d.entries, timedValue[T]{now, v})
+	d.trim(now)
 }
 
-func (l *late[T]) trim(now time.Time) {
-	for len(l.past) > 1 && now.Sub(l.past[1].at) >= l.lag {
-		l.past = l.past[1:]
+func (d *delayed[T]) trim(now time.Time) {
+	for len(d.entries) > 1 && now.Sub(d.entries[1].at) >= d.lag {
+		d.entries = d.entries[1:]
 	}
 }
 
-func (l *late[T]) get(now time.Time) (v T) {
-	l.trim(now)
-	if len(l.past) == 0 {
+func (d *delayed[T]) get(now time.Time) (v T) {
+	d.trim(now)
+	if len(d.entries) == 0 {
 		return v
 	}
-	return l.past[0].value
+	return d.entries[0].value
 }
 
-// Store is the weight store: its rate is shared by all engines of a site, one
-// load after the other.
+// Store is a stand-in for the weight store. All engines of a site share its rate;
+// their loads run one after the other.
 type Store struct {
-	rate float64 // Bytes a second.
+	rate float64 // Bytes per second.
 
-	mu    sync.Mutex
-	until time.Time // When all that was asked for has been given.
-	given float64
+	mu        sync.Mutex
+	busyUntil time.Time // When the last load that was requested ends.
+	requested float64
 }
 
-// NewStore returns a store of so many bytes a second.
+// NewStore returns a store that delivers rate bytes per second.
 func NewStore(rate float64) *Store { return &Store{rate: rate} }
 
-// Load asks for weights and returns when they will have come.
+// Load requests weights of the given size and returns the time at which their
+// transfer ends.
 func (s *Store) Load(bytes float64, now time.Time) (done time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.until.Before(now) {
-		s.until = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	s.given += bytes
-	s.until = s.until.Add(time.Duration(bytes / s.rate * float64(time.Second)))
-	return s.until
+	s.requested += bytes
+	s.busyUntil = s.busyUntil.Add(time.Duration(bytes / s.rate * float64(time.Second)))
+	return s.busyUntil
 }
 
-// BytesRequested returns the bytes that were asked for so far.
+// BytesRequested returns the bytes that were requested so far.
 func (s *Store) BytesRequested() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.given
+	return s.requested
 }
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,7 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package trace reads, writes and makes traces of expert load: how many tokens
-// each expert of each layer got in each sample. Traces feed experiments only.
+// Package trace reads, writes and generates traces of expert load: how many tokens
+// each expert of each layer received in each sample. Traces are used in experiments
+// only.
 package trace
 
 import (
@@ -14,25 +15,25 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Trace is tokens by sample, layer and expert.
+// Trace is the number of tokens, indexed by sample, layer and expert.
 type Trace [][][]float64
 
 // Layers returns the number of layers.
 func (t Trace) Layers() int { return len(t[0]) }
 
-// Experts returns the number of experts a layer.
+// Experts returns the number of experts per layer.
 func (t Trace) Experts() int { return len(t[0][0]) }
 
 // header is the first line of a trace file.
 var header = []string{"step", "layer", "expert", "tokens"}
 
-// Bounds of what is read.
+// Exclusive upper bounds of the indices that Read accepts.
 const (
 	maxStep  = 1 << 20
 	maxIndex = 1 << 12
 )
 
-// LineError is a malformed line.
+// LineError reports a malformed line of a trace file.
 type LineError struct {
 	File string
 	Line int
@@ -41,12 +42,12 @@
 
 func (e *LineError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
-// Read parses a trace; name is used in errors only.
+// Read parses a trace file; name is used in errors only.
 func Read(name string, r io.Reader) (t Trace, err error) {
 	c := csv.NewReader(r)
 	c.ReuseRecord = true
 	c.FieldsPerRecord = len(header)
-	fault := func(format string, args ...any) error {
+	parseError := func(format string, args ...any) error {
 		line, _ := c.FieldPos(0)
 		return &LineError{name, line, fmt.Sprintf(format, args...)}
 	}
@@ -65,29 +66,29 @@
 		if first {
 			for i, want := range header {
 				if row[i] != want {
-					return nil, fault("the header must be step,layer,expert,tokens")
+					return nil, parseError("the header must be step,layer,expert,tokens")
 				}
 			}
 			continue
 		}
 		step, layer, expert, tokens, err := parseRow(row)
 		if err != nil {
-			return nil, fault("%v", err)
+			return nil, parseError("%v", err)
 		}
 		switch {
 		case step < len(t)-1:
-			return nil, fault("step %d comes after step %d", step, len(t)-1)
+			return nil, parseError("step %d comes after step %d", step, len(t)-1)
 		case step > len(t):
-			return nil, fault("step %d is missing", len(t))
+			return nil, parseError("step %d is missing", len(t))
 		case step == len(t):
 			t = append(t, nil)
 		}
-		t[step] = put(t[step], layer, expert, tokens)
+		t[step] = addTokens(t[step], layer, expert, tokens)
 	}
 	if len(t) == 0 {
 		return nil, &LineError{name, 1, "no rows"}
 	}
-	return t.square(), nil
+	return t.pad(), nil
 }
 
 func parseRow(row []string) (step, layer, expert int, tokens float64, err error) {
@@ -105,7 +106,7 @@
 	return n[0], n[1], n[2], tokens, nil
 }
 
-func put(layers [][]float64, layer, expert int, tokens float64) [][]float64 {
+func addTokens(layers [][]float64, layer, expert int, tokens float64) [][]float64 {
 	for len(layers) <= layer {
 		layers = append(layers, nil)
 	}
@@ -116,9 +117,9 @@
 	return layers
 }
 
-// square gives all samples the same layers and all layers the same experts;
-// what no row named got no tokens.
-func (t Trace) square() Trace {
+// pad gives all samples the same layers and all layers the same experts. An expert
+// without a row in the file received no tokens.
+func (t Trace) pad() Trace {
 	layers, experts := 0, 0
 	for _, s := range t {
 		layers = max(layers, len(s))
@@ -127,15 +128,15 @@
 		}
 	}
 	for i := range t {
-		t[i] = put(t[i], layers-1, experts-1, 0)
+		t[i] = addTokens(t[i], layers-1, experts-1, 0)
 		for l := range t[i] {
-			t[i] = put(t[i], l, experts-1, 0)
+			t[i] = addTokens(t[i], l, experts-1, 0)
 		}
 	}
 	return t
 }
 
-// Write writes t as a trace file.
+// Write writes t in the format that Read parses.
 func (t Trace) Write(w io.Writer) (err error) {
 	b := bufio.NewWriter(w)
 	fmt.Fprintln(b, "step,layer,expert,tokens")
