--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -123,7 +123,8 @@
 	return backingOff, leaving
 }
 
-// Forget removes endpoints whose names are no longer listed, and those whose backoff has ended.
+// Forget removes endpoints whose names are no longer listed, and those whose backoff has ended, unless
+// they are leaving or still on trial.
 func (s *Set) Forget(listed func(name string) bool, now time.Time) {
 	for name, p := range s.endpoints {
 		if !listed(name) || p.leavingAt.IsZero() && !p.trial && !now.Before(p.backoffUntil) {
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -61,7 +61,7 @@
 	failures             float64   // Decayed weight of the failures.
 	decayedAt            time.Time // When the weights were last decayed.
 	consecutiveFailures  int       // Failures since the last success or ejection.
-	consecutiveEjections int       // Ejections in a row; a success later than maxEjection after the last one resets it.
+	consecutiveEjections int       // Ejections in a row; a success later than maxEjection after the end of the last one resets it.
 	ejectedUntil         time.Time
 	probation            bool // Admitted after an ejection: one request at a time until one succeeds.
 	misplaced            bool // Another endpoint answered at its address.
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -193,7 +193,7 @@
 func (m *Machine) handleConflict(r int) {
 	switch m.Phase {
 	case Fencing, Clearing, Releasing, Going, Freeing:
-		// Disarm: the version is in force already. Go: the pass has begun.
+		// Disarm: the version is in force already. Release: the pass has begun.
 		m.confirmed[r] = true
 	case Preparing:
 		// The order may have been carried out before, and its answer lost; the reports show whether
@@ -374,7 +374,7 @@
 }
 
 // SwitchAt starts the switch to the prepared map at the given pass, or at a later one if that pass was
-// already used. It does nothing unless the phase is Ready.
+// already used. It does nothing unless the phase is Ready and the prepared version was never disarmed.
 func (m *Machine) SwitchAt(step uint64) {
 	if m.Phase != Ready || m.versionRetired {
 		return
--- a/internal/decide/cutover/search_test.go
+++ b/internal/decide/cutover/search_test.go
@@ -349,7 +349,8 @@
 	g.Expect(seen).To(BeNumerically(">", 10_000))
 }
 
-// The search detects that only the restarted rank forgets its maps and armings.
+// The search must detect the violation that follows if only the restarted rank forgets its maps and
+// armings, and the other ranks do not.
 func TestSearchFindsStateLeftByARestart(t *testing.T) {
 	g := NewWithT(t)
 	seen, violation := search(1, groupRemembers, nil)
--- a/internal/decide/idle/idle_test.go
+++ b/internal/decide/idle/idle_test.go
@@ -119,8 +119,8 @@
 }
 
 // longest returns the longest of the limits that a caller may go by that has been idle since the given
-// time, that is, those in effect then or replaced at most the propagation delay before; of equally
-// long ones, the newest.
+// time, that is, those in effect then or later, or replaced at most the propagation delay before; of
+// equally long ones, the newest.
 func (n naiveLimits) longest(since time.Time) (best Limit) {
 	for i, l := range n.limits {
 		holding := i == len(n.replacedAt) || !n.replacedAt[i].Add(propagation).Before(since)
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -321,7 +321,7 @@
 	Limit      float64   // Requests that one of these ranks may hold on average.
 	SameDomain int       // Ranks in the failure domain of this process.
 	LastReport time.Time // Time of the last report of any of its ranks; zero before the first.
-	Silent     bool      // It is skipped, as other groups report and it does not.
+	Silent     bool      // It is skipped, as other groups report and it no longer does.
 }
 
 // silentAfter is the time without any report after which a whole group counts as partitioned off:
@@ -330,8 +330,9 @@
 // to show a partition.
 const silentAfter = 400 * time.Millisecond
 
-// MarkSilent marks the groups without recent reports if other groups have recent ones. If none
-// has, this process itself is partitioned off, and no group is marked.
+// MarkSilent marks the groups whose reports have stopped if other groups have recent ones. If none
+// has, this process itself is partitioned off, and no group is marked. A group that has never
+// reported is not marked either.
 func MarkSilent(options []Option, now time.Time) {
 	reported := func(o Option) bool { return now.Sub(o.LastReport) <= silentAfter }
 	if !slices.ContainsFunc(options, reported) {
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -27,8 +27,9 @@
 	// retention is how long ends are remembered for a request that is not held.
 	retention = 15 * time.Minute
 	// sameCauseWindow is the time within which ends may have the same cause, such as a partition
-	// that resets connections: requests in flight failed over 0.6 s, and requests that depend on a
-	// lost rank stall for 1.5 s before they are aborted. A group of ranks takes longer to form again.
+	// that resets connections: requests in flight failed over a period of 0.6 s, and requests that
+	// depend on a lost rank stall for 1.5 s before they are aborted. A group of ranks takes longer to
+	// form again.
 	sameCauseWindow = 2 * time.Second
 	// minEndsForTrial is the number of ends that may have the same cause after which the request is
 	// only sent as a trial, by one gateway. Fewer ends may be the loss of one or two instances. It
@@ -44,7 +45,7 @@
 // The kinds of knowledge, in ascending order of severity.
 const (
 	NoKnownEnd Knowledge = iota // No end, or only recent ones: an end may be one of several with the same cause.
-	KnownEnd                    // An earlier end was known; another one has a different cause.
+	KnownEnd                    // An end older than sameCauseWindow was known: a further end has a different cause.
 	OnTrial                     // The request was held, and was sent to test whether it still ends endpoints.
 )
 
--- a/internal/decide/room/room_test.go
+++ b/internal/decide/room/room_test.go
@@ -72,8 +72,8 @@
 	NewWithT(t).Expect(s.Admit(0, 0.5, 3, false, func() float64 { return 0 })).To(BeFalse())
 }
 
-// surge has all processes ask for slots at once, before the next report, each for its
-// waiting requests that waited for the group to open. It returns how many are admitted.
+// surge has all processes ask for slots at once, before the next report, each for as many
+// requests as it has waiting for the group to open. It returns how many are admitted.
 func surge(processes, waiting, slots int) (admitted int) {
 	chance := rand.New(rand.NewPCG(3, 4)).Float64
 	for range processes {
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -38,12 +38,13 @@
 
 const (
 	// Hubs is the number of gateways of a failure domain to which all others of it send hellos:
-	// one more than they read from, so that the next one is known when one of these ends.
+	// one more than the two that read the store, from which the others receive its changes, so that
+	// the next reader is known when one of these ends.
 	Hubs = 3
 	// remoteHubs is the number of gateways of another failure domain to which a hub sends hellos:
 	// traffic between domains is expensive, and one of two messages may be lost.
 	remoteHubs = 2
-	// remoteEveryRounds is the number of rounds per round in which hubs send hellos to other domains.
+	// remoteEveryRounds is the number of rounds of which one includes hellos of hubs to other domains.
 	remoteEveryRounds = 2
 	// remoteRecentFor is RecentFor for gateways of other failure domains.
 	remoteRecentFor = RecentFor + remoteEveryRounds*HelloInterval
