--- a/internal/adapter/listening.go
+++ b/internal/adapter/listening.go
@@ -18,7 +18,7 @@
 	return func(ctx context.Context) bool {
 		u, err := url.Parse(base)
 		if err != nil {
-			return false // Settings are validated at start; an unreachable address does not prove that the process ended.
+			return false // Settings are validated at start; a process whose URL is invalid is not taken as ended.
 		}
 		conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", u.Host)
 		if err != nil {
--- a/internal/adapter/service.go
+++ b/internal/adapter/service.go
@@ -27,7 +27,7 @@
 	Status    int
 	MediaType string // Content-Type of Body.
 	Body      []byte
-	Backoff   time.Duration // Time for which the service requests no more calls; 0 for none.
+	Backoff   time.Duration // Time for which the service wants no more calls; 0 for none.
 }
 
 // Service is the adapter to one plain service.
--- a/internal/daemon/process_end_test.go
+++ b/internal/daemon/process_end_test.go
@@ -191,7 +191,7 @@
 	r, w, err := os.Pipe()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(r.Close()).To(Succeed())
-	g.Expect(unix.Dup2(int(w.Fd()), syscall.Stdout)).To(Succeed()) // Only writes to descriptors 1 and 2 raise SIGPIPE.
+	g.Expect(unix.Dup2(int(w.Fd()), syscall.Stdout)).To(Succeed()) // A Go process dies of SIGPIPE only for descriptors 1 and 2.
 	_, err = os.Stdout.WriteString("a line")
 	g.Expect(unix.Dup2(kept, syscall.Stdout)).To(Succeed())
 	g.Expect(err).To(MatchError(syscall.EPIPE))
--- a/internal/fleet/call.go
+++ b/internal/fleet/call.go
@@ -42,7 +42,7 @@
 
 	HasRateLimit   bool          // The endpoint announces a rate limit.
 	RateLimit      float64       // Requests per second that it accepts from all gateways together; valid if HasRateLimit.
-	Backoff        time.Duration // Time for which the endpoint requests no more requests from this gateway; 0 for none.
+	Backoff        time.Duration // Time for which the endpoint wants no more requests from this gateway; 0 for none.
 	Leaving        bool          // The endpoint is leaving and accepts nothing new.
 	InvalidHeaders []string      // Headers that are treated as absent since their values are invalid, for the log.
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -39,8 +39,8 @@
 	// expiryGrace is how long after an outage an expired entry may take to be written again; the
 	// platform promises about two seconds.
 	expiryGrace = 2 * time.Second
-	// minOutage is how long a source must have been unreachable for entries to have expired: it is
-	// shorter than three heartbeats of 1.2 s.
+	// minOutage is how long a source must have been unreachable for entries to be taken as possibly
+	// expired. It is shorter than three heartbeats of 1.2 s, after which an entry expires.
 	minOutage = 2 * time.Second
 	// maxPeerAge is the maximum age of the configuration at which a process continues to follow a
 	// peer: two long polls, which leaves some margin below the age from which the configuration is
--- a/internal/follow/told.go
+++ b/internal/follow/told.go
@@ -134,7 +134,7 @@
 	next := *v.state.Load()
 	old := next
 	next.cloneTables()
-	updatedNames := map[string]bool{} // If only the incarnation of a name differs, the later one is kept.
+	updatedNames := map[string]bool{} // Names, not ids: for another incarnation of the same name, mergeEntry keeps the later one.
 	for _, e := range u.Endpoints {
 		updatedNames[e.Name()] = true
 		if had, ok := old.Endpoints[e.ID]; !ok || had.Revision <= e.Revision {
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -285,7 +285,8 @@
 	return l.tracker.add(tcp, time.Now()), nil
 }
 
-// Close closes the listener and removes it from the tracker, also when a failing server calls it.
+// Close closes the listener and removes it from the tracker, also when its server calls it because
+// the server stops or has failed.
 func (l *listener) Close() error {
 	err := l.Listener.Close()
 	l.tracker.onListenerClose(l, time.Now())
--- a/internal/keepalive/moments_test.go
+++ b/internal/keepalive/moments_test.go
@@ -22,8 +22,8 @@
 }
 
 // roundTrip sends a request of a caller. One without an answer must not have run, and must have
-// been sent after allowedIdle, which counts from the sending of the previous request, as that ended
-// no earlier.
+// been sent later than allowedIdle after the previous request was sent. The idle time itself begins
+// when the previous request ends, which is no earlier, so the check is never too strict.
 func (e *outcomes) roundTrip(c *caller, allowedIdle time.Duration) (ok bool, err error) {
 	before, id := c.sent, c.nextID()
 	if err = c.send(requestText(id)); err == nil {
@@ -120,7 +120,7 @@
 	forEachCaller(t, s.dialMany(t, connCount), func(i int, c *caller) error {
 		rng := rand.New(rand.NewPCG(uint64(i), 0))
 		for range 6 {
-			allowedIdle := time.Duration(newest.Load()) // The caller may not learn of a newer limit while it waits.
+			allowedIdle := time.Duration(newest.Load()) // While it waits, the caller possibly learns of no newer limit.
 			pause := allowedIdle
 			if rng.IntN(3) == 0 {
 				pause += transitMargin // Later than allowed.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -25,7 +25,8 @@
 	// unackedLimit closes a connection whose peer acknowledges nothing, so that a network failure
 	// is detected; it is longer than the first retransmissions of a lost packet take.
 	unackedLimit = 2500 * time.Millisecond
-	// idleMargin is how long before the endpoint closes an idle connection it is no longer used.
+	// idleMargin is the last part of an endpoint's idle timeout, in which an idle connection is no
+	// longer used because the endpoint is about to close it.
 	idleMargin = 700 * time.Millisecond
 	// defaultIdleTimeout is assumed if the endpoint does not advertise its idle timeout.
 	defaultIdleTimeout = 4 * time.Second
