--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -52,7 +52,7 @@
 func startBench(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) (*bench, *node.Node) {
 	t.Helper()
 	g := gomega.NewWithT(t)
-	layout, err := example.New(example.RefundDesk, example.Small, 0)
+	layout, err := example.New(example.RefundDesk, example.MinimalSize, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	dir := standin.NewDirectory()
 	dir.Publish(standin.Bundle{Manifest: layout.Pack(1, "", layout.Published()), Values: layout.Published()})
@@ -64,7 +64,7 @@
 	}
 	set, err := settings.Parse("test.ini", layout.Settings(p))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	set.ConfigService, set.Instances, set.Source = directory.URL, directory.URL, ""
+	set.ConfigServiceURL, set.InstancesURL, set.SourceIP = directory.URL, directory.URL, ""
 	if change != nil {
 		change(set)
 	}
@@ -234,7 +234,7 @@
 func TestFullQueuesRefuseAsNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := &counter{hold: make(chan struct{})}
-	b := newBench(t, func(s *settings.Settings) { s.Queue, s.MinLimit, s.MaxLimit, s.Keys = 1, 1, 1, 2 }, nil, c.service())
+	b := newBench(t, func(s *settings.Settings) { s.QueueCapacity, s.MinLimit, s.MaxLimit, s.MaxKeys = 1, 1, 1, 2 }, nil, c.service())
 	var beside sync.WaitGroup
 	answers := make(chan answer, 2)
 	for i := range 2 {
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -250,7 +250,7 @@
 			}
 		}
 		g.Go(func() error {
-			duty.Contain("order", m.agent.node.Log(), m.agent.node.Metrics(), func() {
+			duty.RunRecovered("order", m.agent.node.Log(), m.agent.node.Metrics(), func() {
 				var r mapswitch.Reply
 				peer, ok := living[endpointOfRank(s, o.Rank)]
 				if ok && m.agent.node.Call(ctx, peer.Address, wire.PathSwitch, msg, &r) == nil {
@@ -302,7 +302,7 @@
 // mayOrder is the guard of an engine that checks no fences: orders go only while
 // this process holds the lease on its slot.
 func (a *Agent) mayOrder(now time.Time) bool {
-	return a.node.Settings().Fences || a.node.HoldsLease(now)
+	return a.node.Settings().EngineChecksFences || a.node.HoldsLease(now)
 }
 
 // errNoLease refuses an order for want of the lease on the slot.
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -90,7 +90,7 @@
 
 // contained calls do and reports whether it returned.
 func (a *Agent) contained(do func()) (returned bool) {
-	return duty.Contain("request", a.node.Log(), a.node.Metrics(), do)
+	return duty.RunRecovered("request", a.node.Log(), a.node.Metrics(), do)
 }
 
 // headed notes whether the head of an answer has gone out.
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
-	j = &job{agent: a, env: env, body: body, life: requestChart.Machine(), name: env.ID}
+	j = &job{agent: a, env: env, body: body, life: requestChart.NewMachine(), name: env.ID}
 	return j, j.mark(time.Now())
 }
 
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -205,5 +205,5 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	httpjson.Binary(w, cache)
+	httpjson.ReplyBinary(w, cache)
 }
--- a/internal/e2e/ends_test.go
+++ b/internal/e2e/ends_test.go
@@ -29,7 +29,7 @@
 // openRaw starts a stream with the protocol version given.
 func (s *site) openRaw(entry example.Process, proto string, tokens int) *rawStream {
 	GinkgoHelper()
-	c, err := net.Dial("tcp", entry.Callers)
+	c, err := net.Dial("tcp", entry.CallerAddress)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = c.Close() })
 	Expect(c.SetDeadline(time.Now().Add(2 * patience))).To(Succeed())
@@ -63,7 +63,7 @@
 	GinkgoHelper()
 	for _, a := range s.Agents {
 		if s.IsRank(a) {
-			s.fault(standin.Fault{Kind: standin.FaultKill, Target: a.Backend, On: on})
+			s.fault(standin.Fault{Kind: standin.FaultKill, Target: a.BackendAddress, On: on})
 		}
 	}
 }
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -26,10 +26,10 @@
 )
 
 // pair is one failure domain with two entries and two ranks and services.
-var pair = example.Size{Domains: 1, EntriesADomain: 2, RanksADomain: 2, ServicesADomain: 2, Customers: 1}
+var pair = example.Size{Domains: 1, EntriesPerDomain: 2, RanksPerDomain: 2, ServicesPerDomain: 2, Customers: 1}
 
 // two are failure domains with one process of each kind.
-var two = example.Size{Domains: 2, EntriesADomain: 1, RanksADomain: 1, ServicesADomain: 1, Customers: 1}
+var two = example.Size{Domains: 2, EntriesPerDomain: 1, RanksPerDomain: 1, ServicesPerDomain: 1, Customers: 1}
 
 // openStream is a stream that is being read.
 type openStream struct {
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
 	DeferCleanup(cancel)
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, s.Model, tokens, content)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.Callers+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.CallerAddress+"/v1/chat/completions", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+s.Customers[0].Key)
 	if resume != "" {
@@ -140,7 +140,7 @@
 	},
 		Entry("when its agent is killed", func(s *site, _ *openStream, agent example.Process) { s.kill(agent.Name) }),
 		Entry("when its engine dies", func(s *site, _ *openStream, agent example.Process) {
-			s.fault(standin.Fault{Kind: standin.FaultKill, Target: agent.Backend, On: true})
+			s.fault(standin.Fault{Kind: standin.FaultKill, Target: agent.BackendAddress, On: true})
 		}),
 		Entry("when its agent is frozen, and drops what comes late", func(s *site, o *openStream, agent example.Process) {
 			s.signal(agent.Name, syscall.SIGSTOP)
@@ -181,7 +181,7 @@
 	It("moves a stream when its group stands still, and waits for one that is slow", func() {
 		s, o := begin(example.Archive, two, "stalled group", 300, 10)
 		first := s.agentOf(o.rank)
-		s.fault(standin.Fault{Kind: standin.FaultStall, Target: first.Backend, On: true})
+		s.fault(standin.Fault{Kind: standin.FaultStall, Target: first.BackendAddress, On: true})
 		o.expectWhole("stalled group", 300)
 		Expect(o.rank).NotTo(Equal(first.Endpoint))
 		fresh := s.open(s.Entries[0], "after the stall", 5, "")
@@ -191,7 +191,7 @@
 		second := s.agentOf(fresh.rank)
 		slow := s.open(s.Entries[1], "slow group", 12, "")
 		Expect(slow.read(10)).To(BeTrue())
-		s.fault(standin.Fault{Kind: standin.FaultSlow, Target: second.Backend, MS: 2500})
+		s.fault(standin.Fault{Kind: standin.FaultSlow, Target: second.BackendAddress, Milliseconds: 2500})
 		slow.expectWhole("slow group", 12)
 		Expect(slow.ids).To(HaveEach(ContainSubstring(second.Endpoint)), "a slow step is no stall")
 	})
@@ -273,7 +273,7 @@
 		s := startSite(example.RefundDesk, pair)
 		for _, a := range s.Agents {
 			if !s.IsRank(a) {
-				s.fault(standin.Fault{Kind: standin.FaultMute, Target: a.Endpoint, On: true})
+				s.fault(standin.Fault{Kind: standin.FaultNoAnswer, Target: a.Endpoint, On: true})
 			}
 		}
 		key := s.mint(s.Entries[0])
@@ -337,7 +337,7 @@
 // payLate calls the service at an endpoint that answers late, and returns once it runs.
 func (s *site) payLate(endpoint, key, id string) (answer chan reply) {
 	GinkgoHelper()
-	s.fault(standin.Fault{Kind: standin.FaultDelay, Target: endpoint, MS: 300})
+	s.fault(standin.Fault{Kind: standin.FaultDelay, Target: endpoint, Milliseconds: 300})
 	answer = make(chan reply, 1)
 	inBackground(func() {
 		r, _ := s.pay(s.Entries[0], key, id) // Judged by its outcome.
@@ -364,7 +364,7 @@
 func (s *site) audited() string {
 	all := ""
 	for _, p := range s.all() {
-		resp, err := http.Get("http://" + p.Operators + node.PathAudit)
+		resp, err := http.Get("http://" + p.OperatorAddress + node.PathAudit)
 		if err != nil {
 			continue
 		}
@@ -430,7 +430,7 @@
 	})
 
 	It("refuses a faulty generation and keeps the last good one", func() {
-		s := startSite(example.Archive, example.Small)
+		s := startSite(example.Archive, example.MinimalSize)
 		values := s.Published()
 		values["policy/archive.ini"] = []byte("[policy]\npriority = nonsense(\n")
 		s.publish(2, values)
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -21,8 +21,8 @@
 // calls the configuration service gets.
 func BenchmarkFleet(b *testing.B) {
 	for _, entries := range []int{2, 4, 8, 16} { // Of each failure domain; four agents go with two entries.
-		size := example.Size{Domains: 4, EntriesADomain: entries, RanksADomain: 1, ServicesADomain: 2*entries - 1, Customers: 10}
-		n := size.Domains * (size.EntriesADomain + size.RanksADomain + size.ServicesADomain)
+		size := example.Size{Domains: 4, EntriesPerDomain: entries, RanksPerDomain: 1, ServicesPerDomain: 2*entries - 1, Customers: 10}
+		n := size.Domains * (size.EntriesPerDomain + size.RanksPerDomain + size.ServicesPerDomain)
 		b.Run(fmt.Sprint("processes=", n), func(b *testing.B) { fleet(b, size) })
 	}
 }
@@ -36,7 +36,7 @@
 	buildOnce()
 	layout, err := example.New(example.Archive, size, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	layout.Gossip = time.Second
+	layout.GossipInterval = time.Second
 	s := &site{Site: layout, dir: b.TempDir(), procs: map[string]*exec.Cmd{}}
 	b.Cleanup(s.stopAll)
 	start := time.Now()
@@ -76,7 +76,7 @@
 	for _, p := range all {
 		g.Eventually(func() uint64 { return s.status(p).Version.Generation }, patience, "10ms").Should(gomega.BeEquivalentTo(2))
 		var rep node.AuditReport
-		g.Expect(getJSON(p.Operators, node.PathAudit, &rep)).To(gomega.Succeed())
+		g.Expect(getJSON(p.OperatorAddress, node.PathAudit, &rep)).To(gomega.Succeed())
 		for _, r := range rep.Records {
 			if r.Kind == "config-adopted" && r.At.After(at) {
 				times = append(times, r.At.Sub(at))
@@ -92,13 +92,13 @@
 
 // count reads a number from the stand-ins' control.
 func (s *site) count(path string) (n int) {
-	_ = getJSON(s.Control, path, &n) // Zero is reported.
+	_ = getJSON(s.ControlAddress, path, &n) // Zero is reported.
 	return n
 }
 
 // peerBytes is the payload that a process sent to and got from peers it called.
 func (s *site) peerBytes(p example.Process) float64 {
 	var m map[string]struct{ Count float64 }
-	_ = getJSON(p.Operators, node.PathMetrics, &m) // Zero is reported.
+	_ = getJSON(p.OperatorAddress, node.PathMetrics, &m) // Zero is reported.
 	return m["peer.bytes-out"].Count + m["peer.bytes-in"].Count
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -56,7 +56,7 @@
 
 // New returns an entry that uses the membership, configuration and credentials of n.
 func New(n *node.Node) *Entry {
-	pooled, singleUse := adapter.NewTransport(n.Settings().Source), adapter.NewSingleUseTransport(n.Settings().Source)
+	pooled, singleUse := adapter.NewTransport(n.Settings().SourceIP), adapter.NewSingleUseTransport(n.Settings().SourceIP)
 	pooled.TLSClientConfig = n.Credentials().Client()
 	singleUse.TLSClientConfig = n.Credentials().Client()
 	e := &Entry{
@@ -143,7 +143,7 @@
 // recoverPanics calls do and reports whether it returned without a panic. A bug in the entry
 // must not close the caller's connection without an answer.
 func (e *Entry) recoverPanics(id string, do func()) (returned bool) {
-	return duty.Contain("request", e.node.Log(), e.node.Metrics(), do, zap.String("request", id))
+	return duty.RunRecovered("request", e.node.Log(), e.node.Metrics(), do, zap.String("request", id))
 }
 
 // panicRefusal returns the refusal of a request whose handler panicked.
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -77,7 +77,7 @@
 			return
 		}
 		g.TryGo(func() error {
-			duty.Contain("probe", n.log, n.reg, func() { n.probe(ctx, p.Target) })
+			duty.RunRecovered("probe", n.log, n.reg, func() { n.probe(ctx, p.Target) })
 			return nil
 		})
 	})
@@ -277,7 +277,7 @@
 			return g.Wait()
 		case m := <-n.pushes.Out():
 			g.Go(func() error {
-				duty.Contain("push", n.log, n.reg, func() {
+				duty.RunRecovered("push", n.log, n.reg, func() {
 					_ = n.Exchange(ctx, m.Address) // A silent peer is the probes' matter.
 				})
 				return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,9 +114,9 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := adapter.NewTransport(set.Source)
+	transport := adapter.NewTransport(set.SourceIP)
 	transport.TLSClientConfig = creds.Client()
-	direct := &http.Client{Transport: adapter.NewTransport(set.Source)}
+	direct := &http.Client{Transport: adapter.NewTransport(set.SourceIP)}
 	n = &Node{
 		set:    set,
 		log:    log,
@@ -124,8 +124,8 @@
 		trail:  audit.New(set.Name, log, reg),
 		creds:  creds,
 		peers:  &http.Client{Transport: transport},
-		conf:   adapter.NewConfigService(set.ConfigService, direct),
-		list:   adapter.NewInstances(set.Instances, direct),
+		conf:   adapter.NewConfigService(set.ConfigServiceURL, direct),
+		list:   adapter.NewInstances(set.InstancesURL, direct),
 		start:  time.Now(),
 		hints:  ring.NewQueue[hint](hintRing),
 		pushes: ring.NewQueue[member.Member](pushRing),
@@ -135,7 +135,7 @@
 		values: map[string][]byte{},
 
 		suspects: suspects.New(log, reg),
-		life:     chart.MustLoad("drain").Machine(),
+		life:     chart.MustLoad("drain").NewMachine(),
 	}
 	n.table = member.New(member.Config{
 		ProbeInterval:    set.GossipInterval,
@@ -145,7 +145,7 @@
 		IndirectProbes:   helpers,
 	}, member.Member{
 		Name: set.Name, Role: string(set.Role), Endpoint: set.Endpoint, Domain: set.Domain,
-		Address: set.Advertise, StartedAt: n.start.UnixMilli(),
+		Address: set.AdvertisedAddress, StartedAt: n.start.UnixMilli(),
 	})
 	return n, nil
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -82,7 +82,7 @@
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
 		var text bytes.Buffer
 		metrics.WriteJSONOnce(n.reg, &text)
-		httpjson.Bytes(w, "application/json", text.Bytes())
+		httpjson.ReplyBytes(w, "application/json", text.Bytes())
 	})
 	mux.HandleFunc("GET "+PathAudit, func(w http.ResponseWriter, _ *http.Request) {
 		records, dropped := n.trail.Records()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -65,7 +65,7 @@
 // may be stale, is trusted.
 func (n *Node) bootstrap(ctx context.Context) {
 	for _, address := range n.set.Seeds {
-		if address != n.set.Advertise {
+		if address != n.set.AdvertisedAddress {
 			_ = n.Exchange(ctx, address) // Whoever is silent now is heard later.
 		}
 	}
