--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
 // Package agent implements the endpoint role: the single process that runs beside an engine
-// or a plain service and forwards all requests to it. It makes the final decision on
-// admission, on whether a request that may run only once may start, and on draining. It does
-// not select endpoints and does not serve callers.
+// or a plain service and forwards all requests to it; no request reaches the endpoint in any
+// other way. It makes the final decision on admission, on whether a request that may run only
+// once may start, and on draining. It does not select endpoints and does not serve callers.
 package agent
 
 import (
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -67,8 +67,9 @@
 	return time.Unix(sec, nsec), nil
 }
 
-// serveRun handles a request from an entry. A panic in the agent still gets an answer with an outcome, and
-// the attempt gets a final state.
+// serveRun handles a request from an entry. After a panic in the agent, the entry still receives an answer
+// with an outcome and the attempt gets a final state, unless the header of the answer has already been sent:
+// then the answer is aborted.
 func (a *Agent) serveRun(w http.ResponseWriter, r *http.Request) {
 	out := &headerTracker{ResponseWriter: w}
 	var j *job // Nil until the request is accepted.
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -40,7 +40,8 @@
 	TargetEffectTime     = 3 * time.Second
 )
 
-// Slope is a measured cost per unit of a site's size, with the command that measures it.
+// Slope is a measured figure, in most cases a cost per unit of a site's size, with the command that
+// measures it.
 type Slope struct {
 	Name    string  `json:"name"`
 	Value   float64 `json:"value"`
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -49,7 +49,7 @@
 	NotRun    int `json:"not_run"`
 	Unknown   int `json:"unknown"`
 	NoOutcome int `json:"broken"` // The last attempt ended without an outcome.
-	Wrong     int `json:"wrong"`  // An incorrect token, or an incomplete answer that claims to be complete.
+	Wrong     int `json:"wrong"`  // An incorrect token or service answer, or an incomplete answer that claims to be complete.
 
 	FirstToken    *hdrhistogram.Histogram `json:"-"` // Time to the first token, in microseconds.
 	BetweenTokens *hdrhistogram.Histogram `json:"-"` // Time between two tokens, in microseconds.
@@ -188,8 +188,9 @@
 	})
 }
 
-// wrong marks an incorrect answer: a token of another request or out of order, or
-// an incomplete answer that was reported as done or framed as complete.
+// wrong marks an incorrect answer: a token or a service's answer of another request,
+// a token out of order, or an incomplete answer that was reported as done or framed as
+// complete.
 const wrong wire.Outcome = "wrong"
 
 func (r *runner) record(f func(*Result)) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -2,8 +2,8 @@
 
 // Package node implements the part that all processes of the system share, whatever their role: it
 // maintains the view of the peers and the published configuration, propagates both, and serves the
-// operators' listener. Its decisions are made by the packages under internal/decide. It does not serve
-// callers.
+// operators' listener. It takes decisions only through the packages under internal/decide and does not
+// serve callers.
 package node
 
 import (
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -126,7 +126,7 @@
 	return cust, ok
 }
 
-// Customers returns all customers, ordered by name.
+// Customers returns each customer once, also one with several keys, ordered by name.
 func (c *Config) Customers() []*Customer {
 	list := make([]*Customer, 0, len(c.byName))
 	for _, cust := range c.byName {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -49,7 +49,7 @@
 
 	GossipInterval time.Duration // Time between two probes of peers.
 	SuspectAfter   time.Duration // Time from suspicion until a process is declared dead, in a small system.
-	StallAfter     time.Duration // Time without output of an engine after which its requests may be moved.
+	StallAfter     time.Duration // Time without a token or a new step number of an engine after which its requests may be moved.
 	ClockSkew      time.Duration // Maximum difference between the clocks of two processes.
 
 	CA          string
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -29,7 +29,7 @@
 	Echo string `json:"echo"`
 }
 
-// RunCounts returns the number of runs by id.
+// RunCounts returns a copy of the numbers of runs by id.
 func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/trust/trust.go
+++ b/internal/trust/trust.go
@@ -185,7 +185,8 @@
 	}
 }
 
-// verify checks the chain, the validity period and the role of the peer's certificate.
+// verify checks the chain and the validity period of the peer's certificate, and that it names a holder with
+// one of the roles.
 func (c *Credentials) verify(s tls.ConnectionState, usage x509.ExtKeyUsage, roles ...string) (err error) {
 	defer func() { err = errors.Wrap(err, "peer refused") }()
 	if len(s.PeerCertificates) == 0 {
