--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -218,7 +218,7 @@
 				return aborted
 			}
 		}
-		orders := c.Resend()
+		orders := c.UnconfirmedOrders()
 		phase := c.Phase
 		for _, r := range m.sendOrders(ctx, s, orders, next) {
 			c, _ = c.Handle(r)
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -40,7 +40,7 @@
 		return true
 	case err != nil:
 		j.applyFinal(eventBreak)
-		doubt := wire.Doubt(http.StatusBadGateway, "engine gave no answer")
+		doubt := wire.RefuseUnknown(http.StatusBadGateway, "engine gave no answer")
 		doubt.Ended = a.detectEnd()
 		a.refuse(w, doubt)
 		return true
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -86,6 +86,8 @@
 	return v.print(rep)
 }
 
+// fetchRuns reads from the stand-ins' control listener how many times the plain services have run
+// each request, by its id.
 func fetchRuns(control string) (runs map[string]int, err error) {
 	resp, err := http.Get("http://" + control + standin.PathRuns)
 	if err != nil {
--- a/internal/decide/mapswitch/coordinator.go
+++ b/internal/decide/mapswitch/coordinator.go
@@ -23,8 +23,9 @@
 	return [...]string{"none", "asking", "finishing", "preparing", "arming", "deciding", "done", "beaten", "too late", "given up"}[p]
 }
 
-// Coordinator drives one switch. Resend returns lost orders again. A ballot stands for one plan with
-// one step, so that a late or duplicate order cannot undo a newer one of the same ballot.
+// Coordinator drives one switch. UnconfirmedOrders returns again the orders that may be lost. A
+// ballot stands for one plan with one step, so that a late or duplicate order cannot undo a newer
+// one of the same ballot.
 type Coordinator struct {
 	Ballot          uint64
 	Ranks           int
@@ -43,8 +44,9 @@
 	return Coordinator{Ballot: ballot, Ranks: ranks, Phase: Asking, Margin: max(margin, 1)}
 }
 
-// Resend returns the orders of the current phase to the ranks that have not confirmed it.
-func (c Coordinator) Resend() (orders []Order) {
+// UnconfirmedOrders returns the orders of the current phase to the ranks that have not confirmed it,
+// to be sent for the first time or again.
+func (c Coordinator) UnconfirmedOrders() (orders []Order) {
 	kind := map[Phase]Kind{Asking: Ask, Finishing: Commit, Preparing: Prepare, Arming: Arm, Deciding: Commit}[c.Phase]
 	if kind == 0 {
 		return nil
@@ -76,10 +78,10 @@
 	return c, orders, true
 }
 
-// enter begins a phase and returns its orders.
+// enter begins a phase, which no rank has confirmed yet, and returns its orders to all ranks.
 func (c Coordinator) enter(p Phase, plan Plan) (Coordinator, []Order) {
 	c.Phase, c.Plan, c.Confirmed = p, plan, RankSet{}
-	return c, c.Resend()
+	return c, c.UnconfirmedOrders()
 }
 
 // Handle takes in a reply and returns the resulting orders.
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -263,10 +263,12 @@
 	}
 }
 
-// PickRelays picks random alive members to probe a target that did not answer.
-func (t *Table) PickRelays(target string, random uint64) []Member {
+// PickRandom picks up to IndirectProbes random alive members, neither this one nor the one named
+// except. They are relays of a probe to that one if it did not answer, or peers to exchange messages
+// with.
+func (t *Table) PickRandom(except string, random uint64) []Member {
 	alive := t.Members(func(m Member) bool {
-		return m.State == Alive && m.Name != target && m.Name != t.self.Name
+		return m.State == Alive && m.Name != except && m.Name != t.self.Name
 	})
 	var list []Member
 	for len(alive) > 0 && len(list) < t.cfg.IndirectProbes {
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -124,14 +124,15 @@
 	}
 }
 
-// RecordGap records the pause before an event of a stream of this process. It is the duration of
-// a pass, observed before ranks can report it.
+// RecordGap records the pause d between two events of a stream that this process receives from
+// endpoint id. The pause shows the duration of a pass before the ranks report it, since each pass
+// produces one event of each stream.
 func (t *Tracker) RecordGap(id string, d time.Duration, now time.Time) {
 	g := t.groups[t.groupOf[id]]
 	if g == nil {
 		return
 	}
-	if now.Sub(g.gapAt) > gapValidity*g.shape.MaxPause {
+	if now.Sub(g.gapAt) > gapValidity*g.shape.MaxPause { // The average is too old: it starts again with d.
 		g.gap = d
 	}
 	g.gap += time.Duration(gapWeight * float64(d-g.gap))
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -182,8 +182,8 @@
 	return now.Sub(e.seenAt) <= r.expiryTime(e.Domain)
 }
 
-// Expire removes the gateways without a message for forgetAfter, and returns the addresses of
-// those that have just ceased to count as alive.
+// Expire returns the addresses of the gateways that have ceased to count as alive since the last
+// call; they are still remembered. Gateways without a message for forgetAfter are removed.
 func (r *Roster) Expire(now time.Time) (expired []string) {
 	known := len(r.sorted)
 	r.sorted = slices.DeleteFunc(r.sorted, func(e *entry) bool { return now.Sub(e.seenAt) > forgetAfter })
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -152,7 +152,7 @@
 	if req == nil {
 		return wire.Refuse(http.StatusInternalServerError, 0, cause)
 	}
-	return wire.Doubt(http.StatusInternalServerError, cause)
+	return wire.RefuseUnknown(http.StatusInternalServerError, cause)
 }
 
 // finish sends the refusal, if there is one, to the caller and counts the outcome of the request.
@@ -172,7 +172,7 @@
 	if req == nil || !req.mayHaveRun || last.Outcome != wire.NotRun {
 		return last
 	}
-	return wire.Doubt(http.StatusBadGateway, "an attempt may have run; after it: "+last.Reason)
+	return wire.RefuseUnknown(http.StatusBadGateway, "an attempt may have run; after it: "+last.Reason)
 }
 
 // recordAttempt records how an attempt ended; a nil refusal is a success.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -181,7 +181,7 @@
 	}
 	raw, err := adapter.ReadWhole(resp, wire.MaxBodyBytes)
 	if err != nil {
-		return wire.Doubt(http.StatusBadGateway, "answer came only in part")
+		return wire.RefuseUnknown(http.StatusBadGateway, "answer came only in part")
 	}
 	req.out.writeComplete(resp.StatusCode, resp.Header.Get("Content-Type"), raw)
 	return nil
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -20,7 +20,7 @@
 	blockStalled     = 500 * time.Millisecond
 )
 
-// endpointState is what an entry knows of the endpoint at one slot.
+// endpointState is what an entry knows of one endpoint.
 type endpointState struct {
 	load            wire.Load
 	startedAt       int64 // Start of the process that reported load, Unix ms.
@@ -32,33 +32,36 @@
 
 // tracker holds the last load report of each endpoint and the entry's unfinished requests.
 type tracker struct {
-	mu     sync.Mutex
-	bySlot map[string]*endpointState
+	mu         sync.Mutex
+	byEndpoint map[string]*endpointState
 }
 
-func newTracker() *tracker { return &tracker{bySlot: map[string]*endpointState{}} }
+func newTracker() *tracker { return &tracker{byEndpoint: map[string]*endpointState{}} }
 
-func (t *tracker) get(slot string) *endpointState {
-	state, ok := t.bySlot[slot]
+func (t *tracker) get(endpoint string) *endpointState {
+	state, ok := t.byEndpoint[endpoint]
 	if !ok {
 		state = &endpointState{cancels: map[*context.CancelFunc]bool{}}
-		t.bySlot[slot] = state
+		t.byEndpoint[endpoint] = state
 	}
 	return state
 }
 
-// beginRequest records a request that is about to be sent to a slot; cancel is called when the process
-// behind the slot is declared dead. The returned function must be called once, when the request has ended.
-func (t *tracker) beginRequest(slot string, cancel context.CancelFunc) (end func()) {
+// beginRequest records a request that is about to be sent to an endpoint; cancel is called when the
+// endpoint's process is declared dead. The returned function must be called once, when the request has
+// ended.
+func (t *tracker) beginRequest(endpoint string, cancel context.CancelFunc) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state := t.get(slot)
+	state := t.get(endpoint)
 	state.sentSinceReport++
 	state.cancels[&cancel] = true
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		delete(state.cancels, &cancel)
+		// Whether this request was sent before or after the report is not recorded: only the bound on
+		// sentSinceReport is kept, and the reported load is taken to include the request.
 		state.sentSinceReport = max(0, min(state.sentSinceReport, len(state.cancels)))
 		state.load.Running = max(0, state.load.Running-1)
 	}
@@ -69,7 +72,7 @@
 func (t *tracker) cancelRequests(m member.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state, ok := t.bySlot[m.Endpoint]
+	state, ok := t.byEndpoint[m.Endpoint]
 	if !ok || state.startedAt > m.StartedAt {
 		return
 	}
@@ -80,10 +83,10 @@
 
 // report records the load that came with an answer. The load includes the request that was
 // answered, so sentSinceReport starts again at zero.
-func (t *tracker) report(slot string, l wire.Load) {
+func (t *tracker) report(endpoint string, l wire.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state := t.get(slot)
+	state := t.get(endpoint)
 	state.load = l
 	state.sentSinceReport = 0
 	state.backoffUntil = time.Now().Add(time.Duration(l.BackoffMS) * time.Millisecond)
@@ -92,11 +95,11 @@
 	}
 }
 
-// block excludes the slot from routing for d.
-func (t *tracker) block(slot string, d time.Duration) {
+// block excludes the endpoint from routing for d.
+func (t *tracker) block(endpoint string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(slot).blockedUntil = time.Now().Add(d)
+	t.get(endpoint).blockedUntil = time.Now().Add(d)
 }
 
 // candidate is an endpoint that requests may be routed to, and the process behind it.
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -112,7 +112,7 @@
 	r.countMessage(pb, reply)
 	r.merge(a, reply, now)
 	for _, pair := range [][2]int{{a, b}, {b, a}} {
-		if r.peers[pair[1]].config.Receive(r.peers[pair[0]].config.Current()) == spread.Fetch {
+		if r.peers[pair[1]].config.Decide(r.peers[pair[0]].config.Current()) == spread.Fetch {
 			r.fetches = append(r.fetches, pair)
 		}
 	}
@@ -194,7 +194,7 @@
 		r.countChanges(i, p.table.ProbeAnswered(name, now))
 		return
 	}
-	for _, relay := range p.table.PickRelays(name, r.rnd.Uint64()) {
+	for _, relay := range p.table.PickRandom(name, r.rnd.Uint64()) {
 		k := r.index[relay.Name]
 		if r.exchange(i, k) && r.exchange(k, target) {
 			return
@@ -217,7 +217,7 @@
 func (r *gossipSim) exchangeWithRandom(i, peers int) {
 	t := r.peers[i].table
 	for peers > 0 {
-		targets := t.PickRelays(t.Self().Name, r.rnd.Uint64())
+		targets := t.PickRandom(t.Self().Name, r.rnd.Uint64())
 		if len(targets) == 0 {
 			return
 		}
--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -129,14 +129,16 @@
 	return b
 }
 
-// exclusionRetry returns the time after which the request could be sent to an endpoint.
+// exclusionRetry returns how long it is until one of the endpoints that are excluded could be sent
+// the request: until the first backoff ends or the rate limits allow it, whichever is sooner. A
+// request excluded by rate limits is counted as throttled.
 func (q *request) exclusionRetry() (after time.Duration) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	after = q.excluded.backoff
-	if q.excluded.rate > 0 {
+	after = q.exclusion.backoff
+	if q.exclusion.rate > 0 {
 		q.g.stats.throttled.Inc(1)
-		if limitRetry := q.throttledRetry(q.excluded); after == 0 || limitRetry < after {
+		if limitRetry := q.throttledRetry(q.exclusion); after == 0 || limitRetry < after {
 			after = limitRetry
 		}
 	}
--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -90,7 +90,7 @@
 	q.permitEndpoint = "" // As if it were sent.
 	_, ok := q.chooseEndpoint(time.Now())
 	g.Expect(ok).To(BeFalse())
-	g.Expect(q.excluded.rate).To(BeNumerically(">", 0))
+	g.Expect(q.exclusion.rate).To(BeNumerically(">", 0))
 }
 
 // Guards against excluding an endpoint forever because it once requested a very long backoff.
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -60,12 +60,14 @@
 	}
 }
 
-// chooseLender returns the gateway to fetch from: alternately one of the own failure domain and any
-// one, drawn at random each time. Traffic between domains is expensive, but the state of all
-// gateways of a domain may be equally old.
+// chooseLender returns the gateway to fetch from. Every other call draws from the gateways of the
+// own failure domain that can read the store, since traffic between domains is expensive. The
+// remaining calls draw from all live gateways, since the state of all gateways of a domain may be
+// equally old; so does a call that finds none in the domain. If no gateway is known to be alive, it
+// draws from the seeds.
 func (n *PeerExchange) chooseLender() (address string, ok bool) {
 	n.lendersChosen++
-	list := n.storeReaders()
+	list := n.neighboursWithStore()
 	if len(list) == 0 || n.lendersChosen%2 == 0 {
 		list = n.liveGateways()
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -24,7 +24,7 @@
 
 // chooseEndpoint picks the endpoint for the next attempt.
 func (q *request) chooseEndpoint(now time.Time) (e fleet.Endpoint, ok bool) {
-	q.allGroupsDown, q.excluded = false, exclusion{}
+	q.allGroupsDown, q.exclusion = false, exclusion{}
 	if !q.mayAttemptMore() {
 		return e, false
 	}
@@ -33,7 +33,7 @@
 	q.returnPermit() // The previously chosen endpoint was not sent to.
 	candidates, exclusions := q.candidates()
 	if len(candidates) == 0 && exclusions.nonEmpty() {
-		q.excluded, q.full = exclusions, false
+		q.exclusion, q.full = exclusions, false
 		return e, false
 	}
 	list := make([]balance.Candidate, len(candidates))
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -20,7 +20,7 @@
 type suspicion struct {
 	quarantineKey   quarantine.Key
 	hasKey          bool                 // quarantineKey is computed.
-	sending         quarantine.Knowledge // Quarantine state of the request when it was last sent.
+	knowledge       quarantine.Knowledge // What was known of earlier ends when the request was last sent.
 	sentBoottime    time.Time            // When that was, by the clock that counts suspensions.
 	attemptFinished bool                 // The current attempt came to its end, or was rejected.
 	endedEndpoints  int                  // Endpoints that ended during its attempts.
@@ -43,7 +43,7 @@
 
 // noteUnfinished records that an attempt at an endpoint did not come to its end.
 func (q *request) noteUnfinished(e fleet.Endpoint) {
-	q.g.unfinished.note(e.ID, unfinishedAttempt{key: q.key(), sending: q.sending, endedAt: time.Now()})
+	q.g.unfinished.note(e.ID, unfinishedAttempt{key: q.key(), knowledge: q.knowledge, endedAt: time.Now()})
 }
 
 // recordCompletion records that an endpoint ran the request and is still running.
@@ -61,7 +61,7 @@
 	q.g.stats.endedDuringAttempt.Inc(1)
 	q.note(e.ID + ": process has ended")
 	q.noteUnfinished(e)
-	q.g.endpointEnded(e)
+	q.g.recordEndpointEnd(e)
 	return true
 }
 
@@ -78,22 +78,23 @@
 		g.unfinished.endCheck(e.ID)
 		duty.RunRecovered("look", g.log, g.stats.reg, func() {
 			if g.refusesConnections(context.Background(), e, maxIdleRepeatable) {
-				g.endpointEnded(e)
+				g.recordEndpointEnd(e)
 			}
 		})
-		return nil // endpointEnded records the result.
+		return nil // recordEndpointEnd records the result.
 	})
 }
 
-// endpointEnded attributes the end of an endpoint's process to the unfinished attempts there,
-// unless the end was planned.
-func (g *Gateway) endpointEnded(e fleet.Endpoint) {
+// recordEndpointEnd records that an endpoint's process has ended: the requests of its recent
+// unfinished attempts are suspected of having ended it, unless the end was planned. In either case
+// these attempts are forgotten.
+func (g *Gateway) recordEndpointEnd(e fleet.Endpoint) {
 	list := g.unfinished.take(e.ID, time.Now())
 	if listed, ok := g.view.State().Endpoints[e.ID]; ok && g.isLeaving(listed) {
 		return
 	}
 	for _, u := range list {
-		g.suspects.RecordEnd(u.key, e.ID, u.sending, g.cfg.Now())
+		g.suspects.RecordEnd(u.key, e.ID, u.knowledge, g.cfg.Now())
 	}
 }
 
@@ -125,9 +126,9 @@
 // recordSending records the quarantine state of the request as it is sent.
 func (q *request) recordSending() {
 	q.sentBoottime = q.g.cfg.Now()
-	q.sending = q.g.suspects.SendingState(q.key, q.sentBoottime)
+	q.knowledge = q.g.suspects.SendingState(q.key, q.sentBoottime)
 	if q.onTrial {
-		q.sending = quarantine.OnTrial
+		q.knowledge = quarantine.OnTrial
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -310,9 +310,9 @@
 // for estimates of round-trip times.
 const responseTimeWeight = 0.125
 
-// responseTime returns the estimated duration of a service's answers that are not streams. The
-// caller holds mu.
-func (g *Gateway) responseTime(service string) *estimate.Estimator {
+// responseEstimator returns the estimator of the time that a service takes for an answer that is not
+// a stream. Its first call for a service adds one without samples. The caller holds mu.
+func (g *Gateway) responseEstimator(service string) *estimate.Estimator {
 	t := g.responseTimes[service]
 	if t == nil {
 		estimated := estimate.New(responseTimeWeight)
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -83,10 +83,10 @@
 func TestRetryAfterAccountsForBorrowedParts(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t, newStreamingEndpoint(0))
-	q := &request{g: s.Gateway, service: "s", excluded: exclusion{rate: 4}}
+	q := &request{g: s.Gateway, service: "s", exclusion: exclusion{rate: 4}}
 	s.setLimitGateways("10.0.0.2:80", []string{"10.0.0.3:80", "10.0.0.4:80", "10.0.0.5:80"})
 	g.Expect(q.exclusionRetry()).To(BeNumerically("~", time.Second, 50*time.Millisecond))
 	s.backlogs = map[string]*throttle.Backlog{}
-	q.excluded.localRate = 4
+	q.exclusion.localRate = 4
 	g.Expect(q.exclusionRetry()).To(BeNumerically("~", 250*time.Millisecond, 50*time.Millisecond))
 }
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -57,7 +57,7 @@
 	if n.firstStart && time.Since(n.started) < startWindow {
 		wait.For(ctx, startWindow-time.Since(n.started)) // The seeds may not be up yet.
 	}
-	for ctx.Err() == nil && time.Since(n.started) < firstHelloWait && len(n.storeReaders()) == 0 {
+	for ctx.Err() == nil && time.Since(n.started) < firstHelloWait && len(n.neighboursWithStore()) == 0 {
 		wait.For(ctx, firstHelloPoll)
 	}
 	err = errNoReader
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -31,7 +31,7 @@
 	duty.Locked(&n.mu, func() { n.storeUnreachable = !storeReachable })
 	leaving, _ := n.g.stopState(time.Now())
 	if leaving {
-		return len(n.storeReaders()) == 0
+		return len(n.neighboursWithStore()) == 0
 	}
 	if n.warmingUp(time.Now()) {
 		return false
@@ -52,9 +52,9 @@
 	return now.Sub(n.started) < gatewayTTL && len(n.seeds) > 0 && !slices.Contains(n.seeds, n.self)
 }
 
-// storeReaders returns the other gateways of the domain that can read the store, in the order in
-// which they are chosen as readers.
-func (n *PeerExchange) storeReaders() []string {
+// neighboursWithStore returns the other gateways of the domain that can read the store, whether or
+// not they are readers, in the order in which they are chosen as readers.
+func (n *PeerExchange) neighboursWithStore() []string {
 	list, _ := n.readerCandidates(true)
 	return list
 }
@@ -79,16 +79,18 @@
 	return list, anyReachable
 }
 
-// followTargets returns the place of this gateway in the order of its failure domain, and the
-// gateways that it may follow: its parent and those that read the store.
+// followTargets returns the gateways of the failure domain that this one may follow, in the order
+// in which to try them, and its place among the gateways of the domain by address. A reader of the
+// store may follow the first readersPerDomain other gateways; any other gateway may follow its
+// parent, then the readers.
 func (n *PeerExchange) followTargets() (list []string, place int) {
-	all, _ := n.readerCandidates(false)
-	place, _ = slices.BinarySearch(all, n.self)
-	readers := firstN(readersPerDomain, all)
+	neighbours, _ := n.readerCandidates(false)
+	place, _ = slices.BinarySearch(neighbours, n.self)
+	readers := firstN(readersPerDomain, neighbours)
 	if place < readersPerDomain {
 		return readers, place
 	}
-	parent := all[parentPlace(place)]
+	parent := neighbours[parentPlace(place)]
 	return append([]string{parent}, filter(readers, func(a string) bool { return a != parent })...), place
 }
 
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -49,7 +49,7 @@
 	buffered        int64           // Bytes buffered for it.
 	chosenCold      bool            // The endpoint chosen last is cold.
 	full            bool            // No endpoint has capacity now.
-	excluded        exclusion       // Backoffs and rate limits that exclude all endpoints.
+	exclusion       exclusion       // Backoffs and rate limits that exclude all endpoints.
 	permitEndpoint  string          // Endpoint whose limit was charged for a request not sent yet; "" for none.
 	turnover        passes.Turnover // Of all groups, as of the last choice.
 	waited          time.Duration   // Time spent waiting for capacity or for a group to open.
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -57,7 +57,7 @@
 			return
 		}
 		e, ok := q.chooseEndpoint(now)
-		if !ok && !q.excluded.nonEmpty() && (q.groupRejected || q.allGroupsDown) {
+		if !ok && !q.exclusion.nonEmpty() && (q.groupRejected || q.allGroupsDown) {
 			e, ok = q.awaitGroupOpen(now)
 		}
 		if !ok && q.full && !q.mayHaveRun && q.fallback == nil {
@@ -117,22 +117,23 @@
 
 // refuseNotRun refuses a request for which no endpoint could be found.
 func (q *request) refuseNotRun() {
-	if !q.excluded.nonEmpty() {
-		q.excluded = q.exclusionFromAll() // The endpoint that rejected it last may have been the last one not excluded.
+	if !q.exclusion.nonEmpty() {
+		q.exclusion = q.exclusionFromAll() // The endpoint that rejected it last may have been the last one not excluded.
 	}
 	cause := "not run by any endpoint"
-	if q.excluded.nonEmpty() {
+	if q.exclusion.nonEmpty() {
 		cause = "all endpoints are backing off or at their rate limits"
 	}
 	q.refuse(cause, q.retryDelay())
 }
 
-// retryDelay returns the time after which a request that has not run should be retried.
+// retryDelay returns how long the caller should wait before it retries a request that no endpoint
+// has run. If several causes apply, the first in this order counts.
 func (q *request) retryDelay() time.Duration {
 	switch {
 	case q.quarantinedFor > 0:
 		return q.quarantinedFor
-	case q.excluded.nonEmpty():
+	case q.exclusion.nonEmpty():
 		return q.exclusionRetry()
 	case q.groupRejected || q.allGroupsDown:
 		return groupDownRetry
@@ -143,7 +144,7 @@
 	case q.full:
 		return fullRetry + time.Duration(random(int(fullRetryJitter)))
 	}
-	if len(q.attempted) > 0 {
+	if len(q.attempted) > 0 { // Endpoints did not run it, for other causes than these.
 		return fullRetry
 	}
 	return noEndpointRetry
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -87,5 +87,5 @@
 func (q *request) recordResponseTime(now time.Time) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
-	q.g.responseTime(q.service).Add(now.Sub(q.sentAt))
+	q.g.responseEstimator(q.service).Add(now.Sub(q.sentAt))
 }
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -56,7 +56,7 @@
 			q.recordFailure(e, 1, "unreached: "+err.Error())
 			duty.Locked(&g.mu, func() { q.recordUnreachable(e.ID, err, time.Now()) })
 			if connectionRefused(err) {
-				g.endpointEnded(e)
+				g.recordEndpointEnd(e)
 			}
 		}
 		q.unreachable = append(q.unreachable, e.ID)
--- a/internal/gateway/unfinished.go
+++ b/internal/gateway/unfinished.go
@@ -15,9 +15,9 @@
 // whether the endpoint is still running: the caller left, the answer was silent or unusable, or the
 // connection failed.
 type unfinishedAttempt struct {
-	key     quarantine.Key
-	sending quarantine.Knowledge
-	endedAt time.Time // When the attempt ended.
+	key       quarantine.Key
+	knowledge quarantine.Knowledge // What was known of earlier ends when the attempt was sent.
+	endedAt   time.Time            // When the attempt ended.
 }
 
 const (
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,7 +26,7 @@
 			return nil
 		case h := <-n.hints.Out():
 			var wanted bool
-			duty.Locked(&n.mu, func() { wanted = n.spread.Receive(h.version) == spread.Fetch })
+			duty.Locked(&n.mu, func() { wanted = n.spread.Decide(h.version) == spread.Fetch })
 			if !wanted {
 				continue
 			}
@@ -127,7 +127,7 @@
 	var decision spread.Decision
 	var conflict bool
 	duty.Locked(&n.mu, func() {
-		decision = n.spread.Receive(v)
+		decision = n.spread.Decide(v)
 		n.spread.RecordValid(v)
 		_, conflict = n.spread.Conflict()
 	})
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -138,7 +138,7 @@
 		return
 	}
 	var relays []member.Member
-	duty.Locked(&n.mu, func() { relays = n.table.PickRelays(target.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { relays = n.table.PickRandom(target.Name, rand.Uint64()) })
 	for _, relay := range relays {
 		if n.probeVia(ctx, relay.Address, target.Address) == nil {
 			return
@@ -231,7 +231,7 @@
 		refuted = n.table.Self().Incarnation != before.Incarnation
 		replaced = n.table.Superseded(m.Rows)
 		n.superseded = n.superseded || replaced
-		decision = n.spread.Receive(m.Version)
+		decision = n.spread.Decide(m.Version)
 	})
 	n.recordChanges(changes)
 	if refuted {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -270,9 +270,9 @@
 func (n *Node) pushToPeers() {
 	var targets []member.Member
 	duty.Locked(&n.mu, func() {
-		targets = n.table.PickRelays(n.cfg.Name, rand.Uint64())
+		targets = n.table.PickRandom(n.cfg.Name, rand.Uint64())
 		for range pushFanout - probeRelays {
-			targets = append(targets, n.table.PickRelays(n.cfg.Name, rand.Uint64())...)
+			targets = append(targets, n.table.PickRandom(n.cfg.Name, rand.Uint64())...)
 		}
 	})
 	for _, m := range targets {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -93,11 +93,12 @@
 	firstReaders    = 2
 )
 
-// exchangeWithPeers exchanges messages with a few random peers and waits for the generations that
-// they name to be fetched.
+// exchangeWithPeers exchanges messages with a few random peers, one after the other, until the node
+// has a configuration: after each exchange it waits for the generation that the peer named to be
+// fetched.
 func (n *Node) exchangeWithPeers(ctx context.Context) {
 	var targets []member.Member
-	duty.Locked(&n.mu, func() { targets = n.table.PickRelays(n.cfg.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { targets = n.table.PickRandom(n.cfg.Name, rand.Uint64()) })
 	for _, m := range targets {
 		if n.Exchange(ctx, m.Address) == nil && n.awaitConfig(ctx) {
 			return
@@ -105,7 +106,8 @@
 	}
 }
 
-// awaitConfig waits up to half a gossip interval for a generation that a peer has named, while hints are queued.
+// awaitConfig reports whether the node has a configuration. It waits for one for up to half a gossip
+// interval while hints, that is generations that peers have named, are queued.
 func (n *Node) awaitConfig(ctx context.Context) bool {
 	for range 10 {
 		if _, ok := n.Config(); ok || n.hints.Len() == 0 {
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -19,7 +19,7 @@
 
 // planner tracks the demand for experts and plans maps for it.
 type planner struct {
-	follower   *demand.Tracker // Nil until the shape of the group is known.
+	tracker    *demand.Tracker // Nil until the shape of the group is known.
 	lastWindow uint64          // Number of this rank's window when counts were last ingested.
 	current    rebalance.Map
 	version    uint64 // Version of current; valid only if known is set.
@@ -96,7 +96,7 @@
 	return min(float64(total)/float64(slots), 1)
 }
 
-// ingestCounts passes the counts of the newest poll to the demand follower, unless no pass has been
+// ingestCounts passes the counts of the newest poll to the demand tracker, unless no pass has been
 // made since the previous ones.
 func (l *leader) ingestCounts() {
 	p := &l.planner
@@ -104,8 +104,8 @@
 	if l.shape == nil || l.shape.LayerSets == 0 || l.lastResponse.SummedRanks == 0 || l.lastResponse.Epoch != l.epoch || l.lastResponse.Window == p.lastWindow {
 		return
 	}
-	if p.follower == nil {
-		p.follower = demand.New(l.demandConfig())
+	if p.tracker == nil {
+		p.tracker = demand.New(l.demandConfig())
 	}
 	p.lastWindow = l.lastResponse.Window
 	now := time.Now()
@@ -114,8 +114,8 @@
 		l.s.log.Warn("invalid counts ignored", zap.Int("ranks", l.lastResponse.SummedRanks), zap.Int("numbers", len(flat)), zap.Error(err))
 		return
 	}
-	if p.follower.Update(flat, l.lastResponse.SummedRanks, now) {
-		l.s.log.Info("demand shifted", zap.Int("shifts", p.follower.Shifts()), zap.Duration("expected-for", p.follower.ExpectedRemaining(now)))
+	if p.tracker.Update(flat, l.lastResponse.SummedRanks, now) {
+		l.s.log.Info("demand shifted", zap.Int("shifts", p.tracker.Shifts()), zap.Duration("expected-for", p.tracker.ExpectedRemaining(now)))
 	}
 }
 
@@ -156,7 +156,7 @@
 // planChange starts a change to a new map, if that pays.
 func (l *leader) planChange(ctx context.Context) {
 	p := &l.planner
-	if p.follower == nil || p.follower.Smoothed() == nil || p.follower.ShiftSuspected() || !l.readMap(ctx) {
+	if p.tracker == nil || p.tracker.Smoothed() == nil || p.tracker.ShiftSuspected() || !l.readMap(ctx) {
 		return
 	}
 	price := l.price(l.demandHorizon(time.Now()))
@@ -168,16 +168,16 @@
 }
 
 // demandHorizon returns how much longer demand is expected to stay as it is. Before the first shift
-// is detected, it is expected to stay for at least the duration of a few changes: the initial
-// round-robin map is so uneven that a better one is worth its copies even if it helps for no
-// longer.
+// is detected, this is at least the time that initialHorizonChanges changes of the map take: the
+// initial round-robin map is so uneven that a better one is worth the cost of copying experts even
+// if it is in use only for that time.
 func (l *leader) demandHorizon(now time.Time) time.Duration {
-	f := l.planner.follower
-	if f.Shifts() > 0 {
-		return f.ExpectedRemaining(now)
+	tracker := l.planner.tracker
+	if tracker.Shifts() > 0 {
+		return tracker.ExpectedRemaining(now)
 	}
 	e := l.effort()
-	return max(f.ExpectedRemaining(now), initialHorizonChanges*(e.CopyTime+e.Overhead))
+	return max(tracker.ExpectedRemaining(now), initialHorizonChanges*(e.CopyTime+e.Overhead))
 }
 
 // price returns the prices by which changes are valued if demand stays as it is for the given time.
@@ -191,7 +191,7 @@
 
 // plan computes a map for the current demand.
 func (l *leader) plan(price remap.Price) remap.Plan {
-	return remap.Make(l.group(), l.planner.current, l.planner.follower.Smoothed(), l.effort(), price, yield)
+	return remap.Make(l.group(), l.planner.current, l.planner.tracker.Smoothed(), l.effort(), price, yield)
 }
 
 // beginChange starts a change: the ranks copy the experts that the plan requires.
@@ -200,7 +200,7 @@
 	version := (m.HighestVersion/versionStride+1)*versionStride + uint64(m.Self)
 	layout := layoutOf(plan.Map, len(l.byRank))
 	now := time.Now()
-	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.MaxPerRank)), shiftsSeen: p.follower.Shifts(), speeds: l.speeds()}
+	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.MaxPerRank)), shiftsSeen: p.tracker.Shifts(), speeds: l.speeds()}
 	m.StartPreparing(version, layout)
 	l.encodeMaps(layout)
 	l.sendUntilSettled(ctx, maxPrepareTries*l.orderDeadline(&l.fullMap, len(l.byRank)-1))
@@ -247,7 +247,7 @@
 		l.switchOver(ctx)
 	case now.Sub(p.pending.copiesDueAt) > p.pending.copiesDueAt.Sub(p.pending.startedAt)+copyGracePeriod:
 		l.abandon("copies overdue")
-	case p.pending.shiftsSeen != p.follower.Shifts() || !slices.Equal(p.pending.speeds, l.speeds()):
+	case p.pending.shiftsSeen != p.tracker.Shifts() || !slices.Equal(p.pending.speeds, l.speeds()):
 		l.reconsider(ctx, now)
 	}
 }
@@ -258,10 +258,10 @@
 	p, g := &l.planner, l.group()
 	price := l.price(l.demandHorizon(now))
 	plan := l.plan(price)
-	pendingPassTime := g.PassTime(p.pending.plan.Map, p.follower.Smoothed())
+	pendingPassTime := g.PassTime(p.pending.plan.Map, p.tracker.Smoothed())
 	remaining := max(p.pending.copiesDueAt.Sub(now), 0)
 	if !plan.IsWorthwhile(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, pendingPassTime) {
-		p.pending.shiftsSeen, p.pending.speeds = p.follower.Shifts(), l.speeds()
+		p.pending.shiftsSeen, p.pending.speeds = p.tracker.Shifts(), l.speeds()
 		return
 	}
 	l.abandon("demand or rank speeds changed")
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -104,10 +104,10 @@
 }
 
 // RecordEnd records that an endpoint ended during a request of this process.
-func (s *Set) RecordEnd(k quarantine.Key, endpoint string, sending quarantine.Knowledge, now time.Time) {
+func (s *Set) RecordEnd(k quarantine.Key, endpoint string, knowledge quarantine.Knowledge, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.add(quarantine.End{Key: k, Endpoint: endpoint, Knowledge: sending, At: now}, time.Time{}, now)
+	s.add(quarantine.End{Key: k, Endpoint: endpoint, Knowledge: knowledge, At: now}, time.Time{}, now)
 	s.notifyPending()
 }
 
