--- a/internal/soak/around.go
+++ b/internal/soak/around.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// aroundChange is how long after a change was sent gateways are killed, at most.
-	aroundChange = 400 * time.Millisecond
-	// intoStop is how long after the begin of a planned stop a gateway is killed, at most.
-	intoStop = 3 * time.Second
-	// betweenSignals lies between signals that overlap, at most.
-	betweenSignals = 30 * time.Millisecond
-	// allShare is in how many of these troubles all gateways are killed once.
-	allShare = 4
+	// maxDelayAfterChange is how long after a change was sent gateways are killed, at most.
+	maxDelayAfterChange = 400 * time.Millisecond
+	// maxTimeIntoStop is how long after the begin of a planned stop a gateway is killed, at most.
+	maxTimeIntoStop = 3 * time.Second
+	// maxSignalGap lies between signals that overlap, at most.
+	maxSignalGap = 30 * time.Millisecond
+	// killAllOneIn is in how many of these troubles all gateways are killed once.
+	killAllOneIn = 4
 )
 
 // killAround publishes a change and kills one gateway or all of them around it.
@@ -26,7 +26,7 @@
 	rnd := rand.New(rand.NewPCG(s.cfg.Seed, uint64(f.at)))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(rnd.Int64N(int64(d))) }
 	victims := []int{gateway}
-	if f.how%allShare == 0 {
+	if f.variant%killAllOneIn == 0 {
 		victims = victims[:0]
 		for g := range s.gateways {
 			victims = append(victims, g)
@@ -34,13 +34,13 @@
 	}
 	var group errgroup.Group
 	for _, g := range victims {
-		at, pauses := upTo(aroundChange), [3]time.Duration{upTo(betweenSignals), upTo(betweenSignals), upTo(betweenSignals)}
+		at, pauses := upTo(maxDelayAfterChange), [3]time.Duration{upTo(maxSignalGap), upTo(maxSignalGap), upTo(maxSignalGap)}
 		const plain, inStop, twice, overlapping = 0, 1, 2, 3
-		how, again, stopped := rnd.IntN(overlapping+1), upTo(aroundChange), upTo(intoStop)
+		variant, again, stopped := rnd.IntN(overlapping+1), upTo(maxDelayAfterChange), upTo(maxTimeIntoStop)
 		group.Go(func() error {
 			time.Sleep(at)
 			proc := s.gateways[g].proc
-			switch how {
+			switch variant {
 			case inStop:
 				return s.killInStop(g, stopped)
 			case twice:
@@ -59,7 +59,7 @@
 			return s.restart(g, proc, syscall.SIGKILL, 0)
 		})
 	}
-	group.Go(func() error { return s.changeSomehow(rand.New(rand.NewPCG(s.cfg.Seed, uint64(f.at)+1))) })
+	group.Go(func() error { return s.publishRandomChange(rand.New(rand.NewPCG(s.cfg.Seed, uint64(f.at)+1))) })
 	return group.Wait()
 }
 
@@ -69,32 +69,32 @@
 	proc.signal(syscall.SIGTERM)
 	time.Sleep(after)
 	stop := span{began, time.Now()}
-	s.ledger.halt(gateway, stop)
-	s.ledger.note(func(l *ledger) { l.stopping[gateway] = append(l.stopping[gateway], stop) })
+	s.ledger.recordInterruption(gateway, stop)
+	s.ledger.do(func(l *ledger) { l.plannedStops[gateway] = append(l.plannedStops[gateway], stop) })
 	return s.restart(gateway, proc, syscall.SIGKILL, 0)
 }
 
-// changeSomehow publishes a change: of the idle time, the keys or the route, versions at
+// publishRandomChange publishes a change: of the idle time, the keys or the route, versions at
 // once, or a series of them.
-func (s *site) changeSomehow(rnd *rand.Rand) error {
+func (s *site) publishRandomChange(rnd *rand.Rand) error {
 	const series = 4
 	changes := [...]faultKind{changeIdle, takeKey, moveRoute, manyVersions}
 	which := rnd.IntN(series + 1)
 	if which != series {
-		return s.changeOnce(changes[which], rnd)
+		return s.publishChangeOfKind(changes[which], rnd)
 	}
 	for range 2 + rnd.IntN(5) {
-		if err := s.changeOnce(changes[rnd.IntN(len(changes))], rnd); err != nil {
+		if err := s.publishChangeOfKind(changes[rnd.IntN(len(changes))], rnd); err != nil {
 			return err
 		}
-		time.Sleep(time.Duration(rnd.Int64N(int64(aroundChange / 4))))
+		time.Sleep(time.Duration(rnd.Int64N(int64(maxDelayAfterChange / 4))))
 	}
 	return nil
 }
 
-func (s *site) changeOnce(kind faultKind, rnd *rand.Rand) error {
+func (s *site) publishChangeOfKind(kind faultKind, rnd *rand.Rand) error {
 	if kind == changeIdle {
-		return s.publishIdle(idleTimes[rnd.IntN(len(idleTimes))])
+		return s.publishIdle(idleTimeouts[rnd.IntN(len(idleTimeouts))])
 	}
-	return s.change(fault{kind: kind, which: rnd.IntN(1000)})
+	return s.publishChange(fault{kind: kind, target: rnd.IntN(1000)})
 }
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// patience is how long a caller waits.
-	patience = 3 * time.Second
+	// callerTimeout is how long a caller waits.
+	callerTimeout = 3 * time.Second
 	// thinkTime lies between two requests of a caller, on the mean.
 	thinkTime = 25 * time.Millisecond
-	// events is the length of a stream.
-	events = 12
+	// streamEvents is the length of a stream.
+	streamEvents = 12
 )
 
 // caller sends requests to one gateway, and keeps to its open connections until
@@ -31,7 +31,7 @@
 	gateway int
 	name    string
 	rnd     *rand.Rand
-	speech  speech
+	mode    connMode
 	client  *http.Client
 	sent    int
 }
@@ -39,16 +39,16 @@
 func newCaller(s *site, gateway, n int) *caller {
 	c := &caller{s: s, gateway: gateway, name: fmt.Sprintf("%d-%d", gateway, n), rnd: rand.New(rand.NewPCG(s.cfg.Seed, uint64(gateway*1000+n)))}
 	if s.cfg.Kinds >= SecondKinds {
-		c.speech = speeches[(gateway+n)%len(speeches)]
+		c.mode = callerModes[(gateway+n)%len(callerModes)]
 	}
-	c.client = &http.Client{Transport: c.speech.transport()}
+	c.client = &http.Client{Transport: c.mode.transport()}
 	return c
 }
 
 func (c *caller) run(ctx context.Context) error {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.ask(ctx)
+		c.send(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration(c.rnd.Int64N(int64(2 * thinkTime)))):
@@ -57,47 +57,47 @@
 	return nil
 }
 
-// next returns the next request of the caller.
-func (c *caller) next() (r *request, out *http.Request) {
+// nextRequest returns the next request of the caller.
+func (c *caller) nextRequest() (r *request, out *http.Request) {
 	c.sent++
-	r = &request{id: fmt.Sprintf("%s-%d", c.name, c.sent), gateway: c.gateway, speech: c.speech, kind: kind(c.rnd.IntN(3))}
+	r = &request{id: fmt.Sprintf("%s-%d", c.name, c.sent), gateway: c.gateway, mode: c.mode, kind: kind(c.rnd.IntN(3))}
 	path := [...]string{movingPath, "/again/x", "/stream/x"}[r.kind]
-	c.s.aim(r, c.rnd)
+	c.s.chooseKey(r, c.rnd)
 	url := "http://" + c.s.gateways[c.gateway].callers + path
 	if r.kind == stream {
-		url += fmt.Sprintf("?events=%d", events)
+		url += fmt.Sprintf("?events=%d", streamEvents)
 	}
 	out, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body of "+r.id))
 	if err != nil {
 		panic(err) // The address is one of ours.
 	}
 	out.Host = host
-	standin.SetCallHeaders(out.Header, r.id, r.key, patience)
+	standin.SetCallHeaders(out.Header, r.id, r.key, callerTimeout)
 	return r, out
 }
 
-// ask sends one request and notes what becomes of it.
-func (c *caller) ask(ctx context.Context) {
-	r, out := c.next()
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// send sends one request and notes what becomes of it.
+func (c *caller) send(ctx context.Context) {
+	r, out := c.nextRequest()
+	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
 	r.sent = time.Now()
-	c.s.ledger.begin(r)
-	resp, err := c.client.Do(out.WithContext(c.s.ledger.watch(ctx, r)))
+	c.s.ledger.addRequest(r)
+	resp, err := c.client.Do(out.WithContext(c.s.ledger.traceConns(ctx, r)))
 	if err == nil {
-		c.read(r, resp)
+		c.readAnswer(r, resp)
 		_ = resp.Body.Close()
 	}
-	c.s.ledger.note(func(*ledger) { r.ended = time.Now() })
+	c.s.ledger.do(func(*ledger) { r.ended = time.Now() })
 }
 
-// read takes in an answer.
-func (c *caller) read(r *request, resp *http.Response) {
+// readAnswer takes in an answer.
+func (c *caller) readAnswer(r *request, resp *http.Response) {
 	var a answer
 	if resp.StatusCode == http.StatusOK {
 		switch {
 		case !standin.Signed(resp.Header, r.id):
-			a.wrong = "a success that no endpoint signed for it"
+			a.fault = "a success that no endpoint signed for it"
 		case r.kind == stream:
 			a = readEvents(resp.Body, r.id)
 		default:
@@ -105,20 +105,20 @@
 		}
 	} else {
 		_, err := io.Copy(io.Discard, resp.Body)
-		a.whole = err == nil
+		a.complete = err == nil
 	}
-	c.s.ledger.note(func(*ledger) { r.status, r.answer = resp.StatusCode, a })
+	c.s.ledger.do(func(*ledger) { r.status, r.answer = resp.StatusCode, a })
 }
 
 func readBody(body io.Reader, id string) (a answer) {
 	raw, err := io.ReadAll(body)
 	want := standin.AnswerBody(id)
-	a.whole = err == nil
+	a.complete = err == nil
 	switch {
-	case !a.whole && !strings.HasPrefix(want, string(raw)):
-		a.wrong = "bytes of another answer"
-	case a.whole && string(raw) != want:
-		a.wrong = fmt.Sprintf("a success with a wrong body of %d bytes", len(raw))
+	case !a.complete && !strings.HasPrefix(want, string(raw)):
+		a.fault = "bytes of another answer"
+	case a.complete && string(raw) != want:
+		a.fault = fmt.Sprintf("a success with a wrong body of %d bytes", len(raw))
 	}
 	return a
 }
@@ -131,9 +131,9 @@
 	for {
 		line, err := br.ReadString('\n')
 		if err == io.EOF {
-			a.whole = true
-			if n != events || line != "" {
-				a.wrong = fmt.Sprintf("a stream that ended as whole after event %d of %d%s", n, events, stray)
+			a.complete = true
+			if n != streamEvents || line != "" {
+				a.fault = fmt.Sprintf("a stream that ended as whole after event %d of %d%s", n, streamEvents, stray)
 			}
 			return a
 		}
@@ -143,12 +143,12 @@
 		text := strings.TrimSpace(line)
 		if data, ok := strings.CutPrefix(text, "data: "); ok {
 			if n++; data != standin.EventData(id, n) {
-				a.wrong = fmt.Sprintf("event %q where event %d belongs", data, n)
+				a.fault = fmt.Sprintf("event %q where event %d belongs", data, n)
 				return a
 			}
 		} else if text != "" && text != fmt.Sprintf("id: %d", n+1) {
 			stray = fmt.Sprintf(" with line %q after event %d, which is of no event", text, n)
-			a.wrong = "a stream" + stray
+			a.fault = "a stream" + stray
 		}
 	}
 }
--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -37,27 +37,27 @@
 
 func TestReadEventsTellsAWholeStreamFromAnyOther(t *testing.T) {
 	const id = "0-1-2"
-	whole := eventsText(id, upTo(events)...)
+	whole := eventsText(id, upTo(streamEvents)...)
 	for _, tc := range []struct {
 		name, text string
 		err        error // After the text; nil for an orderly end.
 		want       answer
 	}{
-		{name: "whole", text: whole, want: answer{whole: true}},
+		{name: "whole", text: whole, want: answer{complete: true}},
 		{name: "short but ended as whole", text: eventsText(id, upTo(5)...),
-			want: answer{whole: true, wrong: "a stream that ended as whole after event 5 of 12"}},
-		{name: "empty but ended as whole", want: answer{whole: true, wrong: "a stream that ended as whole after event 0 of 12"}},
+			want: answer{complete: true, fault: "a stream that ended as whole after event 5 of 12"}},
+		{name: "empty but ended as whole", want: answer{complete: true, fault: "a stream that ended as whole after event 0 of 12"}},
 		{name: "ended as whole within an event", text: whole[:len(whole)-4],
-			want: answer{whole: true, wrong: "a stream that ended as whole after event 11 of 12"}},
-		{name: "an event twice", text: eventsText(id, 1, 2, 2, 3), want: answer{wrong: `event "0-1-2/2" where event 3 belongs`}},
-		{name: "a gap", text: eventsText(id, 1, 2, 4), want: answer{wrong: `event "0-1-2/4" where event 3 belongs`}},
-		{name: "a gap hidden by its id", text: strings.Replace(whole, id+"/7\n", id+"/8\n", 1), want: answer{wrong: `event "0-1-2/8" where event 7 belongs`}},
-		{name: "one of another request", text: eventsText(id, 1) + strings.Replace(eventsText("9-9-9", 2), "id: 2\n", "", 1), want: answer{wrong: `event "9-9-9/2" where event 2 belongs`}},
-		{name: "one too many", text: eventsText(id, upTo(events+1)...), want: answer{whole: true, wrong: "a stream that ended as whole after event 13 of 12"}},
-		{name: "text of another answer behind it", text: whole + "internal error\n", want: answer{whole: true, wrong: `a stream with line "internal error" after event 12, which is of no event`}},
+			want: answer{complete: true, fault: "a stream that ended as whole after event 11 of 12"}},
+		{name: "an event twice", text: eventsText(id, 1, 2, 2, 3), want: answer{fault: `event "0-1-2/2" where event 3 belongs`}},
+		{name: "a gap", text: eventsText(id, 1, 2, 4), want: answer{fault: `event "0-1-2/4" where event 3 belongs`}},
+		{name: "a gap hidden by its id", text: strings.Replace(whole, id+"/7\n", id+"/8\n", 1), want: answer{fault: `event "0-1-2/8" where event 7 belongs`}},
+		{name: "one of another request", text: eventsText(id, 1) + strings.Replace(eventsText("9-9-9", 2), "id: 2\n", "", 1), want: answer{fault: `event "9-9-9/2" where event 2 belongs`}},
+		{name: "one too many", text: eventsText(id, upTo(streamEvents+1)...), want: answer{complete: true, fault: "a stream that ended as whole after event 13 of 12"}},
+		{name: "text of another answer behind it", text: whole + "internal error\n", want: answer{complete: true, fault: `a stream with line "internal error" after event 12, which is of no event`}},
 		{name: "short, with text of another answer", text: eventsText(id, 1) + "internal error\n",
-			want: answer{whole: true, wrong: `a stream that ended as whole after event 1 of 12 with line "internal error" after event 1, which is of no event`}},
-		{name: "a wrong id", text: strings.Replace(whole, "id: 4\n", "id: 5\n", 1), want: answer{whole: true, wrong: `a stream with line "id: 5" after event 3, which is of no event`}},
+			want: answer{complete: true, fault: `a stream that ended as whole after event 1 of 12 with line "internal error" after event 1, which is of no event`}},
+		{name: "a wrong id", text: strings.Replace(whole, "id: 4\n", "id: 5\n", 1), want: answer{complete: true, fault: `a stream with line "id: 5" after event 3, which is of no event`}},
 		{name: "broken off", text: eventsText(id, 1, 2), err: io.ErrUnexpectedEOF},
 		{name: "broken off by a reset", text: eventsText(id, 1, 2), err: syscall.ECONNRESET},
 		{name: "broken off within an event", text: eventsText(id, 1, 2) + "id: 3\nda", err: io.ErrUnexpectedEOF},
@@ -83,14 +83,14 @@
 		stream answer
 		body   answer
 	}{
-		{standin.Serves, answer{whole: true}, answer{whole: true}},
+		{standin.Serves, answer{complete: true}, answer{complete: true}},
 		{standin.Truncates, answer{}, answer{}},
-		{standin.AnswersTwice, answer{whole: true}, answer{whole: true}},
-		{standin.Unframed, answer{whole: true}, answer{whole: true}},
+		{standin.AnswersTwice, answer{complete: true}, answer{complete: true}},
+		{standin.Unframed, answer{complete: true}, answer{complete: true}},
 		{standin.UnframedReset, answer{}, answer{}},
-		{standin.Stalls, answer{}, answer{whole: true}},
+		{standin.Stalls, answer{}, answer{complete: true}},
 	} {
-		for _, s := range []speech{keeps, closes} {
+		for _, s := range []connMode{modeKeepAlive, modeClose} {
 			t.Run(fmt.Sprintf("%d over %s", tc.does, s), func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
@@ -100,7 +100,7 @@
 				ask := func(query string) *http.Response {
 					r, err := http.NewRequest(http.MethodPost, srv.URL+"/x"+query, strings.NewReader("body"))
 					g.Expect(err).NotTo(HaveOccurred())
-					standin.SetCallHeaders(r.Header, id, "key", patience)
+					standin.SetCallHeaders(r.Header, id, "key", callerTimeout)
 					client := http.Client{Transport: s.transport(), Timeout: time.Second}
 					resp, err := client.Do(r)
 					g.Expect(err).NotTo(HaveOccurred())
@@ -108,7 +108,7 @@
 					g.Expect(standin.Signed(resp.Header, id)).To(BeTrue())
 					return resp
 				}
-				g.Expect(readEvents(ask(fmt.Sprintf("?events=%d", events)).Body, id)).To(Equal(tc.stream))
+				g.Expect(readEvents(ask(fmt.Sprintf("?events=%d", streamEvents)).Body, id)).To(Equal(tc.stream))
 				g.Expect(readBody(ask("").Body, id)).To(Equal(tc.body))
 				g.Expect((<-runs).Behaviour).To(Equal(tc.does))
 			})
@@ -126,8 +126,8 @@
 		reset bool
 		want  answer
 	}{
-		{"whole", events, false, answer{whole: true}},
-		{"short, in order", 5, false, answer{whole: true, wrong: "a stream that ended as whole after event 5 of 12"}},
+		{"whole", streamEvents, false, answer{complete: true}},
+		{"short, in order", 5, false, answer{complete: true, fault: "a stream that ended as whole after event 5 of 12"}},
 		{"short, reset", 5, true, answer{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -146,7 +146,7 @@
 				}
 			}))
 			t.Cleanup(srv.Close)
-			client := http.Client{Transport: oldHTTP.transport(), Timeout: time.Second}
+			client := http.Client{Transport: modeHTTP10.transport(), Timeout: time.Second}
 			r, err := http.NewRequest(http.MethodPost, srv.URL+"/x", bytes.NewBufferString("body"))
 			g.Expect(err).NotTo(HaveOccurred())
 			r.Host = host
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -63,23 +63,23 @@
 	AllKinds
 )
 
-// randomShare is how many of the other troubles of SecondKinds there are for each
+// faultsPerFailAtRandom is how many of the other troubles of SecondKinds there are for each
 // failAtRandom: a request must meet two of its draws, which takes many.
-const randomShare = 4
+const faultsPerFailAtRandom = 4
 
-// idleShare is how many of the other troubles there are for each changeIdle.
-const idleShare = 5
+// faultsPerChangeIdle is how many of the other troubles there are for each changeIdle.
+const faultsPerChangeIdle = 5
 
-// aroundShare is how many of the other troubles there are for each killAround.
-const aroundShare = 2
+// faultsPerKillAround is how many of the other troubles there are for each killAround.
+const faultsPerKillAround = 2
 
-// list returns the kinds to draw from.
-func (k Kinds) list() (list []faultKind) {
+// faultKinds returns the kinds to draw from.
+func (k Kinds) faultKinds() (list []faultKind) {
 	for one := killGateway; one <= shiftLoad; one++ {
 		list = append(list, one)
 	}
 	if k >= SecondKinds {
-		for range len(list) / randomShare {
+		for range len(list) / faultsPerFailAtRandom {
 			list = append(list, failAtRandom)
 		}
 	}
@@ -96,12 +96,12 @@
 		list = append(list, nameLimit, nameLimit, askRest, askRest, sayLeaving, sayLeaving)
 	}
 	if k >= SeventhKinds {
-		for range len(list) / idleShare {
+		for range len(list) / faultsPerChangeIdle {
 			list = append(list, changeIdle)
 		}
 	}
 	if k >= AllKinds {
-		for range len(list) / aroundShare {
+		for range len(list) / faultsPerKillAround {
 			list = append(list, killAround)
 		}
 	}
@@ -114,91 +114,91 @@
 
 // fault is one trouble of a schedule.
 type fault struct {
-	at    time.Duration // From the start of the run.
-	kind  faultKind
-	which int // Of the things that it can strike.
-	how   int // Variant.
-	lasts time.Duration
+	at       time.Duration // From the start of the run.
+	kind     faultKind
+	target   int // Of the things that it can strike.
+	variant  int // Variant.
+	duration time.Duration
 }
 
 func (f fault) String() string {
-	return fmt.Sprintf("%6.2f s %s (which %d, how %d, %.2f s)", f.at.Seconds(), faultNames[f.kind], f.which, f.how, f.lasts.Seconds())
+	return fmt.Sprintf("%6.2f s %s (which %d, how %d, %.2f s)", f.at.Seconds(), faultNames[f.kind], f.target, f.variant, f.duration.Seconds())
 }
 
 // Times of a schedule. Faults overlap: they come faster than they end.
 const (
-	firstFault   = time.Second
-	shortestGap  = 80 * time.Millisecond
-	longestGap   = 700 * time.Millisecond
-	shortest     = 200 * time.Millisecond
-	longest      = 2500 * time.Millisecond
-	calmTail     = 8 * time.Second // Without faults, at the end: the site must serve again.
-	restartPause = 150 * time.Millisecond
+	firstFault    = time.Second
+	minGap        = 80 * time.Millisecond
+	maxGap        = 700 * time.Millisecond
+	minDuration   = 200 * time.Millisecond
+	maxDuration   = 2500 * time.Millisecond
+	faultFreeTail = 8 * time.Second // Without faults, at the end: the site must serve again.
+	restartDelay  = 150 * time.Millisecond
 )
 
 // schedule returns the troubles of a seed, in order.
 func schedule(seed uint64, length time.Duration, set Kinds) (list []fault) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	kinds := set.list()
+	kinds := set.faultKinds()
 	between := func(a, b time.Duration) time.Duration { return a + time.Duration(rnd.Int64N(int64(b-a))) }
-	for at := firstFault; at < length-calmTail; at += between(shortestGap, longestGap) {
-		list = append(list, fault{at: at, kind: kinds[rnd.IntN(len(kinds))], which: rnd.IntN(1000), how: rnd.IntN(1000), lasts: between(shortest, longest)})
+	for at := firstFault; at < length-faultFreeTail; at += between(minGap, maxGap) {
+		list = append(list, fault{at: at, kind: kinds[rnd.IntN(len(kinds))], target: rnd.IntN(1000), variant: rnd.IntN(1000), duration: between(minDuration, maxDuration)})
 	}
 	return list
 }
 
-// strike makes one trouble and returns when it is over.
-func (s *site) strike(f fault) error {
-	g := f.which % len(s.gateways)
+// inject makes one trouble and returns when it is over.
+func (s *site) inject(f fault) error {
+	g := f.target % len(s.gateways)
 	gateway := s.gateways[g]
-	sidecar := s.sidecars[f.which%len(s.sidecars)]
+	sidecar := s.sidecars[f.target%len(s.sidecars)]
 	switch f.kind {
 	case killGateway:
 		return s.restart(g, gateway.proc, syscall.SIGKILL, 0)
 	case stopGateway:
-		return s.restart(g, gateway.proc, syscall.SIGTERM, grace)
+		return s.restart(g, gateway.proc, syscall.SIGTERM, gracePeriod)
 	case pauseGateway:
-		s.ledger.halt(g, span{time.Now(), time.Now().Add(f.lasts + slack)})
-		s.ledger.broke(g, span{time.Now(), time.Now().Add(f.lasts + slack)})
-		s.disturb(g, f.lasts, func() { gateway.proc.pause(f.lasts) })
+		s.ledger.recordInterruption(g, span{time.Now(), time.Now().Add(f.duration + slack)})
+		s.ledger.recordKillOrPause(g, span{time.Now(), time.Now().Add(f.duration + slack)})
+		s.disturbGateway(g, f.duration, func() { gateway.proc.pause(f.duration) })
 	case reloadGateway:
 		gateway.proc.reload()
 	case killSidecar:
 		return s.restart(-1, sidecar.proc, syscall.SIGKILL, 0)
 	case pauseSidecar:
-		sidecar.proc.pause(f.lasts)
+		sidecar.proc.pause(f.duration)
 	case spoilLink:
-		e := s.endpoint(f.which / 7)
-		s.ledger.halt(g, span{time.Now(), time.Now().Add(f.lasts + slack)})
+		e := s.endpoint(f.target / 7)
+		s.ledger.recordInterruption(g, span{time.Now(), time.Now().Add(f.duration + slack)})
 		began := time.Now()
-		s.spoil(g, e.proxy, f)
-		s.ledger.note(func(l *ledger) {
-			way := link{g, e.name}
-			l.links[way] = append(l.links[way], span{began, time.Now()})
+		s.disruptLink(g, e.proxy, f)
+		s.ledger.do(func(l *ledger) {
+			way := gatewayLink{g, e.name}
+			l.linkFaults[way] = append(l.linkFaults[way], span{began, time.Now()})
 		})
 	case spoilStoreLink:
-		s.spoil(g, s.storeVia, f)
+		s.disruptLink(g, s.storeProxy, f)
 	case storeRefuses, storeSilent:
 		mode := standin.RespondsUnavailable
 		if f.kind == storeSilent {
 			mode = standin.NeverResponds
 		}
-		s.disturbAll(f.lasts, func() {
+		s.disturbAll(f.duration, func() {
 			s.store.SetMode(mode)
-			time.Sleep(f.lasts)
+			time.Sleep(f.duration)
 			s.store.SetMode(standin.Responds)
 		})
 	case storeForgets:
 		s.disturbAll(0, s.store.CompactHistory)
 	case takeKey, moveRoute, manyVersions:
-		return s.change(f)
+		return s.publishChange(f)
 	case replaceEndpoint:
 		return s.replace(f)
 	case crashEndpoint:
 		return s.crash(f)
 	case misbehave:
 		kinds := []standin.Behaviour{standin.NotExecuted, standin.Fails, standin.Truncates, standin.DropsAnswer, standin.AnswersTwice}
-		s.endpoint(f.which).misbehave(f.lasts, 100, kinds[f.how%len(kinds)])
+		s.endpoint(f.target).misbehave(f.duration, 100, kinds[f.variant%len(kinds)])
 	case failAtRandom:
 		s.failAtRandom(f)
 	case startAgain:
@@ -218,7 +218,7 @@
 	case killAround:
 		return s.killAround(g, f)
 	case shiftLoad:
-		s.group.ShiftDemand(f.how)
+		s.group.ShiftDemand(f.variant)
 	}
 	return nil
 }
@@ -228,7 +228,7 @@
 var randomBehaviours = []standin.Behaviour{standin.Fails, standin.Fails, standin.Truncates, standin.Truncates, standin.DropsAnswer, standin.NotExecuted,
 	standin.AnswersTwice, standin.Unframed, standin.UnframedReset, standin.Stalls, standin.NotFound}
 
-const leastPart, mostPart = 20, 80
+const minFailPercent, maxFailPercent = 20, 80
 
 // failAtRandom makes all endpoints fail a part of their requests, so that one
 // request meets several troubles in a row.
@@ -236,51 +236,51 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.endpoints {
-		e.misbehave(f.lasts, leastPart+f.how%(mostPart-leastPart), randomBehaviours...)
+		e.misbehave(f.duration, minFailPercent+f.variant%(maxFailPercent-minFailPercent), randomBehaviours...)
 	}
 }
 
-// grace is how long a planned stop may take, as the settings say.
-const grace = 8 * time.Second
+// gracePeriod is how long a planned stop may take, as the settings say.
+const gracePeriod = 8 * time.Second
 
 // restart ends a process by a signal and starts it again. Gateway is -1 for a
 // sidecar.
-func (s *site) restart(gateway int, p *process, sig syscall.Signal, patience time.Duration) error {
+func (s *site) restart(gateway int, p *process, sig syscall.Signal, timeout time.Duration) error {
 	began := time.Now()
-	broken := began // When it stopped serving but for a planned stop.
-	over := p.signal(sig)
-	planned := sig == syscall.SIGTERM && within(over, patience+slack)
+	failedAt := began // When it stopped serving but for a planned stop.
+	done := p.signal(sig)
+	planned := sig == syscall.SIGTERM && endsWithin(done, timeout+slack)
 	if sig == syscall.SIGTERM && !planned {
-		broken = time.Now()
-		s.ledger.note(func(l *ledger) {
-			if !l.broken(gateway, began, broken) { // One that is suspended cannot end.
-				l.ends = append(l.ends, p.name+" did not end within its grace period")
+		failedAt = time.Now()
+		s.ledger.do(func(l *ledger) {
+			if !l.killedOrPaused(gateway, began, failedAt) { // One that is suspended cannot end.
+				l.exits = append(l.exits, p.name+" did not end within its grace period")
 			}
 		})
 		p.signal(syscall.SIGKILL)
 	}
-	within(over, grace)
+	endsWithin(done, gracePeriod)
 	ended := time.Now()
 	if gateway >= 0 {
-		s.ledger.halt(gateway, span{began, ended.Add(restartPause + slack)})
+		s.ledger.recordInterruption(gateway, span{began, ended.Add(restartDelay + slack)})
 		if !planned {
-			s.ledger.broke(gateway, span{broken, ended})
+			s.ledger.recordKillOrPause(gateway, span{failedAt, ended})
 		}
-		s.ledger.note(func(l *ledger) {
+		s.ledger.do(func(l *ledger) {
 			if sig == syscall.SIGTERM {
-				l.stopping[gateway] = append(l.stopping[gateway], span{began, ended})
+				l.plannedStops[gateway] = append(l.plannedStops[gateway], span{began, ended})
 				began = ended
 			}
-			l.spans[gateway] = append(l.spans[gateway], span{began, ended.Add(restartPause)})
+			l.disturbances[gateway] = append(l.disturbances[gateway], span{began, ended.Add(restartDelay)})
 		})
 	}
-	time.Sleep(restartPause)
-	return p.again()
+	time.Sleep(restartDelay)
+	return p.relaunch()
 }
 
-// disturb notes that a gateway is disturbed while do runs.
-func (s *site) disturb(gateway int, lasts time.Duration, do func()) {
-	s.ledger.disturb(gateway, span{time.Now(), time.Now().Add(lasts + slack)})
+// disturbGateway notes that a gateway is disturbed while do runs.
+func (s *site) disturbGateway(gateway int, lasts time.Duration, do func()) {
+	s.ledger.recordDisturbance(gateway, span{time.Now(), time.Now().Add(lasts + slack)})
 	do()
 }
 
@@ -288,46 +288,46 @@
 // gateways alike.
 func (s *site) disturbAll(lasts time.Duration, do func()) {
 	for g := range s.gateways {
-		s.ledger.disturb(g, span{time.Now(), time.Now().Add(lasts + slack)})
+		s.ledger.recordDisturbance(g, span{time.Now(), time.Now().Add(lasts + slack)})
 	}
 	do()
 }
 
-// spoil spoils a gateway's connections through a proxy for a while.
-func (s *site) spoil(gateway int, p *proxy, f fault) {
-	kind := linkFault(1 + f.how%linkFaultCount)
-	s.say("        link of gateway-%d %s", gateway, linkNames[kind])
-	s.disturb(gateway, f.lasts, func() {
+// disruptLink spoils a gateway's connections through a proxy for a while.
+func (s *site) disruptLink(gateway int, p *proxy, f fault) {
+	kind := linkFault(1 + f.variant%linkFaultCount)
+	s.logf("        link of gateway-%d %s", gateway, linkNames[kind])
+	s.disturbGateway(gateway, f.duration, func() {
 		p.set(s.gateways[gateway].ip, kind)
-		time.Sleep(f.lasts)
-		p.set(s.gateways[gateway].ip, linkWell)
+		time.Sleep(f.duration)
+		p.set(s.gateways[gateway].ip, linkHealthy)
 	})
 }
 
 // endpoint returns one of the endpoints that are there.
-func (s *site) endpoint(which int) *endpointAt {
+func (s *site) endpoint(index int) *siteEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.endpoints[which%len(s.endpoints)]
+	return s.endpoints[index%len(s.endpoints)]
 }
 
-// change publishes one or more versions.
-func (s *site) change(f fault) error {
+// publishChange publishes one or more versions.
+func (s *site) publishChange(f fault) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch f.kind {
 	case takeKey:
-		c := f.which % customers
-		gone := s.keys[c][0]
+		c := f.target % customers
+		revoked := s.keys[c][0]
 		s.keys[c] = append(append([]string(nil), s.keys[c][1:]...), fmt.Sprintf("key-%d-%d", c, s.version+2))
-		s.taken = append(s.taken, gone)
-		defer s.ledger.note(func(l *ledger) { l.taken[gone] = time.Now() })
+		s.revokedKeys = append(s.revokedKeys, revoked)
+		defer s.ledger.do(func(l *ledger) { l.revokedKeys[revoked] = time.Now() })
 	case moveRoute:
-		s.movedTo = plainNames[f.which%len(plainNames)]
-		to := s.movedTo
-		defer s.ledger.note(func(l *ledger) {
-			if l.movedTo != to {
-				l.moved, l.movedTo = time.Now(), to
+		s.routeService = plainServices[f.target%len(plainServices)]
+		to := s.routeService
+		defer s.ledger.do(func(l *ledger) {
+			if l.routeService != to {
+				l.routeMovedAt, l.routeService = time.Now(), to
 			}
 		})
 	case manyVersions:
@@ -340,13 +340,13 @@
 	return s.publish()
 }
 
-// succeed has another plain endpoint come in the place of one, which is still listed.
-func (s *site) succeed(f fault) (old *endpointAt, err error) {
+// addSuccessor has another plain endpoint come in the place of one, which is still listed.
+func (s *site) addSuccessor(f fault) (old *siteEndpoint, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := s.cfg.Ranks + f.which%s.cfg.Plain
+	i := s.cfg.Ranks + f.target%s.cfg.PlainEndpoints
 	old = s.endpoints[i]
-	next, err := s.addEndpoint(old.service, old.domain, plainIP+s.births%plainIPs, nil)
+	next, err := s.addEndpoint(old.service, old.domain, plainIP+s.endpointsStarted%plainIPCount, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -357,7 +357,7 @@
 
 // replace makes a plain endpoint leave as planned, and another one come.
 func (s *site) replace(f fault) error {
-	old, err := s.succeed(f)
+	old, err := s.addSuccessor(f)
 	if err != nil {
 		return err
 	}
@@ -367,11 +367,11 @@
 	if err := s.store.PutEndpoint(leaving); err != nil {
 		return err
 	}
-	s.ledger.note(func(l *ledger) { l.left[old.name] = time.Now() })
+	s.ledger.do(func(l *ledger) { l.leavingSince[old.name] = time.Now() })
 	time.Sleep(drainBound + slack)
 	s.store.Remove(old.name)
-	time.Sleep(patience) // It serves on for a while.
-	s.ledger.endpointEnds(old.name)
+	time.Sleep(callerTimeout) // It serves on for a while.
+	s.ledger.recordEndpointExit(old.name)
 	return old.srv.Close()
 }
 
@@ -379,30 +379,30 @@
 // and address. Half of them said before that they leave: the new life does not.
 func (s *site) startAgain(f fault) (err error) {
 	s.mu.Lock()
-	e := s.endpoints[s.cfg.Ranks+f.which%s.cfg.Plain]
-	old, busy := e.srv, e.restarts
-	e.restarts = true
-	if !busy && f.how%2 == 0 {
+	e := s.endpoints[s.cfg.Ranks+f.target%s.cfg.PlainEndpoints]
+	old, inRestart := e.srv, e.restarting
+	e.restarting = true
+	if !inRestart && f.variant%2 == 0 {
 		err = s.store.PutEndpoint(e.entry(true))
 	}
 	s.mu.Unlock()
-	if err != nil || busy {
+	if err != nil || inRestart {
 		return err
 	}
-	time.Sleep(f.lasts / 2)
-	s.ledger.endpointEnds(e.name)
+	time.Sleep(f.duration / 2)
+	s.ledger.recordEndpointExit(e.name)
 	if err = old.Close(); err != nil {
 		return err
 	}
-	time.Sleep(f.lasts / 2)
-	return s.beginLife(e)
+	time.Sleep(f.duration / 2)
+	return s.restartEndpoint(e)
 }
 
-// beginLife starts an endpoint that has ended, under its name and address.
-func (s *site) beginLife(e *endpointAt) (err error) {
+// restartEndpoint starts an endpoint that has ended, under its name and address.
+func (s *site) restartEndpoint(e *siteEndpoint) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e.restarts = false
+	e.restarting = false
 	if !slices.Contains(s.endpoints, e) {
 		return nil // It was replaced, or crashed for good, meanwhile.
 	}
@@ -411,25 +411,25 @@
 		return err
 	}
 	e.srv = s.serveOn(l, e.handler)
-	e.born = max(e.born+1, time.Now().UnixMilli())
+	e.startedAt = max(e.startedAt+1, time.Now().UnixMilli())
 	return s.store.PutEndpoint(e.entry(false))
 }
 
 // evacuate has nothing new go to the endpoints of a failure domain for a while. Two may
 // overlap: the domain is free again when the last one is over.
 func (s *site) evacuate(f fault) {
-	domain := domains[f.which%len(domains)]
+	domain := domains[f.target%len(domains)]
 	s.mu.Lock()
-	s.evacuating[domain]++
+	s.activeEvacuations[domain]++
 	s.store.Evacuate(domain)
 	s.mu.Unlock()
 	began := time.Now()
-	time.Sleep(evacuationBound + f.lasts)
+	time.Sleep(evacuationBound + f.duration)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	// It is noted before the word is taken back: what runs after that is allowed.
-	s.ledger.note(func(l *ledger) { l.evacuated[domain] = append(l.evacuated[domain], span{began, time.Now()}) })
-	if s.evacuating[domain]--; s.evacuating[domain] == 0 {
+	s.ledger.do(func(l *ledger) { l.evacuations[domain] = append(l.evacuations[domain], span{began, time.Now()}) })
+	if s.activeEvacuations[domain]--; s.activeEvacuations[domain] == 0 {
 		s.store.EndEvacuation(domain)
 	}
 }
@@ -437,16 +437,16 @@
 // crash makes a plain endpoint go without a word; its entry goes later, and
 // another one comes.
 func (s *site) crash(f fault) error {
-	old, err := s.succeed(f)
+	old, err := s.addSuccessor(f)
 	if err != nil {
 		return err
 	}
 	old.misbehave(time.Hour, 100, standin.DropsAnswer) // What it has begun is lost, too.
-	s.ledger.endpointEnds(old.name)
+	s.ledger.recordEndpointExit(old.name)
 	if err := old.srv.Close(); err != nil {
 		return err
 	}
-	time.Sleep(f.lasts)
+	time.Sleep(f.duration)
 	s.store.Remove(old.name)
 	return nil
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -22,18 +22,18 @@
 	file    string
 	gateway int // -1 for a sidecar.
 
-	mu      sync.Mutex // Guards what follows.
-	cmd     *exec.Cmd
-	life    *life
-	asked   bool // It was told to end.
-	paused  int  // Pauses that overlap.
-	over    chan struct{}
-	waiting errgroup.Group
-	ended   bool // Of the run: nothing is started any more.
+	mu            sync.Mutex // Guards what follows.
+	cmd           *exec.Cmd
+	current       *incarnation
+	stopRequested bool // It was told to end.
+	pauses        int  // Pauses that overlap.
+	done          chan struct{}
+	waiters       errgroup.Group
+	closed        bool // Of the run: nothing is started any more.
 }
 
-// start starts a daemon. Its log goes to a file of the run.
-func (s *site) start(name, file string, gateway int) (p *process, err error) {
+// startProcess starts a daemon. Its log goes to a file of the run.
+func (s *site) startProcess(name, file string, gateway int) (p *process, err error) {
 	p = &process{s: s, name: name, file: file, gateway: gateway}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -53,30 +53,30 @@
 		_ = out.Close()
 		return err
 	}
-	now := &life{name: p.name, pid: p.cmd.Process.Pid, began: began}
-	p.life = now
-	p.s.ledger.note(func(l *ledger) { l.lives[p.gateway] = append(l.lives[p.gateway], now) })
-	p.asked, p.paused, p.over = false, 0, make(chan struct{})
-	cmd, over := p.cmd, p.over
-	p.waiting.Go(func() error {
+	current := &incarnation{name: p.name, pid: p.cmd.Process.Pid, startAt: began}
+	p.current = current
+	p.s.ledger.do(func(l *ledger) { l.processes[p.gateway] = append(l.processes[p.gateway], current) })
+	p.stopRequested, p.pauses, p.done = false, 0, make(chan struct{})
+	cmd, done := p.cmd, p.done
+	p.waiters.Go(func() error {
 		err := cmd.Wait()
 		_ = out.Close()
 		explained := true
-		p.s.ledger.note(func(l *ledger) {
-			now.over, now.err, now.by = time.Now(), err, signalOf(err)
-			if explained = now.explained(); !explained {
-				l.ends = append(l.ends, fmt.Sprintf("an end that no signal explains: %v", now))
+		p.s.ledger.do(func(l *ledger) {
+			current.endAt, current.err, current.signal = time.Now(), err, signalOf(err)
+			if explained = current.explained(); !explained {
+				l.exits = append(l.exits, fmt.Sprintf("an end that no signal explains: %v", current))
 			}
 		})
 		p.mu.Lock()
-		asked := p.asked
+		stopRequested := p.stopRequested
 		p.mu.Unlock()
-		if !asked {
+		if !stopRequested {
 			last := lastLine(out.Name())
-			p.s.ledger.note(func(l *ledger) { l.ends = append(l.ends, fmt.Sprintf("%s ended by itself: %v: %s", p.name, err, last)) })
-			p.s.say("%s ended by itself: %v: %s", p.name, err, last)
+			p.s.ledger.do(func(l *ledger) { l.exits = append(l.exits, fmt.Sprintf("%s ended by itself: %v: %s", p.name, err, last)) })
+			p.s.logf("%s ended by itself: %v: %s", p.name, err, last)
 		}
-		close(over)
+		close(done)
 		return nil
 	})
 	return nil
@@ -94,15 +94,15 @@
 
 // signal sends a signal to the process, which may have ended. It returns what is
 // closed when the life that got it is over.
-func (p *process) signal(sig syscall.Signal) (over <-chan struct{}) {
+func (p *process) signal(sig syscall.Signal) (done <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		p.asked = true
-		p.s.ledger.tells(p.life, sig)
+		p.stopRequested = true
+		p.s.ledger.recordSignal(p.current, sig)
 	}
 	_ = p.cmd.Process.Signal(sig) // It may be gone.
-	return p.over
+	return p.done
 }
 
 // reload sends SIGHUP. From AllKinds on, where processes start all the time, it is for those that
@@ -110,9 +110,9 @@
 func (p *process) reload() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var met bool
-	p.s.ledger.note(func(*ledger) { met = !p.life.met.IsZero() })
-	if met || p.s.cfg.Kinds < AllKinds {
+	var reachable bool
+	p.s.ledger.do(func(*ledger) { reachable = !p.current.connectedAt.IsZero() })
+	if reachable || p.s.cfg.Kinds < AllKinds {
 		_ = p.cmd.Process.Signal(syscall.SIGHUP) // It may be gone.
 	}
 }
@@ -120,56 +120,56 @@
 // pause stops it for a while. Pauses may overlap.
 func (p *process) pause(d time.Duration) {
 	p.mu.Lock()
-	p.paused++
-	life := p.over
+	p.pauses++
+	incarnation := p.done
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP) // It may be gone.
 	p.mu.Unlock()
 	time.Sleep(d)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if life != p.over {
+	if incarnation != p.done {
 		return // Another life goes on by itself.
 	}
-	if p.paused--; p.paused == 0 {
+	if p.pauses--; p.pauses == 0 {
 		_ = p.cmd.Process.Signal(syscall.SIGCONT) // It may be gone.
 	}
 }
 
-// within reports whether a life is over after at most d.
-func within(over <-chan struct{}, d time.Duration) bool {
+// endsWithin reports whether a life is over after at most d.
+func endsWithin(done <-chan struct{}, d time.Duration) bool {
 	select {
-	case <-over:
+	case <-done:
 		return true
 	case <-time.After(d):
 		return false
 	}
 }
 
-// again starts it anew after its life is over.
-func (p *process) again() error {
+// relaunch starts it anew after its life is over.
+func (p *process) relaunch() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.over:
+	case <-p.done:
 	default:
 		return nil // It lives: another fault has started it.
 	}
-	if p.ended {
+	if p.closed {
 		return nil
 	}
 	return p.launch()
 }
 
-// end kills it for good.
-func (p *process) end() {
+// shutDown kills it for good.
+func (p *process) shutDown() {
 	if p == nil || p.cmd == nil {
 		return
 	}
 	p.mu.Lock()
-	p.ended = true
-	p.asked = true
-	p.s.ledger.tells(p.life, syscall.SIGKILL)
+	p.closed = true
+	p.stopRequested = true
+	p.s.ledger.recordSignal(p.current, syscall.SIGKILL)
 	_ = p.cmd.Process.Signal(syscall.SIGKILL) // It may be gone.
 	p.mu.Unlock()
-	_ = p.waiting.Wait() // Functions of the group return no error.
+	_ = p.waiters.Wait() // Functions of the group return no error.
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -18,13 +18,13 @@
 
 // The faults of links.
 const (
-	linkWell       linkFault = iota
-	linkDelayed              // Bytes come late.
-	linkReset                // Connections are reset, new ones too.
-	linkCutThere             // What is sent to the target does not arrive.
-	linkCutBack              // What the target sends does not arrive.
-	linkSilent               // Nothing arrives either way.
-	linkFaultCount = iota - 1
+	linkHealthy         linkFault = iota
+	linkDelayed                   // Bytes come late.
+	linkReset                     // Connections are reset, new ones too.
+	linkDropsToTarget             // What is sent to the target does not arrive.
+	linkDropsFromTarget           // What the target sends does not arrive.
+	linkDropsBoth                 // Nothing arrives either way.
+	linkFaultCount      = iota - 1
 )
 
 var linkNames = [...]string{"well", "delayed", "reset", "cut there", "cut back", "silent"}
@@ -35,17 +35,17 @@
 // proxy stands before a target and hands connections on from the same source IP
 // number, so that the target sees who it is.
 type proxy struct {
-	l      net.Listener
-	target string
-	mu     sync.Mutex
-	faults map[string]linkFault // By source IP number.
-	conns  map[net.Conn]string  // Sources of open connections.
-	group  errgroup.Group
+	listener net.Listener
+	target   string
+	mu       sync.Mutex
+	faults   map[string]linkFault // By source IP number.
+	conns    map[net.Conn]string  // Sources of open connections.
+	group    errgroup.Group
 }
 
 // newProxy takes connections of l. The function ends it.
 func newProxy(l net.Listener, target string) (p *proxy, cleanup func()) {
-	p = &proxy{l: l, target: target, faults: map[string]linkFault{}, conns: map[net.Conn]string{}}
+	p = &proxy{listener: l, target: target, faults: map[string]linkFault{}, conns: map[net.Conn]string{}}
 	p.group.Go(func() error { return p.accept(l) })
 	return p, p.close
 }
@@ -60,21 +60,21 @@
 func (p *proxy) shut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_ = p.l.Close()
+	_ = p.listener.Close()
 	for c := range p.conns {
 		_ = c.Close()
 	}
 }
 
-// open takes connections again after shut.
-func (p *proxy) open() error {
+// reopen takes connections again after shut.
+func (p *proxy) reopen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l, err := net.Listen("tcp4", p.l.Addr().String())
+	l, err := net.Listen("tcp4", p.listener.Addr().String())
 	if err != nil {
 		return err
 	}
-	p.l = l
+	p.listener = l
 	p.group.Go(func() error { return p.accept(l) })
 	return nil
 }
@@ -84,7 +84,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[source] = f
-	if f == linkWell || f == linkReset { // What was held up is lost with its connection.
+	if f == linkHealthy || f == linkReset { // What was held up is lost with its connection.
 		for c, from := range p.conns {
 			if from == source {
 				reset(c)
@@ -127,26 +127,26 @@
 		return
 	}
 	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: source}, Timeout: time.Second}
-	back, err := d.DialContext(context.Background(), "tcp4", p.target)
+	upstream, err := d.DialContext(context.Background(), "tcp4", p.target)
 	if err != nil {
 		reset(c)
 		return
 	}
-	p.keep(c, back, from)
+	p.trackConns(c, upstream, from)
 	var g errgroup.Group
-	g.Go(func() error { p.pump(back, c, from, linkCutThere); return nil })
-	g.Go(func() error { p.pump(c, back, from, linkCutBack); return nil })
+	g.Go(func() error { p.pump(upstream, c, from, linkDropsToTarget); return nil })
+	g.Go(func() error { p.pump(c, upstream, from, linkDropsFromTarget); return nil })
 	_ = g.Wait() // Functions of the group return no error.
 	p.mu.Lock()
 	delete(p.conns, c)
-	delete(p.conns, back)
+	delete(p.conns, upstream)
 	p.mu.Unlock()
 }
 
-func (p *proxy) keep(c, back net.Conn, from string) {
+func (p *proxy) trackConns(c, upstream net.Conn, from string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conns[c], p.conns[back] = from, from
+	p.conns[c], p.conns[upstream] = from, from
 }
 
 // pump moves bytes until either side ends; cut is the fault that stops this
@@ -156,10 +156,10 @@
 	for {
 		n, err := from.Read(buf)
 		switch f := p.fault(source); f {
-		case cut, linkSilent:
+		case cut, linkDropsBoth:
 			// After lost bytes an orderly end must not follow: without a length it
 			// would make what came before them a whole answer.
-			continueReading(from, buf, err)
+			discardUntilEnd(from, buf, err)
 			reset(to)
 			_ = from.Close()
 			return
@@ -184,9 +184,9 @@
 	}
 }
 
-// continueReading drops what comes on a cut link until its connection ends: what
+// discardUntilEnd drops what comes on a cut link until its connection ends: what
 // was lost must not be followed by later bytes.
-func continueReading(from net.Conn, buf []byte, err error) {
+func discardUntilEnd(from net.Conn, buf []byte, err error) {
 	for err == nil {
 		_, err = from.Read(buf)
 	}
--- a/internal/soak/rest_test.go
+++ b/internal/soak/rest_test.go
@@ -20,21 +20,21 @@
 	for _, tc := range []struct {
 		name  string
 		told  time.Duration
-		idles []idleTime
+		idles []idleSetting
 		want  float64 // Seconds after the start of the rest.
 	}{
-		{"four fifths of the idle time", 0, []idleTime{{limit: 10 * time.Second}}, 8},
-		{"what it was told is shorter", 6 * time.Second, []idleTime{{limit: 10 * time.Second}}, 6},
-		{"what it was told is longer", 9 * time.Second, []idleTime{{limit: 10 * time.Second}}, 8},
-		{"a shorter one was sent", 0, []idleTime{{limit: 10 * time.Second}, {limit: time.Second}}, 8},
-		{"a shorter one was acknowledged", 0, []idleTime{{limit: 10 * time.Second, replaced: at(3)}, {limit: time.Second}}, 5},
-		{"a shorter one is surely in force", 0, []idleTime{{limit: 10 * time.Second, replaced: at(-3)}, {limit: time.Second}}, 0.8},
-		{"a longer one was sent", 0, []idleTime{{limit: time.Second}, {limit: 10 * time.Second}}, 8},
-		{"a longer one, but it was told", time.Second, []idleTime{{limit: time.Second}, {limit: 10 * time.Second}}, 1},
-		{"the longest is between others", 0, []idleTime{{limit: time.Second, replaced: at(0)}, {limit: 5 * time.Second, replaced: at(1)}, {limit: time.Second}}, 3},
+		{"four fifths of the idle time", 0, []idleSetting{{limit: 10 * time.Second}}, 8},
+		{"what it was told is shorter", 6 * time.Second, []idleSetting{{limit: 10 * time.Second}}, 6},
+		{"what it was told is longer", 9 * time.Second, []idleSetting{{limit: 10 * time.Second}}, 8},
+		{"a shorter one was sent", 0, []idleSetting{{limit: 10 * time.Second}, {limit: time.Second}}, 8},
+		{"a shorter one was acknowledged", 0, []idleSetting{{limit: 10 * time.Second, replaced: at(3)}, {limit: time.Second}}, 5},
+		{"a shorter one is surely in force", 0, []idleSetting{{limit: 10 * time.Second, replaced: at(-3)}, {limit: time.Second}}, 0.8},
+		{"a longer one was sent", 0, []idleSetting{{limit: time.Second}, {limit: 10 * time.Second}}, 8},
+		{"a longer one, but it was told", time.Second, []idleSetting{{limit: time.Second}, {limit: 10 * time.Second}}, 1},
+		{"the longest is between others", 0, []idleSetting{{limit: time.Second, replaced: at(0)}, {limit: 5 * time.Second, replaced: at(1)}, {limit: time.Second}}, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := rest{since: start, told: tc.told}
+			r := idlePeriod{since: start, advertised: tc.told}
 			NewWithT(t).Expect(r.usableUntil(tc.idles)).To(Equal(at(tc.want)))
 		})
 	}
@@ -43,15 +43,15 @@
 func TestPublishedIdleTimesAreNotedOnceEach(t *testing.T) {
 	g := NewWithT(t)
 	l := newLedger()
-	for _, limit := range []time.Duration{0, unsetIdle, time.Second, time.Second, 0} {
-		l.publishes(limit)()
+	for _, limit := range []time.Duration{0, defaultIdleTimeout, time.Second, time.Second, 0} {
+		l.recordIdleSetting(limit)()
 	}
 	var limits []time.Duration
-	for i, one := range l.idles {
+	for i, one := range l.timeouts {
 		limits = append(limits, one.limit)
-		g.Expect(one.replaced.IsZero()).To(Equal(i == len(l.idles)-1))
+		g.Expect(one.replaced.IsZero()).To(Equal(i == len(l.timeouts)-1))
 	}
-	g.Expect(limits).To(Equal([]time.Duration{unsetIdle, time.Second, unsetIdle}))
+	g.Expect(limits).To(Equal([]time.Duration{defaultIdleTimeout, time.Second, defaultIdleTimeout}))
 }
 
 func TestWhatKeptConnectionsPromise(t *testing.T) {
@@ -82,15 +82,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			l := newLedger()
-			l.breaks[2] = tc.breaks
-			var conn *tracked
+			l.killsAndPauses[2] = tc.breaks
+			var conn *trackedConn
 			if tc.kill != 0 {
-				l.lives[2] = []*life{{began: at(-4), kill: at(tc.kill), over: at(tc.kill), by: syscall.SIGKILL}}
-				conn = &tracked{Conn: nowhere{}, dialed: span{at(-3), at(-3)}, err: io.EOF, errAt: at(3.1)}
+				l.processes[2] = []*incarnation{{startAt: at(-4), killAt: at(tc.kill), endAt: at(tc.kill), signal: syscall.SIGKILL}}
+				conn = &trackedConn{Conn: nowhere{}, dialed: span{at(-3), at(-3)}, err: io.EOF, errAt: at(3.1)}
 			}
-			l.begin(&request{id: "2-r1-1", conn: conn, gateway: 2, status: tc.status, runs: tc.runs, sent: at(3), ended: at(3.2), answer: answer{whole: tc.status != 0},
-				rest: &rest{since: start, until: at(3.01), late: tc.late, err: io.ErrUnexpectedEOF}})
-			broken := l.judge(false)
+			l.addRequest(&request{id: "2-r1-1", conn: conn, gateway: 2, status: tc.status, runs: tc.runs, sent: at(3), ended: at(3.2), answer: answer{complete: tc.status != 0},
+				idle: &idlePeriod{since: start, sendUntil: at(3.01), late: tc.late, err: io.ErrUnexpectedEOF}})
+			broken := l.violations(false)
 			if tc.want == "" {
 				g.Expect(broken).To(BeEmpty())
 				return
@@ -103,7 +103,7 @@
 func TestForHowLongAnAnswerLetsItsConnectionBeKept(t *testing.T) {
 	for value, want := range map[string]time.Duration{"": 0, "timeout=6": 6 * time.Second, "max=5, timeout=2": 2 * time.Second, "timeout=x": 0} {
 		t.Run(value, func(t *testing.T) {
-			NewWithT(t).Expect(toldBy(http.Header{"Keep-Alive": {value}})).To(Equal(want))
+			NewWithT(t).Expect(advertisedIdle(http.Header{"Keep-Alive": {value}})).To(Equal(want))
 		})
 	}
 }
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -35,101 +35,101 @@
 	fileMode   = 0o600
 )
 
-var plainNames = [...]string{"east", "west"}
+var plainServices = [...]string{"east", "west"}
 
 // passTime is how often the stand-in engines make a pass.
 const passTime = 10 * time.Millisecond
 
-// gatewayAt is one gateway of the site.
-type gatewayAt struct {
+// siteGateway is one gateway of the site.
+type siteGateway struct {
 	ip, callers, readiness, peers, file string
 	proc                                *process
 }
 
-// endpointAt is one stand-in of an endpoint, behind a proxy.
-type endpointAt struct {
-	name     string
-	service  string
-	domain   string
-	address  string // Of the proxy, as published.
-	target   string // Of the endpoint itself.
-	proxy    *proxy
-	handler  http.Handler
-	srv      *http.Server // Guarded by the site's mu, as born is.
-	born     int64        // Of its present life, Unix milliseconds.
-	restarts bool         // It is ending and will start again under its name.
-	seed     uint64       // Of the run.
-
-	mu    sync.Mutex // Guards what follows.
-	does  []standin.Behaviour
-	part  int // In 100 requests: those that are not served.
-	until time.Time
-
-	asks       standin.Signals // But for its rest.
-	restsUntil time.Time
+// siteEndpoint is one stand-in of an endpoint, behind a proxy.
+type siteEndpoint struct {
+	name       string
+	service    string
+	domain     string
+	address    string // Of the proxy, as published.
+	target     string // Of the endpoint itself.
+	proxy      *proxy
+	handler    http.Handler
+	srv        *http.Server // Guarded by the site's mu, as born is.
+	startedAt  int64        // Of its present life, Unix milliseconds.
+	restarting bool         // It is ending and will start again under its name.
+	seed       uint64       // Of the run.
+
+	mu              sync.Mutex // Guards what follows.
+	behaviours      []standin.Behaviour
+	failPercent     int // In 100 requests: those that are not served.
+	misbehavesUntil time.Time
+
+	signals      standin.Signals // But for its rest.
+	backoffUntil time.Time
 }
 
 // behave returns what the endpoint does with an attempt: each draws for itself,
 // and what it draws follows from the seed.
-func (e *endpointAt) behave(id string) standin.Behaviour {
-	if strings.HasPrefix(id, crashingID) {
+func (e *siteEndpoint) behave(id string) standin.Behaviour {
+	if strings.HasPrefix(id, crashingPrefix) {
 		return standin.ExitsProcess
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if time.Now().After(e.until) {
+	if time.Now().After(e.misbehavesUntil) {
 		return standin.Serves
 	}
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, id+" at "+e.name) // A hash takes everything.
 	rnd := rand.New(rand.NewPCG(e.seed, h.Sum64()))
-	if rnd.IntN(100) >= e.part {
+	if rnd.IntN(100) >= e.failPercent {
 		return standin.Serves
 	}
-	return e.does[rnd.IntN(len(e.does))]
+	return e.behaviours[rnd.IntN(len(e.behaviours))]
 }
 
 // misbehave makes a part of the requests draw one of some behaviours for a while.
-func (e *endpointAt) misbehave(d time.Duration, part int, does ...standin.Behaviour) {
+func (e *siteEndpoint) misbehave(d time.Duration, failPercent int, behaviours ...standin.Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.does, e.part, e.until = does, part, time.Now().Add(d)
+	e.behaviours, e.failPercent, e.misbehavesUntil = behaviours, failPercent, time.Now().Add(d)
 }
 
-// sidecarAt is the sidecar beside a stand-in engine.
-type sidecarAt struct {
+// siteSidecar is the sidecar beside a stand-in engine.
+type siteSidecar struct {
 	file string
 	proc *process
 }
 
 // site is the stand-ins and the processes of one run.
 type site struct {
-	cfg      Config
-	dir      string
-	net      string // First three numbers of the site's own loopback addresses.
-	store    *standin.Store
-	storeAt  string
-	storeVia *proxy
-	group    *ranktest.Group
-	gateways []*gatewayAt
-	sidecars []*sidecarAt
-	ledger   *ledger
-	servers  errgroup.Group
-	closers  []func()
-	logMu    sync.Mutex
-	ports    atomic.Int64 // That were tried.
-
-	mu        sync.Mutex // Guards what follows.
-	endpoints []*endpointAt
-	version   uint64
-	movedTo   string
-	keys      [][]string    // In force, by customer.
-	taken     []string      // Keys that were taken away, with their customer.
-	idle      time.Duration // Published; 0 for the stand-in's own.
-	births    int
-	port      int // Of sidecars.
-	// evacuating is how many evacuations of each failure domain are under way.
-	evacuating map[string]int
+	cfg          Config
+	dir          string
+	netPrefix    string // First three numbers of the site's own loopback addresses.
+	store        *standin.Store
+	storeAddress string
+	storeProxy   *proxy
+	group        *ranktest.Group
+	gateways     []*siteGateway
+	sidecars     []*siteSidecar
+	ledger       *ledger
+	servers      errgroup.Group
+	closers      []func()
+	logMu        sync.Mutex
+	portsTried   atomic.Int64 // That were tried.
+
+	mu               sync.Mutex // Guards what follows.
+	endpoints        []*siteEndpoint
+	version          uint64
+	routeService     string
+	keys             [][]string    // In force, by customer.
+	revokedKeys      []string      // Keys that were taken away, with their customer.
+	idleTimeout      time.Duration // Published; 0 for the stand-in's own.
+	endpointsStarted int
+	sidecarsPort     int // Of sidecars.
+	// activeEvacuations is how many evacuations of each failure domain are under way.
+	activeEvacuations map[string]int
 }
 
 // domains are the failure domains of gateways and plain endpoints.
@@ -153,8 +153,8 @@
 // newSite lays out and starts everything but the callers.
 func newSite(cfg Config) (s *site, err error) {
 	defer func() { err = errors.Wrap(err, "soak site") }()
-	s = &site{cfg: cfg, net: ownNet(), store: standin.NewStore(), ledger: newLedger(), movedTo: plainNames[0], evacuating: map[string]int{}}
-	s.ledger.moved, s.ledger.movedTo = time.Now(), s.movedTo
+	s = &site{cfg: cfg, netPrefix: uniqueNetPrefix(), store: standin.NewStore(), ledger: newLedger(), routeService: plainServices[0], activeEvacuations: map[string]int{}}
+	s.ledger.routeMovedAt, s.ledger.routeService = time.Now(), s.routeService
 	if s.dir, err = os.MkdirTemp(cfg.Dir, fmt.Sprintf("seed-%d-", cfg.Seed)); err != nil {
 		return nil, err
 	}
@@ -169,27 +169,27 @@
 	return s, nil
 }
 
-// sites counts the sites of this process.
-var sites atomic.Int64
+// siteCount counts the sites of this process.
+var siteCount atomic.Int64
 
-// ownNet returns the first three numbers of loopback addresses that no other
+// uniqueNetPrefix returns the first three numbers of loopback addresses that no other
 // site uses: ports that were found free at them stay so.
-func ownNet() string {
+func uniqueNetPrefix() string {
 	const second, third = 128, 250 // How many there are of each.
-	pid, n := int64(os.Getpid()), sites.Add(1)
+	pid, n := int64(os.Getpid()), siteCount.Add(1)
 	return fmt.Sprintf("127.%d.%d", 64+pid%second, (pid/second+n*41)%third)
 }
 
 // ip returns the site's address with a last number.
-func (s *site) ip(last int) string { return fmt.Sprintf("%s.%d", s.net, last) }
+func (s *site) ip(last int) string { return fmt.Sprintf("%s.%d", s.netPrefix, last) }
 
 // Last numbers of addresses.
 const (
-	storeIP   = 1
-	gatewayIP = 10
-	engineIP  = 100
-	plainIP   = 180
-	plainIPs  = 60 // Addresses of plain endpoints, which those that come later use again.
+	storeIP      = 1
+	gatewayIP    = 10
+	engineIP     = 100
+	plainIP      = 180
+	plainIPCount = 60 // Addresses of plain endpoints, which those that come later use again.
 )
 
 // Ports that are listened at. They lie below those that Linux gives to outgoing connections,
@@ -198,7 +198,7 @@
 
 // listen listens at one port of some addresses, which nothing else of the site has.
 func (s *site) listen(ips ...string) (list []net.Listener, err error) {
-	for port := firstPort + s.ports.Add(1); port < lastPort; port = firstPort + s.ports.Add(1) {
+	for port := firstPort + s.portsTried.Add(1); port < lastPort; port = firstPort + s.portsTried.Add(1) {
 		if list, err = listenAt(int(port), ips); !errors.Is(err, syscall.EADDRINUSE) {
 			return list, err
 		}
@@ -231,7 +231,7 @@
 }
 
 func (s *site) serveOn(l net.Listener, h http.Handler) (srv *http.Server) {
-	srv = &http.Server{Handler: h, ReadHeaderTimeout: patience}
+	srv = &http.Server{Handler: h, ReadHeaderTimeout: callerTimeout}
 	s.servers.Go(func() error {
 		if err := srv.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return err
@@ -242,15 +242,15 @@
 	return srv
 }
 
-// via puts a proxy before a target.
-func (s *site) via(ip, target string) (p *proxy, address string, err error) {
+// addProxy puts a proxy before a target.
+func (s *site) addProxy(ip, target string) (p *proxy, address string, err error) {
 	l, err := s.listen(ip)
 	if err != nil {
 		return nil, "", err
 	}
 	p, cleanup := newProxy(l[0], target)
 	s.closers = append(s.closers, cleanup)
-	return p, p.l.Addr().String(), nil
+	return p, p.listener.Addr().String(), nil
 }
 
 func (s *site) startPlatform() (err error) {
@@ -258,7 +258,7 @@
 	if err != nil {
 		return err
 	}
-	if s.storeVia, s.storeAt, err = s.via(s.ip(storeIP), target); err != nil {
+	if s.storeProxy, s.storeAddress, err = s.addProxy(s.ip(storeIP), target); err != nil {
 		return err
 	}
 	s.group = ranktest.New(ranktest.Shape{Ranks: s.cfg.Ranks, Sets: 2, Experts: 4 * s.cfg.Ranks}, 0)
@@ -273,8 +273,8 @@
 			return err
 		}
 	}
-	for i := range s.cfg.Plain {
-		if _, err = s.addEndpoint(plainNames[i%len(plainNames)], s.domain(i/len(plainNames)), plainIP+i, nil); err != nil {
+	for i := range s.cfg.PlainEndpoints {
+		if _, err = s.addEndpoint(plainServices[i%len(plainServices)], s.domain(i/len(plainServices)), plainIP+i, nil); err != nil {
 			return err
 		}
 	}
@@ -282,15 +282,15 @@
 }
 
 // addEndpoint starts an endpoint and lists it.
-func (s *site) addEndpoint(service, domain string, last int, engine http.Handler) (e *endpointAt, err error) {
-	s.births++
-	e = &endpointAt{name: fmt.Sprintf("%s-%d", service, s.births), service: service, domain: domain, seed: s.cfg.Seed, born: time.Now().UnixMilli()}
-	e.handler = &standin.Endpoint{Name: e.name, Behave: e.behave, Delay: passTime, Engine: engine, OnRun: s.ledger.ran, Signals: e.wishes, OnArrival: s.ledger.arrived, ExitProcess: func() { s.end(e) }}
-	s.ledger.note(func(l *ledger) { l.domains[e.name] = domain })
+func (s *site) addEndpoint(service, domain string, last int, engine http.Handler) (e *siteEndpoint, err error) {
+	s.endpointsStarted++
+	e = &siteEndpoint{name: fmt.Sprintf("%s-%d", service, s.endpointsStarted), service: service, domain: domain, seed: s.cfg.Seed, startedAt: time.Now().UnixMilli()}
+	e.handler = &standin.Endpoint{Name: e.name, Behave: e.behave, Delay: passTime, Engine: engine, OnRun: s.ledger.recordRun, Signals: e.currentSignals, OnArrival: s.ledger.recordArrival, ExitProcess: func() { s.exitEndpoint(e) }}
+	s.ledger.do(func(l *ledger) { l.domains[e.name] = domain })
 	if e.target, e.srv, err = s.serve(s.ip(last), e.handler); err != nil {
 		return nil, err
 	}
-	if e.proxy, e.address, err = s.via(s.ip(last), e.target); err != nil {
+	if e.proxy, e.address, err = s.addProxy(s.ip(last), e.target); err != nil {
 		return nil, err
 	}
 	s.endpoints = append(s.endpoints, e)
@@ -299,8 +299,8 @@
 
 // entry returns what the endpoint's present life says of itself. The caller holds the
 // site's mu, or nothing runs yet.
-func (e *endpointAt) entry(leaving bool) fleet.Endpoint {
-	return fleet.Endpoint{ID: fleet.IncarnationID(e.name, e.born), StartedAt: e.born, Service: e.service, Address: e.address, Domain: e.domain, Slots: 8, Leaving: leaving}
+func (e *siteEndpoint) entry(leaving bool) fleet.Endpoint {
+	return fleet.Endpoint{ID: fleet.IncarnationID(e.name, e.startedAt), StartedAt: e.startedAt, Service: e.service, Address: e.address, Domain: e.domain, Slots: 8, Leaving: leaving}
 }
 
 // serviceOf returns the service of an endpoint's name.
@@ -312,19 +312,19 @@
 // publish writes the configuration as it is to be now, as a new version. The
 // caller holds mu, or nothing runs yet.
 func (s *site) publish() error {
-	s.version += 1 + uint64(s.births%3)
-	all := []fleet.Share{{Service: plainNames[0], Weight: 1}, {Service: plainNames[1], Weight: 1}}
+	s.version += 1 + uint64(s.endpointsStarted%3)
+	all := []fleet.Share{{Service: plainServices[0], Weight: 1}, {Service: plainServices[1], Weight: 1}}
 	route := func(name string, k fleet.Kind, to ...fleet.Share) fleet.Route {
-		return fleet.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: k, Timeout: patience, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2, Split: to, Resumable: k == fleet.Streaming}
+		return fleet.Route{Name: name, Host: host, PathPrefix: "/" + name + "/", Kind: k, Timeout: callerTimeout, TargetLatency: 300 * time.Millisecond, MaxAttempts: 2, Split: to, Resumable: k == fleet.Streaming}
 	}
 	p := standin.PublishedConfig{
 		Version: s.version,
 		Routes: []fleet.Route{
-			route("once", fleet.AtMostOnce, fleet.Share{Service: s.movedTo, Weight: 1}),
+			route("once", fleet.AtMostOnce, fleet.Share{Service: s.routeService, Weight: 1}),
 			route("again", fleet.Repeatable, all...),
 			route("stream", fleet.Streaming, fleet.Share{Service: modelName, Weight: 1}),
 		},
-		Services: []fleet.Service{{Name: plainNames[0]}, {Name: plainNames[1]}, {Name: modelName, Engine: &fleet.Engine{
+		Services: []fleet.Service{{Name: plainServices[0]}, {Name: plainServices[1]}, {Name: modelName, Engine: &fleet.Engine{
 			Slots: 8, LayerSets: 2, ExpertsPerSet: 4 * s.cfg.Ranks, ExpertSlots: 6, MaxAddedExperts: 2, ExpertBytes: 1e8, LinkRate: 1e11, ExpertWorkShare: 0.9,
 			BaseStepTime: passTime, StepsPerPass: 1,
 		}}},
@@ -332,20 +332,20 @@
 	for i, keys := range s.keys {
 		p.Customers = append(p.Customers, fleet.Customer{Name: customerName(i), Keys: keys})
 	}
-	p.IdleTimeout = s.idle
-	defer s.ledger.publishes(s.idle)()
-	s.ledger.note(func(l *ledger) { l.changes = append(l.changes, time.Now()) })
+	p.IdleTimeout = s.idleTimeout
+	defer s.ledger.recordIdleSetting(s.idleTimeout)()
+	s.ledger.do(func(l *ledger) { l.versionsSent = append(l.versionsSent, time.Now()) })
 	return s.store.PublishConfig(p)
 }
 
-// aim chooses the customer and the key of a request. One in twenty tries a key
+// chooseKey chooses the customer and the key of a request. One in twenty tries a key
 // that was taken away.
-func (s *site) aim(r *request, rnd *rand.Rand) {
+func (s *site) chooseKey(r *request, rnd *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	r.service = s.movedTo
-	if len(s.taken) > 0 && rnd.IntN(20) == 0 {
-		r.key = s.taken[rnd.IntN(len(s.taken))]
+	r.service = s.routeService
+	if len(s.revokedKeys) > 0 && rnd.IntN(20) == 0 {
+		r.key = s.revokedKeys[rnd.IntN(len(s.revokedKeys))]
 		var i int
 		if _, err := fmt.Sscanf(r.key, "key-%d-", &i); err == nil {
 			r.customer = customerName(i)
@@ -371,7 +371,7 @@
 func (s *site) startProcesses() (err error) {
 	for i := range s.cfg.Gateways {
 		ip := s.ip(gatewayIP + i)
-		g := &gatewayAt{ip: ip}
+		g := &siteGateway{ip: ip}
 		for _, at := range []*string{&g.callers, &g.readiness, &g.peers} {
 			port, err := s.freePort(ip)
 			if err != nil {
@@ -385,7 +385,7 @@
 	for r := range s.cfg.Ranks {
 		ranks = append(ranks, s.ip(engineIP+r))
 	}
-	if s.port, err = s.freePort(ranks...); err != nil {
+	if s.sidecarsPort, err = s.freePort(ranks...); err != nil {
 		return err
 	}
 	for i, g := range s.gateways {
@@ -393,17 +393,17 @@
 		if err := os.WriteFile(g.file, []byte(s.gatewaySettings(i)), fileMode); err != nil {
 			return err
 		}
-		if g.proc, err = s.start(fmt.Sprintf("gateway-%d", i), g.file, i); err != nil {
+		if g.proc, err = s.startProcess(fmt.Sprintf("gateway-%d", i), g.file, i); err != nil {
 			return err
 		}
 	}
 	for r := range s.cfg.Ranks {
-		c := &sidecarAt{file: filepath.Join(s.dir, fmt.Sprintf("sidecar-%d.ini", r))}
+		c := &siteSidecar{file: filepath.Join(s.dir, fmt.Sprintf("sidecar-%d.ini", r))}
 		s.sidecars = append(s.sidecars, c)
 		if err := os.WriteFile(c.file, []byte(s.sidecarSettings(r)), fileMode); err != nil {
 			return err
 		}
-		if c.proc, err = s.start(fmt.Sprintf("sidecar-%d", r), c.file, -1); err != nil {
+		if c.proc, err = s.startProcess(fmt.Sprintf("sidecar-%d", r), c.file, -1); err != nil {
 			return err
 		}
 	}
@@ -423,17 +423,17 @@
 func (s *site) gatewaySettings(i int) string {
 	g := s.gateways[i]
 	return fmt.Sprintf("[instance]\nname = gateway-%d\ndomain = %s\nrole = gateway\n[listen]\ncallers = %s\nreadiness = %s\npeers = %s\nsource = %s\nsidecars-port = %d\n[platform]\nstore = %s\nseeds = %s\n",
-		i, s.domain(i), g.callers, g.readiness, g.peers, g.ip, s.port, s.storeAt, s.seeds()) + bounds
+		i, s.domain(i), g.callers, g.readiness, g.peers, g.ip, s.sidecarsPort, s.storeAddress, s.seeds()) + bounds
 }
 
 func (s *site) sidecarSettings(r int) string {
 	ip := s.ip(engineIP + r)
 	return fmt.Sprintf("[instance]\nname = sidecar-%d\ndomain = a\nrole = sidecar\n[listen]\npeers = %s:%d\nsource = %s\nsidecars-port = %d\n[platform]\nstore = %s\nseeds = %s\nengine = %s\n",
-		r, ip, s.port, ip, s.port, s.storeAt, s.seeds(), s.endpoints[r].address) + bounds
+		r, ip, s.sidecarsPort, ip, s.sidecarsPort, s.storeAddress, s.seeds(), s.endpoints[r].address) + bounds
 }
 
-// ready waits until every gateway says that it can take callers.
-func (s *site) ready(ctx context.Context) error {
+// waitReady waits until every gateway says that it can take callers.
+func (s *site) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, g := range s.gateways {
 		for {
@@ -457,10 +457,10 @@
 // close ends what the site started, and only that.
 func (s *site) close() {
 	for _, g := range s.gateways {
-		g.proc.end()
+		g.proc.shutDown()
 	}
 	for _, c := range s.sidecars {
-		c.proc.end()
+		c.proc.shutDown()
 	}
 	for _, f := range s.closers {
 		f()
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -20,7 +20,7 @@
 	var first, last int
 	_, err = fmt.Sscan(string(raw), &first, &last)
 	g.Expect(err).NotTo(HaveOccurred())
-	s := &site{net: ownNet()}
+	s := &site{netPrefix: uniqueNetPrefix()}
 	seen := map[int]bool{}
 	for range 20 {
 		list, err := s.listen(s.ip(1), s.ip(2))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -52,12 +52,12 @@
 // short is a run for CI: no bound in time is checked, since the machine may be
 // busy. Callers is how many there are at each gateway, 0 for the usual number.
 func short(t *testing.T, seed uint64, set Kinds, callers int, daemon string) Config {
-	cfg := Usual(seed)
+	cfg := DefaultConfig(seed)
 	cfg.Kinds = set
 	if callers > 0 {
 		cfg.Callers = callers
 	}
-	cfg.Length, cfg.Daemon, cfg.Dir, cfg.Timed, cfg.Log = 16*time.Second, daemon, t.TempDir(), false, t.Output()
+	cfg.Length, cfg.Daemon, cfg.Dir, cfg.CheckTiming, cfg.Log = 16*time.Second, daemon, t.TempDir(), false, t.Output()
 	return cfg
 }
 
@@ -91,7 +91,7 @@
 			g := NewWithT(t)
 			r, err := Run(context.Background(), short(t, tc.seed, tc.kinds, tc.callers, daemon))
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(r.Broken).To(BeEmpty())
+			g.Expect(r.Violations).To(BeEmpty())
 			g.Expect(r.Served).To(BeNumerically(">", 0))
 		})
 	}
@@ -206,10 +206,10 @@
 			t.Parallel()
 			g := NewWithT(t)
 			cfg := short(t, tc.seed, tc.kinds, tc.callers, build(t, tc.edits...))
-			cfg.Timed = true
+			cfg.CheckTiming = true
 			r, err := Run(context.Background(), cfg)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(strings.Join(r.Broken, "\n")).To(MatchRegexp(tc.finds))
+			g.Expect(strings.Join(r.Violations, "\n")).To(MatchRegexp(tc.finds))
 		})
 	}
 }
@@ -224,7 +224,7 @@
 			kinds := map[faultKind]bool{}
 			for _, f := range a {
 				kinds[f.kind] = true
-				g.Expect(f.at).To(BeNumerically("<", time.Minute-calmTail))
+				g.Expect(f.at).To(BeNumerically("<", time.Minute-faultFreeTail))
 				g.Expect(int(f.kind)).To(BeNumerically("<", want))
 			}
 			g.Expect(len(kinds)).To(BeNumerically(">=", want*3/4))
@@ -251,7 +251,7 @@
 func TestRandomFailuresFollowFromTheSeed(t *testing.T) {
 	g := NewWithT(t)
 	draw := func(seed uint64, name string) (list []standin.Behaviour) {
-		e := &endpointAt{name: name, seed: seed}
+		e := &siteEndpoint{name: name, seed: seed}
 		g.Expect(e.behave("0")).To(Equal(standin.Serves))
 		e.misbehave(time.Hour, 50, randomBehaviours...)
 		for i := range 1000 {
@@ -275,8 +275,8 @@
 
 func TestSizesAreChecked(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Usual(1).Check()).To(Succeed())
-	faulty := Usual(1)
+	g.Expect(DefaultConfig(1).Check()).To(Succeed())
+	faulty := DefaultConfig(1)
 	faulty.Gateways, faulty.Ranks, faulty.Length = 0, 500, time.Second
 	err := faulty.Check()
 	g.Expect(err).To(MatchError(ContainSubstring("0 gateways")))
--- a/internal/soak/speech.go
+++ b/internal/soak/speech.go
@@ -15,29 +15,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// speech is how a caller speaks to its gateway.
-type speech int
+// connMode is how a caller speaks to its gateway.
+type connMode int
 
 // The ways of speaking.
 const (
-	keeps   speech = iota // HTTP/1.1 over kept connections.
-	oldHTTP               // HTTP/1.0: the end of the connection may be that of the answer.
-	closes                // HTTP/1.1 with a new connection for each request.
-	rests                 // HTTP/1.1 over one connection, which is kept for as long as is allowed.
+	modeKeepAlive connMode = iota // HTTP/1.1 over kept connections.
+	modeHTTP10                    // HTTP/1.0: the end of the connection may be that of the answer.
+	modeClose                     // HTTP/1.1 with a new connection for each request.
+	modeIdle                      // HTTP/1.1 over one connection, which is kept for as long as is allowed.
 )
 
-var speechNames = [...]string{"kept connections", "HTTP/1.0", "Connection: close", "a rested connection"}
+var connModeNames = [...]string{"kept connections", "HTTP/1.0", "Connection: close", "a rested connection"}
 
-func (s speech) String() string { return speechNames[s] }
+func (s connMode) String() string { return connModeNames[s] }
 
-// speeches are given to the callers of a run in turn.
-var speeches = [...]speech{keeps, oldHTTP, keeps, closes}
+// callerModes are given to the callers of a run in turn.
+var callerModes = [...]connMode{modeKeepAlive, modeHTTP10, modeKeepAlive, modeClose}
 
-func (s speech) transport() http.RoundTripper {
+func (s connMode) transport() http.RoundTripper {
 	switch s {
-	case oldHTTP:
+	case modeHTTP10:
 		return rawTransport{proto: "HTTP/1.0"}
-	case closes:
+	case modeClose:
 		return rawTransport{proto: "HTTP/1.1", header: "Connection: close\r\n"}
 	}
 	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, DisableCompression: true}
