--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -254,7 +254,7 @@
 		failedAt = time.Now()
 		s.ledger.do(func(l *ledger) {
 			if !l.killedOrPaused(gateway, began, failedAt) { // One that is suspended cannot end.
-				l.exits = append(l.exits, p.name+" did not end within its grace period")
+				l.ends = append(l.ends, p.name+" did not end within its grace period")
 			}
 		})
 		p.signal(syscall.SIGKILL)
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -93,7 +93,7 @@
 	leavingSince   map[string]time.Time         // Endpoints that leave, by when that was acknowledged.
 	arrivals       map[string][]standin.Arrival // By endpoint.
 	unknownRuns    []string                     // Runs that no caller asked for.
-	exits          []string                     // Processes that ended by themselves or not at all.
+	ends           []string                     // Processes that ended by themselves or not at all.
 	timeouts       []idleSetting                // Published, in order.
 	processes      map[int][]*incarnation       // Of gateways' processes, in order.
 	versionsSent   []time.Time                  // When versions were sent, in order.
@@ -183,7 +183,7 @@
 	for _, id := range l.unknownRuns {
 		found = append(found, fmt.Sprintf("an endpoint ran %q, which no caller sent", id))
 	}
-	found = append(found, l.exits...)
+	found = append(found, l.ends...)
 	if checkTiming {
 		found = append(found, l.checkCrashing()...)
 		found = append(found, l.checkSignals()...)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -53,9 +53,9 @@
 		_ = out.Close()
 		return err
 	}
-	current := &incarnation{name: p.name, pid: p.cmd.Process.Pid, startAt: began}
-	p.current = current
-	p.s.ledger.do(func(l *ledger) { l.processes[p.gateway] = append(l.processes[p.gateway], current) })
+	started := &incarnation{name: p.name, pid: p.cmd.Process.Pid, startAt: began}
+	p.current = started
+	p.s.ledger.do(func(l *ledger) { l.processes[p.gateway] = append(l.processes[p.gateway], started) })
 	p.stopRequested, p.pauses, p.done = false, 0, make(chan struct{})
 	cmd, done := p.cmd, p.done
 	p.waiters.Go(func() error {
@@ -63,9 +63,9 @@
 		_ = out.Close()
 		explained := true
 		p.s.ledger.do(func(l *ledger) {
-			current.endAt, current.err, current.signal = time.Now(), err, signalOf(err)
-			if explained = current.explained(); !explained {
-				l.exits = append(l.exits, fmt.Sprintf("an end that no signal explains: %v", current))
+			started.endAt, started.err, started.signal = time.Now(), err, signalOf(err)
+			if explained = started.explained(); !explained {
+				l.ends = append(l.ends, fmt.Sprintf("an end that no signal explains: %v", started))
 			}
 		})
 		p.mu.Lock()
@@ -73,7 +73,7 @@
 		p.mu.Unlock()
 		if !stopRequested {
 			last := lastLine(out.Name())
-			p.s.ledger.do(func(l *ledger) { l.exits = append(l.exits, fmt.Sprintf("%s ended by itself: %v: %s", p.name, err, last)) })
+			p.s.ledger.do(func(l *ledger) { l.ends = append(l.ends, fmt.Sprintf("%s ended by itself: %v: %s", p.name, err, last)) })
 			p.s.logf("%s ended by itself: %v: %s", p.name, err, last)
 		}
 		close(done)
