--- a/internal/soak/around.go
+++ b/internal/soak/around.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxDelayAfterChange is how long after a change was sent gateways are killed, at most.
+	// maxDelayAfterChange is the longest time from the sending of a change to the kill of a gateway.
 	maxDelayAfterChange = 400 * time.Millisecond
-	// maxTimeIntoStop is how long after the begin of a planned stop a gateway is killed, at most.
+	// maxTimeIntoStop is the longest time from the start of a planned stop to the kill of the gateway.
 	maxTimeIntoStop = 3 * time.Second
-	// maxSignalGap lies between signals that overlap, at most.
+	// maxSignalGap is the longest time between signals that overlap.
 	maxSignalGap = 30 * time.Millisecond
-	// killAllOneIn is in how many of these troubles all gateways are killed once.
+	// killAllOneIn is the number of these faults among which one, on average, kills all gateways.
 	killAllOneIn = 4
 )
 
-// killAround publishes a change and kills one gateway or all of them around it.
+// killAround publishes a change and kills one gateway or all of them around that time.
 func (s *site) killAround(gateway int, f fault) error {
 	rnd := rand.New(rand.NewPCG(s.cfg.Seed, uint64(f.at)))
 	upTo := func(d time.Duration) time.Duration { return time.Duration(rnd.Int64N(int64(d))) }
@@ -63,7 +63,7 @@
 	return group.Wait()
 }
 
-// killInStop begins a planned stop of a gateway and kills it within.
+// killInStop begins a planned stop of a gateway and kills the gateway during it.
 func (s *site) killInStop(gateway int, after time.Duration) error {
 	proc, began := s.gateways[gateway].proc, time.Now()
 	proc.signal(syscall.SIGTERM)
@@ -74,8 +74,8 @@
 	return s.restart(gateway, proc, syscall.SIGKILL, 0)
 }
 
-// publishRandomChange publishes a change: of the idle time, the keys or the route, versions at
-// once, or a series of them.
+// publishRandomChange publishes a change of the idle timeout, the keys or the route, several versions
+// at once, or a series of such changes.
 func (s *site) publishRandomChange(rnd *rand.Rand) error {
 	const series = 4
 	changes := [...]faultKind{changeIdle, takeKey, moveRoute, manyVersions}
--- a/internal/soak/asks.go
+++ b/internal/soak/asks.go
@@ -13,22 +13,22 @@
 	"github.com/canvaspulley/canvaspulley/platform/standin"
 )
 
-// Times and bounds of what endpoints ask of their senders, as the users' pages give them.
+// Durations and bounds of the signals that endpoints send to gateways, as in the users' documents.
 const (
 	limitDuration        = 8 * time.Second
 	limitWindow          = 4 * time.Second
 	allowedLimitFactor   = 1.5
-	limitSlackRequests   = 5 // Requests.
+	limitSlackRequests   = 5 // Number of requests.
 	backoffDuration      = 3 * time.Second
-	maxRequestsInBackoff = 2 // Requests of one gateway within a rest.
-	// signalDelay is how long after an answer its gateway is bound by what that asked for.
+	maxRequestsInBackoff = 2 // Requests of one gateway within a requested backoff.
+	// signalDelay is how long after an answer its gateway has to follow the signals in it.
 	signalDelay = 500 * time.Millisecond
 )
 
-// rateLimits are what endpoints name, in requests a second.
+// rateLimits are the rate limits that endpoints announce, in requests per second.
 var rateLimits = [...]float64{0.5, 1, 2, 6}
 
-// currentSignals returns what an endpoint asks for now.
+// currentSignals returns the signals that an endpoint sends now.
 func (e *siteEndpoint) currentSignals() standin.Signals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,14 +37,14 @@
 	return signals
 }
 
-// changeSignals changes what an endpoint asks for.
+// changeSignals changes the signals that an endpoint sends.
 func (e *siteEndpoint) changeSignals(change func(a *standin.Signals)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	change(&e.signals)
 }
 
-// nameLimit has an endpoint name a rate limit for a while.
+// nameLimit makes an endpoint announce a rate limit for some time.
 func (s *site) nameLimit(f fault) {
 	e := s.endpoint(f.target)
 	limit := rateLimits[f.variant%len(rateLimits)]
@@ -53,7 +53,7 @@
 	e.changeSignals(func(a *standin.Signals) { a.Limited = false })
 }
 
-// askRest has an endpoint turn all requests away for a while and ask for rest.
+// askRest makes an endpoint reject all requests and request backoff for some time.
 func (s *site) askRest(f fault) {
 	e := s.endpoint(f.target)
 	e.mu.Lock()
@@ -61,7 +61,8 @@
 	e.backoffUntil = time.Now().Add(backoffDuration)
 }
 
-// sayLeaving has a plain endpoint leave that tells so in its answers only; another one comes.
+// sayLeaving makes a plain endpoint leave and announce it in its answers only, and starts another one
+// in its place.
 func (s *site) sayLeaving(f fault) error {
 	old, err := s.addSuccessor(f)
 	if err != nil {
@@ -75,14 +76,14 @@
 	return old.srv.Close()
 }
 
-// recordArrival notes a request that reached an endpoint.
+// recordArrival records that a request reached an endpoint.
 func (l *ledger) recordArrival(a standin.Arrival) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals[a.Endpoint] = append(l.arrivals[a.Endpoint], a)
 }
 
-// gatewayNumber returns the number of the gateway at an IP number.
+// gatewayNumber returns the number of the gateway at an IP address; -1 for an invalid one.
 func gatewayNumber(ip string) int {
 	last := ip[strings.LastIndexByte(ip, '.')+1:]
 	n, err := strconv.Atoi(last)
@@ -92,7 +93,7 @@
 	return n - gatewayIP
 }
 
-// checkSignals checks that endpoints get what they ask for. The caller holds mu.
+// checkSignals checks that gateways follow the signals of endpoints. The caller holds mu.
 func (l *ledger) checkSignals() (violations []string) {
 	for endpoint, list := range l.arrivals {
 		slices.SortFunc(list, func(a, b standin.Arrival) int { return a.At.Compare(b.At) })
@@ -110,7 +111,7 @@
 	return violations
 }
 
-// checkBackoff checks one gateway's requests to an endpoint against the rests that it asked for.
+// checkBackoff checks one gateway's requests to an endpoint against the backoff that it requested.
 func (l *ledger) checkBackoff(endpoint string, g int, list []standin.Arrival) []string {
 	for i, request := range list {
 		if request.Signals.Backoff == 0 {
@@ -130,7 +131,8 @@
 	return nil
 }
 
-// checkLeaving checks that a gateway sends nothing to an endpoint whose answers say that it leaves.
+// checkLeaving checks that a gateway sends nothing to an endpoint whose answers announce that it
+// is leaving.
 func (l *ledger) checkLeaving(endpoint string, g int, list []standin.Arrival) []string {
 	i := slices.IndexFunc(list, func(a standin.Arrival) bool { return a.Signals.Leaving && a.HeadSent })
 	if i < 0 {
@@ -144,14 +146,14 @@
 	return nil
 }
 
-// checkRateLimit checks all requests to an endpoint against the limits that it named, of gateways
-// that were told.
+// checkRateLimit checks the requests to an endpoint from gateways that know its rate limit against
+// the limits that it announced.
 func (l *ledger) checkRateLimit(endpoint string, list []standin.Arrival) []string {
-	var first time.Time                       // Of the answers that name the limit.
-	var named standin.Signals                 // The newest.
-	informedAt := map[int]time.Time{}         // When gateways got the first of them.
-	var counted []standin.Arrival             // Of gateways that were told.
-	countInWindow := func(at time.Time) int { // Those of the window that ends then.
+	var first time.Time                       // When the limit was first announced.
+	var named standin.Signals                 // Newest signals.
+	informedAt := map[int]time.Time{}         // When each gateway first received the limit.
+	var counted []standin.Arrival             // Requests from gateways that know the limit.
+	countInWindow := func(at time.Time) int { // Counts the requests in the window that ends at a time.
 		return len(counted) - slices.IndexFunc(counted, func(a standin.Arrival) bool { return at.Sub(a.At) <= limitWindow })
 	}
 	for _, a := range list {
@@ -165,7 +167,7 @@
 		g := gatewayNumber(a.GatewayIP)
 		at, known := informedAt[g]
 		if known && l.interrupted(g, at, a.At) {
-			delete(informedAt, g) // It may have forgotten.
+			delete(informedAt, g) // The gateway may have lost the limit.
 			known = false
 		}
 		if !known && a.HeadSent {
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// callerTimeout is how long a caller waits.
+	// callerTimeout is how long a caller waits for an answer.
 	callerTimeout = 3 * time.Second
-	// thinkTime lies between two requests of a caller, on the mean.
+	// thinkTime is the mean time between an answer and the caller's next request.
 	thinkTime = 25 * time.Millisecond
-	// streamEvents is the length of a stream.
+	// streamEvents is the number of events of a stream.
 	streamEvents = 12
 )
 
-// caller sends requests to one gateway, and keeps to its open connections until
-// the process is gone.
+// caller sends requests to one gateway, and uses its open connections until the gateway's process
+// is gone.
 type caller struct {
 	s       *site
 	gateway int
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// nextRequest returns the next request of the caller.
+// nextRequest returns the caller's next request, and the HTTP request to send.
 func (c *caller) nextRequest() (r *request, out *http.Request) {
 	c.sent++
 	r = &request{id: fmt.Sprintf("%s-%d", c.name, c.sent), gateway: c.gateway, mode: c.mode, kind: kind(c.rnd.IntN(3))}
@@ -69,14 +69,14 @@
 	}
 	out, err := http.NewRequest(http.MethodPost, url, strings.NewReader("body of "+r.id))
 	if err != nil {
-		panic(err) // The address is one of ours.
+		panic(err) // The URL is valid.
 	}
 	out.Host = host
 	standin.SetCallHeaders(out.Header, r.id, r.key, callerTimeout)
 	return r, out
 }
 
-// send sends one request and notes what becomes of it.
+// send sends one request and records its result.
 func (c *caller) send(ctx context.Context) {
 	r, out := c.nextRequest()
 	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
@@ -91,7 +91,7 @@
 	c.s.ledger.do(func(*ledger) { r.ended = time.Now() })
 }
 
-// readAnswer takes in an answer.
+// readAnswer reads, checks and records an answer.
 func (c *caller) readAnswer(r *request, resp *http.Response) {
 	var a answer
 	if resp.StatusCode == http.StatusOK {
@@ -123,8 +123,8 @@
 	return a
 }
 
-// readEvents reads a stream and checks that nothing is missing, doubled or
-// foreign, and that one that ends whole has all its events.
+// readEvents reads a stream and checks that no event is missing, duplicated or of another request,
+// and that a stream which ends in order has all its events.
 func readEvents(body io.Reader, id string) (a answer) {
 	br := bufio.NewReader(body)
 	n, stray := 0, ""
--- a/internal/soak/crashing.go
+++ b/internal/soak/crashing.go
@@ -17,27 +17,28 @@
 )
 
 const (
-	// crashingPrefix begins the ids of requests that end each endpoint which runs them.
+	// crashingPrefix is the prefix of the ids of crashing requests, each of which ends every endpoint
+	// that runs it.
 	crashingPrefix = "crashing-"
-	// crashingCount is how often such a request comes, crashingGap how long it is away:
-	// for some seconds longer than the bound after which its sends are counted.
+	// crashingCount is how often a crashing request is sent, and crashingGap the time between two
+	// sends: together some seconds longer than the time after which its runs count against the bound.
 	crashingCount = 20
 	crashingGap   = 400 * time.Millisecond
-	// exitDowntime is how long an endpoint that ended is away.
+	// exitDowntime is how long an endpoint that was ended by a request is down.
 	exitDowntime = 700 * time.Millisecond
-	// allowedExits and allowedRunsAfter are the users' bounds: once so many endpoints have ended
-	// under a request, it reaches endpoints so many times more, sent by gateways that are
-	// calm, later than undisturbedTime after the last of these ends.
+	// allowedExits and allowedRunsAfter are the users' bounds: once allowedExits endpoints have ended
+	// during a request, it may reach endpoints at most allowedRunsAfter times more, counting only
+	// runs by undisturbed gateways later than undisturbedTime after the last of these exits.
 	allowedExits     = 3
 	allowedRunsAfter = 3
 )
 
-// exitEndpoint ends an endpoint's process and starts it again a while later.
+// exitEndpoint ends an endpoint's process and restarts it after exitDowntime.
 func (s *site) exitEndpoint(e *siteEndpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e.restarting || !slices.Contains(s.endpoints, e) {
-		return // It is ending already.
+		return // The endpoint is ending already, or was replaced.
 	}
 	e.restarting = true
 	s.ledger.recordEndpointExit(e.name)
@@ -55,7 +56,7 @@
 	})
 }
 
-// sendCrashing sends the same request again and again, by all gateways in turn.
+// sendCrashing sends the same crashing request repeatedly, to all gateways in turn.
 func (s *site) sendCrashing(f fault) {
 	name := fmt.Sprintf("%s%d-%d", crashingPrefix, f.at.Milliseconds(), f.target)
 	r := request{kind: [...]kind{once, repeatable}[f.variant%2], crashing: name}
@@ -74,7 +75,7 @@
 		})
 		time.Sleep(crashingGap)
 	}
-	_ = group.Wait() // The functions return no errors.
+	_ = group.Wait() // Functions of the group return no error.
 }
 
 func (s *site) sendCrashingOnce(r *request, path string) {
@@ -82,7 +83,7 @@
 	defer cancel()
 	out, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.gateways[r.gateway].callers+path, strings.NewReader("body of "+r.crashing))
 	if err != nil {
-		panic(err) // The address is one of ours.
+		panic(err) // The URL is valid.
 	}
 	out.Host = host
 	standin.SetCallHeaders(out.Header, r.id, r.key, callerTimeout)
@@ -97,7 +98,7 @@
 	s.ledger.do(func(*ledger) { r.ended = time.Now() })
 }
 
-// checkCrashing checks that requests which end endpoints are not sent on and on. The caller
+// checkCrashing checks that the gateways stop sending crashing requests to endpoints. The caller
 // holds mu.
 func (l *ledger) checkCrashing() (violations []string) {
 	byName := map[string][]standin.Run{}
--- a/internal/soak/ends.go
+++ b/internal/soak/ends.go
@@ -16,10 +16,10 @@
 	"github.com/canvaspulley/canvaspulley/platform/standin"
 )
 
-// outcome is how a request ended for its caller.
+// outcome is how a request ended from the caller's view.
 type outcome int
 
-// The endings, those that nothing explains last.
+// The outcomes. The last two, without an explanation, are violations.
 const (
 	outcomeAnswered outcome = iota
 	outcomeRefused
@@ -43,9 +43,9 @@
 	"cut, no answer: sent after its connection's time", "broken off: its endpoint ended, broke off or was cut off",
 	"broken off: its time was over", "cut, no answer", "broken off"}
 
-// outcomeOf returns how a request ended. A connection that ended under it is explained by what
-// struck the processes of its own path, by the order of events: the signal was sent before the
-// end was seen. The caller holds mu.
+// outcomeOf returns how a request ended. The end of its connection is explained only by faults of
+// the processes on the request's own path that came first: the signal was sent before the end was
+// observed. The caller holds mu.
 func (l *ledger) outcomeOf(r *request) outcome {
 	switch {
 	case r.answer.complete && r.status == http.StatusOK:
@@ -85,32 +85,33 @@
 	return outcomeAborted
 }
 
-// late reports whether a request that did not rest on purpose was sent so late after the last
-// answer on its connection that the shortest idle time would not have allowed it.
+// late reports whether a request of a caller that does not keep its connection idle on purpose was
+// sent so long after the last answer on the connection that the shortest idle timeout would not have
+// allowed it.
 func (r *request) late() bool {
 	return r.idle == nil && r.idleTime > time.Duration(usableIdleShare*float64(slices.Min(idleTimeouts[:])))
 }
 
-// endpointDisrupted reports whether a run's endpoint ended, or its link to the gateway was spoiled, after the
-// run had begun and before a time. The caller holds mu.
+// endpointDisrupted reports whether, after a run began and before a given time, its endpoint ended
+// or the link between endpoint and gateway was disrupted. The caller holds mu.
 func (l *ledger) endpointDisrupted(run standin.Run, gateway int, before time.Time) bool {
 	return slices.ContainsFunc(l.endpointExits[run.Endpoint], func(at time.Time) bool { return at.After(run.At) && at.Before(before) }) ||
 		slices.ContainsFunc(l.linkFaults[gatewayLink{gateway, run.Endpoint}], func(s span) bool { return s.from.Before(before) && s.to.After(run.At) })
 }
 
-// gatewayLink is the way from a gateway to an endpoint.
+// gatewayLink identifies the link from a gateway to an endpoint.
 type gatewayLink struct {
 	gateway  int
 	endpoint string
 }
 
-// recordEndpointExit notes that an endpoint's process is about to end.
+// recordEndpointExit records that an endpoint's process is about to end.
 func (l *ledger) recordEndpointExit(name string) {
 	l.do(func(l *ledger) { l.endpointExits[name] = append(l.endpointExits[name], time.Now()) })
 }
 
-// checkConnEnd checks that a connection ended under a request only by what the soak did to the
-// processes of its path. The caller holds mu.
+// checkConnEnd checks that a connection ended during a request only because of what the soak did to
+// the processes on its path. The caller holds mu.
 func (l *ledger) checkConnEnd(r *request, report func(*request, string, ...any)) {
 	l.checkRefused(r, report)
 	result := l.outcomeOf(r)
@@ -131,8 +132,8 @@
 		l.incarnationsDuring(r.gateway, r.conn.dialed))
 }
 
-// countOutcomes counts how requests ended, and lists those that their callers gave up at a gateway that
-// was never suspended: it should have had an answer before.
+// countOutcomes counts the requests by outcome, and lists those whose callers timed out at a gateway
+// that was not suspended during the request: it should have answered earlier.
 func (l *ledger) countOutcomes() (counts [outcomeCount]int, timedOut []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +147,7 @@
 	return counts, timedOut
 }
 
-// countKilledGateways counts the processes of gateways that were killed.
+// countKilledGateways counts the gateway processes that were killed.
 func (l *ledger) countKilledGateways() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -160,7 +161,7 @@
 	return n
 }
 
-// closedByGateways counts the connections of callers that the gateways' logs tell of, by cause.
+// closedByGateways counts the closed connections of callers in the gateways' logs by cause.
 func (s *site) closedByGateways() (byCause map[string]int, err error) {
 	byCause = map[string]int{}
 	for i := range s.gateways {
@@ -176,7 +177,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // It is only read.
+	defer func() { _ = f.Close() }() // The file is only read.
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -185,7 +186,7 @@
 			Crossed    bool
 		}
 		if json.Unmarshal(lines.Bytes(), &line) != nil || line.Msg != "connection closed" {
-			continue // A killed process may leave half a line.
+			continue // A killed process may leave an incomplete line.
 		}
 		if line.Crossed {
 			line.Cause += ", crossed"
@@ -195,13 +196,14 @@
 	return lines.Err()
 }
 
-// Outcomes is how the requests of a run ended, and why gateways closed connections.
+// Outcomes counts how the requests of a run ended, and why gateways closed connections.
 type Outcomes struct {
 	byOutcome     [outcomeCount]int
 	closedByCause map[string]int
 }
 
-// String lists all counts of requests that were cut, zeros among them, and the others that are there.
+// String lists all counts of requests that were cut, including zeros, and the other counts above
+// zero.
 func (e Outcomes) String() string {
 	var ended, closed []string
 	for i, n := range e.byOutcome {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -13,10 +13,10 @@
 	"github.com/canvaspulley/canvaspulley/platform/standin"
 )
 
-// faultKind is a kind of trouble that the soak makes.
+// faultKind is a kind of fault that the soak injects.
 type faultKind int
 
-// The kinds of trouble.
+// The kinds of faults. Schedules depend on their order.
 const (
 	killGateway faultKind = iota
 	stopGateway
@@ -24,56 +24,56 @@
 	reloadGateway
 	killSidecar
 	pauseSidecar
-	spoilLink      // Between a gateway and an endpoint.
-	spoilStoreLink // Between a gateway and the store.
+	spoilLink      // Disrupts the link between a gateway and an endpoint.
+	spoilStoreLink // Disrupts the link between a gateway and the store.
 	storeRefuses
 	storeSilent
 	storeForgets
 	takeKey
 	moveRoute
 	manyVersions
-	replaceEndpoint // A planned end: it leaves, and another comes.
-	crashEndpoint   // It goes without a word.
+	replaceEndpoint // A plain endpoint leaves as planned, and another one replaces it.
+	crashEndpoint   // A plain endpoint ends without announcing it, and another one replaces it.
 	misbehave
 	shiftLoad
-	failAtRandom // All endpoints fail a part of their requests, each in its own way.
-	startAgain   // An endpoint ends without a word and starts again under its name.
-	evacuate     // Nothing new goes to the endpoints of a failure domain for a while.
-	crashing     // A request ends each endpoint that runs it, and comes again and again.
-	nameLimit    // An endpoint names a rate limit in its answers.
-	askRest      // An endpoint turns all requests away and asks for rest.
-	sayLeaving   // An endpoint leaves and tells so in its answers only.
-	changeIdle   // Versions set shorter and longer idle times.
+	failAtRandom // All endpoints fail a share of their requests, each in its own way.
+	startAgain   // An endpoint ends without announcing the end, and starts again under its name.
+	evacuate     // No new requests may be sent to the endpoints of a failure domain for some time.
+	crashing     // A request ends each endpoint that runs it, and is sent repeatedly.
+	nameLimit    // An endpoint announces a rate limit in its answers.
+	askRest      // An endpoint rejects all requests and requests backoff.
+	sayLeaving   // An endpoint leaves and announces it in its answers only.
+	changeIdle   // Versions set shorter and longer idle timeouts.
 	killAround   // Gateways are killed around a change of the configuration.
 )
 
-// Kinds is a set of kinds of trouble, and of callers. A seed that showed a fault
-// keeps its set, so that its schedule stays the same when kinds are added.
+// Kinds is a set of kinds of faults and of callers; each set extends the one before it. A seed that
+// found a bug keeps its set, so that its schedule stays the same when kinds are added.
 type Kinds int
 
 // The sets.
 const (
-	FirstKinds Kinds = iota // One endpoint misbehaves at a time, in one way; callers keep their connections.
+	FirstKinds Kinds = iota // One endpoint misbehaves at a time, in one way; callers use persistent connections.
 	SecondKinds
 	ThirdKinds
 	FourthKinds
 	FifthKinds
 	SixthKinds
-	SeventhKinds // Some callers rest on their connections.
+	SeventhKinds // Some callers keep their connections idle.
 	AllKinds
 )
 
-// faultsPerFailAtRandom is how many of the other troubles of SecondKinds there are for each
-// failAtRandom: a request must meet two of its draws, which takes many.
+// faultsPerFailAtRandom is the number of other kinds of SecondKinds for each entry of failAtRandom:
+// a request must be hit by two of its draws, which takes many.
 const faultsPerFailAtRandom = 4
 
-// faultsPerChangeIdle is how many of the other troubles there are for each changeIdle.
+// faultsPerChangeIdle is the number of other kinds for each entry of changeIdle.
 const faultsPerChangeIdle = 5
 
-// faultsPerKillAround is how many of the other troubles there are for each killAround.
+// faultsPerKillAround is the number of other kinds for each entry of killAround.
 const faultsPerKillAround = 2
 
-// faultKinds returns the kinds to draw from.
+// faultKinds returns the kinds to draw from; a kind listed several times is drawn more often.
 func (k Kinds) faultKinds() (list []faultKind) {
 	for one := killGateway; one <= shiftLoad; one++ {
 		list = append(list, one)
@@ -112,12 +112,12 @@
 	"spoil link", "spoil store link", "store refuses", "store silent", "store forgets", "take key", "move route", "many versions",
 	"replace endpoint", "crash endpoint", "misbehave", "shift load", "fail at random", "start again", "evacuate", "crashing request", "name limit", "ask for rest", "say leaving", "change idle time", "kill around change"}
 
-// fault is one trouble of a schedule.
+// fault is one fault of a schedule.
 type fault struct {
-	at       time.Duration // From the start of the run.
+	at       time.Duration // Time from the start of the run.
 	kind     faultKind
-	target   int // Of the things that it can strike.
-	variant  int // Variant.
+	target   int // Selects, modulo their number, one of the things that the fault may affect.
+	variant  int // Selects, modulo their number, one of the variants of the fault.
 	duration time.Duration
 }
 
@@ -125,18 +125,18 @@
 	return fmt.Sprintf("%6.2f s %s (which %d, how %d, %.2f s)", f.at.Seconds(), faultNames[f.kind], f.target, f.variant, f.duration.Seconds())
 }
 
-// Times of a schedule. Faults overlap: they come faster than they end.
+// Times of a schedule. Faults overlap, since the gaps between them are shorter than most faults.
 const (
 	firstFault    = time.Second
 	minGap        = 80 * time.Millisecond
 	maxGap        = 700 * time.Millisecond
 	minDuration   = 200 * time.Millisecond
 	maxDuration   = 2500 * time.Millisecond
-	faultFreeTail = 8 * time.Second // Without faults, at the end: the site must serve again.
+	faultFreeTail = 8 * time.Second // At the end of the run, where the site must serve again.
 	restartDelay  = 150 * time.Millisecond
 )
 
-// schedule returns the troubles of a seed, in order.
+// schedule returns the faults of a seed, in order.
 func schedule(seed uint64, length time.Duration, set Kinds) (list []fault) {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	kinds := set.faultKinds()
@@ -147,7 +147,7 @@
 	return list
 }
 
-// inject makes one trouble and returns when it is over.
+// inject injects one fault and returns when it is over.
 func (s *site) inject(f fault) error {
 	g := f.target % len(s.gateways)
 	gateway := s.gateways[g]
@@ -223,15 +223,16 @@
 	return nil
 }
 
-// What failAtRandom draws from, and the least and the most of 100 requests that
-// draw. Those that are there twice come more often, as what they do takes no time.
+// randomBehaviours are the behaviours that failAtRandom draws from. Those listed twice are drawn more
+// often, since they take no time.
 var randomBehaviours = []standin.Behaviour{standin.Fails, standin.Fails, standin.Truncates, standin.Truncates, standin.DropsAnswer, standin.NotExecuted,
 	standin.AnswersTwice, standin.Unframed, standin.UnframedReset, standin.Stalls, standin.NotFound}
 
+// Range of the percentage of requests that failAtRandom makes fail.
 const minFailPercent, maxFailPercent = 20, 80
 
-// failAtRandom makes all endpoints fail a part of their requests, so that one
-// request meets several troubles in a row.
+// failAtRandom makes all endpoints fail a share of their requests, so that one request runs into
+// several failures in a row.
 func (s *site) failAtRandom(f fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,20 +241,20 @@
 	}
 }
 
-// gracePeriod is how long a planned stop may take, as the settings say.
+// gracePeriod is how long a planned stop may take, as set in the daemons' settings.
 const gracePeriod = 8 * time.Second
 
-// restart ends a process by a signal and starts it again. Gateway is -1 for a
-// sidecar.
+// restart ends a process by a signal and starts it again. A process that does not end within the
+// timeout after SIGTERM is killed. gateway is -1 for a sidecar.
 func (s *site) restart(gateway int, p *process, sig syscall.Signal, timeout time.Duration) error {
 	began := time.Now()
-	failedAt := began // When it stopped serving but for a planned stop.
+	failedAt := began // When the process stopped serving, except by a planned stop.
 	done := p.signal(sig)
 	planned := sig == syscall.SIGTERM && endsWithin(done, timeout+slack)
 	if sig == syscall.SIGTERM && !planned {
 		failedAt = time.Now()
 		s.ledger.do(func(l *ledger) {
-			if !l.killedOrPaused(gateway, began, failedAt) { // One that is suspended cannot end.
+			if !l.killedOrPaused(gateway, began, failedAt) { // A suspended process cannot end.
 				l.ends = append(l.ends, p.name+" did not end within its grace period")
 			}
 		})
@@ -278,14 +279,13 @@
 	return p.relaunch()
 }
 
-// disturbGateway notes that a gateway is disturbed while do runs.
+// disturbGateway records that a gateway is disturbed while do runs.
 func (s *site) disturbGateway(gateway int, lasts time.Duration, do func()) {
 	s.ledger.recordDisturbance(gateway, span{time.Now(), time.Now().Add(lasts + slack)})
 	do()
 }
 
-// disturbAll notes that the store is disturbed while do runs, which is to all
-// gateways alike.
+// disturbAll records that the store, and so every gateway, is disturbed while do runs.
 func (s *site) disturbAll(lasts time.Duration, do func()) {
 	for g := range s.gateways {
 		s.ledger.recordDisturbance(g, span{time.Now(), time.Now().Add(lasts + slack)})
@@ -293,7 +293,7 @@
 	do()
 }
 
-// disruptLink spoils a gateway's connections through a proxy for a while.
+// disruptLink injects a fault into a gateway's connections through a proxy.
 func (s *site) disruptLink(gateway int, p *proxy, f fault) {
 	kind := linkFault(1 + f.variant%linkFaultCount)
 	s.logf("        link of gateway-%d %s", gateway, linkNames[kind])
@@ -304,14 +304,14 @@
 	})
 }
 
-// endpoint returns one of the endpoints that are there.
+// endpoint returns one of the current endpoints.
 func (s *site) endpoint(index int) *siteEndpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.endpoints[index%len(s.endpoints)]
 }
 
-// publishChange publishes one or more versions.
+// publishChange makes a change and publishes it as one or more versions.
 func (s *site) publishChange(f fault) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -340,7 +340,7 @@
 	return s.publish()
 }
 
-// addSuccessor has another plain endpoint come in the place of one, which is still listed.
+// addSuccessor starts a new plain endpoint in place of an old one, which is still published.
 func (s *site) addSuccessor(f fault) (old *siteEndpoint, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -355,7 +355,7 @@
 	return old, nil
 }
 
-// replace makes a plain endpoint leave as planned, and another one come.
+// replace makes a plain endpoint leave as planned, and starts another one in its place.
 func (s *site) replace(f fault) error {
 	old, err := s.addSuccessor(f)
 	if err != nil {
@@ -370,13 +370,13 @@
 	s.ledger.do(func(l *ledger) { l.leavingSince[old.name] = time.Now() })
 	time.Sleep(drainBound + slack)
 	s.store.Remove(old.name)
-	time.Sleep(callerTimeout) // It serves on for a while.
+	time.Sleep(callerTimeout) // Requests in flight may still be served.
 	s.ledger.recordEndpointExit(old.name)
 	return old.srv.Close()
 }
 
-// startAgain ends a plain endpoint without a word and starts it again under its name
-// and address. Half of them said before that they leave: the new life does not.
+// startAgain ends a plain endpoint without announcing the end, and starts it again under its name and
+// address. In half of the variants it was published as leaving before; the new incarnation is not.
 func (s *site) startAgain(f fault) (err error) {
 	s.mu.Lock()
 	e := s.endpoints[s.cfg.Ranks+f.target%s.cfg.PlainEndpoints]
@@ -398,13 +398,13 @@
 	return s.restartEndpoint(e)
 }
 
-// restartEndpoint starts an endpoint that has ended, under its name and address.
+// restartEndpoint starts an endpoint that has ended again, under its name and address.
 func (s *site) restartEndpoint(e *siteEndpoint) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.restarting = false
 	if !slices.Contains(s.endpoints, e) {
-		return nil // It was replaced, or crashed for good, meanwhile.
+		return nil // The endpoint was replaced meanwhile, as planned or after a crash.
 	}
 	l, err := net.Listen("tcp4", e.target)
 	if err != nil {
@@ -415,8 +415,8 @@
 	return s.store.PutEndpoint(e.entry(false))
 }
 
-// evacuate has nothing new go to the endpoints of a failure domain for a while. Two may
-// overlap: the domain is free again when the last one is over.
+// evacuate evacuates a failure domain for some time: no new requests may be sent to its endpoints.
+// Evacuations may overlap: the domain is released when the last one is over.
 func (s *site) evacuate(f fault) {
 	domain := domains[f.target%len(domains)]
 	s.mu.Lock()
@@ -427,21 +427,21 @@
 	time.Sleep(evacuationBound + f.duration)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// It is noted before the word is taken back: what runs after that is allowed.
+	// The end is recorded before the order is withdrawn: runs after the withdrawal are allowed.
 	s.ledger.do(func(l *ledger) { l.evacuations[domain] = append(l.evacuations[domain], span{began, time.Now()}) })
 	if s.activeEvacuations[domain]--; s.activeEvacuations[domain] == 0 {
 		s.store.EndEvacuation(domain)
 	}
 }
 
-// crash makes a plain endpoint go without a word; its entry goes later, and
-// another one comes.
+// crash ends a plain endpoint without announcing the end, and starts another one in its place. The
+// entry of the old endpoint is removed later.
 func (s *site) crash(f fault) error {
 	old, err := s.addSuccessor(f)
 	if err != nil {
 		return err
 	}
-	old.misbehave(time.Hour, 100, standin.DropsAnswer) // What it has begun is lost, too.
+	old.misbehave(time.Hour, 100, standin.DropsAnswer) // Requests that it is running are lost, too.
 	s.ledger.recordEndpointExit(old.name)
 	if err := old.srv.Close(); err != nil {
 		return err
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -12,93 +12,93 @@
 	"github.com/canvaspulley/canvaspulley/platform/standin"
 )
 
-// Bounds that the pages of the users give for the two small sites.
+// Bounds that the users' documents give for the two small sites.
 const (
 	revocationBound    = 5 * time.Second
 	configurationBound = 2 * time.Second
 	drainBound         = 2 * time.Second
 	evacuationBound    = 2 * time.Second
-	// undisturbedTime is how long nothing must have disturbed a gateway for the bounds
-	// above to hold for it; a key that was taken away counts always.
+	// undisturbedTime is how long nothing must have disturbed a gateway for the bounds above to
+	// apply to it; the bound of key revocation always applies.
 	undisturbedTime = 3 * time.Second
-	// slack is what this machine's own scheduling may add to a bound.
+	// slack is the time that the scheduling of the test machine may add to a bound.
 	slack = 300 * time.Millisecond
 )
 
-// kind is what may be done with a request.
+// kind is how often a request may run, and how it is answered.
 type kind int
 
-// The kinds.
+// The kinds of requests.
 const (
 	once kind = iota
 	repeatable
 	stream
 )
 
-// request is one attempt of a caller and what became of it.
+// request is one request of a caller and what was observed of it.
 type request struct {
 	id          string
 	kind        kind
 	gateway     int
 	customer    string
 	key         string
-	crashing    string // Names all requests that are the same and end their endpoints; "" for others.
-	service     string // That the newest configuration named as it was sent.
+	crashing    string // Name shared by equal requests that end their endpoints; "" for others.
+	service     string // Service of the moving route in the newest configuration at the time of sending.
 	sent        time.Time
 	ended       time.Time
-	status      int // 0 when no head of an answer came.
+	status      int // 0 when no header of an answer was received.
 	mode        connMode
 	answer      answer
 	runs        []standin.Run
-	idle        *idlePeriod   // Of the kept connection that it was sent on; nil for others.
-	conn        *trackedConn  // That it was sent on last; nil for none.
-	idleTime    time.Duration // For which conn had carried nothing before; 0 for a new one.
-	refusedDial span          // Of the try to connect that was refused; zero for none.
+	idle        *idlePeriod   // Idle period of the connection before the request; nil unless sent by an idleCaller.
+	conn        *trackedConn  // Connection that the request was last sent on; nil for none.
+	idleTime    time.Duration // How long conn had received nothing before the request; 0 for a new connection.
+	refusedDial span          // Time of the connection attempt that was refused; zero for none.
 }
 
-// answer is what a caller makes of what came.
+// answer is a caller's evaluation of the response.
 type answer struct {
-	complete bool   // It came to its end.
-	fault    string // What is wrong with it, "" for nothing.
+	complete bool   // The answer was received to its end.
+	fault    string // What is wrong with the answer; "" for nothing.
 }
 
-// answeredBadly reports whether an endpoint was made to answer badly.
+// answeredBadly reports whether an endpoint was made to misbehave for the request.
 func (r *request) answeredBadly() bool {
 	return slices.ContainsFunc(r.runs, func(run standin.Run) bool { return !run.Behaviour.IsComplete() })
 }
 
-// cutThenFailed reports whether a stream was cut off after events and the
-// endpoint that was to go on with it answered with a failure of its own.
+// cutThenFailed reports whether a stream was cut off after some events and the endpoint that was to
+// continue it answered with a failure of its own.
 func (r *request) cutThenFailed() bool {
 	i := slices.IndexFunc(r.runs, func(run standin.Run) bool { return run.Behaviour.StopsEarly() })
 	return r.kind == stream && i >= 0 && slices.ContainsFunc(r.runs[i:], func(run standin.Run) bool { return run.Behaviour == standin.Fails || run.Behaviour == standin.NotFound })
 }
 
-// span is a time in which something disturbed a gateway.
+// span is a period of time.
 type span struct{ from, to time.Time }
 
-// ledger holds what callers and endpoints saw.
+// ledger records what callers and endpoints observe, and what the soak does to the processes.
 type ledger struct {
 	mu             sync.Mutex
 	requests       map[string]*request
 	disturbances   map[int][]span       // Disturbances by gateway.
-	interruptions  map[int][]span       // Restarts, pauses and cuts by gateway; all but planned stops are disturbances.
+	interruptions  map[int][]span       // Restarts, pauses and disrupted links by gateway; all except planned stops are also disturbances.
 	killsAndPauses map[int][]span       // Kills and pauses by gateway.
-	plannedStops   map[int][]span       // Planned stops by gateway; they are no disturbance.
-	revokedKeys    map[string]time.Time // Keys that were taken away, by when that was acknowledged.
+	plannedStops   map[int][]span       // Planned stops by gateway; they are not disturbances.
+	revokedKeys    map[string]time.Time // When the revocation of each key was acknowledged.
 	routeMovedAt   time.Time            // When the route last moved to another service.
 	routeService   string
 	domains        map[string]string            // Failure domains of endpoints.
-	evacuations    map[string][]span            // Evacuations by failure domain, those that are over.
-	leavingSince   map[string]time.Time         // Endpoints that leave, by when that was acknowledged.
-	arrivals       map[string][]standin.Arrival // By endpoint.
-	unknownRuns    []string                     // Runs that no caller asked for.
-	ends           []string                     // Processes that ended by themselves or not at all.
-	timeouts       []idleSetting                // Published, in order.
-	processes      map[int][]*incarnation       // Of gateways' processes, in order.
-	versionsSent   []time.Time                  // When versions were sent, in order.
+	evacuations    map[string][]span            // Finished evacuations by failure domain.
+	leavingSince   map[string]time.Time         // When the publication that an endpoint is leaving was acknowledged.
+	arrivals       map[string][]standin.Arrival // Requests that reached an endpoint, by endpoint.
+	unknownRuns    []string                     // Runs of requests that no caller sent.
+	ends           []string                     // Processes that ended by themselves, or that did not end when they should have.
+	timeouts       []idleSetting                // Published idle timeouts, in order.
+	processes      map[int][]*incarnation       // Incarnations by gateway, in order; those of sidecars are at -1.
+	versionsSent   []time.Time                  // When versions of the configuration were sent, in order.
 	endpointExits  map[string][]time.Time       // When endpoints were about to end.
-	linkFaults     map[gatewayLink][]span       // When they were spoiled; until then nothing is noted.
+	linkFaults     map[gatewayLink][]span       // When links were disrupted; recorded at the end of the disruption.
 }
 
 func newLedger() *ledger {
@@ -113,7 +113,7 @@
 	l.requests[r.id] = r
 }
 
-// recordRun notes that an endpoint began to run a request.
+// recordRun records that an endpoint began to run a request.
 func (l *ledger) recordRun(run standin.Run) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,55 +125,57 @@
 	r.runs = append(r.runs, run)
 }
 
-// recordDisturbance notes a disturbance of a gateway.
+// recordDisturbance records a disturbance of a gateway.
 func (l *ledger) recordDisturbance(gateway int, s span) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.disturbances[gateway] = append(l.disturbances[gateway], s)
 }
 
+// do calls f with mu held.
 func (l *ledger) do(f func(l *ledger)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l)
 }
 
-// undisturbed reports whether nothing disturbed a gateway in a time and undisturbedTime it.
+// undisturbed reports whether nothing disturbed a gateway in a period and in the undisturbedTime
+// before it.
 func (l *ledger) undisturbed(gateway int, from, to time.Time) bool {
 	return !slices.ContainsFunc(l.disturbances[gateway], func(s span) bool {
 		return s.from.Before(to) && s.to.After(from.Add(-undisturbedTime))
 	})
 }
 
-// recordInterruption notes that a gateway was restarted, paused or cut off.
+// recordInterruption records that a gateway was restarted or paused, or its link disrupted.
 func (l *ledger) recordInterruption(gateway int, s span) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.interruptions[gateway] = append(l.interruptions[gateway], s)
 }
 
-// interrupted reports whether a gateway was restarted, paused or cut off in a time.
+// interrupted reports whether a gateway was restarted or paused, or its link disrupted, in a period.
 func (l *ledger) interrupted(gateway int, from, to time.Time) bool {
 	return slices.ContainsFunc(l.interruptions[gateway], func(s span) bool { return s.from.Before(to) && s.to.After(from) })
 }
 
-// recordKillOrPause notes that a gateway was killed or paused.
+// recordKillOrPause records that a gateway was killed or paused.
 func (l *ledger) recordKillOrPause(gateway int, s span) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.killsAndPauses[gateway] = append(l.killsAndPauses[gateway], s)
 }
 
-// killedOrPaused reports whether a gateway was killed or paused in a time. The caller holds mu.
+// killedOrPaused reports whether a gateway was killed or paused in a period. The caller holds mu.
 func (l *ledger) killedOrPaused(gateway int, from, to time.Time) bool {
 	return slices.ContainsFunc(l.killsAndPauses[gateway], func(s span) bool { return s.from.Before(to) && s.to.After(from) })
 }
 
-// notRunStatuses are the statuses that say that a request never runs.
+// notRunStatuses are the statuses that guarantee that the request never runs.
 var notRunStatuses = []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest}
 
-// violations returns every broken promise; those with a bound in time only if timed
-// is set.
+// violations returns all violations of the guarantees; those of time bounds only if checkTiming is
+// set.
 func (l *ledger) violations(checkTiming bool) (found []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,7 +216,7 @@
 	return found
 }
 
-// checkRun checks the bounds of one run.
+// checkRun checks the time bounds that apply to one run.
 func (l *ledger) checkRun(r *request, run standin.Run, report func(*request, string, ...any)) {
 	if at, ok := l.revokedKeys[r.key]; ok && r.sent.Sub(at) > revocationBound+slack {
 		report(r, "ran %v after its key was taken away", r.sent.Sub(at))
@@ -236,13 +238,12 @@
 	}
 }
 
-// checkPlannedStop checks that a planned stop cut nothing off that had reached an
-// endpoint.
+// checkPlannedStop checks that a planned stop cut off no request that had reached an endpoint.
 func (l *ledger) checkPlannedStop(r *request, report func(*request, string, ...any)) {
 	if r.answer.complete || len(r.runs) == 0 || r.answeredBadly() || !l.undisturbed(r.gateway, r.sent, r.ended) {
 		return
 	}
-	if r.ended.Sub(r.sent) >= callerTimeout { // Its caller has given up.
+	if r.ended.Sub(r.sent) >= callerTimeout { // The caller has timed out.
 		return
 	}
 	for _, s := range l.plannedStops[r.gateway] {
@@ -252,11 +253,11 @@
 	}
 }
 
-// timeFormat is how times are written.
+// timeFormat is the format of times in messages.
 const timeFormat = "15:04:05.000"
 
-// lastEvacuation returns when the last evacuation was over by all gateways' lights; zero
-// when there was none.
+// lastEvacuation returns when all gateways knew of the end of the last evacuation; zero when there
+// was none.
 func (l *ledger) lastEvacuation() (end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -270,8 +271,9 @@
 	return end
 }
 
-// served counts the requests sent in a time and those of them that were served. Those at
-// gateways in a planned stop, which refuse them, are left out.
+// served counts the requests sent in a period and those of them that were served. Requests that end
+// their endpoints, requests sent late on purpose, and those to gateways in a planned stop, which
+// refuse them, are not counted.
 func (l *ledger) served(from, to time.Time) (sent, served int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -287,8 +289,8 @@
 	return sent, served
 }
 
-// countBadAnswers counts the requests that endpoints answered badly: at all, at two or more
-// endpoints, and those streams that were cut off and then failed.
+// countBadAnswers counts the requests for which endpoints misbehaved: in at least one run, in at
+// least two runs, and the streams that were cut off and then failed.
 func (l *ledger) countBadAnswers() (once, twice, cutThenFailed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/life.go
+++ b/internal/soak/life.go
@@ -15,20 +15,21 @@
 	"time"
 )
 
-// incarnation is one process from its start to its end. Its fields are guarded by the ledger's mu.
+// incarnation is one run of a daemon's process from start to end. Its fields are guarded by the
+// ledger's mu.
 type incarnation struct {
 	name        string
 	pid         int
-	startAt     time.Time      // Before it was started.
-	termAt      time.Time      // Before the first SIGTERM was sent; zero for none.
-	killAt      time.Time      // Before the first SIGKILL was sent; zero for none.
-	endAt       time.Time      // When its end was seen; zero before.
-	err         error          // Of its end.
-	signal      syscall.Signal // That ended it; 0 for none.
-	connectedAt time.Time      // When a caller first had a connection to it; zero for never.
+	startAt     time.Time      // Taken before the process was started.
+	termAt      time.Time      // Taken before the first SIGTERM was sent; zero for none.
+	killAt      time.Time      // Taken before the first SIGKILL was sent; zero for none.
+	endAt       time.Time      // When the end of the process was observed; zero before.
+	err         error          // Result of waiting for the process.
+	signal      syscall.Signal // Signal that ended the process; 0 for none.
+	connectedAt time.Time      // When a caller first had a connection to the process; zero for never.
 }
 
-// signalOf returns the signal that ended a process; 0 where none did.
+// signalOf returns the signal that ended a process, by the error of waiting for it; 0 for none.
 func signalOf(err error) syscall.Signal {
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) {
@@ -40,17 +41,17 @@
 	return 0
 }
 
-// killed reports whether it ended by the SIGKILL that the soak sent.
+// killed reports whether the process was ended by the soak's SIGKILL.
 func (l *incarnation) killed() bool { return !l.killAt.IsZero() && l.signal == syscall.SIGKILL }
 
-// explained reports whether the signals that it was sent explain its end. A SIGTERM may end
-// a process that has not begun to catch signals; no caller has met it then.
+// explained reports whether the soak's signals explain the end of the process. A SIGTERM may end a
+// process that does not catch signals yet; no caller has connected to it then.
 func (l *incarnation) explained() bool {
 	planned := !l.termAt.IsZero() && (l.err == nil || l.connectedAt.IsZero() && l.signal == syscall.SIGTERM)
 	return planned || l.killed()
 }
 
-// String tells a life's signals and end.
+// String describes an incarnation with its signals and its end.
 func (l *incarnation) String() string {
 	text := fmt.Sprintf("%s, pid %d", l.name, l.pid)
 	for _, one := range []struct {
@@ -67,7 +68,7 @@
 	return text + fmt.Sprintf(", ended at %s (%v)", l.endAt.Format(timeFormat), l.err)
 }
 
-// recordSignal notes that a life is about to be sent a signal to end.
+// recordSignal records that an incarnation is about to be sent a signal to end.
 func (l *ledger) recordSignal(one *incarnation, sig syscall.Signal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,8 +81,8 @@
 	}
 }
 
-// incarnationsDuring returns the lives of a gateway that overlap a time: several only where a caller's
-// clock cannot tell which of them it was.
+// incarnationsDuring returns the incarnations of a gateway that overlap a period: several only when
+// the period is too long to show to which of them a caller connected.
 func (l *ledger) incarnationsDuring(gateway int, s span) (list []*incarnation) {
 	for _, one := range l.processes[gateway] {
 		if !one.startAt.After(s.to) && (one.endAt.IsZero() || !one.endAt.Before(s.from)) {
@@ -91,16 +92,16 @@
 	return list
 }
 
-// trackedConn is a caller's connection, with its end as the caller saw it.
+// trackedConn is a caller's connection that records its end as the caller observed it.
 type trackedConn struct {
 	net.Conn
 	dialed span
 
-	mu             sync.Mutex // Guards what follows.
-	lastReadAt     time.Time  // When bytes came last; zero before.
-	err            error      // By which the gateway's side ended; nil before.
+	mu             sync.Mutex // Guards the fields below.
+	lastReadAt     time.Time  // When bytes were last received; zero before.
+	err            error      // Error that showed the end by the gateway; nil before.
 	errAt          time.Time
-	closedByCaller bool // The caller has closed it.
+	closedByCaller bool // The caller has closed the connection.
 }
 
 // dial connects a caller to its gateway.
@@ -114,14 +115,14 @@
 	return &trackedConn{Conn: c, dialed: span{from, time.Now()}}, nil
 }
 
-// Read reads and notes the end of the connection.
+// Read reads, and records the end of the connection.
 func (t *trackedConn) Read(b []byte) (n int, err error) {
 	n, err = t.Conn.Read(b)
 	t.record(n, err)
 	return n, err
 }
 
-// Write writes and notes the end of the connection.
+// Write writes, and records the end of the connection.
 func (t *trackedConn) Write(b []byte) (n int, err error) {
 	n, err = t.Conn.Write(b)
 	t.record(0, err)
@@ -141,7 +142,7 @@
 	t.err, t.errAt = err, time.Now()
 }
 
-// Close closes the caller's side.
+// Close closes the connection on the caller's side.
 func (t *trackedConn) Close() error {
 	t.mu.Lock()
 	t.closedByCaller = true
@@ -149,21 +150,21 @@
 	return t.Conn.Close()
 }
 
-// ended returns when and by what the gateway's side ended.
+// ended returns when and by which error the gateway's side ended; nil before.
 func (t *trackedConn) ended() (at time.Time, err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.errAt, t.err
 }
 
-// lastRead returns when bytes came last; zero for never.
+// lastRead returns when bytes were last received; zero for never.
 func (t *trackedConn) lastRead() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastReadAt
 }
 
-// recordConn notes that a request goes over a connection. The caller holds mu.
+// recordConn records that a request is sent on a connection. The caller holds mu.
 func (l *ledger) recordConn(r *request, conn net.Conn) {
 	t, ok := conn.(*trackedConn)
 	if !ok {
@@ -180,7 +181,7 @@
 	}
 }
 
-// traceConns has the connections of a request noted.
+// traceConns returns a context that records the connections of a request.
 func (l *ledger) traceConns(ctx context.Context, r *request) context.Context {
 	var from time.Time
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -196,8 +197,8 @@
 	})
 }
 
-// checkRefused checks that a process that callers have met and that was told nothing still
-// takes connections. The caller holds mu.
+// checkRefused checks that a process accepts connections from the first connection of a caller until
+// it is signalled or ends. The caller holds mu.
 func (l *ledger) checkRefused(r *request, report func(*request, string, ...any)) {
 	if r.refusedDial.to.IsZero() {
 		return
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -15,24 +15,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// process is one program that the soak started.
+// process is a daemon that the soak runs; it may be restarted many times.
 type process struct {
 	s       *site
 	name    string
 	file    string
 	gateway int // -1 for a sidecar.
 
-	mu            sync.Mutex // Guards what follows.
+	mu            sync.Mutex // Guards the fields below.
 	cmd           *exec.Cmd
 	current       *incarnation
-	stopRequested bool // It was told to end.
-	pauses        int  // Pauses that overlap.
+	stopRequested bool // A signal to end was sent to the current incarnation.
+	pauses        int  // Number of overlapping pauses.
 	done          chan struct{}
 	waiters       errgroup.Group
-	closed        bool // Of the run: nothing is started any more.
+	closed        bool // The run is over: the process is not started again.
 }
 
-// startProcess starts a daemon. Its log goes to a file of the run.
+// startProcess starts a daemon. Its log is written to a file in the run's directory.
 func (s *site) startProcess(name, file string, gateway int) (p *process, err error) {
 	p = &process{s: s, name: name, file: file, gateway: gateway}
 	p.mu.Lock()
@@ -40,7 +40,7 @@
 	return p, p.launch()
 }
 
-// launch starts the program. The caller holds mu.
+// launch starts an incarnation of the daemon. The caller holds mu.
 func (p *process) launch() error {
 	out, err := os.OpenFile(filepath.Join(p.s.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// lastLine returns the last line of a log, which tells why a process ended by itself.
+// lastLine returns the last line of a log, which shows why a process ended by itself.
 func lastLine(file string) string {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return lines[len(lines)-1]
 }
 
-// signal sends a signal to the process, which may have ended. It returns what is
-// closed when the life that got it is over.
+// signal sends a signal to the process, which may have ended. The channel is closed when the
+// signalled incarnation has ended.
 func (p *process) signal(sig syscall.Signal) (done <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,41 +101,42 @@
 		p.stopRequested = true
 		p.s.ledger.recordSignal(p.current, sig)
 	}
-	_ = p.cmd.Process.Signal(sig) // It may be gone.
+	_ = p.cmd.Process.Signal(sig) // The process may have ended.
 	return p.done
 }
 
-// reload sends SIGHUP. From AllKinds on, where processes start all the time, it is for those that
-// callers have met: one that is being started catches no signals yet and would end.
+// reload sends SIGHUP. With AllKinds, where processes start all the time, only a process that a
+// caller has connected to is sent it: one that is still starting does not catch signals yet and
+// would end.
 func (p *process) reload() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var reachable bool
 	p.s.ledger.do(func(*ledger) { reachable = !p.current.connectedAt.IsZero() })
 	if reachable || p.s.cfg.Kinds < AllKinds {
-		_ = p.cmd.Process.Signal(syscall.SIGHUP) // It may be gone.
+		_ = p.cmd.Process.Signal(syscall.SIGHUP) // The process may have ended.
 	}
 }
 
-// pause stops it for a while. Pauses may overlap.
+// pause suspends the process for a duration. Pauses may overlap.
 func (p *process) pause(d time.Duration) {
 	p.mu.Lock()
 	p.pauses++
 	incarnation := p.done
-	_ = p.cmd.Process.Signal(syscall.SIGSTOP) // It may be gone.
+	_ = p.cmd.Process.Signal(syscall.SIGSTOP) // The process may have ended.
 	p.mu.Unlock()
 	time.Sleep(d)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if incarnation != p.done {
-		return // Another life goes on by itself.
+		return // A later incarnation is not suspended.
 	}
 	if p.pauses--; p.pauses == 0 {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // It may be gone.
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // The process may have ended.
 	}
 }
 
-// endsWithin reports whether a life is over after at most d.
+// endsWithin waits for the end of an incarnation, and reports whether it came within d.
 func endsWithin(done <-chan struct{}, d time.Duration) bool {
 	select {
 	case <-done:
@@ -145,14 +146,14 @@
 	}
 }
 
-// relaunch starts it anew after its life is over.
+// relaunch starts a new incarnation after the last one has ended.
 func (p *process) relaunch() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
 	case <-p.done:
 	default:
-		return nil // It lives: another fault has started it.
+		return nil // It runs: another fault has started it.
 	}
 	if p.closed {
 		return nil
@@ -160,7 +161,7 @@
 	return p.launch()
 }
 
-// shutDown kills it for good.
+// shutDown kills the process and prevents that it is started again.
 func (p *process) shutDown() {
 	if p == nil || p.cmd == nil {
 		return
@@ -169,7 +170,7 @@
 	p.closed = true
 	p.stopRequested = true
 	p.s.ledger.recordSignal(p.current, syscall.SIGKILL)
-	_ = p.cmd.Process.Signal(syscall.SIGKILL) // It may be gone.
+	_ = p.cmd.Process.Signal(syscall.SIGKILL) // The process may have ended.
 	p.mu.Unlock()
 	_ = p.waiters.Wait() // Functions of the group return no error.
 }
--- a/internal/soak/proxy.go
+++ b/internal/soak/proxy.go
@@ -13,37 +13,37 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// linkFault is what a proxy does to the connections of one source.
+// linkFault is a fault that a proxy injects into the connections of one source address.
 type linkFault int
 
-// The faults of links.
+// The faults of links, in the order of linkNames.
 const (
 	linkHealthy         linkFault = iota
-	linkDelayed                   // Bytes come late.
-	linkReset                     // Connections are reset, new ones too.
-	linkDropsToTarget             // What is sent to the target does not arrive.
-	linkDropsFromTarget           // What the target sends does not arrive.
-	linkDropsBoth                 // Nothing arrives either way.
+	linkDelayed                   // Bytes are delayed by linkDelay.
+	linkReset                     // Connections are reset, including new ones.
+	linkDropsToTarget             // Bytes to the target are dropped.
+	linkDropsFromTarget           // Bytes from the target are dropped.
+	linkDropsBoth                 // Bytes of both directions are dropped.
 	linkFaultCount      = iota - 1
 )
 
 var linkNames = [...]string{"well", "delayed", "reset", "cut there", "cut back", "silent"}
 
-// linkDelay is what a delayed link adds to each piece.
+// linkDelay is the delay that a delayed link adds to each chunk.
 const linkDelay = 60 * time.Millisecond
 
-// proxy stands before a target and hands connections on from the same source IP
-// number, so that the target sees who it is.
+// proxy forwards connections to a target. It dials from the source IP address of the client, so that
+// the target sees who connects.
 type proxy struct {
 	listener net.Listener
 	target   string
 	mu       sync.Mutex
-	faults   map[string]linkFault // By source IP number.
-	conns    map[net.Conn]string  // Sources of open connections.
+	faults   map[string]linkFault // Faults by source IP address.
+	conns    map[net.Conn]string  // Open connections with their source IP addresses.
 	group    errgroup.Group
 }
 
-// newProxy takes connections of l. The function ends it.
+// newProxy starts a proxy that accepts the connections of l. cleanup stops it.
 func newProxy(l net.Listener, target string) (p *proxy, cleanup func()) {
 	p = &proxy{listener: l, target: target, faults: map[string]linkFault{}, conns: map[net.Conn]string{}}
 	p.group.Go(func() error { return p.accept(l) })
@@ -55,8 +55,7 @@
 	_ = p.group.Wait() // Functions of the group return no error.
 }
 
-// shut refuses connections and ends those that are open, as the end of the target's
-// process does.
+// shut closes the listener and all open connections, as the end of the target's process does.
 func (p *proxy) shut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +65,7 @@
 	}
 }
 
-// reopen takes connections again after shut.
+// reopen accepts connections again after shut.
 func (p *proxy) reopen() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,12 +78,12 @@
 	return nil
 }
 
-// set changes what happens to a source's connections.
+// set sets the fault of a source's connections.
 func (p *proxy) set(source string, f linkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[source] = f
-	if f == linkHealthy || f == linkReset { // What was held up is lost with its connection.
+	if f == linkHealthy || f == linkReset { // Bytes that were held back are lost with their connection.
 		for c, from := range p.conns {
 			if from == source {
 				reset(c)
@@ -113,7 +112,7 @@
 			return nil
 		}
 		if err != nil {
-			continue // The caller gave up.
+			continue // The connection was aborted before it was accepted.
 		}
 		p.group.Go(func() error { p.serve(c); return nil })
 	}
@@ -149,16 +148,15 @@
 	p.conns[c], p.conns[upstream] = from, from
 }
 
-// pump moves bytes until either side ends; cut is the fault that stops this
-// direction.
+// pump copies bytes until either side ends; cut is the fault that drops the bytes of this direction.
 func (p *proxy) pump(to, from net.Conn, source string, cut linkFault) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
 		switch f := p.fault(source); f {
 		case cut, linkDropsBoth:
-			// After lost bytes an orderly end must not follow: without a length it
-			// would make what came before them a whole answer.
+			// Lost bytes must not be followed by an orderly end: an answer without a length
+			// would look complete without them.
 			discardUntilEnd(from, buf, err)
 			reset(to)
 			_ = from.Close()
@@ -184,8 +182,8 @@
 	}
 }
 
-// discardUntilEnd drops what comes on a cut link until its connection ends: what
-// was lost must not be followed by later bytes.
+// discardUntilEnd drops what is received on a cut link until its connection ends: lost bytes must
+// not be followed by later ones.
 func discardUntilEnd(from net.Conn, buf []byte, err error) {
 	for err == nil {
 		_, err = from.Read(buf)
--- a/internal/soak/rest.go
+++ b/internal/soak/rest.go
@@ -9,25 +9,26 @@
 )
 
 const (
-	// usableIdleShare is the part of a published idle time for which callers may rest.
+	// usableIdleShare is the share of a published idle timeout for which callers may keep a
+	// connection idle and still send on it.
 	usableIdleShare = 0.8
-	// defaultIdleTimeout is what the stand-in publishes where no idle time is asked for.
+	// defaultIdleTimeout is what the stand-in publishes when no idle timeout is set.
 	defaultIdleTimeout = 20 * time.Second
-	// closeSlack is how long after the end of the idle time a gateway closes a connection.
+	// closeSlack is how long after the end of the idle timeout a gateway closes a connection.
 	closeSlack = time.Second
-	// closeSlackAfterChange is how much later that is where no shorter time may be in force any more.
+	// closeSlackAfterChange is added to closeSlack so that no shorter timeout can still be in effect.
 	closeSlackAfterChange = 2 * configurationBound
 )
 
-// idleSetting is an idle time that was published.
+// idleSetting is a published idle timeout.
 type idleSetting struct {
 	limit    time.Duration
-	sent     time.Time // From then on it may be in force.
-	replaced time.Time // When the next one was acknowledged; zero before.
+	sent     time.Time // From this time on the timeout may be in effect.
+	replaced time.Time // When the next setting was acknowledged; zero before.
 }
 
-// recordIdleSetting notes that a version with an idle time is sent; the function notes that it was
-// acknowledged.
+// recordIdleSetting records that a version with an idle timeout is about to be sent; acknowledged
+// records its acknowledgement.
 func (l *ledger) recordIdleSetting(limit time.Duration) (acknowledged func()) {
 	if limit == 0 {
 		limit = defaultIdleTimeout
@@ -45,17 +46,17 @@
 	return func() { l.do(func(l *ledger) { l.timeouts[last].replaced = time.Now() }) }
 }
 
-// idlePeriod is the time for which a kept connection carried nothing before a request.
+// idlePeriod is a period in which a persistent connection is idle before a request.
 type idlePeriod struct {
-	since      time.Time     // The end of the last answer.
-	advertised time.Duration // By the last answer; 0 for nothing.
-	sendUntil  time.Time     // Its caller may send until then.
-	late       bool          // The request was sent after that.
-	err        error         // That ended the connection in the place of an answer.
+	since      time.Time     // End of the last answer.
+	advertised time.Duration // Idle timeout in the last answer; 0 for none.
+	sendUntil  time.Time     // The caller may send until then.
+	late       bool          // The request is sent late on purpose, after sendUntil.
+	err        error         // Error instead of an answer; nil for none.
 }
 
-// usableUntil returns until when a caller may send, as far as it knows now: for what it was
-// told, and for a part of any idle time that may be in force.
+// usableUntil returns until when a caller may send, as far as is known now: for the advertised idle
+// timeout, and for usableIdleShare of any timeout that may be in effect, whichever ends first.
 func (r *idlePeriod) usableUntil(idles []idleSetting) (until time.Time) {
 	for _, i := range idles {
 		end := r.since.Add(time.Duration(usableIdleShare * float64(i.limit)))
@@ -72,19 +73,19 @@
 	return until
 }
 
-// expiry returns when the connection's time is over.
+// expiry returns when the longer of the advertised and the newest idle timeout is over.
 func (r *idlePeriod) expiry(idles []idleSetting) time.Time {
 	return r.since.Add(max(r.advertised, idles[len(idles)-1].limit))
 }
 
-// checkIdleConn checks that a request on a kept connection gets an answer if its caller may send
-// it, and that one without an answer never reached an endpoint.
+// checkIdleConn checks that a request on an idle connection is answered if its caller was still
+// allowed to send it, and that a request without an answer never reached an endpoint.
 func (l *ledger) checkIdleConn(r *request, report func(*request, string, ...any)) {
 	if r.idle == nil || r.status != 0 || r.ended.IsZero() || l.killedOrPaused(r.gateway, r.idle.since, r.ended) {
 		return
 	}
 	if r.conn != nil && l.outcomeOf(r) == outcomeCutByKill {
-		return // It may have read the last answer, and begun to rest, after the process's end was seen.
+		return // The idle period may have begun, with the last answer read, after the end of the process was observed.
 	}
 	how := "was closed with no answer"
 	if l.inPlannedStop(r.gateway, r.sent) {
@@ -103,14 +104,14 @@
 	}
 }
 
-// inPlannedStop reports whether a gateway was in a planned stop, or had just ended by it. The caller
-// holds mu.
+// inPlannedStop reports whether a gateway was in a planned stop, or had ended by one less than
+// undisturbedTime before. The caller holds mu.
 func (l *ledger) inPlannedStop(gateway int, at time.Time) bool {
 	return slices.ContainsFunc(l.plannedStops[gateway], func(s span) bool { return s.from.Before(at) && s.to.Add(undisturbedTime).After(at) })
 }
 
-// countIdleRequests counts the requests on kept connections: all, those sent right at the end of their
-// time, those sent in a planned stop, those sent late, and of these the ones without an answer.
+// countIdleRequests counts the requests on idle connections: all, those sent right at the end of the
+// time allowed, those sent in a planned stop, those sent late, and the late ones without an answer.
 func (l *ledger) countIdleRequests() (all, atEnd, inStop, late, lateLost int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/soak/rester.go
+++ b/internal/soak/rester.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// idleCallersPerGateway is how many callers at each gateway rest on their connections.
+	// idleCallersPerGateway is the number of callers at each gateway that keep connections idle.
 	idleCallersPerGateway = 20
-	// idlePollInterval is how often a caller that rests looks for new versions.
+	// idlePollInterval is how often an idle caller checks for new versions of the configuration.
 	idlePollInterval = 30 * time.Millisecond
-	// reconnectDelay lies between a connection of a caller and its next one, on the mean.
+	// reconnectDelay is the mean time between the end of a caller's connection and its next one.
 	reconnectDelay = 300 * time.Millisecond
-	// sendMargin is how long before the end of their time callers send.
+	// sendMargin is the longest time before the end of the time allowed at which callers send.
 	sendMargin = 25 * time.Millisecond
-	// idleAnswerTimeout is how long a caller that rested waits for an answer: past its patience
-	// the gateway has to refuse it.
+	// idleAnswerTimeout is how long an idle caller waits for an answer: longer than callerTimeout,
+	// at which the gateway has to refuse the request.
 	idleAnswerTimeout = 2 * callerTimeout
 )
 
-// idleCallers returns how many callers at each gateway rest.
+// idleCallers returns the number of callers at each gateway that keep connections idle.
 func (c Config) idleCallers() int {
 	if c.Kinds < SeventhKinds {
 		return 0
@@ -40,10 +40,10 @@
 	return idleCallersPerGateway
 }
 
-// idleCaller is a caller that rests on its connection.
+// idleCaller is a caller that keeps its connection idle for as long as it may.
 type idleCaller struct {
 	caller
-	conn net.Conn // nil where it has none.
+	conn net.Conn // nil when not connected.
 	br   *bufio.Reader
 	idle *idlePeriod // nil until the first answer on conn.
 }
@@ -88,7 +88,7 @@
 	return true
 }
 
-// disconnect closes its connection.
+// disconnect closes the connection, if any.
 func (c *idleCaller) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close() // The gateway may have closed it.
@@ -96,7 +96,8 @@
 	}
 }
 
-// waitIdle rests and reports whether a request may be sent then, or is to be sent too late.
+// waitIdle keeps the connection idle, and reports whether to send a request on it then: one in time,
+// or one that is late on purpose.
 func (c *idleCaller) waitIdle(ctx context.Context) bool {
 	if c.idle == nil {
 		return ctx.Err() == nil
@@ -114,7 +115,7 @@
 	}
 	for ctx.Err() == nil {
 		if until := c.idle.sendUntil; !until.IsZero() && time.Now().After(until) && !c.idle.late {
-			return false // A longer time that comes later is for other connections.
+			return false // A longer timeout that is published later does not apply to this connection.
 		}
 		var expiry time.Time
 		c.s.ledger.do(func(l *ledger) { c.idle.sendUntil, expiry = c.idle.usableUntil(l.timeouts), c.idle.expiry(l.timeouts) })
@@ -131,24 +132,24 @@
 	return false
 }
 
-// waitOrConnEnd waits, and sees at once if the connection ends meanwhile. What is sent on it then is
-// lost, and judged by when it ended.
+// waitOrConnEnd waits, and records at once when the connection ends meanwhile: a request sent on it
+// afterwards is lost, and is checked by the time of that end.
 func (c *idleCaller) waitOrConnEnd(ctx context.Context, d time.Duration) {
 	until := time.Now().Add(d)
-	_ = c.conn.SetReadDeadline(until) // Only a closed one has none.
-	_, _ = c.br.Peek(1)               // The connection notes its end.
+	_ = c.conn.SetReadDeadline(until) // Fails only for a closed connection.
+	_, _ = c.br.Peek(1)               // The connection records its end.
 	sleep(ctx, time.Until(until))
 }
 
-// sendIdle sends one request on its connection and notes what becomes of it.
+// sendIdle sends one request on the idle connection and records its result.
 func (c *idleCaller) sendIdle() {
 	r, out := c.nextRequest()
 	r.idle = c.idle
 	var text bytes.Buffer
 	if err := out.Write(&text); err != nil {
-		panic(err) // A buffer takes everything.
+		panic(err) // Writing to a buffer does not fail.
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(idleAnswerTimeout)) // Only a closed one has none.
+	_ = c.conn.SetDeadline(time.Now().Add(idleAnswerTimeout)) // Fails only for a closed connection.
 	r.sent = time.Now()
 	c.s.ledger.addRequest(r)
 	c.s.ledger.do(func(l *ledger) { l.recordConn(r, c.conn) })
@@ -176,8 +177,7 @@
 	c.idle = &idlePeriod{since: r.ended, advertised: advertisedIdle(resp.Header)}
 }
 
-// advertisedIdle returns for how long an answer allows its connection to be kept; 0 where it does
-// not say.
+// advertisedIdle returns the idle timeout that an answer advertises in Keep-Alive; 0 for none.
 func advertisedIdle(h http.Header) time.Duration {
 	for _, one := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if text, ok := strings.CutPrefix(strings.TrimSpace(one), "timeout="); ok {
@@ -189,10 +189,10 @@
 	return 0
 }
 
-// idleTimeouts are what changeIdle publishes.
+// idleTimeouts are the idle timeouts that changeIdle draws from.
 var idleTimeouts = [...]time.Duration{300 * time.Millisecond, time.Second, 1500 * time.Millisecond, 2 * time.Second, 3 * time.Second, 7 * time.Second, defaultIdleTimeout}
 
-// publishIdle publishes a version with an idle time.
+// publishIdle publishes a version with an idle timeout.
 func (s *site) publishIdle(idle time.Duration) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,8 +201,8 @@
 	return s.publish()
 }
 
-// changeIdle publishes one or several versions with other idle times, in a series or at
-// once, and has a gateway stop or reload its settings in the middle.
+// changeIdle publishes one or several versions with other idle timeouts, one after another or at
+// once; in some variants a gateway stops as planned or reloads its settings meanwhile.
 func (s *site) changeIdle(gateway int, f fault) error {
 	const once, series, atOnce, duringStop, withReload = 0, 1, 2, 3, 4
 	variant := f.variant % (withReload + 1)
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -27,50 +27,50 @@
 	"github.com/canvaspulley/canvaspulley/platform/standin"
 )
 
-// Names of the soak's site.
+// Names that the site uses.
 const (
 	host       = "soak.example"
-	movingPath = "/once/x" // Its route moves between the two plain services.
+	movingPath = "/once/x" // The route of this path moves between the two plain services.
 	modelName  = "model"
 	fileMode   = 0o600
 )
 
 var plainServices = [...]string{"east", "west"}
 
-// passTime is how often the stand-in engines make a pass.
+// passTime is the time between two passes of a stand-in engine.
 const passTime = 10 * time.Millisecond
 
-// siteGateway is one gateway of the site.
+// siteGateway holds the addresses, settings file and process of a gateway.
 type siteGateway struct {
 	ip, callers, readiness, peers, file string
 	proc                                *process
 }
 
-// siteEndpoint is one stand-in of an endpoint, behind a proxy.
+// siteEndpoint is a stand-in of an endpoint, behind a proxy.
 type siteEndpoint struct {
 	name       string
 	service    string
 	domain     string
-	address    string // Of the proxy, as published.
-	target     string // Of the endpoint itself.
+	address    string // Published address, which is the proxy's.
+	target     string // Address of the endpoint itself.
 	proxy      *proxy
 	handler    http.Handler
-	srv        *http.Server // Guarded by the site's mu, as born is.
-	startedAt  int64        // Of its present life, Unix milliseconds.
-	restarting bool         // It is ending and will start again under its name.
-	seed       uint64       // Of the run.
+	srv        *http.Server // Guarded by the site's mu, like startedAt.
+	startedAt  int64        // Start of the current incarnation in Unix milliseconds.
+	restarting bool         // The endpoint is ending and will start again under its name.
+	seed       uint64       // Seed of the run.
 
-	mu              sync.Mutex // Guards what follows.
+	mu              sync.Mutex // Guards the fields below.
 	behaviours      []standin.Behaviour
-	failPercent     int // In 100 requests: those that are not served.
+	failPercent     int // Percentage of requests that are not served.
 	misbehavesUntil time.Time
 
-	signals      standin.Signals // But for its rest.
+	signals      standin.Signals // Without the backoff.
 	backoffUntil time.Time
 }
 
-// behave returns what the endpoint does with an attempt: each draws for itself,
-// and what it draws follows from the seed.
+// behave returns what the endpoint does with an attempt. Each attempt makes a draw of its own,
+// which is derived from the seed.
 func (e *siteEndpoint) behave(id string) standin.Behaviour {
 	if strings.HasPrefix(id, crashingPrefix) {
 		return standin.ExitsProcess
@@ -81,7 +81,7 @@
 		return standin.Serves
 	}
 	h := fnv.New64a()
-	_, _ = io.WriteString(h, id+" at "+e.name) // A hash takes everything.
+	_, _ = io.WriteString(h, id+" at "+e.name) // Writing to a hash does not fail.
 	rnd := rand.New(rand.NewPCG(e.seed, h.Sum64()))
 	if rnd.IntN(100) >= e.failPercent {
 		return standin.Serves
@@ -89,24 +89,24 @@
 	return e.behaviours[rnd.IntN(len(e.behaviours))]
 }
 
-// misbehave makes a part of the requests draw one of some behaviours for a while.
+// misbehave makes a percentage of the requests draw one of the behaviours for a duration.
 func (e *siteEndpoint) misbehave(d time.Duration, failPercent int, behaviours ...standin.Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.behaviours, e.failPercent, e.misbehavesUntil = behaviours, failPercent, time.Now().Add(d)
 }
 
-// siteSidecar is the sidecar beside a stand-in engine.
+// siteSidecar holds the settings file and process of the sidecar of a stand-in engine.
 type siteSidecar struct {
 	file string
 	proc *process
 }
 
-// site is the stand-ins and the processes of one run.
+// site holds the stand-ins and the processes of a run.
 type site struct {
 	cfg          Config
 	dir          string
-	netPrefix    string // First three numbers of the site's own loopback addresses.
+	netPrefix    string // First three octets of the site's own loopback addresses.
 	store        *standin.Store
 	storeAddress string
 	storeProxy   *proxy
@@ -117,27 +117,28 @@
 	servers      errgroup.Group
 	closers      []func()
 	logMu        sync.Mutex
-	portsTried   atomic.Int64 // That were tried.
+	portsTried   atomic.Int64 // Number of ports tried so far.
 
-	mu               sync.Mutex // Guards what follows.
+	mu               sync.Mutex // Guards the fields below.
 	endpoints        []*siteEndpoint
 	version          uint64
 	routeService     string
-	keys             [][]string    // In force, by customer.
-	revokedKeys      []string      // Keys that were taken away, with their customer.
-	idleTimeout      time.Duration // Published; 0 for the stand-in's own.
+	keys             [][]string    // Valid keys by customer.
+	revokedKeys      []string      // The name of a key contains the number of its customer.
+	idleTimeout      time.Duration // Published idle timeout; 0 for the stand-in's default.
 	endpointsStarted int
-	sidecarsPort     int // Of sidecars.
-	// activeEvacuations is how many evacuations of each failure domain are under way.
+	sidecarsPort     int // Port of the sidecars.
+	// activeEvacuations is the number of evacuations in progress by failure domain.
 	activeEvacuations map[string]int
 }
 
 // domains are the failure domains of gateways and plain endpoints.
 var domains = [...]string{"a", "b"}
 
-// domain returns the failure domain of one of several things that are alike. A seed of
-// the sets before FourthKinds has them all in the first, as when it showed its fault: near
-// endpoints are preferred, so a far one that misbehaves is met by hardly any request.
+// domain returns the failure domain of the i-th of several gateways or endpoints. For the sets
+// before FourthKinds all are in the first domain, as they were when seeds of these sets found their
+// bugs: endpoints in the gateway's domain are preferred, so hardly any request would reach a
+// misbehaving endpoint in the other domain.
 func (s *site) domain(i int) string {
 	if s.cfg.Kinds < FourthKinds {
 		return domains[0]
@@ -145,12 +146,12 @@
 	return domains[i%len(domains)]
 }
 
-// customers is how many there are.
+// customers is the number of customers.
 const customers = 3
 
 func customerName(i int) string { return fmt.Sprintf("customer-%d", i) }
 
-// newSite lays out and starts everything but the callers.
+// newSite creates a site and starts everything except the callers.
 func newSite(cfg Config) (s *site, err error) {
 	defer func() { err = errors.Wrap(err, "soak site") }()
 	s = &site{cfg: cfg, netPrefix: uniqueNetPrefix(), store: standin.NewStore(), ledger: newLedger(), routeService: plainServices[0], activeEvacuations: map[string]int{}}
@@ -169,34 +170,34 @@
 	return s, nil
 }
 
-// siteCount counts the sites of this process.
+// siteCount is the number of sites that this process has created.
 var siteCount atomic.Int64
 
-// uniqueNetPrefix returns the first three numbers of loopback addresses that no other
-// site uses: ports that were found free at them stay so.
+// uniqueNetPrefix returns the first three octets of loopback addresses that no other site uses, so
+// that ports which were found free at them stay free.
 func uniqueNetPrefix() string {
-	const second, third = 128, 250 // How many there are of each.
+	const second, third = 128, 250 // Numbers of values of the second and the third octet.
 	pid, n := int64(os.Getpid()), siteCount.Add(1)
 	return fmt.Sprintf("127.%d.%d", 64+pid%second, (pid/second+n*41)%third)
 }
 
-// ip returns the site's address with a last number.
+// ip returns the site's address with the last octet given.
 func (s *site) ip(last int) string { return fmt.Sprintf("%s.%d", s.netPrefix, last) }
 
-// Last numbers of addresses.
+// Last octets of addresses; where several follow one another, the first of them.
 const (
 	storeIP      = 1
 	gatewayIP    = 10
 	engineIP     = 100
 	plainIP      = 180
-	plainIPCount = 60 // Addresses of plain endpoints, which those that come later use again.
+	plainIPCount = 60 // Number of addresses of plain endpoints; later endpoints reuse them.
 )
 
-// Ports that are listened at. They lie below those that Linux gives to outgoing connections,
-// since what ends and starts again finds its port taken by one of these otherwise.
+// Range of ports to listen on. It lies below the range from which Linux takes the ports of outgoing
+// connections: otherwise one of these could occupy the port of a process that ends and starts again.
 const firstPort, lastPort = 20000, 32000
 
-// listen listens at one port of some addresses, which nothing else of the site has.
+// listen listens on the same port of all addresses given; nothing else on the site uses that port.
 func (s *site) listen(ips ...string) (list []net.Listener, err error) {
 	for port := firstPort + s.portsTried.Add(1); port < lastPort; port = firstPort + s.portsTried.Add(1) {
 		if list, err = listenAt(int(port), ips); !errors.Is(err, syscall.EADDRINUSE) {
@@ -206,13 +207,13 @@
 	return nil, errors.Newf("no port from %d to %d is free", firstPort, lastPort)
 }
 
-// listenAt listens at a port of all addresses, or of none.
+// listenAt listens on a port of all addresses, or of none when one of them fails.
 func listenAt(port int, ips []string) (list []net.Listener, err error) {
 	for _, ip := range ips {
 		l, err := net.Listen("tcp4", net.JoinHostPort(ip, strconv.Itoa(port)))
 		if err != nil {
 			for _, open := range list {
-				_ = open.Close() // It has taken nothing.
+				_ = open.Close() // It has accepted nothing.
 			}
 			return nil, err
 		}
@@ -221,7 +222,7 @@
 	return list, nil
 }
 
-// serve serves a handler at a free port of an address.
+// serve serves a handler on a free port of an address.
 func (s *site) serve(ip string, h http.Handler) (address string, srv *http.Server, err error) {
 	l, err := s.listen(ip)
 	if err != nil {
@@ -242,7 +243,7 @@
 	return srv
 }
 
-// addProxy puts a proxy before a target.
+// addProxy starts a proxy in front of a target.
 func (s *site) addProxy(ip, target string) (p *proxy, address string, err error) {
 	l, err := s.listen(ip)
 	if err != nil {
@@ -281,7 +282,7 @@
 	return s.publish()
 }
 
-// addEndpoint starts an endpoint and lists it.
+// addEndpoint starts an endpoint and publishes its entry.
 func (s *site) addEndpoint(service, domain string, last int, engine http.Handler) (e *siteEndpoint, err error) {
 	s.endpointsStarted++
 	e = &siteEndpoint{name: fmt.Sprintf("%s-%d", service, s.endpointsStarted), service: service, domain: domain, seed: s.cfg.Seed, startedAt: time.Now().UnixMilli()}
@@ -297,20 +298,20 @@
 	return e, s.store.PutEndpoint(e.entry(false))
 }
 
-// entry returns what the endpoint's present life says of itself. The caller holds the
-// site's mu, or nothing runs yet.
+// entry returns the entry of the endpoint's current incarnation. The caller holds the site's mu, or
+// nothing runs yet.
 func (e *siteEndpoint) entry(leaving bool) fleet.Endpoint {
 	return fleet.Endpoint{ID: fleet.IncarnationID(e.name, e.startedAt), StartedAt: e.startedAt, Service: e.service, Address: e.address, Domain: e.domain, Slots: 8, Leaving: leaving}
 }
 
-// serviceOf returns the service of an endpoint's name.
+// serviceOf returns the service that is part of an endpoint's name.
 func serviceOf(endpoint string) string {
 	service, _, _ := strings.Cut(endpoint, "-")
 	return service
 }
 
-// publish writes the configuration as it is to be now, as a new version. The
-// caller holds mu, or nothing runs yet.
+// publish publishes the current configuration as a new version. The caller holds mu, or nothing runs
+// yet.
 func (s *site) publish() error {
 	s.version += 1 + uint64(s.endpointsStarted%3)
 	all := []fleet.Share{{Service: plainServices[0], Weight: 1}, {Service: plainServices[1], Weight: 1}}
@@ -338,8 +339,8 @@
 	return s.store.PublishConfig(p)
 }
 
-// chooseKey chooses the customer and the key of a request. One in twenty tries a key
-// that was taken away.
+// chooseKey chooses the customer and the key of a request. One in twenty requests uses a revoked
+// key.
 func (s *site) chooseKey(r *request, rnd *rand.Rand) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -356,14 +357,14 @@
 	r.customer, r.key = customerName(i), s.keys[i][rnd.IntN(len(s.keys[i]))]
 }
 
-// freePort returns a port that is free at some addresses now.
+// freePort returns a port that is free at all addresses given.
 func (s *site) freePort(ips ...string) (port int, err error) {
 	list, err := s.listen(ips...)
 	if err != nil {
 		return 0, err
 	}
 	for _, l := range list {
-		_ = l.Close() // It has taken nothing.
+		_ = l.Close() // It has accepted nothing.
 	}
 	return list[0].Addr().(*net.TCPAddr).Port, nil
 }
@@ -381,7 +382,7 @@
 		}
 		s.gateways = append(s.gateways, g)
 	}
-	var ranks []string // Sidecars have one port at all ranks.
+	var ranks []string // Sidecars listen on the same port at all ranks.
 	for r := range s.cfg.Ranks {
 		ranks = append(ranks, s.ip(engineIP+r))
 	}
@@ -432,7 +433,7 @@
 		r, ip, s.sidecarsPort, ip, s.sidecarsPort, s.storeAddress, s.seeds(), s.endpoints[r].address) + bounds
 }
 
-// waitReady waits until every gateway says that it can take callers.
+// waitReady waits until every gateway reports that it is ready for callers.
 func (s *site) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, g := range s.gateways {
@@ -454,7 +455,7 @@
 	return nil
 }
 
-// close ends what the site started, and only that.
+// close ends the processes and servers that the site started, and only those.
 func (s *site) close() {
 	for _, g := range s.gateways {
 		g.proc.shutDown()
@@ -465,5 +466,5 @@
 	for _, f := range s.closers {
 		f()
 	}
-	_ = s.servers.Wait() // What a stand-in's server says as it is closed tells nothing.
+	_ = s.servers.Wait() // Errors of a stand-in's server that is being closed are irrelevant.
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,9 +1,8 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package soak runs the real programs as separate processes on one machine
-// before stand-ins of the users' platform, makes trouble from outside them by a
-// schedule that follows from a seed, and checks the promises from what callers
-// and endpoints see. It is not for figures of speed.
+// Package soak runs the real programs as separate processes on one machine against stand-ins of
+// the users' platform, injects faults from outside by a schedule that is derived from a seed, and
+// checks the guarantees by what callers and endpoints observe. It does not measure performance.
 package soak
 
 import (
@@ -17,28 +16,28 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Config is the setting of a run.
+// Config holds the settings of a run.
 type Config struct {
 	Seed           uint64
-	Length         time.Duration // Of the whole run; the last faultFreeTail of it is without trouble.
-	Daemon         string        // Path of the daemon's program.
-	Dir            string        // For settings and logs; "" for the system's.
+	Length         time.Duration // Duration of the run; no faults are injected in the last faultFreeTail of it.
+	Daemon         string        // Path of the daemon's executable.
+	Dir            string        // Parent directory for settings and logs; "" for the system's temporary directory.
 	Gateways       int
 	Ranks          int
-	PlainEndpoints int   // Endpoints of the plain services.
-	Callers        int   // At each gateway.
-	Kinds          Kinds // Of trouble and of callers.
-	CheckTiming    bool  // Check bounds in time, too; not on a machine that may be overloaded.
+	PlainEndpoints int   // Endpoints of the plain services, which have no engine.
+	Callers        int   // Callers at each gateway.
+	Kinds          Kinds // Kinds of faults and of callers.
+	CheckTiming    bool  // Also check time bounds; not for a machine that may be overloaded.
 	Log            io.Writer
 }
 
-// DefaultConfig returns the usual size of a run with a seed.
+// DefaultConfig returns the default sizes of a run with a seed.
 func DefaultConfig(seed uint64) Config {
 	return Config{Seed: seed, Length: 24 * time.Second, Gateways: 4, Ranks: 3, PlainEndpoints: 6, Callers: 3, Kinds: AllKinds, CheckTiming: true}
 }
 
-// Check names everything that is wrong with the sizes of a run: the site's
-// addresses have room for so many, and the troubles need something to strike.
+// Check reports everything that is wrong with the sizes of a run. They are limited by the site's
+// address ranges, and the faults need targets.
 func (c Config) Check() error {
 	var problems []string
 	for _, one := range []struct {
@@ -63,21 +62,21 @@
 	return nil
 }
 
-// Report is what became of a run.
+// Report holds the results of a run.
 type Report struct {
-	Dir            string // Of settings and logs.
+	Dir            string // Directory of settings and logs.
 	Requests       int
 	Served         int
 	Faults         int
-	MapSwitches    int // Expert maps that came into force.
-	IdleRequests   int // Requests on rested connections, but for those that came late on purpose.
-	KilledGateways int // Processes of gateways that the soak killed.
+	MapSwitches    int // Expert maps that came into effect.
+	IdleRequests   int // Requests on connections that were idle before, except those sent late on purpose.
+	KilledGateways int // Gateway processes that the soak killed.
 	Outcomes       Outcomes
 	Violations     []string
 }
 
-// minServedShare is the part of the requests that must be served once the trouble
-// has been over for settleTime.
+// minServedShare is the share of the requests that must be served from settleTime after the last
+// fault on.
 const (
 	minServedShare = 0.9
 	settleTime     = 5 * time.Second
@@ -90,7 +89,7 @@
 	fmt.Fprintf(s.cfg.Log, time.Now().Format(timeFormat)+" "+format+"\n", args...)
 }
 
-// Run plays one seed.
+// Run runs the schedule of one seed and checks the guarantees.
 func Run(ctx context.Context, cfg Config) (r Report, err error) {
 	if err := cfg.Check(); err != nil {
 		return r, err
@@ -129,7 +128,7 @@
 		return r, err
 	}
 	if err := ctx.Err(); err != nil {
-		return r, err // Broken off: what was seen says nothing.
+		return r, err // The run was aborted: its observations are incomplete.
 	}
 	r = s.report(began, max(last, time.Since(began)-cfg.Length))
 	r.Faults = len(list)
@@ -137,7 +136,8 @@
 	return r, err
 }
 
-// injectFaults makes the schedule's troubles and returns when the last one was made.
+// injectFaults injects the faults of the schedule and returns how long after the start of the run
+// it began the last of them.
 func (s *site) injectFaults(ctx context.Context, began time.Time, list []fault, faults *errgroup.Group) (last time.Duration) {
 	for _, f := range list {
 		select {
@@ -173,7 +173,7 @@
 	if s.cfg.CheckTiming {
 		from := began.Add(last + settleTime)
 		if end := s.ledger.lastEvacuation(); end.After(from) {
-			from = end // Until then callers of the domain's ranks are refused as they should be.
+			from = end // Until then callers of the domain's ranks are rightly refused.
 		}
 		sent, served := s.ledger.served(from, began.Add(s.cfg.Length-callerTimeout/2))
 		if sent > 0 && float64(served) < minServedShare*float64(sent) {
--- a/internal/soak/speech.go
+++ b/internal/soak/speech.go
@@ -15,22 +15,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// connMode is how a caller speaks to its gateway.
+// connMode is the protocol version and connection use of a caller.
 type connMode int
 
-// The ways of speaking.
+// The modes.
 const (
-	modeKeepAlive connMode = iota // HTTP/1.1 over kept connections.
-	modeHTTP10                    // HTTP/1.0: the end of the connection may be that of the answer.
+	modeKeepAlive connMode = iota // HTTP/1.1 with persistent connections.
+	modeHTTP10                    // HTTP/1.0: the end of the connection may mark the end of the answer.
 	modeClose                     // HTTP/1.1 with a new connection for each request.
-	modeIdle                      // HTTP/1.1 over one connection, which is kept for as long as is allowed.
+	modeIdle                      // HTTP/1.1 with one connection that is kept idle for as long as is allowed.
 )
 
 var connModeNames = [...]string{"kept connections", "HTTP/1.0", "Connection: close", "a rested connection"}
 
 func (s connMode) String() string { return connModeNames[s] }
 
-// callerModes are given to the callers of a run in turn.
+// callerModes are assigned to the callers of a run in turn.
 var callerModes = [...]connMode{modeKeepAlive, modeHTTP10, modeKeepAlive, modeClose}
 
 func (s connMode) transport() http.RoundTripper {
@@ -43,15 +43,14 @@
 	return &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 2, DisableCompression: true}
 }
 
-// rawTransport sends each request over a connection of its own, since
-// http.Transport speaks HTTP/1.1 only. An orderly end of a connection ends an
-// answer without framing; a reset breaks it off.
+// rawTransport sends each request on a connection of its own, since http.Transport sends HTTP/1.1
+// only. An orderly end of the connection completes an answer without framing; a reset truncates it.
 type rawTransport struct{ proto, header string }
 
-// RoundTrip sends one request and reads the head of its answer.
+// RoundTrip sends one request and reads the header of its answer.
 func (t rawTransport) RoundTrip(r *http.Request) (resp *http.Response, err error) {
 	defer func() { err = errors.Wrap(err, "raw connection") }()
-	defer func() { _ = r.Body.Close() }() // It is a string's.
+	defer func() { _ = r.Body.Close() }() // The body is a string: closing it does not fail.
 	c, err := dial(r.Context(), "tcp4", r.URL.Host)
 	if err != nil {
 		return nil, err
@@ -84,14 +83,14 @@
 	return resp, nil
 }
 
-// rawBody is an answer's body, which ends its connection.
+// rawBody is the body of an answer; closing it closes the connection.
 type rawBody struct {
 	io.Reader
 	conn net.Conn
 	stop func() bool
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (b *rawBody) Close() error {
 	b.stop()
 	return b.conn.Close()
