--- a/internal/soak/client_test.go
+++ b/internal/soak/client_test.go
@@ -19,7 +19,7 @@
 	"github.com/canvaspulley/canvaspulley/platform/standin"
 )
 
-// eventsText is events of a stream as they go over the wire.
+// eventsText returns the events of a stream as they are on the wire.
 func eventsText(id string, numbers ...int) string {
 	var b strings.Builder
 	for _, n := range numbers {
@@ -28,40 +28,40 @@
 	return b.String()
 }
 
-func upTo(n int) (list []int) {
+func oneTo(n int) (list []int) {
 	for i := range n {
 		list = append(list, i+1)
 	}
 	return list
 }
 
-func TestReadEventsTellsAWholeStreamFromAnyOther(t *testing.T) {
+func TestReadEvents(t *testing.T) {
 	const id = "0-1-2"
-	whole := eventsText(id, upTo(streamEvents)...)
+	complete := eventsText(id, oneTo(streamEvents)...)
 	for _, tc := range []struct {
 		name, text string
-		err        error // After the text; nil for an orderly end.
+		err        error // Error after the text; nil for an orderly end.
 		want       answer
 	}{
-		{name: "whole", text: whole, want: answer{complete: true}},
-		{name: "short but ended as whole", text: eventsText(id, upTo(5)...),
+		{name: "whole", text: complete, want: answer{complete: true}},
+		{name: "short, with an orderly end", text: eventsText(id, oneTo(5)...),
 			want: answer{complete: true, fault: "a stream that ended as whole after event 5 of 12"}},
-		{name: "empty but ended as whole", want: answer{complete: true, fault: "a stream that ended as whole after event 0 of 12"}},
-		{name: "ended as whole within an event", text: whole[:len(whole)-4],
+		{name: "empty, with an orderly end", want: answer{complete: true, fault: "a stream that ended as whole after event 0 of 12"}},
+		{name: "orderly end within an event", text: complete[:len(complete)-4],
 			want: answer{complete: true, fault: "a stream that ended as whole after event 11 of 12"}},
-		{name: "an event twice", text: eventsText(id, 1, 2, 2, 3), want: answer{fault: `event "0-1-2/2" where event 3 belongs`}},
+		{name: "a duplicated event", text: eventsText(id, 1, 2, 2, 3), want: answer{fault: `event "0-1-2/2" where event 3 belongs`}},
 		{name: "a gap", text: eventsText(id, 1, 2, 4), want: answer{fault: `event "0-1-2/4" where event 3 belongs`}},
-		{name: "a gap hidden by its id", text: strings.Replace(whole, id+"/7\n", id+"/8\n", 1), want: answer{fault: `event "0-1-2/8" where event 7 belongs`}},
-		{name: "one of another request", text: eventsText(id, 1) + strings.Replace(eventsText("9-9-9", 2), "id: 2\n", "", 1), want: answer{fault: `event "9-9-9/2" where event 2 belongs`}},
-		{name: "one too many", text: eventsText(id, upTo(streamEvents+1)...), want: answer{complete: true, fault: "a stream that ended as whole after event 13 of 12"}},
-		{name: "text of another answer behind it", text: whole + "internal error\n", want: answer{complete: true, fault: `a stream with line "internal error" after event 12, which is of no event`}},
+		{name: "a gap hidden by its id", text: strings.Replace(complete, id+"/7\n", id+"/8\n", 1), want: answer{fault: `event "0-1-2/8" where event 7 belongs`}},
+		{name: "an event of another request", text: eventsText(id, 1) + strings.Replace(eventsText("9-9-9", 2), "id: 2\n", "", 1), want: answer{fault: `event "9-9-9/2" where event 2 belongs`}},
+		{name: "an event too many", text: eventsText(id, oneTo(streamEvents+1)...), want: answer{complete: true, fault: "a stream that ended as whole after event 13 of 12"}},
+		{name: "text of another answer after the last event", text: complete + "internal error\n", want: answer{complete: true, fault: `a stream with line "internal error" after event 12, which is of no event`}},
 		{name: "short, with text of another answer", text: eventsText(id, 1) + "internal error\n",
 			want: answer{complete: true, fault: `a stream that ended as whole after event 1 of 12 with line "internal error" after event 1, which is of no event`}},
-		{name: "a wrong id", text: strings.Replace(whole, "id: 4\n", "id: 5\n", 1), want: answer{complete: true, fault: `a stream with line "id: 5" after event 3, which is of no event`}},
-		{name: "broken off", text: eventsText(id, 1, 2), err: io.ErrUnexpectedEOF},
-		{name: "broken off by a reset", text: eventsText(id, 1, 2), err: syscall.ECONNRESET},
-		{name: "broken off within an event", text: eventsText(id, 1, 2) + "id: 3\nda", err: io.ErrUnexpectedEOF},
-		{name: "all events, but broken off", text: whole, err: syscall.ECONNRESET},
+		{name: "a wrong id", text: strings.Replace(complete, "id: 4\n", "id: 5\n", 1), want: answer{complete: true, fault: `a stream with line "id: 5" after event 3, which is of no event`}},
+		{name: "truncated stream", text: eventsText(id, 1, 2), err: io.ErrUnexpectedEOF},
+		{name: "truncated by a reset", text: eventsText(id, 1, 2), err: syscall.ECONNRESET},
+		{name: "truncated within an event", text: eventsText(id, 1, 2) + "id: 3\nda", err: io.ErrUnexpectedEOF},
+		{name: "all events, but no orderly end", text: complete, err: syscall.ECONNRESET},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -74,14 +74,14 @@
 	}
 }
 
-// TestWhatACallerMakesOfEachBehaviour lets a caller of each speech read from an
-// endpoint without a gateway between them.
-func TestWhatACallerMakesOfEachBehaviour(t *testing.T) {
+// TestCallerReadsEachBehaviour checks how a caller of each HTTP/1.1 mode evaluates the answers of an
+// endpoint, without a gateway between them.
+func TestCallerReadsEachBehaviour(t *testing.T) {
 	const id = "1-2-3"
 	for _, tc := range []struct {
-		does   standin.Behaviour
-		stream answer
-		body   answer
+		behaviour standin.Behaviour
+		stream    answer
+		body      answer
 	}{
 		{standin.Serves, answer{complete: true}, answer{complete: true}},
 		{standin.Truncates, answer{}, answer{}},
@@ -91,13 +91,13 @@
 		{standin.Stalls, answer{}, answer{complete: true}},
 	} {
 		for _, s := range []connMode{modeKeepAlive, modeClose} {
-			t.Run(fmt.Sprintf("%d over %s", tc.does, s), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d over %s", tc.behaviour, s), func(t *testing.T) {
 				t.Parallel()
 				g := NewWithT(t)
 				runs := make(chan standin.Run, 2)
-				srv := httptest.NewServer(&standin.Endpoint{Delay: time.Millisecond, OnRun: func(r standin.Run) { runs <- r }, Behave: func(string) standin.Behaviour { return tc.does }})
+				srv := httptest.NewServer(&standin.Endpoint{Delay: time.Millisecond, OnRun: func(r standin.Run) { runs <- r }, Behave: func(string) standin.Behaviour { return tc.behaviour }})
 				t.Cleanup(srv.Close)
-				ask := func(query string) *http.Response {
+				send := func(query string) *http.Response {
 					r, err := http.NewRequest(http.MethodPost, srv.URL+"/x"+query, strings.NewReader("body"))
 					g.Expect(err).NotTo(HaveOccurred())
 					standin.SetCallHeaders(r.Header, id, "key", callerTimeout)
@@ -108,17 +108,17 @@
 					g.Expect(standin.Signed(resp.Header, id)).To(BeTrue())
 					return resp
 				}
-				g.Expect(readEvents(ask(fmt.Sprintf("?events=%d", streamEvents)).Body, id)).To(Equal(tc.stream))
-				g.Expect(readBody(ask("").Body, id)).To(Equal(tc.body))
-				g.Expect((<-runs).Behaviour).To(Equal(tc.does))
+				g.Expect(readEvents(send(fmt.Sprintf("?events=%d", streamEvents)).Body, id)).To(Equal(tc.stream))
+				g.Expect(readBody(send("").Body, id)).To(Equal(tc.body))
+				g.Expect((<-runs).Behaviour).To(Equal(tc.behaviour))
 			})
 		}
 	}
 }
 
-// TestOldCallersTellAnOrderlyEndFromAReset has a server that answers HTTP/1.0
-// callers as a gateway does.
-func TestOldCallersTellAnOrderlyEndFromAReset(t *testing.T) {
+// TestHTTP10CallerDistinguishesEndFromReset uses a server that answers HTTP/1.0 callers as a gateway
+// does.
+func TestHTTP10CallerDistinguishesEndFromReset(t *testing.T) {
 	const id = "1-2-3"
 	for _, tc := range []struct {
 		name  string
@@ -127,7 +127,7 @@
 		want  answer
 	}{
 		{"whole", streamEvents, false, answer{complete: true}},
-		{"short, in order", 5, false, answer{complete: true, fault: "a stream that ended as whole after event 5 of 12"}},
+		{"short, orderly end", 5, false, answer{complete: true, fault: "a stream that ended as whole after event 5 of 12"}},
 		{"short, reset", 5, true, answer{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -136,7 +136,7 @@
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				protos <- r.Proto + " " + r.Host
 				w.(http.Flusher).Flush()
-				_, _ = io.WriteString(w, eventsText(id, upTo(tc.sent)...))
+				_, _ = io.WriteString(w, eventsText(id, oneTo(tc.sent)...))
 				w.(http.Flusher).Flush()
 				if tc.reset {
 					c, _, err := w.(http.Hijacker).Hijack()
--- a/internal/soak/site_test.go
+++ b/internal/soak/site_test.go
@@ -11,9 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// TestNoOutgoingConnectionTakesAPortOfTheSite guards processes that start again against "address
-// already in use".
-func TestNoOutgoingConnectionTakesAPortOfTheSite(t *testing.T) {
+// TestSitePortsAreOutsideEphemeralRange guards against "address already in use" when a process
+// restarts: the port of an outgoing connection could then be one that the process listens on.
+func TestSitePortsAreOutsideEphemeralRange(t *testing.T) {
 	g := NewWithT(t)
 	raw, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,10 +19,10 @@
 	"github.com/canvaspulley/canvaspulley/platform/standin"
 )
 
-// edit is a change of a file's text, each of another file.
+// edit replaces the first occurrence of a text in a source file.
 type edit struct{ file, from, to string }
 
-// build compiles the daemon, with edits as a build overlay.
+// build compiles the daemon with the edits as a build overlay, and returns the path of the executable.
 func build(t *testing.T, edits ...edit) string {
 	g := NewWithT(t)
 	dir := t.TempDir()
@@ -31,7 +31,7 @@
 		file, err := filepath.Abs(e.file)
 		g.Expect(err).NotTo(HaveOccurred())
 		last := file
-		if changed, ok := replace[file]; ok { // Edits of one file add up.
+		if changed, ok := replace[file]; ok { // Several edits of a file accumulate.
 			last = changed
 		}
 		raw, err := os.ReadFile(last)
@@ -49,9 +49,9 @@
 	return filepath.Join(dir, "canvaspulleyd")
 }
 
-// short is a run for CI: no bound in time is checked, since the machine may be
-// busy. Callers is how many there are at each gateway, 0 for the usual number.
-func short(t *testing.T, seed uint64, set Kinds, callers int, daemon string) Config {
+// shortConfig returns the settings of a short run for CI. Time bounds are not checked, since the
+// machine may be busy. callers is the number of callers at each gateway, 0 for the default.
+func shortConfig(t *testing.T, seed uint64, set Kinds, callers int, daemon string) Config {
 	cfg := DefaultConfig(seed)
 	cfg.Kinds = set
 	if callers > 0 {
@@ -61,26 +61,25 @@
 	return cfg
 }
 
-// manyCallers is for what only some requests in a thousand meet.
+// manyCallers is a number of callers for bugs that affect only a few requests in a thousand.
 const manyCallers = 8
 
-// regressions are the seeds that found a fault in the product or in the soak,
-// each with its cause.
+// regressions lists the seeds that found a bug in the product or in the soak, each with its cause.
 var regressions = []struct {
 	seed    uint64
 	kinds   Kinds
-	callers int // At each gateway; 0 for the usual number.
+	callers int // Callers at each gateway; 0 for the default.
 	cause   string
 }{
 	{246, FirstKinds, 0, "a second SIGTERM in a planned stop ended the process at once and cut requests off"},
-	{121, FirstKinds, 0, "the soak judged runs by a move of the route that had not come yet"},
-	{700210, SixthKinds, 0, "what a second life said before it was listed was forgotten as it was: it got a request 3 s after it had said that it leaves"},
-	{9020, SeventhKinds, 0, "the soak held a gateway that it had suspended to its grace period"},
-	{12089, SeventhKinds, 0, "callers were told nothing of an idle time below a second and went by a longer one, which their gateway did not know"},
-	{9001, SeventhKinds, 0, "a shorter idle time closed connections that callers may still use"},
+	{121, FirstKinds, 0, "the soak checked runs against a move of the route that had not happened yet"},
+	{700210, SixthKinds, 0, "what a restarted endpoint announced before it was listed was discarded when it was listed: it got a request 3 s after it had announced that it was leaving"},
+	{9020, SeventhKinds, 0, "the soak expected a gateway that it had suspended to end within its grace period"},
+	{12089, SeventhKinds, 0, "idle timeouts below a second were not advertised to callers, which used a longer one that their gateway did not know"},
+	{9001, SeventhKinds, 0, "a shorter idle timeout closed connections that callers may still use"},
 	{80001, AllKinds, 0, "the soak sent SIGHUP to a process that did not catch signals yet"},
-	{82005, AllKinds, 0, "as before, by another trouble of its schedule"},
-	{105275, SecondKinds, manyCallers, "a stream that was cut off was ended as whole: by the next endpoint's failure, and for HTTP/1.0 by an orderly end"},
+	{82005, AllKinds, 0, "the same bug as of the seed before, by another fault of its schedule"},
+	{105275, SecondKinds, manyCallers, "a stream that was cut off was ended as if complete: by the next endpoint's failure, and for HTTP/1.0 by an orderly end"},
 }
 
 func TestShortSoak(t *testing.T) {
@@ -89,7 +88,7 @@
 		t.Run(fmt.Sprint(tc.seed), func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			r, err := Run(context.Background(), short(t, tc.seed, tc.kinds, tc.callers, daemon))
+			r, err := Run(context.Background(), shortConfig(t, tc.seed, tc.kinds, tc.callers, daemon))
 			g.Expect(err).NotTo(HaveOccurred())
 			g.Expect(r.Violations).To(BeEmpty())
 			g.Expect(r.Served).To(BeNumerically(">", 0))
@@ -97,100 +96,101 @@
 	}
 }
 
-// TestTheSoakFindsFaults seeds faults into the product and shows that each is
-// found.
+// TestTheSoakFindsFaults injects bugs into the product by edits of its source, and checks that the
+// soak finds each of them.
 func TestTheSoakFindsFaults(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		edits   []edit
-		finds   string // A regular expression.
-		seed    uint64 // One whose trouble brings the fault out.
-		kinds   Kinds
-		callers int // At each gateway; 0 for the usual number.
+		name          string
+		edits         []edit
+		wantViolation string // Regular expression that matches the violation.
+		seed          uint64 // Seed whose schedule triggers the bug.
+		kinds         Kinds
+		callers       int // Callers at each gateway; 0 for the default.
 	}{
 		{
-			name:  "a request that may have run is sent again",
-			edits: []edit{{"../gateway/run.go", "if !q.mayResend() {\n\t\t\t\tq.concludeUnserved(last, false)\n\t\t\t\treturn\n\t\t\t}", ""}},
-			finds: "may run once, ran at", seed: 24, callers: manyCallers,
+			name:          "a request that may have run is retried",
+			edits:         []edit{{"../gateway/run.go", "if !q.mayResend() {\n\t\t\t\tq.concludeUnserved(last, false)\n\t\t\t\treturn\n\t\t\t}", ""}},
+			wantViolation: "may run once, ran at", seed: 24, callers: manyCallers,
 		},
 		{
-			name:  "an older configuration stays in force",
-			edits: []edit{{"../follow/view.go", "if c == nil || s.Config != nil && c.Version() <= s.Config.Version() {", "if c == nil || s.Config != nil {"}},
-			finds: "after its key was taken away", seed: 1,
+			name:          "an older configuration stays in effect",
+			edits:         []edit{{"../follow/view.go", "if c == nil || s.Config != nil && c.Version() <= s.Config.Version() {", "if c == nil || s.Config != nil {"}},
+			wantViolation: "after its key was taken away", seed: 1,
 		},
 		{
-			name:  "a stream that was cut off ends as a whole one",
-			edits: []edit{{"../gateway/stream.go", "return q.streamFailed(e, err)", "return q.endStream(e, x, resp)"}},
-			finds: "a stream that ended as whole", seed: 13,
+			name:          "a stream that was cut off ends as if complete",
+			edits:         []edit{{"../gateway/stream.go", "return q.streamFailed(e, err)", "return q.endStream(e, x, resp)"}},
+			wantViolation: "a stream that ended as whole", seed: 13,
 		},
 		{
-			// Both guards go: either keeps the failure of the next endpoint from ending
-			// what the first one has begun.
-			name: "a failure at the next endpoint ends a stream as a whole one",
+			// Both guards are removed: either of them prevents that the failure of the next
+			// endpoint ends a stream that the first one began.
+			name: "a failure at the next endpoint ends a stream as if complete",
 			edits: []edit{
 				{"../gateway/try.go", "if q.reply.begun() {\n\t\tif err := q.checkContinuation(", "if false {\n\t\tif err := q.checkContinuation("},
 				{"../gateway/reply.go", "if p.state != replyUnsent {\n\t\treturn errReplyBegun\n\t}", ""},
 			},
-			finds: `a stream that ended as whole after event \d+ of 12.*, over (kept connections|Connection: close)`,
-			seed:  105275, kinds: SecondKinds, callers: manyCallers,
+			wantViolation: `a stream that ended as whole after event \d+ of 12.*, over (kept connections|Connection: close)`,
+			seed:          105275, kinds: SecondKinds, callers: manyCallers,
 		},
 		{
-			name:  "a broken answer ends in order for callers of HTTP/1.0",
-			edits: []edit{{"../callerconn/callerconn.go", "if !ok || c.SetLinger(lingerReset) != nil {", "if !ok || c != nil {"}},
-			finds: `a stream that ended as whole after event \d+ of 12, over HTTP/1.0`,
-			seed:  105275, kinds: SecondKinds,
+			name:          "a truncated answer has an orderly end for callers of HTTP/1.0",
+			edits:         []edit{{"../callerconn/callerconn.go", "if !ok || c.SetLinger(lingerReset) != nil {", "if !ok || c != nil {"}},
+			wantViolation: `a stream that ended as whole after event \d+ of 12, over HTTP/1.0`,
+			seed:          105275, kinds: SecondKinds,
 		},
 		{
-			// Both looks go: the one at the choice and the one right before the send.
+			// Both checks are removed: at the choice of the endpoint and just before the send.
 			name: "an evacuated domain gets requests",
 			edits: []edit{
 				{"../gateway/choose.go", " && !s.Evacuated(e.Domain)", ""},
 				{"../gateway/try.go", "if s.Evacuated(e.Domain) {", "if false {"},
 			},
-			finds: "after the evacuation of", seed: 268, kinds: FourthKinds,
+			wantViolation: "after the evacuation of", seed: 268, kinds: FourthKinds,
 		},
 		{
-			name:  "a request that ends endpoints is sent on and on",
-			edits: []edit{{"../gateway/ended.go", "v, left := q.g.suspects.Judge(q.key, now)", "v, left := quarantine.Free, time.Duration(0)"}},
-			finds: `request crashing-\S+ reached endpoints \d+ times more`, seed: 2013, kinds: FifthKinds,
+			name:          "a request that ends endpoints is sent repeatedly",
+			edits:         []edit{{"../gateway/ended.go", "v, left := q.g.suspects.Judge(q.key, now)", "v, left := quarantine.Free, time.Duration(0)"}},
+			wantViolation: `request crashing-\S+ reached endpoints \d+ times more`, seed: 2013, kinds: FifthKinds,
 		},
 		{
-			name:  "endpoints get more than the limits that they name",
-			edits: []edit{{"../decide/throttle/throttle.go", "if e == nil || !e.report.Limited {\n\t\treturn true", "if e != nil || e == nil {\n\t\treturn true"}},
-			finds: `named a limit of \S+ a second and got`, seed: 6004, kinds: SixthKinds, callers: manyCallers,
+			name:          "endpoints get more requests than the limits that they announce",
+			edits:         []edit{{"../decide/throttle/throttle.go", "if e == nil || !e.report.Limited {\n\t\treturn true", "if e != nil || e == nil {\n\t\treturn true"}},
+			wantViolation: `named a limit of \S+ a second and got`, seed: 6004, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
-			name:  "endpoints that ask for rest get none",
-			edits: []edit{{"../decide/backoff/backoff.go", "if p == nil || !proc.issued(p.requestedAt) || !now.Before(p.backoffUntil) {", "if p == nil || p != nil {"}},
-			finds: `of rest at \S+ and got`, seed: 6014, kinds: SixthKinds, callers: manyCallers,
+			name:          "endpoints that request backoff get none",
+			edits:         []edit{{"../decide/backoff/backoff.go", "if p == nil || !proc.issued(p.requestedAt) || !now.Before(p.backoffUntil) {", "if p == nil || p != nil {"}},
+			wantViolation: `of rest at \S+ and got`, seed: 6014, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
-			name:  "endpoints whose answers say that they leave get more",
-			edits: []edit{{"../decide/backoff/backoff.go", "return p != nil && proc.issued(p.leavingAt)", "return p != nil && false"}},
-			finds: `after it said in an answer that it leaves`, seed: 6004, kinds: SixthKinds, callers: manyCallers,
+			name:          "endpoints whose answers announce that they are leaving get more requests",
+			edits:         []edit{{"../decide/backoff/backoff.go", "return p != nil && proc.issued(p.leavingAt)", "return p != nil && false"}},
+			wantViolation: `after it said in an answer that it leaves`, seed: 6004, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
-			name: "a shorter idle time ends connections that callers may still use",
+			name: "a shorter idle timeout ends connections that callers may still use",
 			edits: []edit{{"../keepalive/keepalive.go", "t.limits.Publish(idle.Limit{Version: version, Idle: limit}, now)\n",
 				"t.limits.Publish(idle.Limit{Version: version, Idle: limit}, now)\n" +
 					"for c := range t.conns { if c.state() == stateIdle && now.Sub(c.since) > limit+transitMargin { _ = c.TCPConn.Close() } }\n"}},
-			finds: `its kept connection was closed with no answer \(`, seed: 9001, kinds: SeventhKinds,
+			wantViolation: `its kept connection was closed with no answer \(`, seed: 9001, kinds: SeventhKinds,
 		},
 		{
-			// Both guards go: connections are kept for a limit that is on its way, too.
-			name: "callers are not told of idle times below a second",
+			// Both guards are removed: connections are also kept open for a limit that is still
+			// in transit.
+			name: "idle timeouts below a second are not advertised to callers",
 			edits: []edit{
 				{"../keepalive/keepalive.go", `w.Header().Set("Keep-Alive", "timeout="+strconv.Itoa(int(advertised/time.Second)))`,
 					`if t.limits.Current().Idle >= minAdvertised { w.Header().Set("Keep-Alive", "timeout="+strconv.Itoa(int(advertised/time.Second))) }`},
 				{"../keepalive/keepalive.go", "margin = max(transitMargin, t.cfg.PropagationDelay)", "margin = transitMargin"},
 			},
-			finds: `its kept connection was closed with no answer \(told 0s`, seed: 12089, kinds: SeventhKinds,
+			wantViolation: `its kept connection was closed with no answer \(told 0s`, seed: 12089, kinds: SeventhKinds,
 		},
 		{
 			name: "a planned stop ends connections that callers may still use",
 			edits: []edit{{"../keepalive/keepalive.go", "case stopping && t.cfg.StopAtAdvertised && i.advertised > 0:\n\t\treturn idleTimeout{cause: Stopped, setting: \"planned stop, advertised to the caller\", timeout: i.advertised + transitMargin}",
 				"case stopping && i.advertised > 0:\n\t\treturn idleTimeout{cause: Stopped, setting: \"planned stop, advertised to the caller\", timeout: transitMargin}"}},
-			finds: `its kept connection was closed with no answer in a planned stop`, seed: 9031, kinds: SeventhKinds,
+			wantViolation: `its kept connection was closed with no answer in a planned stop`, seed: 9031, kinds: SeventhKinds,
 		},
 		{
 			name: "the first request after a change is closed with no answer",
@@ -199,22 +199,22 @@
 				{"../gateway/request.go", "\t\"slices\"\n", "\t\"slices\"\n\t\"sync/atomic\"\n"},
 				{"../gateway/request.go", "// Handler returns", "var newest atomic.Uint64\n\n// Handler returns"},
 			},
-			finds: `cut, no answer at \S+, \S+ after it was sent, \S+ after a change, .*process of its connection: \[gateway-\d, pid \d+(, SIG\w+ at \S+)*(, alive|, ended)`, seed: 81001, kinds: AllKinds,
+			wantViolation: `cut, no answer at \S+, \S+ after it was sent, \S+ after a change, .*process of its connection: \[gateway-\d, pid \d+(, SIG\w+ at \S+)*(, alive|, ended)`, seed: 81001, kinds: AllKinds,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			cfg := short(t, tc.seed, tc.kinds, tc.callers, build(t, tc.edits...))
+			cfg := shortConfig(t, tc.seed, tc.kinds, tc.callers, build(t, tc.edits...))
 			cfg.CheckTiming = true
 			r, err := Run(context.Background(), cfg)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(strings.Join(r.Violations, "\n")).To(MatchRegexp(tc.finds))
+			g.Expect(strings.Join(r.Violations, "\n")).To(MatchRegexp(tc.wantViolation))
 		})
 	}
 }
 
-func TestSchedulesFollowFromTheirSeed(t *testing.T) {
+func TestSchedulesAreDeterministic(t *testing.T) {
 	for set, want := range map[Kinds]int{FirstKinds: int(shiftLoad) + 1, SecondKinds: int(failAtRandom) + 1, ThirdKinds: int(startAgain) + 1, FourthKinds: int(evacuate) + 1, FifthKinds: int(crashing) + 1, SixthKinds: int(sayLeaving) + 1, SeventhKinds: int(changeIdle) + 1, AllKinds: int(killAround) + 1} {
 		t.Run(fmt.Sprint(set), func(t *testing.T) {
 			g := NewWithT(t)
@@ -232,9 +232,9 @@
 	}
 }
 
-// TestOldSchedulesStay shows that seeds which showed a fault still make the
-// same trouble: their schedules hash as they did when there were FirstKinds only.
-func TestOldSchedulesStay(t *testing.T) {
+// TestOldSchedulesAreStable checks that seeds which found a bug still inject the same faults: their
+// schedules have the hashes of the time when there were FirstKinds only.
+func TestOldSchedulesAreStable(t *testing.T) {
 	for seed, want := range map[uint64]uint64{
 		246: 0xa0998c83876a187e, 121: 0xf6058a56382ea1ae, 24: 0x8d96407c6792cdb5, 1: 0x21b030733c7ea778, 13: 0xe114019545747128,
 	} {
@@ -248,7 +248,7 @@
 	}
 }
 
-func TestRandomFailuresFollowFromTheSeed(t *testing.T) {
+func TestRandomFailuresAreDeterministic(t *testing.T) {
 	g := NewWithT(t)
 	draw := func(seed uint64, name string) (list []standin.Behaviour) {
 		e := &siteEndpoint{name: name, seed: seed}
@@ -273,12 +273,12 @@
 	}
 }
 
-func TestSizesAreChecked(t *testing.T) {
+func TestConfigCheck(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(DefaultConfig(1).Check()).To(Succeed())
-	faulty := DefaultConfig(1)
-	faulty.Gateways, faulty.Ranks, faulty.Length = 0, 500, time.Second
-	err := faulty.Check()
+	invalid := DefaultConfig(1)
+	invalid.Gateways, invalid.Ranks, invalid.Length = 0, 500, time.Second
+	err := invalid.Check()
 	g.Expect(err).To(MatchError(ContainSubstring("0 gateways")))
 	g.Expect(err).To(MatchError(ContainSubstring("500 ranks")))
 	g.Expect(err).To(MatchError(ContainSubstring("length 1s")))
