--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -25,28 +25,28 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// pair is one failure domain with two entries and two ranks and services.
-var pair = example.Size{Domains: 1, EntriesADomain: 2, RanksADomain: 2, ServicesADomain: 2, Customers: 1}
-
-// two are failure domains with one process of each kind.
-var two = example.Size{Domains: 2, EntriesADomain: 1, RanksADomain: 1, ServicesADomain: 1, Customers: 1}
-
-// openStream is a stream that is being read.
-type openStream struct {
-	resp   *http.Response
-	lines  *bufio.Scanner
-	cancel context.CancelFunc
-	text   strings.Builder
-	rank   string // Endpoint of the newest token.
-	ids    []string
-	end    wire.Refusal
-	marker bool // The last line of a whole answer was read.
+// twoOfEach is the size of a site of one failure domain with two entries, two ranks and two services.
+var twoOfEach = example.Size{Domains: 1, EntriesADomain: 2, RanksADomain: 2, ServicesADomain: 2, Customers: 1}
+
+// twoDomains is the size of a site of two failure domains with one process of each kind in each.
+var twoDomains = example.Size{Domains: 2, EntriesADomain: 1, RanksADomain: 1, ServicesADomain: 1, Customers: 1}
+
+// streamReader reads a stream and records what it contained.
+type streamReader struct {
+	resp    *http.Response
+	lines   *bufio.Scanner
+	cancel  context.CancelFunc
+	text    strings.Builder
+	rank    string // Endpoint that sent the last token read.
+	ids     []string
+	outcome wire.Refusal
+	done    bool // The last line of a complete answer was read.
 }
 
-// open starts a stream and reads its first tokens.
-func (s *site) open(entry example.Process, content string, tokens int, resume string) *openStream {
+// startStream starts a stream, which resumes after the event id in resume unless that is empty.
+func (s *site) startStream(entry example.Process, content string, tokens int, resume string) *streamReader {
 	GinkgoHelper()
-	ctx, cancel := context.WithTimeout(context.Background(), 2*patience)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	DeferCleanup(cancel)
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, s.Model, tokens, content)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.Callers+"/v1/chat/completions", strings.NewReader(body))
@@ -59,20 +59,21 @@
 	Expect(err).NotTo(HaveOccurred())
 	Expect(resp.StatusCode).To(Equal(http.StatusOK))
 	DeferCleanup(func() { _ = resp.Body.Close() })
-	return &openStream{resp: resp, lines: bufio.NewScanner(resp.Body), cancel: cancel}
+	return &streamReader{resp: resp, lines: bufio.NewScanner(resp.Body), cancel: cancel}
 }
 
-// begin starts a site and a stream by its first entry, and reads its first tokens.
-func begin(user example.User, size example.Size, content string, tokens, first int) (*site, *openStream) {
+// startWithStream starts a site and a stream through its first entry, and reads the stream's first
+// tokens.
+func startWithStream(user example.User, size example.Size, content string, tokens, first int) (*site, *streamReader) {
 	GinkgoHelper()
 	s := startSite(user, size)
-	o := s.open(s.Entries[0], content, tokens, "")
+	o := s.startStream(s.Entries[0], content, tokens, "")
 	Expect(o.read(first)).To(BeTrue())
 	return s, o
 }
 
-// read takes in up to n tokens; it reports false at the end of the stream.
-func (o *openStream) read(n int) bool {
+// read reads up to n tokens; it returns false at the end of the stream.
+func (o *streamReader) read(n int) bool {
 	event := ""
 	for o.lines.Scan() {
 		line := o.lines.Text()
@@ -88,11 +89,11 @@
 			continue
 		}
 		if data == "[DONE]" {
-			o.marker = true
+			o.done = true
 			continue
 		}
 		if event == "outcome" {
-			_ = json.Unmarshal([]byte(data), &o.end) // Checked by those who read it.
+			_ = json.Unmarshal([]byte(data), &o.outcome) // The outcome is checked where it is used.
 			event = ""
 			continue
 		}
@@ -109,15 +110,15 @@
 	return false
 }
 
-// expectWhole reads to the end and checks every token.
-func (o *openStream) expectWhole(content string, tokens int) {
+// expectComplete reads a stream to its end, and checks every token and the outcome.
+func (o *streamReader) expectComplete(content string, tokens int) {
 	GinkgoHelper()
 	for o.read(1) {
 	}
 	Expect(o.text.String()).To(Equal(standin.Answer("user: "+content+"\n", tokens)), "every token once and in order")
-	Expect(o.end.Outcome).To(Equal(wire.Done))
+	Expect(o.outcome.Outcome).To(Equal(wire.Done))
 	Expect(o.lines.Err()).NotTo(HaveOccurred())
-	Expect(o.marker).To(BeTrue())
+	Expect(o.done).To(BeTrue())
 	Expect(o.resp.Trailer.Get(wire.HeaderOutcome)).To(Equal(string(wire.Done)))
 }
 
@@ -133,16 +134,16 @@
 }
 
 var _ = Describe("streams under failure", func() {
-	DescribeTable("moves a stream, without a gap or a repeat", func(fault func(s *site, o *openStream, agent example.Process)) {
-		s, o := begin(example.Archive, pair, "moved", 300, 20)
+	DescribeTable("moves a stream without a missing or repeated token", func(fault func(s *site, o *streamReader, agent example.Process)) {
+		s, o := startWithStream(example.Archive, twoOfEach, "moved", 300, 20)
 		fault(s, o, s.agentOf(o.rank))
-		o.expectWhole("moved", 300)
+		o.expectComplete("moved", 300)
 	},
-		Entry("when its agent is killed", func(s *site, _ *openStream, agent example.Process) { s.kill(agent.Name) }),
-		Entry("when its engine dies", func(s *site, _ *openStream, agent example.Process) {
+		Entry("when its agent is killed", func(s *site, _ *streamReader, agent example.Process) { s.kill(agent.Name) }),
+		Entry("when its engine dies", func(s *site, _ *streamReader, agent example.Process) {
 			s.fault(standin.Fault{Kind: standin.FaultKill, Target: agent.Backend, On: true})
 		}),
-		Entry("when its agent is frozen, and drops what comes late", func(s *site, o *openStream, agent example.Process) {
+		Entry("when its agent is frozen, and drops its late tokens", func(s *site, o *streamReader, agent example.Process) {
 			s.signal(agent.Name, syscall.SIGSTOP)
 			Expect(o.read(20)).To(BeTrue())
 			s.signal(agent.Name, syscall.SIGCONT)
@@ -150,88 +151,88 @@
 	)
 
 	It("resumes through another entry after its entry was killed", func() {
-		s, o := begin(example.Archive, pair, "killed entry", 120, 30)
+		s, o := startWithStream(example.Archive, twoOfEach, "killed entry", 120, 30)
 		s.kill(s.Entries[0].Name)
-		for o.read(1) { // What was on its way.
+		for o.read(1) { // Reads the tokens that were in transit.
 		}
-		rest := s.open(s.Entries[1], "killed entry", 120, o.ids[len(o.ids)-1])
-		for rest.read(1) {
+		resumed := s.startStream(s.Entries[1], "killed entry", 120, o.ids[len(o.ids)-1])
+		for resumed.read(1) {
 		}
-		Expect(o.text.String() + rest.text.String()).To(Equal(standin.Answer("user: killed entry\n", 120)))
+		Expect(o.text.String() + resumed.text.String()).To(Equal(standin.Answer("user: killed entry\n", 120)))
 	})
 
-	It("cuts nothing in a planned stop of an agent and sends it nothing new", func() {
-		s, o := begin(example.Archive, pair, "planned stop", 300, 10)
+	It("cuts off nothing in a planned stop of an agent and sends it no new requests", func() {
+		s, o := startWithStream(example.Archive, twoOfEach, "planned stop", 300, 10)
 		leaving := s.agentOf(o.rank)
 		s.signal(leaving.Name, syscall.SIGTERM)
-		// The signal is on its way for a moment; from when the agent knows of it on,
-		// nothing new may come.
+		// The signal is not handled at once; after the agent has handled it, no new request may
+		// be sent to the agent.
 		Eventually(func() int { return s.readiness(leaving) }, "5s", "1ms").Should(Equal(http.StatusServiceUnavailable))
 		for i := range 20 {
-			other := s.open(s.Entries[i%2], fmt.Sprint("after the stop ", i), 2, "")
-			other.expectWhole(fmt.Sprint("after the stop ", i), 2)
+			other := s.startStream(s.Entries[i%2], fmt.Sprint("after the stop ", i), 2, "")
+			other.expectComplete(fmt.Sprint("after the stop ", i), 2)
 			Expect(other.rank).NotTo(Equal(leaving.Endpoint))
 		}
-		o.expectWhole("planned stop", 300)
+		o.expectComplete("planned stop", 300)
 		Expect(o.ids).To(HaveEach(ContainSubstring(leaving.Endpoint)), "the stream ended where it began")
 		Expect(s.procs[leaving.Name].Wait()).To(Succeed(), "the process ended by itself")
 		delete(s.procs, leaving.Name)
 	})
 
-	It("moves a stream when its group stands still, and waits for one that is slow", func() {
-		s, o := begin(example.Archive, two, "stalled group", 300, 10)
+	It("moves a stream when its group stalls, and waits for a group that is slow", func() {
+		s, o := startWithStream(example.Archive, twoDomains, "stalled group", 300, 10)
 		first := s.agentOf(o.rank)
 		s.fault(standin.Fault{Kind: standin.FaultStall, Target: first.Backend, On: true})
-		o.expectWhole("stalled group", 300)
+		o.expectComplete("stalled group", 300)
 		Expect(o.rank).NotTo(Equal(first.Endpoint))
-		fresh := s.open(s.Entries[0], "after the stall", 5, "")
-		fresh.expectWhole("after the stall", 5)
-		Expect(fresh.rank).NotTo(Equal(first.Endpoint), "nothing new goes to a group that stands still")
+		fresh := s.startStream(s.Entries[0], "after the stall", 5, "")
+		fresh.expectComplete("after the stall", 5)
+		Expect(fresh.rank).NotTo(Equal(first.Endpoint), "no new request goes to a stalled group")
 
 		second := s.agentOf(fresh.rank)
-		slow := s.open(s.Entries[1], "slow group", 12, "")
+		slow := s.startStream(s.Entries[1], "slow group", 12, "")
 		Expect(slow.read(10)).To(BeTrue())
 		s.fault(standin.Fault{Kind: standin.FaultSlow, Target: second.Backend, MS: 2500})
-		slow.expectWhole("slow group", 12)
-		Expect(slow.ids).To(HaveEach(ContainSubstring(second.Endpoint)), "a slow step is no stall")
+		slow.expectComplete("slow group", 12)
+		Expect(slow.ids).To(HaveEach(ContainSubstring(second.Endpoint)), "a slow step is not a stall")
 	})
 
 	It("moves a stream off a leaving agent with its KV cache when the policy says so", func() {
-		s, o := begin(example.RefundDesk, pair, "moves off", 400, 10)
+		s, o := startWithStream(example.RefundDesk, twoOfEach, "moves off", 400, 10)
 		first := o.rank
 		s.signal(s.agentOf(first).Name, syscall.SIGTERM)
-		o.expectWhole("moves off", 400)
+		o.expectComplete("moves off", 400)
 		Expect(o.rank).NotTo(Equal(first))
 		Expect(s.count(standin.PathImports)).To(Equal(1))
 	})
 
-	It("cuts nothing in a planned stop of an entry", func() {
-		s, o := begin(example.Archive, pair, "entry stops", 200, 10)
+	It("cuts off nothing in a planned stop of an entry", func() {
+		s, o := startWithStream(example.Archive, twoOfEach, "entry stops", 200, 10)
 		s.signal(s.Entries[0].Name, syscall.SIGTERM)
-		Eventually(func() chart.State { return s.status(s.Entries[0]).State }, patience).Should(Equal(node.Draining))
+		Eventually(func() chart.State { return s.status(s.Entries[0]).State }, waitTimeout).Should(Equal(node.Draining))
 		refused := s.mustAsk(s.Entries[0], http.MethodGet, "/v1/models", "", nil)
 		Expect(refused.outcome).To(Equal(wire.NotRun))
 		Expect(refused.header.Get("Retry-After")).NotTo(BeEmpty())
-		o.expectWhole("entry stops", 200)
+		o.expectComplete("entry stops", 200)
 		Expect(s.procs[s.Entries[0].Name].Wait()).To(Succeed())
 		delete(s.procs, s.Entries[0].Name)
 	})
 
-	It("cuts nothing at a SIGHUP and goes on", func() {
-		s, o := begin(example.Archive, pair, "hangup", 200, 10)
+	It("cuts off nothing at a SIGHUP and continues", func() {
+		s, o := startWithStream(example.Archive, twoOfEach, "hangup", 200, 10)
 		first := s.agentOf(o.rank)
 		for range 3 {
 			s.signal(s.Entries[0].Name, syscall.SIGHUP)
 			s.signal(first.Name, syscall.SIGHUP)
 		}
-		o.expectWhole("hangup", 200)
+		o.expectComplete("hangup", 200)
 		Expect(o.ids).To(HaveEach(ContainSubstring(first.Endpoint)), "the stream ended where it began")
 		Expect(s.readiness(s.Entries[0])).To(Equal(http.StatusOK))
 		Expect(s.readiness(first)).To(Equal(http.StatusOK))
 	})
 
-	It("sends nothing to an endpoint that only the platform's list has as leaving", func() {
-		s := startSite(example.Archive, pair)
+	It("sends nothing to an endpoint that is leaving by the platform's list only", func() {
+		s := startSite(example.Archive, twoOfEach)
 		leaving := s.Agents[0]
 		s.fault(standin.Fault{Kind: standin.FaultLeaving, Target: leaving.Name})
 		Eventually(func() bool {
@@ -241,42 +242,42 @@
 				}
 			}
 			return false
-		}, patience, "20ms").Should(BeTrue())
+		}, waitTimeout, "20ms").Should(BeTrue())
 		for i := range 10 {
-			o := s.open(s.Entries[1], fmt.Sprint("listed ", i), 2, "")
-			o.expectWhole(fmt.Sprint("listed ", i), 2)
+			o := s.startStream(s.Entries[1], fmt.Sprint("listed ", i), 2, "")
+			o.expectComplete(fmt.Sprint("listed ", i), 2)
 			Expect(o.rank).NotTo(Equal(leaving.Endpoint))
 		}
 	})
 })
 
 var _ = Describe("payments under failure", func() {
-	It("runs a payment once when its agent is frozen with it in the socket", func() {
-		s := startSite(example.RefundDesk, pair)
-		key := s.mint(s.Entries[0])
+	It("runs a payment once when its agent is frozen with the request in its socket", func() {
+		s := startSite(example.RefundDesk, twoOfEach)
+		key := s.createKey(s.Entries[0])
 		owner := s.agentOf(strings.Split(key, "@")[1])
 		s.signal(owner.Name, syscall.SIGSTOP)
 		r, err := s.ask(s.Entries[0], http.MethodPost, s.Path+"pay?id=frozen", "amount",
 			map[string]string{wire.HeaderKey: key, wire.HeaderDeadline: "400"})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(r.outcome).To(Equal(wire.Unknown), "it left the entry, and nobody can say")
+		Expect(r.outcome).To(Equal(wire.Unknown), "the request left the entry, so it may have run")
 		s.signal(owner.Name, syscall.SIGCONT)
 		var last reply
 		Eventually(func() (wire.Outcome, error) {
 			last, err = s.pay(s.Entries[1], key, "frozen")
 			return last.outcome, err
-		}, patience, "50ms").Should(Equal(wire.Done))
+		}, waitTimeout, "50ms").Should(Equal(wire.Done))
 		Expect(s.runs()["frozen"]).To(Equal(1))
 	})
 
-	It("never says not run of a payment that the service ran without an answer", func() {
-		s := startSite(example.RefundDesk, pair)
+	It("never reports a payment as not run that the service ran without an answer", func() {
+		s := startSite(example.RefundDesk, twoOfEach)
 		for _, a := range s.Agents {
 			if !s.IsRank(a) {
 				s.fault(standin.Fault{Kind: standin.FaultMute, Target: a.Endpoint, On: true})
 			}
 		}
-		key := s.mint(s.Entries[0])
+		key := s.createKey(s.Entries[0])
 		for range 3 {
 			r, err := s.pay(s.Entries[0], key, "mute")
 			Expect(err).NotTo(HaveOccurred())
@@ -287,11 +288,11 @@
 		Expect(s.runs()).To(Equal(map[string]int{"mute": 1, "unkeyed": 1}))
 	})
 
-	It("runs a payment at most once when its agent dies with it and is replaced", func() {
-		s := startSite(example.RefundDesk, pair)
-		key := s.mint(s.Entries[0])
+	It("runs a payment at most once when its agent dies during it and is replaced", func() {
+		s := startSite(example.RefundDesk, twoOfEach)
+		key := s.createKey(s.Entries[0])
 		owner := s.agentOf(strings.Split(key, "@")[1])
-		answer := s.payLate(owner.Endpoint, key, "died")
+		answer := s.payDelayed(owner.Endpoint, key, "died")
 		s.kill(owner.Name)
 		Expect((<-answer).outcome).To(Equal(wire.Unknown))
 		s.startDaemon(owner)
@@ -299,20 +300,20 @@
 		Eventually(func() (string, error) {
 			r, err := s.pay(s.Entries[1], key, "died")
 			return string(r.outcome) + r.header.Get(wire.HeaderReason), err
-		}, patience, "50ms").Should(ContainSubstring("may have run before"))
+		}, waitTimeout, "50ms").Should(ContainSubstring("may have run before"))
 		Expect(s.runs()["died"]).To(Equal(1))
 	})
 
 	It("keeps a key at its owner while the published endpoints change", func() {
-		s := startSite(example.RefundDesk, pair)
-		key := s.mint(s.Entries[0])
+		s := startSite(example.RefundDesk, twoOfEach)
+		key := s.createKey(s.Entries[0])
 		owner := strings.Split(key, "@")[1]
-		answer := s.payLate(owner, key, "moved")
+		answer := s.payDelayed(owner, key, "moved")
 		values := s.Published()
 		values["service/payments.ini"] = []byte("[service]\npath = /payments/\nnot-repeatable = POST\n\n[endpoint other]\ndomain = sof-a\n")
 		s.publish(2, values)
 		s.waitGeneration(2)
-		Expect((<-answer).outcome).To(Equal(wire.Done), "what was in flight ends")
+		Expect((<-answer).outcome).To(Equal(wire.Done), "a request in flight completes")
 		r, err := s.pay(s.Entries[1], key, "moved")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.outcome).To(Equal(wire.NotRun))
@@ -320,10 +321,10 @@
 	})
 
 	It("does not give one customer's answer to another", func() {
-		size := pair
+		size := twoOfEach
 		size.Customers = 2
 		s := startSite(example.RefundDesk, size)
-		key := s.mint(s.Entries[0])
+		key := s.createKey(s.Entries[0])
 		mine, err := s.pay(s.Entries[0], key, "mine")
 		Expect(err).NotTo(HaveOccurred())
 		s.Customers[0], s.Customers[1] = s.Customers[1], s.Customers[0]
@@ -334,67 +335,68 @@
 	})
 })
 
-// payLate calls the service at an endpoint that answers late, and returns once it runs.
-func (s *site) payLate(endpoint, key, id string) (answer chan reply) {
+// payDelayed calls the service at an endpoint that answers 300 ms late, and returns when the call
+// runs.
+func (s *site) payDelayed(endpoint, key, id string) (answer chan reply) {
 	GinkgoHelper()
 	s.fault(standin.Fault{Kind: standin.FaultDelay, Target: endpoint, MS: 300})
 	answer = make(chan reply, 1)
 	inBackground(func() {
-		r, _ := s.pay(s.Entries[0], key, id) // Judged by its outcome.
+		r, _ := s.pay(s.Entries[0], key, id) // The outcome is checked instead.
 		answer <- r
 	})
-	Eventually(func() int { return s.runs()[id] }, patience, "10ms").Should(Equal(1))
+	Eventually(func() int { return s.runs()[id] }, waitTimeout, "10ms").Should(Equal(1))
 	return answer
 }
 
-var beside sync.WaitGroup
+var background sync.WaitGroup
 
-// inBackground runs f beside the test.
+// inBackground runs f concurrently with the test, which waits for it at its end.
 func inBackground(f func()) {
-	done := make(chan struct{})
-	DeferCleanup(func() { Eventually(done, patience).Should(BeClosed()) })
-	beside.Go(func() {
+	finished := make(chan struct{})
+	DeferCleanup(func() { Eventually(finished, waitTimeout).Should(BeClosed()) })
+	background.Go(func() {
 		defer GinkgoRecover()
-		defer close(done)
+		defer close(finished)
 		f()
 	})
 }
 
-// audited returns the audit trails of all processes.
-func (s *site) audited() string {
+// auditTrails returns the audit trails of all processes.
+func (s *site) auditTrails() string {
 	all := ""
 	for _, p := range s.all() {
 		resp, err := http.Get("http://" + p.Operators + node.PathAudit)
 		if err != nil {
 			continue
 		}
-		raw, _ := io.ReadAll(resp.Body) // A trail cut short is waited on.
+		raw, _ := io.ReadAll(resp.Body) // A truncated trail is read again by the caller.
 		_ = resp.Body.Close()
 		all += string(raw)
 	}
 	return all
 }
 
-// publish puts a generation in place and waits for nothing.
+// publish publishes a generation, and does not wait until it is adopted.
 func (s *site) publish(generation uint64, values map[string][]byte) {
 	GinkgoHelper()
 	Expect(s.post(standin.PathPublish, standin.Bundle{Manifest: s.Pack(generation, "", values), Values: values})).To(Succeed())
 }
 
-// waitGeneration waits until every running process has the generation.
+// waitGeneration waits until every running process has adopted the generation.
 func (s *site) waitGeneration(generation uint64) {
 	GinkgoHelper()
 	for _, p := range s.all() {
 		if s.procs[p.Name] == nil {
 			continue
 		}
-		Eventually(func() uint64 { return s.status(p).Version.Generation }, patience, "20ms").Should(Equal(generation), p.Name)
+		Eventually(func() uint64 { return s.status(p).Version.Generation }, waitTimeout, "20ms").Should(Equal(generation), p.Name)
 	}
 }
 
 var _ = Describe("configuration under failure", func() {
-	It("is adopted through peers when the platform is down, and never goes back", func() {
-		s := startSite(example.Archive, two)
+	It("is adopted through peers when the platform is down, and never reverts", func() {
+		s := startSite(example.Archive, twoDomains)
 		s.fault(standin.Fault{Kind: standin.FaultStale, Target: s.Domains[1], On: true})
 		s.publish(2, s.Published())
 		s.waitGeneration(2)
@@ -413,8 +415,8 @@
 		Consistently(func() uint64 { return s.status(s.Entries[0]).Version.Generation }, time.Second).Should(BeEquivalentTo(2))
 	})
 
-	It("ends on one generation when two operators publish the same number", func() {
-		s := startSite(example.Archive, two)
+	It("converges on one generation when two operators publish the same number", func() {
+		s := startSite(example.Archive, twoDomains)
 		one, other := s.Published(), s.Published()
 		one["policy/one.ini"] = []byte("[policy]\npriority = 1\n")
 		other["policy/two.ini"] = []byte("[policy]\npriority = 2\n")
@@ -425,16 +427,16 @@
 			want = v
 		}
 		for _, p := range s.all() {
-			Eventually(func() any { return s.status(p).Version }, patience, "20ms").Should(Or(Equal(want)), p.Name)
+			Eventually(func() any { return s.status(p).Version }, waitTimeout, "20ms").Should(Or(Equal(want)), p.Name)
 		}
 	})
 
-	It("refuses a faulty generation and keeps the last good one", func() {
+	It("rejects an invalid generation and keeps the last valid one", func() {
 		s := startSite(example.Archive, example.Small)
 		values := s.Published()
 		values["policy/archive.ini"] = []byte("[policy]\npriority = nonsense(\n")
 		s.publish(2, values)
-		Eventually(s.audited, patience, "20ms").Should(ContainSubstring("config-refused"))
+		Eventually(s.auditTrails, waitTimeout, "20ms").Should(ContainSubstring("config-refused"))
 		Expect(s.status(s.Entries[0]).Version.Generation).To(BeEquivalentTo(1))
 		s.publish(3, s.Published())
 		s.waitGeneration(3)
@@ -442,8 +444,8 @@
 })
 
 var _ = Describe("membership under failure", func() {
-	It("gives up a killed process and takes back a frozen one", func() {
-		s := startSite(example.Archive, pair)
+	It("declares a killed process dead, and a frozen one alive again when it continues", func() {
+		s := startSite(example.Archive, twoOfEach)
 		state := func(name string) func() member.State {
 			return func() member.State {
 				for _, m := range s.status(s.Entries[0]).Members {
@@ -457,9 +459,9 @@
 		dead, frozen := s.Agents[0].Name, s.Agents[1].Name
 		s.kill(dead)
 		s.signal(frozen, syscall.SIGSTOP)
-		Eventually(state(dead), patience).Should(Equal(member.Dead))
-		Eventually(state(frozen), patience).Should(Equal(member.Dead))
+		Eventually(state(dead), waitTimeout).Should(Equal(member.Dead))
+		Eventually(state(frozen), waitTimeout).Should(Equal(member.Dead))
 		s.signal(frozen, syscall.SIGCONT)
-		Eventually(state(frozen), patience).Should(Equal(member.Alive))
+		Eventually(state(frozen), waitTimeout).Should(Equal(member.Alive))
 	})
 })
--- a/internal/e2e/fleet_faults_test.go
+++ b/internal/e2e/fleet_faults_test.go
@@ -21,12 +21,12 @@
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
-// three is a small site of three failure domains.
-var three = example.Size{Domains: 3, EntriesADomain: 1, RanksADomain: 1, ServicesADomain: 1, Customers: 1}
+// threeDomains is the size of a site of three failure domains with one process of each kind in each.
+var threeDomains = example.Size{Domains: 3, EntriesADomain: 1, RanksADomain: 1, ServicesADomain: 1, Customers: 1}
 
-// loaded runs the load generator against all entries beside f and returns what
-// it printed; it must end well.
-func (s *site) loaded(f func(), args ...string) string {
+// runLoad runs the load generator against all entries concurrently with f, expects it to succeed, and
+// returns its output.
+func (s *site) runLoad(f func(), args ...string) string {
 	GinkgoHelper()
 	args = append([]string{"load", "--json", "--control", s.Control, "--key", s.Customers[0].Key,
 		"--model", s.Model, "--path", s.Path, "--attempts", "8"}, args...)
@@ -50,17 +50,17 @@
 	NotRun  int `json:"not_run"`
 }
 
-func counts(text string) (c loadCounts) {
+func parseCounts(text string) (c loadCounts) {
 	GinkgoHelper()
 	Expect(json.Unmarshal([]byte(text), &c)).To(Succeed())
 	return c
 }
 
-var _ = Describe("a failure domain that is cut off", func() {
-	It("goes on serving, and nothing is doubled, lost or falsely called not run", func() {
-		s := startSite(example.RefundDesk, three)
+var _ = Describe("a partitioned failure domain", func() {
+	It("continues to serve, and nothing is duplicated, lost or wrongly reported as not run", func() {
+		s := startSite(example.RefundDesk, threeDomains)
 		last := s.Domains[2]
-		c := counts(s.loaded(func() {
+		c := parseCounts(s.runLoad(func() {
 			time.Sleep(500 * time.Millisecond)
 			s.fault(standin.Fault{Kind: standin.FaultCut, Target: last, On: true})
 			s.fault(standin.Fault{Kind: standin.FaultDown, Target: last, On: true})
@@ -69,7 +69,7 @@
 			Eventually(func() (wire.Outcome, error) {
 				r, err := s.chat(inside, "cut", 3)
 				return r.outcome, err
-			}, patience, "50ms").Should(Equal(wire.Done), "a caller inside the cut domain")
+			}, waitTimeout, "50ms").Should(Equal(wire.Done), "a caller inside the partitioned domain")
 			time.Sleep(time.Second)
 			s.fault(standin.Fault{Kind: standin.FaultCut, Target: last, On: false})
 			s.fault(standin.Fault{Kind: standin.FaultDown, Target: last, On: false})
@@ -79,10 +79,10 @@
 		s.waitGeneration(2)
 	})
 
-	It("keeps its promises when an agent is killed in the cut as well", func() {
-		s := startSite(example.RefundDesk, three)
+	It("keeps the guarantees when an agent is also killed during the partition", func() {
+		s := startSite(example.RefundDesk, threeDomains)
 		last := s.Domains[2]
-		c := counts(s.loaded(func() {
+		c := parseCounts(s.runLoad(func() {
 			time.Sleep(300 * time.Millisecond)
 			s.fault(standin.Fault{Kind: standin.FaultCut, Target: last, On: true})
 			time.Sleep(300 * time.Millisecond)
@@ -96,14 +96,14 @@
 })
 
 var _ = Describe("a customer's limit", func() {
-	It("holds over all entries, also in a cut", func() {
-		s := startSite(example.Archive, three, func(s *site) { s.Customers[0].Rate = 30 })
+	It("applies across all entries, also in a partition", func() {
+		s := startSite(example.Archive, threeDomains, func(s *site) { s.Customers[0].Rate = 30 })
 		for _, d := range s.Domains[:2] {
 			s.fault(standin.Fault{Kind: standin.FaultCut, Target: d, On: true})
 		}
 		const seconds = 4
 		start := time.Now()
-		c := counts(s.loaded(func() {}, "--rate", "90", "--duration", fmt.Sprint(seconds, "s"), "--streams", "0", "--payments", "0", "--attempts", "1"))
+		c := parseCounts(s.runLoad(func() {}, "--rate", "90", "--duration", fmt.Sprint(seconds, "s"), "--streams", "0", "--payments", "0", "--attempts", "1"))
 		took := time.Since(start).Seconds()
 		Expect(float64(c.Whole)).To(BeNumerically("<=", 30+30*took), "the burst and the rate")
 		Expect(c.NotRun).To(BeNumerically(">", c.Sent/3))
@@ -111,7 +111,7 @@
 })
 
 var _ = Describe("mutual TLS", func() {
-	It("carries the whole path between processes, and keeps strangers out", func() {
+	It("protects the whole path between processes, and rejects unauthorized clients", func() {
 		s := startSite(example.Archive, example.Small, func(s *site) {
 			s.Keys = filepath.Join(s.dir, "keys")
 			args := []string{"keys", s.Keys, "--holder", "operator/any/maria"}
@@ -122,16 +122,16 @@
 			Expect(err).NotTo(HaveOccurred(), string(out))
 			creds, err := trust.Load(s.Keys+"/ca.crt", s.Keys+"/maria.crt", s.Keys+"/maria.key")
 			Expect(err).NotTo(HaveOccurred())
-			s.tls = &http.Client{Transport: &http.Transport{TLSClientConfig: creds.Client()}}
+			s.operatorTLS = &http.Client{Transport: &http.Transport{TLSClientConfig: creds.Client()}}
 		})
 		r, err := s.chat(s.Entries[0], "secret", 5)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(r.outcome).To(Equal(wire.Done))
 		_, err = http.Get("http://" + s.Entries[0].Operators + node.PathStatus)
 		if err == nil {
-			Expect(s.status(s.Entries[0]).Name).NotTo(BeEmpty(), "with a certificate there is an answer")
+			Expect(s.status(s.Entries[0]).Name).NotTo(BeEmpty(), "the operator's certificate gets an answer")
 		}
-		_, err = s.tls.Get("https://" + s.Agents[0].Peers + wire.PathManifest)
-		Expect(err).To(HaveOccurred(), "an operator is no peer")
+		_, err = s.operatorTLS.Get("https://" + s.Agents[0].Peers + wire.PathManifest)
+		Expect(err).To(HaveOccurred(), "an operator is not a peer")
 	})
 })
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -16,21 +16,21 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// BenchmarkFleet starts so many real daemons at once and reports, for each, what
-// they cost while they idle, how fast a generation is in force, and how many
-// calls the configuration service gets.
+// BenchmarkFleet starts fleets of several sizes of real daemons, and reports for each size what the
+// daemons cost while idle, how fast they adopt a generation, and how many calls the configuration
+// service gets.
 func BenchmarkFleet(b *testing.B) {
-	for _, entries := range []int{2, 4, 8, 16} { // Of each failure domain; four agents go with two entries.
+	for _, entries := range []int{2, 4, 8, 16} { // Entries in each failure domain; there are four agents for two entries.
 		size := example.Size{Domains: 4, EntriesADomain: entries, RanksADomain: 1, ServicesADomain: 2*entries - 1, Customers: 10}
 		n := size.Domains * (size.EntriesADomain + size.RanksADomain + size.ServicesADomain)
-		b.Run(fmt.Sprint("processes=", n), func(b *testing.B) { fleet(b, size) })
+		b.Run(fmt.Sprint("processes=", n), func(b *testing.B) { benchFleet(b, size) })
 	}
 }
 
-// watched is how long the idle fleet is watched.
-const watched = 10 * time.Second
+// observationTime is how long the idle fleet is measured.
+const observationTime = 10 * time.Second
 
-func fleet(b *testing.B, size example.Size) {
+func benchFleet(b *testing.B, size example.Size) {
 	gomega.RegisterTestingT(b)
 	g := gomega.NewWithT(b)
 	buildOnce()
@@ -47,39 +47,39 @@
 		calls := s.count(standin.PathCalls)
 		cpu, bytes := map[string]time.Duration{}, map[string]float64{}
 		for _, p := range all {
-			cpu[p.Name], bytes[p.Name] = processor(s.procs[p.Name].Process.Pid), s.peerBytes(p)
+			cpu[p.Name], bytes[p.Name] = cpuTime(s.procs[p.Name].Process.Pid), s.peerBytes(p)
 		}
-		time.Sleep(watched)
+		time.Sleep(observationTime)
 		memory, used, sent := 0, time.Duration(0), 0.0
 		for _, p := range all {
-			memory = max(memory, resident(s.procs[p.Name].Process.Pid))
-			used += processor(s.procs[p.Name].Process.Pid) - cpu[p.Name]
+			memory = max(memory, residentKB(s.procs[p.Name].Process.Pid))
+			used += cpuTime(s.procs[p.Name].Process.Pid) - cpu[p.Name]
 			sent += s.peerBytes(p) - bytes[p.Name]
 		}
-		per := watched.Seconds() * float64(len(all))
+		processSeconds := observationTime.Seconds() * float64(len(all))
 		b.ReportMetric(float64(memory)/1024, "MB-largest")
-		b.ReportMetric(100*used.Seconds()/per, "%core/process")
-		b.ReportMetric(sent/per, "payload-B/s/process")
-		b.ReportMetric(float64(s.count(standin.PathCalls)-calls)/watched.Seconds(), "service-calls/s")
+		b.ReportMetric(100*used.Seconds()/processSeconds, "%core/process")
+		b.ReportMetric(sent/processSeconds, "payload-B/s/process")
+		b.ReportMetric(float64(s.count(standin.PathCalls)-calls)/observationTime.Seconds(), "service-calls/s")
 		b.ReportMetric(started.Seconds(), "start-s")
 		b.ReportMetric(float64(startCalls), "start-calls")
-		s.inForce(b, g, all)
+		s.reportAdoption(b, g, all)
 	}
 }
 
-// inForce publishes a generation and reports when the processes adopted it, by
-// their own audit trails.
-func (s *site) inForce(b *testing.B, g *gomega.WithT, all []example.Process) {
-	at := time.Now()
+// reportAdoption publishes a generation and reports how long the processes took to adopt it, as
+// recorded in their audit trails.
+func (s *site) reportAdoption(b *testing.B, g *gomega.WithT, all []example.Process) {
+	publishedAt := time.Now()
 	s.publish(2, s.Published())
 	var times []time.Duration
 	for _, p := range all {
-		g.Eventually(func() uint64 { return s.status(p).Version.Generation }, patience, "10ms").Should(gomega.BeEquivalentTo(2))
-		var rep node.AuditReport
-		g.Expect(getJSON(p.Operators, node.PathAudit, &rep)).To(gomega.Succeed())
-		for _, r := range rep.Records {
-			if r.Kind == "config-adopted" && r.At.After(at) {
-				times = append(times, r.At.Sub(at))
+		g.Eventually(func() uint64 { return s.status(p).Version.Generation }, waitTimeout, "10ms").Should(gomega.BeEquivalentTo(2))
+		var report node.AuditReport
+		g.Expect(getJSON(p.Operators, node.PathAudit, &report)).To(gomega.Succeed())
+		for _, r := range report.Records {
+			if r.Kind == "config-adopted" && r.At.After(publishedAt) {
+				times = append(times, r.At.Sub(publishedAt))
 			}
 		}
 	}
@@ -90,15 +90,15 @@
 	b.ReportMetric(float64(quantile(times, 1).Microseconds())/1000, "in-force-all-ms")
 }
 
-// count reads a number from the stand-ins' control.
+// count reads a number from the stand-ins' control endpoint.
 func (s *site) count(path string) (n int) {
-	_ = getJSON(s.Control, path, &n) // Zero is reported.
+	_ = getJSON(s.Control, path, &n) // n stays 0 on an error.
 	return n
 }
 
-// peerBytes is the payload that a process sent to and got from peers it called.
+// peerBytes returns the payload that a process has exchanged with the peers it called, in bytes.
 func (s *site) peerBytes(p example.Process) float64 {
 	var m map[string]struct{ Count float64 }
-	_ = getJSON(p.Operators, node.PathMetrics, &m) // Zero is reported.
+	_ = getJSON(p.Operators, node.PathMetrics, &m) // The counts stay 0 on an error.
 	return m["peer.bytes-out"].Count + m["peer.bytes-in"].Count
 }
--- a/internal/e2e/maps_test.go
+++ b/internal/e2e/maps_test.go
@@ -14,18 +14,18 @@
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 )
 
-// trio is one group of three ranks.
-var trio = example.Size{Domains: 1, EntriesADomain: 1, RanksADomain: 3, ServicesADomain: 1, Customers: 1}
+// threeRanks is the size of a site with one group of three ranks.
+var threeRanks = example.Size{Domains: 1, EntriesADomain: 1, RanksADomain: 3, ServicesADomain: 1, Customers: 1}
 
-func (s *site) maps() standin.MapReport {
+func (s *site) mapReport() standin.MapReport {
 	GinkgoHelper()
 	reports := map[string]standin.MapReport{}
 	Expect(getJSON(s.Control, standin.PathMaps, &reports)).To(Succeed())
 	return reports["group-"+s.Domains[0]]
 }
 
-// heat makes every third expert hot, from the given one on.
-func (s *site) heat(from int) {
+// setHotExperts gives every third expert, from the given one on, ten times the tokens of the others.
+func (s *site) setHotExperts(from int) {
 	GinkgoHelper()
 	tokens := make([]float64, 64)
 	for e := range tokens {
@@ -38,32 +38,32 @@
 }
 
 var _ = Describe("the expert map under failure", func() {
-	It("changes under load without a step on two maps, also when agents are killed and frozen", func() {
-		s := startSite(example.Archive, trio, func(s *site) { s.Rebalance = 50 * time.Millisecond })
+	It("changes under load without a step on two maps, also when agents are killed or frozen", func() {
+		s := startSite(example.Archive, threeRanks, func(s *site) { s.Rebalance = 50 * time.Millisecond })
 		leader := s.Agents[0].Name
-		busy := s.open(s.Entries[0], "while maps change", 4000, "")
-		Expect(busy.read(1)).To(BeTrue())
+		stream := s.startStream(s.Entries[0], "while maps change", 4000, "")
+		Expect(stream.read(1)).To(BeTrue())
 
-		s.heat(0)
-		Eventually(func() uint64 { return s.maps().Map }, patience, "10ms").ShouldNot(BeZero(), "a first switch")
-		first := s.maps().Map
+		s.setHotExperts(0)
+		Eventually(func() uint64 { return s.mapReport().Map }, waitTimeout, "10ms").ShouldNot(BeZero(), "a first switch")
+		first := s.mapReport().Map
 
-		s.heat(1)
+		s.setHotExperts(1)
 		s.signal(leader, syscall.SIGSTOP)
 		time.Sleep(300 * time.Millisecond)
 		s.signal(leader, syscall.SIGCONT)
-		Eventually(func() uint64 { return s.maps().Map }, patience, "10ms").ShouldNot(Equal(first), "the frozen agent or the next one goes on")
-		second := s.maps().Map
+		Eventually(func() uint64 { return s.mapReport().Map }, waitTimeout, "10ms").ShouldNot(Equal(first), "the frozen agent or the next leader continues")
+		second := s.mapReport().Map
 
-		s.heat(2)
+		s.setHotExperts(2)
 		s.kill(leader)
-		step := s.maps().Step
-		Eventually(func() uint64 { return s.maps().Step }, patience).Should(BeNumerically(">", step+20), "without a switch the group does not wait for a dead agent")
+		step := s.mapReport().Step
+		Eventually(func() uint64 { return s.mapReport().Step }, waitTimeout).Should(BeNumerically(">", step+20), "outside a switch the group does not wait for a dead agent")
 		s.startDaemon(s.Agents[0])
 		s.waitReady(s.Agents[0])
-		Eventually(func() uint64 { return s.maps().Map }, patience, "10ms").ShouldNot(Equal(second), "the agent that starts anew reads back its engine")
+		Eventually(func() uint64 { return s.mapReport().Map }, waitTimeout, "10ms").ShouldNot(Equal(second), "the restarted agent reads the state back from its engine")
 
-		report := s.maps()
+		report := s.mapReport()
 		Expect(report.Violations).To(BeZero())
 		AddReportEntry("maps", fmt.Sprintf("%+v", report))
 	})
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package e2e holds the tests that run the system as separate processes and
-// kill, freeze and replace them. It has no code of its own.
+// Package e2e holds tests that run the system as separate processes and kill, freeze and replace
+// them. It has no code other than tests.
 package e2e
 
 import (
@@ -20,7 +20,7 @@
 )
 
 var _ = Describe("the whole path", func() {
-	It("serves a stream, a whole answer, a service call and a keyed payment", func() {
+	It("serves a complete answer, a payment with a key, and a load of streams and service calls", func() {
 		s := startSite(example.Archive, example.Small)
 		entry := s.Entries[0]
 
@@ -29,7 +29,7 @@
 		Expect(whole.outcome).To(Equal(wire.Done))
 		Expect(whole.body).To(ContainSubstring(standin.Answer("user: hello\n", 5)))
 
-		key := s.mint(entry)
+		key := s.createKey(entry)
 		first, err := s.pay(entry, key, "one")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(first.outcome).To(Equal(wire.Done))
@@ -46,13 +46,13 @@
 })
 
 var _ = Describe("the tool", func() {
-	It("runs the demonstration with every promise kept", func() {
+	It("runs the demonstration without a broken promise", func() {
 		out, err := exec.Command(toolPath, "demo", "--duration", "8s", "--rate", "40").CombinedOutput()
 		Expect(err).NotTo(HaveOccurred(), string(out))
 		Expect(string(out)).To(ContainSubstring("every promise held"))
 	})
 
-	It("lists every fault of its input and exits with 2", func() {
+	It("reports every error in its input and exits with 2", func() {
 		check := func(want string, args ...string) {
 			out, err := exec.Command(toolPath, args...).CombinedOutput()
 			var exit *exec.ExitError
--- a/internal/e2e/site_test.go
+++ b/internal/e2e/site_test.go
@@ -35,7 +35,7 @@
 
 var _ = BeforeSuite(build)
 
-// build builds the programs.
+// build builds the daemon and the command-line tool.
 func build() {
 	var err error
 	daemonPath, err = gexec.Build("github.com/canvaspulley/canvaspulley/cmd/canvaspulleyd")
@@ -46,18 +46,18 @@
 
 var _ = AfterSuite(gexec.CleanupBuildArtifacts)
 
-// patience bounds every wait; nothing is asserted about how long things take.
-const patience = 20 * time.Second
+// waitTimeout limits every wait; the tests do not check how long things take.
+const waitTimeout = 20 * time.Second
 
-// site is one site of separate processes.
+// site is a site whose daemons and stand-ins run as separate processes.
 type site struct {
 	*example.Site
-	dir   string
-	procs map[string]*exec.Cmd
-	tls   *http.Client // Of an operator; nil without TLS.
+	dir         string
+	procs       map[string]*exec.Cmd
+	operatorTLS *http.Client // HTTP client with an operator's certificate; nil without TLS.
 }
 
-// startSite lays out and starts a site and waits until all of it serves.
+// startSite creates and starts a site, and waits until all processes serve.
 func startSite(user example.User, size example.Size, change ...func(*site)) *site {
 	GinkgoHelper()
 	layout, err := example.New(user, size, 0)
@@ -71,7 +71,7 @@
 	return s
 }
 
-// boot writes the files, starts all processes and waits until they serve.
+// boot writes the settings files, starts all processes and waits until they serve.
 func (s *site) boot() {
 	GinkgoHelper()
 	bundle, err := json.Marshal(standin.Bundle{Manifest: s.Pack(1, "", s.Published()), Values: s.Published()})
@@ -79,14 +79,14 @@
 	s.write("generation-1.json", bundle)
 	s.write("standin.ini", s.Standin(filepath.Join(s.dir, "generation-1.json")))
 	s.start("standin", toolPath, "standin", "--config", filepath.Join(s.dir, "standin.ini"))
-	Eventually(func() error { return s.post(standin.PathFault, standin.Fault{Kind: standin.FaultLeaving}) }, patience).Should(Succeed())
+	Eventually(func() error { return s.post(standin.PathFault, standin.Fault{Kind: standin.FaultLeaving}) }, waitTimeout).Should(Succeed())
 	for _, p := range s.all() {
 		s.startDaemon(p)
 	}
 	for _, p := range s.all() {
 		s.waitReady(p)
 	}
-	Eventually(func() int { return len(s.status(s.Entries[0]).Members) }, patience).Should(Equal(len(s.all())))
+	Eventually(func() int { return len(s.status(s.Entries[0]).Members) }, waitTimeout).Should(Equal(len(s.all())))
 }
 
 func (s *site) all() []example.Process {
@@ -101,8 +101,8 @@
 	GinkgoHelper()
 	cmd := exec.Command(path, args...)
 	cmd.Stdout, cmd.Stderr = GinkgoWriter, GinkgoWriter
-	// A process group of its own: when the group of the test is orphaned, as by a
-	// shell that ends, the kernel wakes all stopped processes in it.
+	// The process gets its own process group: when the test's group is orphaned, for example
+	// because its shell ends, the kernel continues all stopped processes of that group.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	Expect(cmd.Start()).To(Succeed())
 	s.procs[name] = cmd
@@ -114,23 +114,22 @@
 	s.start(p.Name, daemonPath, "--config", filepath.Join(s.dir, p.Name+".ini"))
 }
 
-// operators is the client of the operators' listeners.
-func (s *site) operators() (c *http.Client, scheme string) {
-	if s.tls == nil {
+// operatorClient returns the client and the URL scheme for the operators' listeners.
+func (s *site) operatorClient() (c *http.Client, scheme string) {
+	if s.operatorTLS == nil {
 		return http.DefaultClient, "http://"
 	}
-	return s.tls, "https://"
+	return s.operatorTLS, "https://"
 }
 
 func (s *site) waitReady(p example.Process) {
 	GinkgoHelper()
-	Eventually(func() int { return s.readiness(p) }, patience, "20ms").Should(Equal(http.StatusOK), p.Name)
+	Eventually(func() int { return s.readiness(p) }, waitTimeout, "20ms").Should(Equal(http.StatusOK), p.Name)
 }
 
-// readiness returns the status with which a process answers whether it is ready,
-// 0 when it does not answer.
+// readiness returns the status of a process's readiness endpoint; 0 when it does not answer.
 func (s *site) readiness(p example.Process) int {
-	c, scheme := s.operators()
+	c, scheme := s.operatorClient()
 	resp, err := c.Get(scheme + p.Operators + node.PathReady)
 	if err != nil {
 		return 0
@@ -139,18 +138,18 @@
 	return resp.StatusCode
 }
 
-// signal sends a signal to one process of the site.
+// signal sends a signal to a process of the site. After SIGSTOP it waits until the process is stopped.
 func (s *site) signal(name string, sig syscall.Signal) {
 	GinkgoHelper()
 	Expect(s.procs[name].Process.Signal(sig)).To(Succeed())
 	if sig == syscall.SIGSTOP {
-		Eventually(stopped, patience, "1ms").WithArguments(s.procs[name].Process.Pid).Should(BeTrue())
+		Eventually(stopped, waitTimeout, "1ms").WithArguments(s.procs[name].Process.Pid).Should(BeTrue())
 	}
 }
 
-// stopped reports whether every thread of a process stands still. A signal to stop only
-// asks for it: on a busy machine 5 of 150 processes ran on for up to 3.3 ms, in which a
-// request is answered.
+// stopped reports whether every thread of a process is stopped. SIGSTOP does not take effect at once:
+// on a busy machine 5 of 150 processes continued to run for up to 3.3 ms, long enough to answer a
+// request.
 func stopped(pid int) (bool, error) {
 	stats, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", pid))
 	if err != nil {
@@ -161,7 +160,7 @@
 		if err != nil {
 			return false, err
 		}
-		_, after, _ := strings.Cut(string(raw), ") ") // What lies before is the program's name.
+		_, after, _ := strings.Cut(string(raw), ") ") // The part before contains the program's name.
 		if !strings.HasPrefix(after, "T") {
 			return false, nil
 		}
@@ -169,7 +168,7 @@
 	return len(stats) > 0, nil
 }
 
-// kill ends a process without a last word.
+// kill ends a process by SIGKILL, without a planned stop, and waits for its end.
 func (s *site) kill(name string) {
 	GinkgoHelper()
 	s.signal(name, syscall.SIGKILL)
@@ -186,7 +185,7 @@
 	}
 }
 
-// post sends JSON to the stand-ins' control.
+// post sends JSON to the stand-ins' control endpoint.
 func (s *site) post(path string, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -210,7 +209,7 @@
 	return runs
 }
 
-// getJSON reads from a process.
+// getJSON reads JSON from a process.
 func getJSON(address, path string, v any) error {
 	resp, err := http.Get("http://" + address + path)
 	if err != nil {
@@ -221,17 +220,17 @@
 }
 
 func (s *site) status(p example.Process) (st node.Status) {
-	c, scheme := s.operators()
+	c, scheme := s.operatorClient()
 	resp, err := c.Get(scheme + p.Operators + node.PathStatus)
 	if err != nil {
 		return st
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_ = json.NewDecoder(resp.Body).Decode(&st) // An empty status is waited on.
+	_ = json.NewDecoder(resp.Body).Decode(&st) // Callers wait for the status they expect.
 	return st
 }
 
-// reply is a caller's view of one answer.
+// reply is an answer as the caller received it.
 type reply struct {
 	status  int
 	outcome wire.Outcome
@@ -239,7 +238,7 @@
 	body    string
 }
 
-// ask sends one request as the first customer; nil headers are fine.
+// ask sends one request as the first customer; headers may be nil.
 func (s *site) ask(entry example.Process, method, path, body string, headers map[string]string) (reply, error) {
 	req, err := http.NewRequest(method, "http://"+entry.Callers+path, strings.NewReader(body))
 	if err != nil {
@@ -258,7 +257,7 @@
 	return reply{resp.StatusCode, wire.Outcome(resp.Header.Get(wire.HeaderOutcome)), resp.Header, string(raw)}, err
 }
 
-// chat asks a model for a whole answer.
+// chat requests an answer of a model that is not streamed.
 func (s *site) chat(entry example.Process, content string, tokens int) (reply, error) {
 	return s.ask(entry, http.MethodPost, "/v1/chat/completions",
 		fmt.Sprintf(`{"model":%q,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, s.Model, tokens, content), nil)
@@ -271,8 +270,8 @@
 	return r
 }
 
-// mint returns a key for the site's service.
-func (s *site) mint(entry example.Process) string {
+// createKey requests a new idempotency key for the site's service.
+func (s *site) createKey(entry example.Process) string {
 	GinkgoHelper()
 	r := s.mustAsk(entry, http.MethodPost, "/v1/keys", `{"path":"`+s.Path+`"}`, nil)
 	Expect(r.status).To(Equal(http.StatusOK), r.body)
@@ -281,7 +280,7 @@
 	return m.Key
 }
 
-// pay calls the service under a key.
+// pay calls the service with an idempotency key.
 func (s *site) pay(entry example.Process, key, id string) (reply, error) {
 	return s.ask(entry, http.MethodPost, s.Path+"pay?id="+id, "amount", map[string]string{wire.HeaderKey: key})
 }
