--- a/internal/soak/asks.go
+++ b/internal/soak/asks.go
@@ -149,19 +149,19 @@
 // checkRateLimit checks the requests to an endpoint from gateways that know its rate limit against
 // the limits that it announced.
 func (l *ledger) checkRateLimit(endpoint string, list []standin.Arrival) []string {
-	var first time.Time                       // When the limit was first announced.
-	var named standin.Signals                 // Newest signals.
+	var announcedAt time.Time                 // When the limit was first announced.
+	var announced standin.Signals             // Newest signals.
 	informedAt := map[int]time.Time{}         // When each gateway first received the limit.
 	var counted []standin.Arrival             // Requests from gateways that know the limit.
 	countInWindow := func(at time.Time) int { // Counts the requests in the window that ends at a time.
 		return len(counted) - slices.IndexFunc(counted, func(a standin.Arrival) bool { return at.Sub(a.At) <= limitWindow })
 	}
 	for _, a := range list {
-		if a.Signals.Limited != named.Limited || a.Signals.Limit != named.Limit {
-			first, named, counted = a.At, a.Signals, nil
+		if a.Signals.Limited != announced.Limited || a.Signals.Limit != announced.Limit {
+			announcedAt, announced, counted = a.At, a.Signals, nil
 			clear(informedAt)
 		}
-		if !named.Limited {
+		if !announced.Limited {
 			continue
 		}
 		g := gatewayNumber(a.GatewayIP)
@@ -173,12 +173,12 @@
 		if !known && a.HeadSent {
 			informedAt[g] = a.At
 		}
-		if !known || a.At.Sub(at) < signalDelay+slack || a.At.Sub(first) < undisturbedTime {
+		if !known || a.At.Sub(at) < signalDelay+slack || a.At.Sub(announcedAt) < undisturbedTime {
 			continue
 		}
 		counted = append(counted, a)
-		if n := countInWindow(a.At); float64(n) > allowedLimitFactor*named.Limit*limitWindow.Seconds()+limitSlackRequests {
-			return []string{fmt.Sprintf("%s named a limit of %v a second and got %d requests in %v at %s", endpoint, named.Limit, n, limitWindow, a.At.Format(timeFormat))}
+		if n := countInWindow(a.At); float64(n) > allowedLimitFactor*announced.Limit*limitWindow.Seconds()+limitSlackRequests {
+			return []string{fmt.Sprintf("%s named a limit of %v a second and got %d requests in %v at %s", endpoint, announced.Limit, n, limitWindow, a.At.Format(timeFormat))}
 		}
 	}
 	return nil
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -173,8 +173,8 @@
 		began := time.Now()
 		s.disruptLink(g, e.proxy, f)
 		s.ledger.do(func(l *ledger) {
-			way := gatewayLink{g, e.name}
-			l.linkFaults[way] = append(l.linkFaults[way], span{began, time.Now()})
+			link := gatewayLink{g, e.name}
+			l.linkFaults[link] = append(l.linkFaults[link], span{began, time.Now()})
 		})
 	case spoilStoreLink:
 		s.disruptLink(g, s.storeProxy, f)
@@ -280,15 +280,15 @@
 }
 
 // disturbGateway records that a gateway is disturbed while do runs.
-func (s *site) disturbGateway(gateway int, lasts time.Duration, do func()) {
-	s.ledger.recordDisturbance(gateway, span{time.Now(), time.Now().Add(lasts + slack)})
+func (s *site) disturbGateway(gateway int, duration time.Duration, do func()) {
+	s.ledger.recordDisturbance(gateway, span{time.Now(), time.Now().Add(duration + slack)})
 	do()
 }
 
 // disturbAll records that the store, and so every gateway, is disturbed while do runs.
-func (s *site) disturbAll(lasts time.Duration, do func()) {
+func (s *site) disturbAll(duration time.Duration, do func()) {
 	for g := range s.gateways {
-		s.ledger.recordDisturbance(g, span{time.Now(), time.Now().Add(lasts + slack)})
+		s.ledger.recordDisturbance(g, span{time.Now(), time.Now().Add(duration + slack)})
 	}
 	do()
 }
--- a/internal/soak/life.go
+++ b/internal/soak/life.go
@@ -42,39 +42,39 @@
 }
 
 // killed reports whether the process was ended by the soak's SIGKILL.
-func (l *incarnation) killed() bool { return !l.killAt.IsZero() && l.signal == syscall.SIGKILL }
+func (i *incarnation) killed() bool { return !i.killAt.IsZero() && i.signal == syscall.SIGKILL }
 
 // explained reports whether the soak's signals explain the end of the process. A SIGTERM may end a
 // process that does not catch signals yet; no caller has connected to it then.
-func (l *incarnation) explained() bool {
-	planned := !l.termAt.IsZero() && (l.err == nil || l.connectedAt.IsZero() && l.signal == syscall.SIGTERM)
-	return planned || l.killed()
+func (i *incarnation) explained() bool {
+	planned := !i.termAt.IsZero() && (i.err == nil || i.connectedAt.IsZero() && i.signal == syscall.SIGTERM)
+	return planned || i.killed()
 }
 
 // String describes an incarnation with its signals and its end.
-func (l *incarnation) String() string {
-	text := fmt.Sprintf("%s, pid %d", l.name, l.pid)
+func (i *incarnation) String() string {
+	text := fmt.Sprintf("%s, pid %d", i.name, i.pid)
 	for _, one := range []struct {
 		name string
 		at   time.Time
-	}{{"SIGTERM", l.termAt}, {"SIGKILL", l.killAt}} {
+	}{{"SIGTERM", i.termAt}, {"SIGKILL", i.killAt}} {
 		if !one.at.IsZero() {
 			text += fmt.Sprintf(", %s at %s", one.name, one.at.Format(timeFormat))
 		}
 	}
-	if l.endAt.IsZero() {
+	if i.endAt.IsZero() {
 		return text + ", alive"
 	}
-	return text + fmt.Sprintf(", ended at %s (%v)", l.endAt.Format(timeFormat), l.err)
+	return text + fmt.Sprintf(", ended at %s (%v)", i.endAt.Format(timeFormat), i.err)
 }
 
 // recordSignal records that an incarnation is about to be sent a signal to end.
-func (l *ledger) recordSignal(one *incarnation, sig syscall.Signal) {
+func (l *ledger) recordSignal(process *incarnation, sig syscall.Signal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := &one.termAt
+	at := &process.termAt
 	if sig == syscall.SIGKILL {
-		at = &one.killAt
+		at = &process.killAt
 	}
 	if at.IsZero() {
 		*at = time.Now()
@@ -84,9 +84,9 @@
 // incarnationsDuring returns the incarnations of a gateway that overlap a period: several only when
 // the period is too long to show to which of them a caller connected.
 func (l *ledger) incarnationsDuring(gateway int, s span) (list []*incarnation) {
-	for _, one := range l.processes[gateway] {
-		if !one.startAt.After(s.to) && (one.endAt.IsZero() || !one.endAt.Before(s.from)) {
-			list = append(list, one)
+	for _, process := range l.processes[gateway] {
+		if !process.startAt.After(s.to) && (process.endAt.IsZero() || !process.endAt.Before(s.from)) {
+			list = append(list, process)
 		}
 	}
 	return list
@@ -174,9 +174,9 @@
 	if last := t.lastRead(); !last.IsZero() {
 		r.idleTime = time.Since(last)
 	}
-	for _, one := range l.incarnationsDuring(r.gateway, t.dialed) {
-		if one.connectedAt.IsZero() {
-			one.connectedAt = t.dialed.to
+	for _, process := range l.incarnationsDuring(r.gateway, t.dialed) {
+		if process.connectedAt.IsZero() {
+			process.connectedAt = t.dialed.to
 		}
 	}
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -106,21 +106,21 @@
 	}
 	s.logf("seed %d: %d gateways, %d ranks, %d plain endpoints, logs in %s", cfg.Seed, cfg.Gateways, cfg.Ranks, cfg.PlainEndpoints, s.dir)
 	began := time.Now()
-	running, stop := context.WithDeadline(ctx, began.Add(cfg.Length))
+	runCtx, stop := context.WithDeadline(ctx, began.Add(cfg.Length))
 	defer stop()
 	var callers, faults errgroup.Group
 	for g := range cfg.Gateways {
 		for n := range cfg.Callers {
 			c := newCaller(s, g, n)
-			callers.Go(func() error { return c.run(running) })
+			callers.Go(func() error { return c.run(runCtx) })
 		}
 		for n := range cfg.idleCallers() {
 			c := newIdleCaller(s, g, n)
-			callers.Go(func() error { return c.run(running) })
+			callers.Go(func() error { return c.run(runCtx) })
 		}
 	}
 	list := schedule(cfg.Seed, cfg.Length, cfg.Kinds)
-	last := s.injectFaults(running, began, list, &faults)
+	last := s.injectFaults(runCtx, began, list, &faults)
 	if err := faults.Wait(); err != nil {
 		return r, err
 	}
