--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -76,7 +76,7 @@
 		engine:  engine,
 		service: service,
 		queue: admit.New(admit.Config{
-			Capacity: set.Queue, MinLimit: set.MinLimit, MaxLimit: set.MaxLimit,
+			Capacity: set.QueueCapacity, MinLimit: set.MinLimit, MaxLimit: set.MaxLimit,
 			StepTarget: target, AgingInterval: agePerStep,
 		}),
 		ids: once.New(once.Config{
@@ -84,8 +84,8 @@
 			NeverResent: true,
 		}),
 		keys: once.New(once.Config{
-			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyWindow,
-			Capacity: set.Keys, MaxAnswerBytes: answerBytes,
+			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyRetention,
+			Capacity: set.MaxKeys, MaxAnswerBytes: answerBytes,
 		}),
 		waiting: map[string]chan ticket{},
 		moved:   n.Started(),
@@ -123,7 +123,7 @@
 func (a *Agent) tick(ctx context.Context) error {
 	ticker := time.NewTicker(tickEvery)
 	defer ticker.Stop()
-	left := a.node.Left()
+	left := a.node.Leaving()
 	for {
 		select {
 		case <-ctx.Done():
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// Busy returns the number of requests that run or wait.
-func (a *Agent) Busy() int {
+// InFlight returns the number of requests that run or wait.
+func (a *Agent) InFlight() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.queue.Running() + a.queue.Waiting()
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -52,7 +52,7 @@
 func startBench(t *testing.T, change func(*settings.Settings), engine *adapter.Engine, service *adapter.Service) (*bench, *node.Node) {
 	t.Helper()
 	g := gomega.NewWithT(t)
-	layout, err := example.New(example.RefundDesk, example.Small, 0)
+	layout, err := example.New(example.RefundDesk, example.MinimalSize, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	dir := standin.NewDirectory()
 	dir.Publish(standin.Bundle{Manifest: layout.Pack(1, "", layout.Published()), Values: layout.Published()})
@@ -64,7 +64,7 @@
 	}
 	set, err := settings.Parse("test.ini", layout.Settings(p))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	set.ConfigService, set.Instances, set.Source = directory.URL, directory.URL, ""
+	set.ConfigServiceURL, set.InstancesURL, set.SourceIP = directory.URL, directory.URL, ""
 	if change != nil {
 		change(set)
 	}
@@ -152,7 +152,7 @@
 	first := make(chan answer, 1)
 	var beside sync.WaitGroup
 	beside.Go(func() { first <- b.send(env, "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(1))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(1))
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Unknown), "a copy while it runs")
 	close(c.hold)
 	g.Expect((<-first).outcome).To(gomega.Equal(wire.Done))
@@ -234,13 +234,13 @@
 func TestFullQueuesRefuseAsNotRun(t *testing.T) {
 	g := gomega.NewWithT(t)
 	c := &counter{hold: make(chan struct{})}
-	b := newBench(t, func(s *settings.Settings) { s.Queue, s.MinLimit, s.MaxLimit, s.Keys = 1, 1, 1, 2 }, nil, c.service())
+	b := newBench(t, func(s *settings.Settings) { s.QueueCapacity, s.MinLimit, s.MaxLimit, s.MaxKeys = 1, 1, 1, 2 }, nil, c.service())
 	var beside sync.WaitGroup
 	answers := make(chan answer, 2)
 	for i := range 2 {
 		beside.Go(func() { answers <- b.send(call(ident.NewKey(b.slot).String()), fmt.Sprint(i)) })
 	}
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(2))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(2))
 	refused := b.send(call(""), "")
 	g.Expect(refused.outcome).To(gomega.Equal(wire.NotRun))
 	g.Expect(refused.body).To(gomega.ContainSubstring("queue full"))
@@ -280,9 +280,9 @@
 	var beside sync.WaitGroup
 	runs, waits := make(chan answer, 1), make(chan answer, 1)
 	beside.Go(func() { runs <- b.send(call(""), "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(1))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(1))
 	beside.Go(func() { waits <- b.send(call(""), "") })
-	g.Eventually(b.agent.Busy, "20s").Should(gomega.Equal(2))
+	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(2))
 	b.agent.node.Leave("test")
 	g.Expect((<-waits).outcome).To(gomega.Equal(wire.NotRun), "what waits hears at once")
 	g.Expect(b.send(call(""), "").outcome).To(gomega.Equal(wire.NotRun))
@@ -405,7 +405,7 @@
 			g.Expect(got.err).NotTo(gomega.HaveOccurred())
 			g.Expect(got.status).To(gomega.Equal(http.StatusInternalServerError))
 			g.Expect(got.outcome).To(gomega.Equal(tc.outcome))
-			g.Eventually(b.agent.Busy, "20s").Should(gomega.BeZero())
+			g.Eventually(b.agent.InFlight, "20s").Should(gomega.BeZero())
 		})
 	}
 }
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -54,8 +54,8 @@
 func (m *mapper) run(ctx context.Context) error {
 	for {
 		every := idleCheck
-		if s, ok := m.group(); ok && s.Rebalance > 0 {
-			every = s.Rebalance
+		if s, ok := m.group(); ok && s.RebalanceInterval > 0 {
+			every = s.RebalanceInterval
 			if m.leads(s) {
 				m.sample(ctx, s)
 			}
@@ -158,7 +158,7 @@
 		Shape: shape, Layers: s.Layers, ExpertBytes: s.ExpertBytes,
 		StoreRate: s.StoreRate, HourlyBytes: s.HourlyBytes,
 		Prices:     rebalance.Prices{Skew: p.SkewPrice, Move: p.MovePrice},
-		SampleTime: s.Rebalance.Seconds(), MaxAge: 5,
+		SampleTime: s.RebalanceInterval.Seconds(), MaxAge: 5,
 	})
 }
 
@@ -218,7 +218,7 @@
 				return next
 			}
 		}
-		orders := c.Resend()
+		orders := c.UnconfirmedOrders()
 		phase := c.Phase
 		for _, r := range m.send(ctx, s, orders, next) {
 			c, _ = c.Handle(r)
@@ -250,7 +250,7 @@
 			}
 		}
 		g.Go(func() error {
-			duty.Contain("order", m.agent.node.Log(), m.agent.node.Metrics(), func() {
+			duty.RunRecovered("order", m.agent.node.Log(), m.agent.node.Metrics(), func() {
 				var r mapswitch.Reply
 				peer, ok := living[endpointOfRank(s, o.Rank)]
 				if ok && m.agent.node.Call(ctx, peer.Address, wire.PathSwitch, msg, &r) == nil {
@@ -302,7 +302,7 @@
 // mayOrder is the guard of an engine that checks no fences: orders go only while
 // this process holds the lease on its slot.
 func (a *Agent) mayOrder(now time.Time) bool {
-	return a.node.Settings().Fences || a.node.Holds(now)
+	return a.node.Settings().EngineChecksFences || a.node.HoldsLease(now)
 }
 
 // errNoLease refuses an order for want of the lease on the slot.
--- a/internal/agent/mapper_test.go
+++ b/internal/agent/mapper_test.go
@@ -26,7 +26,7 @@
 // said to check fences, so that no lease is asked for.
 func guarded(t *testing.T, engine *adapter.Engine) *Agent {
 	t.Helper()
-	n, err := node.New(&settings.Settings{Name: "a", GossipInterval: time.Second, Fences: true}, zap.NewNop())
+	n, err := node.New(&settings.Settings{Name: "a", GossipInterval: time.Second, EngineChecksFences: true}, zap.NewNop())
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	return &Agent{node: n, engine: engine}
 }
@@ -36,11 +36,11 @@
 // nothing on.
 func TestOrdersNeedTheLease(t *testing.T) {
 	g := gomega.NewWithT(t)
-	group := standin.NewGroup(standin.GroupConfig{Ranks: 1, NoFences: true})
+	group := standin.NewGroup(standin.GroupConfig{Ranks: 1, IgnoreFences: true})
 	srv := httptest.NewServer(group.Rank(0).Handler())
 	t.Cleanup(srv.Close)
 	b := newBench(t, func(s *settings.Settings) {
-		s.Fences = false
+		s.EngineChecksFences = false
 		s.GossipInterval = 100 * time.Millisecond
 	}, adapter.NewEngine(srv.URL, srv.Client()), nil)
 	started := b.agent.node.Started()
@@ -66,7 +66,7 @@
 	check := func(name string, restart bool, through bool, obeyed bool) {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			group := standin.NewGroup(standin.GroupConfig{Ranks: 1, NoFences: true})
+			group := standin.NewGroup(standin.GroupConfig{Ranks: 1, IgnoreFences: true})
 			srv := httptest.NewServer(group.Rank(0).Handler())
 			t.Cleanup(srv.Close)
 			engine := adapter.NewEngine(srv.URL, srv.Client())
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -90,7 +90,7 @@
 
 // contained calls do and reports whether it returned.
 func (a *Agent) contained(do func()) (returned bool) {
-	return duty.Contain("request", a.node.Log(), a.node.Metrics(), do)
+	return duty.RunRecovered("request", a.node.Log(), a.node.Metrics(), do)
 }
 
 // headed notes whether the head of an answer has gone out.
@@ -153,7 +153,7 @@
 	if j.life.State() == stateNotRun {
 		return wire.Refuse(http.StatusInternalServerError, 0, cause)
 	}
-	return wire.Doubt(http.StatusInternalServerError, cause)
+	return wire.RefuseUnknown(http.StatusInternalServerError, cause)
 }
 
 func (a *Agent) refuse(w http.ResponseWriter, refusal *wire.Refusal) {
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
-	j = &job{agent: a, env: env, body: body, life: requestChart.Machine(), name: env.ID}
+	j = &job{agent: a, env: env, body: body, life: requestChart.NewMachine(), name: env.ID}
 	return j, j.mark(time.Now())
 }
 
@@ -249,7 +249,7 @@
 	case once.FromFuture:
 		return wire.Refuse(http.StatusBadRequest, 0, "request id is from the future")
 	default:
-		return wire.Doubt(http.StatusConflict, "attempt was seen before, or may have been")
+		return wire.RefuseUnknown(http.StatusConflict, "attempt was seen before, or may have been")
 	}
 }
 
@@ -261,7 +261,7 @@
 		return &wire.Refusal{Outcome: wire.Done, Status: answer.Status, Reason: "answer of the first run",
 			Replay: &wire.Replay{ContentType: answer.Type, Body: answer.Body}}
 	case once.InProgress:
-		r := wire.Doubt(http.StatusConflict, "a request with this key is running")
+		r := wire.RefuseUnknown(http.StatusConflict, "a request with this key is running")
 		r.RetryAfterMS = time.Second.Milliseconds()
 		return r
 	case once.Full:
@@ -271,7 +271,7 @@
 	case once.Mismatch:
 		return wire.Refuse(http.StatusUnprocessableEntity, 0, "idempotency key was used for another request")
 	default:
-		return wire.Doubt(http.StatusConflict, "a request with this key may have run before")
+		return wire.RefuseUnknown(http.StatusConflict, "a request with this key may have run before")
 	}
 }
 
@@ -378,7 +378,7 @@
 		return
 	case err != nil:
 		j.end(eventBreak)
-		doubt := wire.Doubt(http.StatusBadGateway, "service gave no whole answer")
+		doubt := wire.RefuseUnknown(http.StatusBadGateway, "service gave no whole answer")
 		doubt.Ended = a.ended()
 		a.refuse(w, doubt)
 		return
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -41,7 +41,7 @@
 		return true
 	case err != nil:
 		j.end(eventBreak)
-		doubt := wire.Doubt(http.StatusBadGateway, "engine gave no answer")
+		doubt := wire.RefuseUnknown(http.StatusBadGateway, "engine gave no answer")
 		doubt.Ended = a.ended()
 		a.refuse(w, doubt)
 		return true
@@ -143,7 +143,7 @@
 	next := j.env.Offset
 	out := &frameWriter{w: w, rc: rc, id: wire.EventID{Request: j.name, Endpoint: j.env.Endpoint, Offset: next}, last: time.Now()}
 	defer j.keepAlive(out)()
-	left := j.agent.node.Left()
+	left := j.agent.node.Leaving()
 	for {
 		select {
 		case <-left:
@@ -205,5 +205,5 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
-	httpjson.Binary(w, cache)
+	httpjson.ReplyBinary(w, cache)
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -15,28 +15,28 @@
 
 // Site is the size of a site.
 type Site struct {
-	Entries       float64
-	Agents        float64
-	Domains       float64
-	Customers     float64
-	Values        float64 // Published values.
-	Changes       float64 // Of configuration, a day.
-	Requests      float64 // A second.
-	Tokens        float64 // A second.
-	ServiceCalls  float64 // What the configuration service bears, a second.
-	HotCustomers  float64 // Near their limit at one entry.
-	PromptSeconds float64 // Mean time that a stream lives.
-	Layers        float64
-	PlanEvery     float64 // Seconds between two plans of a group.
+	Entries               float64
+	Agents                float64
+	Domains               float64
+	Customers             float64
+	PublishedValues       float64 // Published values.
+	ChangesPerDay         float64 // Of configuration, a day.
+	RequestsPerSecond     float64 // A second.
+	TokensPerSecond       float64 // A second.
+	ServiceCallsPerSecond float64 // What the configuration service bears, a second.
+	HotCustomers          float64 // Near their limit at one entry.
+	StreamSeconds         float64 // Mean time that a stream lives.
+	Layers                float64
+	PlanIntervalSeconds   float64 // Seconds between two plans of a group.
 }
 
 // Targets of a node.
 const (
-	TargetMemoryMB  = 64
-	TargetCorePart  = 0.012
-	TargetBytes     = 11_000
-	TargetCallShare = 0.1
-	TargetInForce   = 3 * time.Second
+	TargetMemoryMB       = 64
+	TargetCores          = 0.012
+	TargetBytesPerSecond = 11_000
+	TargetCallShare      = 0.1
+	TargetEffectTime     = 3 * time.Second
 )
 
 // Slope is a measured figure.
@@ -84,21 +84,21 @@
 
 const daySeconds = 86400
 
-// Line is one figure of a role with what it is judged by.
-type Line struct {
-	Role   string  `json:"role"`
-	What   string  `json:"what"`
-	Value  float64 `json:"value"`
-	Unit   string  `json:"unit"`
-	Target float64 `json:"target,omitempty"` // 0 when there is none.
-	How    string  `json:"how"`
+// Figure is one figure of a role with what it is judged by.
+type Figure struct {
+	Role     string  `json:"role"`
+	Quantity string  `json:"what"`
+	Value    float64 `json:"value"`
+	Unit     string  `json:"unit"`
+	Target   float64 `json:"target,omitempty"` // 0 when there is none.
+	Basis    string  `json:"how"`
 }
 
-// Met reports whether the figure keeps its target.
-func (l Line) Met() bool { return l.Target == 0 || l.Value <= l.Target }
+// MeetsTarget reports whether the figure keeps its target.
+func (l Figure) MeetsTarget() bool { return l.Target == 0 || l.Value <= l.Target }
 
-// Load reads a site's size; all faults are returned together.
-func Load(name string, raw []byte) (s Site, err error) {
+// Parse reads a site's size; all faults are returned together.
+func Parse(name string, raw []byte) (s Site, err error) {
 	f, err := inifile.Parse(name, raw)
 	if err != nil {
 		return s, err
@@ -107,15 +107,15 @@
 	number := func(key string, def float64) float64 { return f.Float(section, key, def, 0, 1e12) }
 	s = Site{
 		Entries: number("entries", 6), Agents: number("agents", 15), Domains: number("domains", 3),
-		Customers: number("customers", 10), Values: number("values", 20), Changes: number("changes-a-day", 20),
-		Requests: number("requests", 10), Tokens: number("tokens", 1000), ServiceCalls: number("service-calls", 2000),
-		HotCustomers: number("hot-customers", 1), PromptSeconds: number("stream-seconds", 5),
-		Layers: number("layers", 60), PlanEvery: number("plan-every", 60),
+		Customers: number("customers", 10), PublishedValues: number("values", 20), ChangesPerDay: number("changes-a-day", 20),
+		RequestsPerSecond: number("requests", 10), TokensPerSecond: number("tokens", 1000), ServiceCallsPerSecond: number("service-calls", 2000),
+		HotCustomers: number("hot-customers", 1), StreamSeconds: number("stream-seconds", 5),
+		Layers: number("layers", 60), PlanIntervalSeconds: number("plan-every", 60),
 	}
 	for key, v := range map[string]float64{"entries": s.Entries, "agents": s.Agents, "domains": s.Domains,
-		"service-calls": s.ServiceCalls, "plan-every": s.PlanEvery} {
+		"service-calls": s.ServiceCallsPerSecond, "plan-every": s.PlanIntervalSeconds} {
 		if v < 1 {
-			f.Fault(section, key, "must be at least 1")
+			f.AddProblem(section, key, "must be at least 1")
 		}
 	}
 	return s, f.Problems().Err()
@@ -126,56 +126,56 @@
 
 // controlCore is the processor of what is not a request, in cores.
 func (s Site) controlCore() float64 {
-	return coreBase.Value + coreMember.Value*s.members() + coreChange.Value*s.Values*s.Changes/daySeconds
+	return coreBase.Value + coreMember.Value*s.members() + coreChange.Value*s.PublishedValues*s.ChangesPerDay/daySeconds
 }
 
 // controlBytes is what control sends and gets, in bytes a second.
 func (s Site) controlBytes() float64 {
-	changes := s.Changes / daySeconds * (pushes.Value*exchange.Value + 2*deltaBytes.Value)
+	changes := s.ChangesPerDay / daySeconds * (pushes.Value*exchange.Value + 2*deltaBytes.Value)
 	return 2*gossipBytes.Value + changes
 }
 
 func (s Site) memory(streams float64) float64 {
-	return memoryBase.Value + memoryMember.Value*s.members() + memoryConfig.Value*s.Values + memoryStream.Value*streams
+	return memoryBase.Value + memoryMember.Value*s.members() + memoryConfig.Value*s.PublishedValues + memoryStream.Value*streams
 }
 
-// Lines works the site out.
-func (s Site) Lines() []Line {
-	streams := s.Requests * s.PromptSeconds
+// Figures works the site out.
+func (s Site) Figures() []Figure {
+	streams := s.RequestsPerSecond * s.StreamSeconds
 	atEntry, atAgent := streams/s.Entries, streams/s.Agents
 	borrow := s.HotCustomers * borrowSent.Value * borrowBytes.Value
-	calls := s.Domains * watchers * (1/(25.0) + 1/max(1, 0.04*s.members()) + s.Changes/daySeconds*2)
-	cold := firstReaders*(s.Values+2) + s.members()
-	return []Line{
+	calls := s.Domains * watchers * (1/(25.0) + 1/max(1, 0.04*s.members()) + s.ChangesPerDay/daySeconds*2)
+	cold := firstReaders*(s.PublishedValues+2) + s.members()
+	return []Figure{
 		{"entry", "memory, streams included", s.memory(atEntry), "MB", TargetMemoryMB, "base, a member, a value, a stream"},
-		{"entry", "processor of control", s.controlCore(), "core", TargetCorePart, "idle, decisions a member, judging each change whole"},
-		{"entry", "bytes of control", s.controlBytes() + borrow, "B/s", TargetBytes, "gossip both ways, changes as differences, borrowing"},
+		{"entry", "processor of control", s.controlCore(), "core", TargetCores, "idle, decisions a member, judging each change whole"},
+		{"entry", "bytes of control", s.controlBytes() + borrow, "B/s", TargetBytesPerSecond, "gossip both ways, changes as differences, borrowing"},
 		{"entry", "messages of control", 2*gossipSent.Value + s.HotCustomers*borrowSent.Value, "1/s", 0, "probes, answers, borrowing"},
-		{"entry", "processor of the relay", s.Tokens / s.Entries * coreEntry.Value, "core", 0, "a token"},
+		{"entry", "processor of the relay", s.TokensPerSecond / s.Entries * coreEntry.Value, "core", 0, "a token"},
 		{"agent", "memory, streams included", s.memory(atAgent), "MB", TargetMemoryMB, "base, a member, a value, a stream"},
-		{"agent", "processor of control", s.controlCore(), "core", TargetCorePart, "as the entry"},
-		{"agent", "bytes of control", s.controlBytes(), "B/s", TargetBytes, "as the entry, without borrowing"},
-		{"agent", "processor of the relay", s.Tokens / s.Agents * coreAgent.Value, "core", 0, "a token"},
-		{"leading agent", "processor of planning", corePlan.Value * s.Layers / s.PlanEvery, "core", TargetCorePart - s.controlCore(), "one plan each time, on top of control"},
-		{"watcher", "bytes of control", s.controlBytes() + listRead.Value, "B/s", TargetBytes, "as the agent, and the list"},
-		{"configuration service", "calls while all is well", calls, "1/s", TargetCallShare * s.ServiceCalls, "two watchers a failure domain: a waiting watch, the list, each change"},
-		{"configuration service", "time to read all from nothing", cold / (TargetCallShare * s.ServiceCalls), "s", 0, "everybody reads the list once, two read each value, the others have them from peers; kept to a tenth of the service's rate"},
-		{"all", "in force everywhere", inForce.Value, "s", TargetInForce.Seconds(), "pushes to three peers, then probes; measured at 2,980 processes"},
+		{"agent", "processor of control", s.controlCore(), "core", TargetCores, "as the entry"},
+		{"agent", "bytes of control", s.controlBytes(), "B/s", TargetBytesPerSecond, "as the entry, without borrowing"},
+		{"agent", "processor of the relay", s.TokensPerSecond / s.Agents * coreAgent.Value, "core", 0, "a token"},
+		{"leading agent", "processor of planning", corePlan.Value * s.Layers / s.PlanIntervalSeconds, "core", TargetCores - s.controlCore(), "one plan each time, on top of control"},
+		{"watcher", "bytes of control", s.controlBytes() + listRead.Value, "B/s", TargetBytesPerSecond, "as the agent, and the list"},
+		{"configuration service", "calls while all is well", calls, "1/s", TargetCallShare * s.ServiceCallsPerSecond, "two watchers a failure domain: a waiting watch, the list, each change"},
+		{"configuration service", "time to read all from nothing", cold / (TargetCallShare * s.ServiceCallsPerSecond), "s", 0, "everybody reads the list once, two read each value, the others have them from peers; kept to a tenth of the service's rate"},
+		{"all", "in force everywhere", inForce.Value, "s", TargetEffectTime.Seconds(), "pushes to three peers, then probes; measured at 2,980 processes"},
 	}
 }
 
 // Print writes the lines as a Markdown table.
-func Print(w io.Writer, lines []Line) {
+func Print(w io.Writer, lines []Figure) {
 	fmt.Fprintln(w, "| role | what | figure | target | kept | worked out from |")
 	fmt.Fprintln(w, "| --- | --- | ---: | ---: | --- | --- |")
 	for _, l := range lines {
 		target, kept := "", ""
 		if l.Target != 0 {
 			target, kept = fmt.Sprintf("%.4g", l.Target), "yes"
-			if !l.Met() {
+			if !l.MeetsTarget() {
 				kept = "**no**"
 			}
 		}
-		fmt.Fprintf(w, "| %s | %s | %.4g %s | %s | %s | %s |\n", l.Role, l.What, l.Value, l.Unit, target, kept, l.How)
+		fmt.Fprintf(w, "| %s | %s | %.4g %s | %s | %s | %s |\n", l.Role, l.Quantity, l.Value, l.Unit, target, kept, l.Basis)
 	}
 }
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -64,7 +64,7 @@
 	c.start = State(f.Required("chart", "start"))
 	events := f.Words("chart", "events")
 	if len(events) == 0 {
-		f.Fault("chart", "events", "must be set")
+		f.AddProblem("chart", "events", "must be set")
 	}
 	for _, section := range f.Sections() {
 		if state, ok := strings.CutPrefix(section, "state "); ok {
@@ -90,7 +90,7 @@
 // check finds targets that do not exist and states that cannot be reached.
 func (c *Chart) check(f *inifile.File) {
 	if _, ok := c.next[c.start]; !ok {
-		f.Fault("chart", "start", "no state %q", c.start)
+		f.AddProblem("chart", "start", "no state %q", c.start)
 		return
 	}
 	reached := map[State]bool{c.start: true}
@@ -100,7 +100,7 @@
 		work = work[1:]
 		for e, to := range c.next[s] {
 			if _, ok := c.next[to]; !ok {
-				f.Fault("state "+string(s), string(e), "no state %q", to)
+				f.AddProblem("state "+string(s), string(e), "no state %q", to)
 				continue
 			}
 			if !reached[to] {
@@ -111,7 +111,7 @@
 	}
 	for s := range c.next {
 		if !reached[s] {
-			f.Fault("state "+string(s), "", "cannot be reached")
+			f.AddProblem("state "+string(s), "", "cannot be reached")
 		}
 	}
 }
@@ -132,8 +132,8 @@
 	state State
 }
 
-// Machine returns a life in the chart's first state.
-func (c *Chart) Machine() *Machine { return &Machine{chart: c, state: c.start} }
+// NewMachine returns a life in the chart's first state.
+func (c *Chart) NewMachine() *Machine { return &Machine{chart: c, state: c.start} }
 
 // State returns the present state.
 func (m *Machine) State() State { return m.state }
--- a/internal/chart/chart_test.go
+++ b/internal/chart/chart_test.go
@@ -32,7 +32,7 @@
 
 func TestRequestChartNeverCallsSentWorkNotRunByItself(t *testing.T) {
 	g := gomega.NewWithT(t)
-	m := MustLoad("request").Machine()
+	m := MustLoad("request").NewMachine()
 	m.Apply("queue")
 	m.Apply("start")
 	m.Apply("send")
--- a/internal/cli/capacity.go
+++ b/internal/cli/capacity.go
@@ -22,15 +22,15 @@
 	if err != nil {
 		return err
 	}
-	s, err := capacity.Load(v.Site, raw)
+	s, err := capacity.Parse(v.Site, raw)
 	if err != nil {
 		return err
 	}
-	lines := s.Lines()
+	lines := s.Figures()
 	if v.JSON {
 		return v.app.printJSON(struct {
-			Lines  []capacity.Line  `json:"lines"`
-			Slopes []capacity.Slope `json:"slopes"`
+			Lines  []capacity.Figure `json:"lines"`
+			Slopes []capacity.Slope  `json:"slopes"`
 		}{lines, capacity.Slopes()})
 	}
 	capacity.Print(v.app.out, lines)
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -45,7 +45,7 @@
 	}
 	var broken []string
 	for _, r := range reports {
-		broken = append(broken, r.Broken()...)
+		broken = append(broken, r.Violations()...)
 	}
 	if len(broken) > 0 {
 		return failed(errors.Newf("promises broken:\n  %s", strings.Join(broken, "\n  ")))
--- a/internal/cli/example.go
+++ b/internal/cli/example.go
@@ -25,9 +25,9 @@
 
 // Execute writes the files and prints the commands that start them.
 func (v *exampleVerb) Execute([]string) (err error) {
-	size := example.Small
+	size := example.MinimalSize
 	if v.Full {
-		size = example.Today
+		size = example.FullSize
 	}
 	s, err := example.New(example.User(v.User), size, 0)
 	if err != nil {
@@ -50,7 +50,7 @@
 	}
 	files := map[string][]byte{
 		"generation-1.json": raw,
-		"standin.ini":       s.Standin(filepath.Join(dir, "generation-1.json")),
+		"standin.ini":       s.StandinSettings(filepath.Join(dir, "generation-1.json")),
 	}
 	for _, p := range append(append([]example.Process(nil), s.Entries...), s.Agents...) {
 		files[p.Name+".ini"] = s.Settings(p)
@@ -60,7 +60,7 @@
 			return err
 		}
 	}
-	key := base64.StdEncoding.EncodeToString(s.Private.Seed())
+	key := base64.StdEncoding.EncodeToString(s.SigningKey.Seed())
 	if err := writeFile(filepath.Join(dir, "operator.key"), []byte(key+"\n"), true); err != nil {
 		return err
 	}
@@ -76,8 +76,8 @@
 	c := s.Customers[0]
 	fmt.Fprintf(v.app.out, "Then ask:\n  curl -N http://%s/v1/chat/completions -H 'Authorization: Bearer %s' \\\n"+
 		"    -d '{\"model\":\"%s\",\"stream\":true,\"max_tokens\":8,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n",
-		s.Entries[0].Callers, c.Key, s.Model)
+		s.Entries[0].CallerAddress, c.Key, s.Model)
 	fmt.Fprintf(v.app.out, "  canvaspulley load --target %s --key %s --model %s --path %s --control %s\n",
-		s.Entries[0].Callers, c.Key, s.Model, s.Path, s.Control)
-	fmt.Fprintf(v.app.out, "  canvaspulley status %s\n", s.Entries[0].Operators)
+		s.Entries[0].CallerAddress, c.Key, s.Model, s.Path, s.ControlAddress)
+	fmt.Fprintf(v.app.out, "  canvaspulley status %s\n", s.Entries[0].OperatorAddress)
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -67,7 +67,7 @@
 // Execute runs the experiment.
 func (v *routingVerb) Execute([]string) error {
 	cfg := experiment.DefaultRouting
-	cfg.Lag, cfg.Load, cfg.Seed = v.Lag, v.Load, v.Seed
+	cfg.ReportLag, cfg.OfferedLoad, cfg.Seed = v.Lag, v.Load, v.Seed
 	t := tableVerb{app: v.app, JSON: v.JSON, run: func(uint64) experiment.Table { return experiment.Routing(cfg) }}
 	return t.Execute(nil)
 }
--- a/internal/cli/gossip.go
+++ b/internal/cli/gossip.go
@@ -35,8 +35,8 @@
 		if v.Domains < 1 || n < 2*v.Domains+1 {
 			return errors.New("--nodes must be more than twice --domains, and --domains at least 1")
 		}
-		t := v.run(experiment.GossipConfig{Nodes: n, Domains: v.Domains, Loss: v.Loss, Cut: v.Cut,
-			Pause: v.Pause, Seconds: v.Seconds, Seed: v.Seed})
+		t := v.run(experiment.GossipConfig{Nodes: n, Domains: v.Domains, Loss: v.Loss, PartitionTime: v.Cut,
+			PauseTime: v.Pause, Seconds: v.Seconds, Seed: v.Seed})
 		all.Title = t.Title
 		all.Rows = append(all.Rows, t.Rows...)
 	}
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -38,10 +38,10 @@
 // loadReport is what the verb prints.
 type loadReport struct {
 	load.Result
-	Verdict    *load.Verdict `json:"verdict,omitempty"`
-	FirstToken percentiles   `json:"first_token_us"`
-	Between    percentiles   `json:"between_tokens_us"`
-	Answer     percentiles   `json:"answer_us"`
+	Verdict    *load.PaymentErrors `json:"verdict,omitempty"`
+	FirstToken percentiles         `json:"first_token_us"`
+	Between    percentiles         `json:"between_tokens_us"`
+	Answer     percentiles         `json:"answer_us"`
 }
 
 // percentiles of a histogram, in microseconds.
@@ -60,8 +60,8 @@
 func (v *loadVerb) Execute([]string) (err error) {
 	cfg := load.Config{
 		Targets: v.Targets, Rate: v.Rate, Duration: v.Duration, Model: v.Model, Path: v.Path,
-		Streams: v.Streams, Payments: v.Payments, Tokens: v.Tokens, Deadline: v.Deadline,
-		Seed: v.Seed, Attempts: v.Attempts,
+		StreamShare: v.Streams, PaymentShare: v.Payments, TokensPerAnswer: v.Tokens, Deadline: v.Deadline,
+		Seed: v.Seed, MaxAttempts: v.Attempts,
 	}
 	if v.Rate <= 0 || v.Tokens <= 0 {
 		return errors.New("--rate and --tokens must be above 0")
@@ -74,13 +74,13 @@
 		return err
 	}
 	rep := loadReport{Result: res, FirstToken: percentilesOf(res.FirstToken),
-		Between: percentilesOf(res.Between), Answer: percentilesOf(res.Answer)}
+		Between: percentilesOf(res.BetweenTokens), Answer: percentilesOf(res.Answer)}
 	if v.Control != "" {
 		runs, err := fetchRuns(v.Control)
 		if err != nil {
 			return err
 		}
-		verdict := load.Judge(res.Said, runs)
+		verdict := load.CheckPayments(res.PaymentOutcomes, runs)
 		rep.Verdict = &verdict
 	}
 	return v.print(rep)
@@ -101,7 +101,7 @@
 	} else {
 		out := v.app.out
 		fmt.Fprintf(out, "sent %d  whole %d  not run %d  unknown %d  broken %d  wrong %d\n",
-			rep.Sent, rep.Whole, rep.NotRun, rep.Unknown, rep.Broken, rep.Wrong)
+			rep.Sent, rep.Complete, rep.NotRun, rep.Unknown, rep.NoOutcome, rep.Wrong)
 		for _, row := range []struct {
 			name string
 			p    percentiles
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	if rep.Wrong > 0 || rep.Verdict != nil && *rep.Verdict != (load.Verdict{}) {
+	if rep.Wrong > 0 || rep.Verdict != nil && *rep.Verdict != (load.PaymentErrors{}) {
 		return failed(errors.New("a promise was broken"))
 	}
 	return nil
--- a/internal/cli/policy.go
+++ b/internal/cli/policy.go
@@ -26,7 +26,7 @@
 	Class      string `long:"class" description:"the caller's class"`
 	Method     string `long:"method" default:"POST" description:"HTTP method"`
 	Path       string `long:"path" description:"path asked for"`
-	Once       bool   `long:"once" description:"the request may not be repeated"`
+	NoRetry    bool   `long:"once" description:"the request may not be repeated"`
 	DeadlineMS int64  `long:"deadline-ms" description:"time left; 0 for none"`
 	Attempt    int64  `long:"attempt" default:"1" description:"attempts already made"`
 	Reason     string `long:"reason" description:"why the last attempt failed"`
@@ -54,7 +54,7 @@
 	p := c.Policy("tried").Programs
 	req := policy.Request{
 		Customer: v.Customer, Service: v.Service, Class: v.Class, Method: v.Method, Path: v.Path,
-		Repeatable: !v.Once, DeadlineMS: v.DeadlineMS, Attempt: v.Attempt, Reason: v.Reason, Tokens: v.Tokens,
+		Repeatable: !v.NoRetry, DeadlineMS: v.DeadlineMS, Attempt: v.Attempt, Reason: v.Reason, Tokens: v.Tokens,
 	}
 	priority, err1 := p.Priority(req)
 	retry, err2 := p.Retry(req)
--- a/internal/cli/rebalance.go
+++ b/internal/cli/rebalance.go
@@ -53,8 +53,8 @@
 		return err
 	}
 	runs := experiment.Rebalance(experiment.RebalanceConfig{
-		Trace: t, Ranks: v.Ranks, Slots: v.Slots, Prices: prices, Lag: v.Lag, Gap: v.Gap,
-		ExpertBytes: v.ExpertBytes, StoreRate: v.StoreRate, SampleMS: v.StepMS, Repack: v.Repack, Seed: v.Seed,
+		Trace: t, Ranks: v.Ranks, Slots: v.Slots, Prices: prices, ReportLag: v.Lag, ReportLoss: v.Gap,
+		ExpertBytes: v.ExpertBytes, StoreRate: v.StoreRate, SampleMS: v.StepMS, RepackInterval: v.Repack, Seed: v.Seed,
 	})
 	if v.Plot != "" {
 		if err := plots.Rebalance(v.Plot, runs); err != nil {
@@ -121,7 +121,7 @@
 
 // Execute writes the trace to standard output.
 func (v *traceVerb) Execute([]string) (err error) {
-	t, err := trace.Make(trace.Config{Kind: trace.Kind(v.Kind), Layers: v.Layers, Experts: v.Experts, Steps: v.Steps, Seed: v.Seed})
+	t, err := trace.Generate(trace.Config{Kind: trace.Kind(v.Kind), Layers: v.Layers, Experts: v.Experts, Steps: v.Steps, Seed: v.Seed})
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/closed_under_request_test.go
+++ b/internal/daemon/closed_under_request_test.go
@@ -70,7 +70,7 @@
 func newTestProcess(t *testing.T, role adapter.Role, secure bool) *testProcess {
 	t.Helper()
 	g := NewWithT(t)
-	layout, err := example.New(example.RefundDesk, example.Small, 0)
+	layout, err := example.New(example.RefundDesk, example.MinimalSize, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	s := &testProcess{layout: layout, service: &countingService{runs: map[string]int{}}}
 	p := layout.Entries[0]
@@ -81,7 +81,7 @@
 	}
 	if secure {
 		s.dir = t.TempDir()
-		layout.Keys = s.dir
+		layout.TLSDir = s.dir
 		var ca []byte
 		s.authority, ca, _, err = trust.NewAuthority(time.Now(), time.Hour)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -96,12 +96,12 @@
 	t.Cleanup(service.Close)
 	s.set, err = settings.Parse("test.ini", layout.Settings(p))
 	g.Expect(err).NotTo(HaveOccurred())
-	s.set.ConfigService, s.set.Instances, s.set.Source, s.set.Seeds = directory.URL, directory.URL, "", nil
-	s.set.Peers, s.set.Operators, s.set.Advertise = "127.0.0.1:0", "127.0.0.1:0", ""
+	s.set.ConfigServiceURL, s.set.InstancesURL, s.set.SourceIP, s.set.Seeds = directory.URL, directory.URL, "", nil
+	s.set.PeersAddress, s.set.OperatorsAddress, s.set.AdvertisedAddress = "127.0.0.1:0", "127.0.0.1:0", ""
 	if role == adapter.RoleEntry {
-		s.set.Callers = "127.0.0.1:0"
+		s.set.CallersAddress = "127.0.0.1:0"
 	} else {
-		s.set.Service = service.URL
+		s.set.ServiceURL = service.URL
 	}
 	return s
 }
--- a/internal/daemon/connections_test.go
+++ b/internal/daemon/connections_test.go
@@ -99,7 +99,7 @@
 
 // newGatewayProcess returns a gateway's process, and the gateway, which has no configuration yet.
 func newGatewayProcess(t *testing.T) (*fleetProcess, *gateway.Gateway) {
-	p := &fleetProcess{set: &settings.Fleet{Grace: time.Minute}, log: zap.NewNop(), reg: metrics.NewRegistry()}
+	p := &fleetProcess{set: &settings.Fleet{GracePeriod: time.Minute}, log: zap.NewNop(), reg: metrics.NewRegistry()}
 	gw, cleanup := gateway.New(gateway.Config{}, platformCodec(), follow.NewView(), p.log, p.reg)
 	t.Cleanup(cleanup)
 	return p, gw
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -39,12 +39,12 @@
 	defer func() { err = errors.Wrap(err, "daemon") }()
 	d = &Daemon{set: set, log: log}
 	cleanup = d.close
-	peers, err := node.Listen(set.Peers)
+	peers, err := node.Listen(set.PeersAddress)
 	if err != nil {
 		return nil, nil, err
 	}
-	if set.Advertise == "" {
-		set.Advertise = peers.Addr().String()
+	if set.AdvertisedAddress == "" {
+		set.AdvertisedAddress = peers.Addr().String()
 	}
 	if d.node, err = node.New(set, log); err != nil {
 		_ = peers.Close()
@@ -56,8 +56,8 @@
 		handler func() http.Handler
 		name    string
 	}{
-		{set.Operators, func() http.Handler { return d.node.OperatorsMux() }, operatorsName},
-		{set.Callers, func() http.Handler { return d.entry.Handler() }, callersName},
+		{set.OperatorsAddress, func() http.Handler { return d.node.OperatorsMux() }, operatorsName},
+		{set.CallersAddress, func() http.Handler { return d.entry.Handler() }, callersName},
 	} {
 		if one.address == "" {
 			continue
@@ -78,12 +78,12 @@
 		d.entry = entry.New(d.node)
 		return d.entry.PeerHandler()
 	}
-	kept := &http.Client{Transport: adapter.NewTransport(d.set.Source)}
-	single := &http.Client{Transport: adapter.NewSingleUseTransport(d.set.Source)}
-	if d.set.Engine != "" {
-		d.agent = agent.New(d.node, adapter.NewEngine(d.set.Engine, kept), nil)
+	kept := &http.Client{Transport: adapter.NewTransport(d.set.SourceIP)}
+	single := &http.Client{Transport: adapter.NewSingleUseTransport(d.set.SourceIP)}
+	if d.set.EngineURL != "" {
+		d.agent = agent.New(d.node, adapter.NewEngine(d.set.EngineURL, kept), nil)
 	} else {
-		d.agent = agent.New(d.node, nil, adapter.NewService(d.set.Service, kept, single))
+		d.agent = agent.New(d.node, nil, adapter.NewService(d.set.ServiceURL, kept, single))
 	}
 	return d.agent.Handler()
 }
@@ -120,7 +120,7 @@
 	if d.entry != nil {
 		return d.entry.InFlight()
 	}
-	return d.agent.Busy()
+	return d.agent.InFlight()
 }
 
 // Run serves until a planned stop is complete or ctx ends, which cuts off requests in flight. The
@@ -137,7 +137,7 @@
 		duties.Go("entry", d.entry.Run)
 	}
 	for _, ln := range d.listeners {
-		duties.Once("listener", ln.serve)
+		duties.GoOnce("listener", ln.serve)
 	}
 	duties.Go("stop", func(ctx context.Context) error {
 		d.drain(ctx)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -53,12 +53,12 @@
 
 // runFleet runs a gateway or a sidecar until a planned stop is complete.
 func runFleet(file string, set *settings.Fleet, signalCh <-chan os.Signal, out io.Writer) (err error) {
-	logger, lines, err := oplog.New(out, set.LogLevel, set.LogPerSec)
+	logger, lines, err := oplog.New(out, set.LogLevel, set.ServedLinesPerSecond)
 	if err != nil {
 		return errors.Wrap(err, "log level")
 	}
-	if set.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(heapShare * set.MemoryLimit * (1 << 20)))
+	if set.MemoryLimitMB > 0 {
+		debug.SetMemoryLimit(int64(heapShare * set.MemoryLimitMB * (1 << 20)))
 	}
 	serverLog, err := zap.NewStdLogAt(logger.Named("http"), zap.WarnLevel)
 	if err != nil {
@@ -92,11 +92,11 @@
 // listenPeers opens the sockets for other processes: for datagrams and for calls. The returned
 // function closes both.
 func (p *fleetProcess) listenPeers() (socket *peers.Socket, calls net.Listener, cleanup func(), err error) {
-	socket, closeSocket, err := peers.Listen(p.set.Peers, p.log)
+	socket, closeSocket, err := peers.Listen(p.set.PeersAddress, p.log)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	calls, err = listenTCP(p.set.Peers)
+	calls, err = listenTCP(p.set.PeersAddress)
 	if err != nil {
 		closeSocket()
 		return nil, nil, nil, err
@@ -301,16 +301,16 @@
 		p.log.Warn("settings could not be reloaded", zap.String("error", err.Error()))
 		return
 	}
-	p.log.Info("settings read again", zap.Bool("store-moved", next.Store != p.set.Store))
+	p.log.Info("settings read again", zap.Bool("store-moved", next.StoreAddress != p.set.StoreAddress))
 }
 
 // serveMetrics serves the process's metrics as text. The process works without them, so a failure
 // is only logged.
 func (p *fleetProcess) serveMetrics(duties *duty.Group) {
-	if p.set.Metrics == "" {
+	if p.set.MetricsAddress == "" {
 		return
 	}
-	l, err := listenTCP(p.set.Metrics)
+	l, err := listenTCP(p.set.MetricsAddress)
 	if err != nil {
 		p.log.Error("metrics unavailable", zap.String("error", err.Error()))
 		return
@@ -321,7 +321,7 @@
 		p.writeBuild(w)
 		metrics.WriteOnce(p.reg, w)
 	})
-	duties.Once("metrics", func(ctx context.Context) error { return serveUntilDone(ctx, p.httpServer(mux), l) })
+	duties.GoOnce("metrics", func(ctx context.Context) error { return serveUntilDone(ctx, p.httpServer(mux), l) })
 }
 
 // writeBuild writes the build and the incarnation of the process.
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -49,29 +49,29 @@
 func (p *fleetProcess) gateway(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	store, closeStore := platform.NewStore(p.set.Store, p.set.Source)
+	store, closeStore := platform.NewStore(p.set.StoreAddress, p.set.SourceIP)
 	defer closeStore()
 	view := follow.NewView()
 	g, closeGateway := gateway.New(gateway.Config{
 		Domain:        p.set.Domain,
-		SourceAddress: p.set.Source,
-		MemoryBytes:   int64(p.set.MemoryLimit * (1 << 20)),
-		MaxKeyAge:     p.set.Revocation - keyAgeMargin,
+		SourceAddress: p.set.SourceIP,
+		MemoryBytes:   int64(p.set.MemoryLimitMB * (1 << 20)),
+		MaxKeyAge:     p.set.RevocationTime - keyAgeMargin,
 		RetryShare:    p.set.RetryShare,
 		RetryWindow:   p.set.RetryWindow,
-		RetryFloor:    p.set.RetrySpare,
+		RetryFloor:    p.set.RetryFloor,
 		EndCheckDelay: aliveCheckTime,
-		GracePeriod:   p.set.Grace - stopMargin - stopDrainMargin,
+		GracePeriod:   p.set.GracePeriod - stopMargin - stopDrainMargin,
 
-		PropagationDelay: 2 * p.set.InForce, // A version is in effect from before its acknowledgement.
+		PropagationDelay: 2 * p.set.EffectTime, // A version is in effect from before its acknowledgement.
 	}, platformCodec(), view, p.log, p.reg)
 	defer closeGateway()
 
-	callers, err := listenTCP(p.set.Callers)
+	callers, err := listenTCP(p.set.CallersAddress)
 	if err != nil {
 		return err
 	}
-	readiness, err := listenTCP(p.set.Readiness)
+	readiness, err := listenTCP(p.set.ReadinessAddress)
 	if err != nil {
 		return err
 	}
@@ -83,11 +83,11 @@
 	peerExchange, closePeerExchange := gateway.NewPeerExchange(gateway.PeerExchangeConfig{
 		Name:         p.set.Name,
 		Domain:       p.set.Domain,
-		Address:      p.set.Peers,
+		Address:      p.set.PeersAddress,
 		Seeds:        p.set.Seeds,
-		EffectTime:   p.set.InForce,
-		FirstStart:   p.set.First,
-		SidecarsPort: p.set.PeersPort,
+		EffectTime:   p.set.EffectTime,
+		FirstStart:   p.set.FirstStart,
+		SidecarsPort: p.set.SidecarsPort,
 		Decode:       platform.DecodeConfig,
 	}, g, socket, p.log)
 	defer closePeerExchange()
@@ -105,17 +105,17 @@
 	}
 	duties := duty.New(ctx, p.log, p.reg, p.onFailure)
 	duties.Go("signals", func(ctx context.Context) error { return p.handleSignals(ctx, startStop, cancel) })
-	follower := follow.NewFollower(view, store.Source(), p.set.InForce, p.log)
+	follower := follow.NewFollower(view, store.Source(), p.set.EffectTime, p.log)
 	follower.UsePeers(peerExchange.PeerSource())
 	duties.Go("follow", func(ctx context.Context) error { return follower.Run(ctx, g.ViewChanged) })
 	duties.Go("housekeeping", g.Run)
 	duties.Go("messages", func(ctx context.Context) error { return socket.Run(ctx, peerExchange.Receive) })
 	duties.Go("neighbours", peerExchange.Run)
-	duties.Once("calls", func(ctx context.Context) error {
+	duties.GoOnce("calls", func(ctx context.Context) error {
 		return serveUntilDone(ctx, p.httpServer(peerExchange.Handler()), calls)
 	})
-	duties.Once("callers", func(ctx context.Context) error { return p.serveCallers(ctx, g, callers) })
-	duties.Once("readiness", func(ctx context.Context) error {
+	duties.GoOnce("callers", func(ctx context.Context) error { return p.serveCallers(ctx, g, callers) })
+	duties.GoOnce("readiness", func(ctx context.Context) error {
 		return serveUntilDone(ctx, p.httpServer(g.ReadinessHandler()), readiness)
 	})
 	p.serveMetrics(duties)
@@ -142,8 +142,8 @@
 	}
 	// Separate duties: after a failure of one, the other continues until ctx ends.
 	duties := duty.New(ctx, p.log, p.reg, p.onFailure)
-	duties.Once("callers-accept", func(context.Context) error { return serve(srv, l) })
-	duties.Once("callers-end", func(ctx context.Context) error {
+	duties.GoOnce("callers-accept", func(context.Context) error { return serve(srv, l) })
+	duties.GoOnce("callers-end", func(ctx context.Context) error {
 		<-ctx.Done()
 		p.closeCallers(g, srv, grace)
 		return nil
@@ -200,11 +200,11 @@
 			switch {
 			case after > stopAcceptTime && callers.Drained():
 				return
-			case after > p.set.Grace-stopMargin:
+			case after > p.set.GracePeriod-stopMargin:
 				p.log.Warn("stopped with connections open", zap.Int("requests", requests), zap.Int("connections", connections))
 				return
 			case after <= stopAcceptTime:
-			case !closing && (requests+connections == 0 || after > p.set.Grace-stopMargin-cmp.Or(p.closedTime, stopClosedTime)):
+			case !closing && (requests+connections == 0 || after > p.set.GracePeriod-stopMargin-cmp.Or(p.closedTime, stopClosedTime)):
 				closing = true
 				if err := callers.CloseListeners(now); err != nil {
 					p.log.Warn("listener not closed", zap.String("error", err.Error()))
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -166,7 +166,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-d.node.Left():
+	case <-d.node.Leaving():
 	}
 	began := time.Now()
 	for _, ln := range d.listeners {
@@ -203,7 +203,7 @@
 	if n := d.openConns(); n > 0 {
 		d.log.Warn("stopped with connections open", zap.Int("connections", n))
 	}
-	d.node.Idle()
+	d.node.MarkIdle()
 }
 
 // openConns returns the number of open connections.
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -44,7 +44,7 @@
 	}
 	signalCh, cleanup := catchSignals()
 	defer cleanup()
-	role, err := settings.RoleOf(o.Config)
+	role, err := settings.ReadRole(o.Config)
 	if err != nil {
 		fmt.Fprintln(stderr, err)
 		return exitSettings
@@ -122,7 +122,7 @@
 // newLog returns the log of an entry or an agent, and the writer of its lines to out.
 func newLog(out io.Writer, level string) (*zap.Logger, *oplog.Log, error) {
 	enc := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
-	log, lines, err := oplog.NewEncoded(out, level, requestLogPerSecond, enc)
+	log, lines, err := oplog.NewWithEncoder(out, level, requestLogPerSecond, enc)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/daemon/process_end_test.go
+++ b/internal/daemon/process_end_test.go
@@ -135,7 +135,7 @@
 	p.onFailure = func(name string) { failed <- name }
 	ctx, cancel := context.WithCancel(context.Background())
 	duties := duty.New(ctx, p.log, p.reg, p.onFailure)
-	duties.Once("callers", func(ctx context.Context) error { return p.serveCallers(ctx, gw, &panickingListener{l, 1}) })
+	duties.GoOnce("callers", func(ctx context.Context) error { return p.serveCallers(ctx, gw, &panickingListener{l, 1}) })
 	c, err := net.Dial("tcp4", l.Addr().String())
 	g.Expect(err).NotTo(HaveOccurred())
 	defer func() { _ = c.Close() }()
@@ -156,7 +156,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	d.listeners[0].netListener = &panickingListener{Listener: d.listeners[0].netListener}
 	g.Expect(d.Run(context.Background())).To(MatchError(ContainSubstring("duty listener")))
-	g.Expect(d.Node().Left()).To(BeClosed())
+	g.Expect(d.Node().Leaving()).To(BeClosed())
 }
 
 // Guards against a process that ends with all its requests because one connection cannot be
@@ -247,8 +247,8 @@
 	t.Parallel()
 	g := NewWithT(t)
 	set := &settings.Fleet{
-		Role: settings.Gateway, Name: "g", Domain: "a", LogLevel: "info", LogPerSec: 100, Store: "http://127.0.0.1:1", Grace: time.Minute,
-		Callers: "127.0.0.1:0", Readiness: "127.0.0.1:0", Peers: "127.0.0.1:0",
+		Role: settings.Gateway, Name: "g", Domain: "a", LogLevel: "info", ServedLinesPerSecond: 100, StoreAddress: "http://127.0.0.1:1", GracePeriod: time.Minute,
+		CallersAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", PeersAddress: "127.0.0.1:0",
 	}
 	caught := make(chan os.Signal, 2)
 	caught <- syscall.SIGINT
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -17,9 +17,9 @@
 func (p *fleetProcess) sidecar(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	store, closeStore := platform.NewStore(p.set.Store, p.set.Source)
+	store, closeStore := platform.NewStore(p.set.StoreAddress, p.set.SourceIP)
 	defer closeStore()
-	engine, closeEngine := platform.NewEngine(p.set.Engine, p.set.Source)
+	engine, closeEngine := platform.NewEngine(p.set.EngineAddress, p.set.SourceIP)
 	defer closeEngine()
 	socket, calls, closePeers, err := p.listenPeers()
 	if err != nil {
@@ -27,12 +27,12 @@
 	}
 	defer closePeers()
 	s, closeSidecar := sidecar.New(sidecar.Config{
-		Address:   p.set.Engine,
+		Address:   p.set.EngineAddress,
 		Domain:    p.set.Domain,
-		PeersPort: p.set.PeersPort,
+		PeersPort: p.set.SidecarsPort,
 		SkewPrice: p.set.SkewPrice,
 		CopyPrice: p.set.CopyPrice,
-		Fences:    p.set.Fences,
+		Fences:    p.set.EngineChecksFences,
 		LinkRate:  p.set.LinkRate,
 	}, engine, p.otherEngine, store.Source(), socket, p.log, p.reg)
 	defer closeSidecar()
@@ -42,7 +42,7 @@
 	})
 	duties.Go("signals", func(ctx context.Context) error { return p.handleSignals(ctx, cancel, cancel) })
 	duties.Go("sidecar", s.Run)
-	duties.Once("calls", func(ctx context.Context) error { return serveUntilDone(ctx, p.httpServer(s.Handler()), calls) })
+	duties.GoOnce("calls", func(ctx context.Context) error { return serveUntilDone(ctx, p.httpServer(s.Handler()), calls) })
 	p.serveMetrics(duties)
 	return duties.Wait()
 }
@@ -50,5 +50,5 @@
 // otherEngine returns a client of another rank's engine. It is used rarely, so its connections are
 // not kept.
 func (p *fleetProcess) otherEngine(address string) rank.Engine {
-	return platform.NewUnpooledEngine(address, p.set.Source)
+	return platform.NewUnpooledEngine(address, p.set.SourceIP)
 }
--- a/internal/daemon/stop_test.go
+++ b/internal/daemon/stop_test.go
@@ -67,7 +67,7 @@
 	t.Parallel()
 	g := NewWithT(t)
 	core, logs := observer.New(zap.WarnLevel)
-	p := &fleetProcess{log: zap.New(core), reg: metrics.NewRegistry(), closedTime: testTimeout, set: &settings.Fleet{Grace: stopAcceptTime + stopMargin + stopClosedTime + testTimeout}}
+	p := &fleetProcess{log: zap.New(core), reg: metrics.NewRegistry(), closedTime: testTimeout, set: &settings.Fleet{GracePeriod: stopAcceptTime + stopMargin + stopClosedTime + testTimeout}}
 	gw, cleanup := gateway.New(gateway.Config{}, platformCodec(), follow.NewView(), zap.NewNop(), p.reg)
 	t.Cleanup(cleanup)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -97,9 +97,9 @@
 	t.Parallel()
 	g := NewWithT(t)
 	core, logs := observer.New(zap.WarnLevel)
-	p := &fleetProcess{log: zap.New(core), set: &settings.Fleet{Grace: stopAcceptTime + stopMargin + 2*stopClosedTime}}
+	p := &fleetProcess{log: zap.New(core), set: &settings.Fleet{GracePeriod: stopAcceptTime + stopMargin + 2*stopClosedTime}}
 	callers := keepalive.New(keepalive.Config{
-		Name: "test", IdleTimeout: testTimeout, ReadHeaderTimeout: testTimeout, GracePeriod: p.set.Grace - stopMargin - stopDrainMargin,
+		Name: "test", IdleTimeout: testTimeout, ReadHeaderTimeout: testTimeout, GracePeriod: p.set.GracePeriod - stopMargin - stopDrainMargin,
 	}, p.log, metrics.NewRegistry())
 	end := make(chan struct{})
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/decide/mapswitch/coordinator.go
+++ b/internal/decide/mapswitch/coordinator.go
@@ -43,8 +43,8 @@
 	return Coordinator{Ballot: ballot, Ranks: ranks, Phase: Asking, Margin: max(margin, 1)}
 }
 
-// Resend returns the orders of the current phase to the ranks that have not confirmed it.
-func (c Coordinator) Resend() (orders []Order) {
+// UnconfirmedOrders returns the orders of the current phase to the ranks that have not confirmed it.
+func (c Coordinator) UnconfirmedOrders() (orders []Order) {
 	kind := map[Phase]Kind{Asking: Ask, Finishing: Commit, Preparing: Prepare, Arming: Arm, Deciding: Commit}[c.Phase]
 	if kind == 0 {
 		return nil
@@ -79,7 +79,7 @@
 // enter begins a phase and returns its orders.
 func (c Coordinator) enter(p Phase, plan Plan) (Coordinator, []Order) {
 	c.Phase, c.Plan, c.Confirmed = p, plan, RankSet{}
-	return c, c.Resend()
+	return c, c.UnconfirmedOrders()
 }
 
 // Handle takes in a reply and returns the resulting orders.
--- a/internal/decide/mapswitch/random_test.go
+++ b/internal/decide/mapswitch/random_test.go
@@ -31,9 +31,9 @@
 				coordinators = coordinators[1:]
 			}
 			coordinators = append(coordinators, c)
-			orders = append(orders, c.Resend()...)
+			orders = append(orders, c.UnconfirmedOrders()...)
 		case k < 40: // Orders are resent.
-			orders = append(orders, coordinators[random.IntN(len(coordinators))].Resend()...)
+			orders = append(orders, coordinators[random.IntN(len(coordinators))].UnconfirmedOrders()...)
 		case k < 400: // Each rank may step, as lock-step allows.
 			lowest := group[0].LastStep
 			for _, r := range group {
--- a/internal/decide/mapswitch/search_test.go
+++ b/internal/decide/mapswitch/search_test.go
@@ -237,7 +237,7 @@
 		if c.Phase == 0 {
 			add(func(n *world) {
 				n.coordinators[b] = NewCoordinator(uint64(b+1), ranks, 1)
-				n.send(n.coordinators[b].Resend())
+				n.send(n.coordinators[b].UnconfirmedOrders())
 			})
 		}
 		if next, orders, ok := c.AbortSwitch(); ok {
@@ -298,7 +298,7 @@
 func recovers(w world) bool {
 	group := w.ranks
 	c := NewCoordinator(ballots+1, ranks, 1)
-	orders := c.Resend()
+	orders := c.UnconfirmedOrders()
 	for range 100 {
 		for _, o := range orders {
 			var reply Reply
@@ -306,13 +306,13 @@
 			c, _ = c.Handle(reply)
 		}
 		stepAll(&group)
-		orders = c.Resend()
+		orders = c.UnconfirmedOrders()
 		if c.Phase == Done && group[0].Map == c.Ballot {
 			return group[0].LastStep == group[1].LastStep && group[1].Map == group[2].Map
 		}
 		if c.Phase == TooLate {
 			c = NewCoordinator(c.Ballot+1, ranks, 2*c.Margin)
-			orders = c.Resend()
+			orders = c.UnconfirmedOrders()
 		}
 	}
 	return false
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -263,8 +263,8 @@
 	}
 }
 
-// PickRelays picks random alive members to probe a target that did not answer.
-func (t *Table) PickRelays(target string, random uint64) []Member {
+// PickRandom picks random alive members to probe a target that did not answer.
+func (t *Table) PickRandom(target string, random uint64) []Member {
 	alive := t.Members(func(m Member) bool {
 		return m.State == Alive && m.Name != target && m.Name != t.self.Name
 	})
--- a/internal/decide/spread/spread.go
+++ b/internal/decide/spread/spread.go
@@ -37,8 +37,8 @@
 	return s.conflict, s.conflict.Generation != 0 && s.conflict.Generation == s.current.Generation
 }
 
-// Receive decides what to do with a generation announced by a peer or the configuration service.
-func (s *State) Receive(v published.Version) Decision {
+// Decide decides what to do with a generation announced by a peer or the configuration service.
+func (s *State) Decide(v published.Version) Decision {
 	if v.Generation == 0 || s.refused[v] || !v.Newer(s.current) {
 		return Ignore
 	}
--- a/internal/decide/spread/spread_test.go
+++ b/internal/decide/spread/spread_test.go
@@ -25,7 +25,7 @@
 
 // receive receives a generation and follows the decision, as the daemon does.
 func receive(s *State, v published.Version) {
-	if s.Receive(v) == Fetch {
+	if s.Decide(v) == Fetch {
 		s.Adopt(v)
 	}
 }
@@ -89,6 +89,6 @@
 	g := gomega.NewWithT(t)
 	s := New()
 	s.Refuse(version(2, "bad"))
-	g.Expect(s.Receive(version(2, "bad"))).To(gomega.Equal(Ignore))
-	g.Expect(s.Receive(version(2, "good"))).To(gomega.Equal(Fetch))
+	g.Expect(s.Decide(version(2, "bad"))).To(gomega.Equal(Ignore))
+	g.Expect(s.Decide(version(2, "good"))).To(gomega.Equal(Fetch))
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -27,15 +27,15 @@
 
 // Report is what a site's callers saw.
 type Report struct {
-	User    example.User `json:"user"`
-	Result  load.Result  `json:"result"`
-	Verdict load.Verdict `json:"verdict"`
-	InForce int          `json:"in_force"` // Processes with the newest generation.
-	Running int          `json:"running"`
+	User     example.User       `json:"user"`
+	Result   load.Result        `json:"result"`
+	Verdict  load.PaymentErrors `json:"verdict"`
+	UpToDate int                `json:"in_force"` // Processes with the newest generation.
+	Running  int                `json:"running"`
 }
 
-// Broken lists the promises that did not hold.
-func (r Report) Broken() (list []string) {
+// Violations lists the promises that did not hold.
+func (r Report) Violations() (list []string) {
 	for _, one := range []struct {
 		count int
 		text  string
@@ -44,8 +44,8 @@
 		{r.Verdict.Lost, "payments called done that did not run"},
 		{r.Verdict.Doubled, "payments run more than once"},
 		{r.Verdict.FalseNotRun, "payments called not run that did run"},
-		{r.Result.Broken, "requests without an outcome at the end"},
-		{r.Running - r.InForce, "processes without the newest generation"},
+		{r.Result.NoOutcome, "requests without an outcome at the end"},
+		{r.Running - r.UpToDate, "processes without the newest generation"},
 	} {
 		if one.count > 0 {
 			list = append(list, fmt.Sprintf("%s: %d %s", r.User, one.count, one.text))
@@ -73,13 +73,13 @@
 			values["policy/evening.ini"] = []byte("[policy]\npriority = 3\n")
 			s.Publish(2, values)
 		}},
-		{0.20, "planned stop of " + stopped.Name, func(s *Site) { s.Leave(stopped.Name) }},
-		{0.30, "planned stop of " + api.Name, func(s *Site) { s.Leave(api.Name) }},
+		{0.20, "planned stop of " + stopped.Name, func(s *Site) { s.BeginPlannedStop(stopped.Name) }},
+		{0.30, "planned stop of " + api.Name, func(s *Site) { s.BeginPlannedStop(api.Name) }},
 		{0.40, "kill " + killed.Name, func(s *Site) { s.Kill(killed.Name) }},
 		{0.45, "kill entry " + l.Entries[1].Name, func(s *Site) { s.Kill(l.Entries[1].Name) }},
-		{0.50, "cut off " + last, func(s *Site) { s.Cut(last, true) }},
+		{0.50, "cut off " + last, func(s *Site) { s.SetPartitioned(last, true) }},
 		{0.60, "publish during the cut", func(s *Site) { s.Publish(3, l.Published()) }},
-		{0.75, "heal " + last, func(s *Site) { s.Cut(last, false) }},
+		{0.75, "heal " + last, func(s *Site) { s.SetPartitioned(last, false) }},
 	}
 }
 
@@ -97,7 +97,7 @@
 	waits := make([]func() error, len(users))
 	g := &errgroup.Group{}
 	for i, user := range users {
-		layout, err := example.New(user, example.Today, byte(i))
+		layout, err := example.New(user, example.FullSize, byte(i))
 		if err != nil {
 			return nil, err
 		}
@@ -132,8 +132,8 @@
 	g.Go(func() (err error) {
 		r.Result, err = load.Run(ctx, load.Config{
 			Targets: s.Targets(), Rate: o.Rate, Duration: o.Duration, Callers: s.Callers(),
-			Model: s.layout.Model, Path: s.layout.Path, Streams: 0.5, Payments: 0.35, Tokens: 60,
-			Seed: o.Seed, Attempts: 8,
+			Model: s.layout.Model, Path: s.layout.Path, StreamShare: 0.5, PaymentShare: 0.35, TokensPerAnswer: 60,
+			Seed: o.Seed, MaxAttempts: 8,
 		})
 		return err
 	})
@@ -150,8 +150,8 @@
 		return r, err
 	}
 	_ = s.await(ctx, 0) // Who has not got it by then is reported.
-	r.InForce, r.Running = s.InForce()
-	r.Verdict = load.Judge(r.Result.Said, s.stand.Runs())
+	r.UpToDate, r.Running = s.CountUpToDate()
+	r.Verdict = load.CheckPayments(r.Result.PaymentOutcomes, s.stand.Runs())
 	return r, nil
 }
 
@@ -160,7 +160,7 @@
 func (s *Site) await(ctx context.Context, members int) error {
 	deadline := time.Now().Add(settle)
 	for {
-		have, all := s.InForce()
+		have, all := s.CountUpToDate()
 		if have == all && (members == 0 || s.complete()) {
 			return nil
 		}
@@ -188,8 +188,8 @@
 	fmt.Fprintf(out, "\n%-9s %6s %6s %8s %8s %7s %6s %5s %8s %14s %9s\n", "user", "sent", "whole", "not run",
 		"unknown", "broken", "wrong", "lost", "doubled", "false not run", "in force")
 	for _, r := range reports {
-		fmt.Fprintf(out, "%-9s %6d %6d %8d %8d %7d %6d %5d %8d %14d %5d/%d\n", r.User, r.Result.Sent, r.Result.Whole,
-			r.Result.NotRun, r.Result.Unknown, r.Result.Broken, r.Result.Wrong, r.Verdict.Lost, r.Verdict.Doubled,
-			r.Verdict.FalseNotRun, r.InForce, r.Running)
+		fmt.Fprintf(out, "%-9s %6d %6d %8d %8d %7d %6d %5d %8d %14d %5d/%d\n", r.User, r.Result.Sent, r.Result.Complete,
+			r.Result.NotRun, r.Result.Unknown, r.Result.NoOutcome, r.Result.Wrong, r.Verdict.Lost, r.Verdict.Doubled,
+			r.Verdict.FalseNotRun, r.UpToDate, r.Running)
 	}
 }
--- a/internal/demo/site.go
+++ b/internal/demo/site.go
@@ -35,7 +35,7 @@
 // Start starts a site; it stops when ctx ends, and the function waits for that.
 func Start(ctx context.Context, layout *example.Site) (s *Site, wait func() error, err error) {
 	defer func() { err = errors.Wrap(err, "start site") }()
-	f, err := inifile.Parse("standin.ini", layout.Standin(""))
+	f, err := inifile.Parse("standin.ini", layout.StandinSettings(""))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -99,8 +99,8 @@
 	s.kills[name]()
 }
 
-// Leave begins the planned stop of a daemon.
-func (s *Site) Leave(name string) {
+// BeginPlannedStop begins the planned stop of a daemon.
+func (s *Site) BeginPlannedStop(name string) {
 	s.mu.Lock()
 	d := s.daemons[name]
 	s.mu.Unlock()
@@ -114,15 +114,15 @@
 	s.stand.Dir.Publish(standin.Bundle{Manifest: m, Values: values})
 }
 
-// Cut cuts a failure domain off from the others and from the platform.
-func (s *Site) Cut(domain string, on bool) {
-	s.stand.Net.Cut(domain, on)
-	s.stand.Views[domain].Down(on)
+// SetPartitioned cuts a failure domain off from the others and from the platform.
+func (s *Site) SetPartitioned(domain string, on bool) {
+	s.stand.Net.SetPartitioned(domain, on)
+	s.stand.Views[domain].SetDown(on)
 }
 
-// InForce returns how many running daemons have the newest generation, and how
+// CountUpToDate returns how many running daemons have the newest generation, and how
 // many there are.
-func (s *Site) InForce() (have, all int) {
+func (s *Site) CountUpToDate() (have, all int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, d := range s.daemons {
@@ -145,7 +145,7 @@
 // Targets returns the callers' listeners of all entries.
 func (s *Site) Targets() (list []string) {
 	for _, p := range s.layout.Entries {
-		list = append(list, p.Callers)
+		list = append(list, p.CallerAddress)
 	}
 	return list
 }
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -33,9 +33,9 @@
 	do()
 }
 
-// Contain calls do and reports whether it returned; a panic is logged, with the fields, and
+// RunRecovered calls do and reports whether it returned; a panic is logged, with the fields, and
 // counted. What do locks it must unlock in deferred calls.
-func Contain(name string, log *zap.Logger, reg metrics.Registry, do func(), fields ...zap.Field) (returned bool) {
+func RunRecovered(name string, log *zap.Logger, reg metrics.Registry, do func(), fields ...zap.Field) (returned bool) {
 	defer func() {
 		if v := recover(); v != nil {
 			metrics.GetOrRegisterCounter("process.panics."+name, reg).Inc(1)
@@ -64,14 +64,14 @@
 // Go runs a duty, and runs it again after a panic.
 func (g *Group) Go(name string, run func(ctx context.Context) error) { g.start(name, mostPanics, run) }
 
-// Once runs a duty that cannot be begun again after a panic.
-func (g *Group) Once(name string, run func(ctx context.Context) error) { g.start(name, 1, run) }
+// GoOnce runs a duty that cannot be begun again after a panic.
+func (g *Group) GoOnce(name string, run func(ctx context.Context) error) { g.start(name, 1, run) }
 
 func (g *Group) start(name string, panics int, run func(ctx context.Context) error) {
 	g.group.Go(func() (err error) {
 		pause := firstPause
 		for n := 0; ; pause = min(2*pause, longestPause) {
-			if Contain(name, g.log, g.reg, func() { err = run(g.ctx) }) {
+			if RunRecovered(name, g.log, g.reg, func() { err = run(g.ctx) }) {
 				break
 			}
 			if n++; n >= panics {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -51,7 +51,7 @@
 				return tc.run(runs - 1)
 			}
 			if tc.once {
-				d.Once("one", run)
+				d.GoOnce("one", run)
 			} else {
 				d.Go("one", run)
 			}
--- a/internal/e2e/bench_test.go
+++ b/internal/e2e/bench_test.go
@@ -100,12 +100,12 @@
 	agent, entry := s.Agents[0], s.Entries[0]
 	directRequest := func(i int) *http.Request {
 		body := fmt.Sprintf(`{"id":"d%d","prompt":"user: x%d\n","max_tokens":%d}`, i, i, tokens)
-		r, _ := http.NewRequest(http.MethodPost, "http://"+agent.Backend+"/v1/generate", strings.NewReader(body))
+		r, _ := http.NewRequest(http.MethodPost, "http://"+agent.BackendAddress+"/v1/generate", strings.NewReader(body))
 		return r
 	}
 	relayedRequest := func(i int) *http.Request {
 		body := fmt.Sprintf(`{"model":"plates","stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"y%d"}]}`, tokens, i)
-		r, _ := http.NewRequest(http.MethodPost, "http://"+entry.Callers+"/v1/chat/completions", strings.NewReader(body))
+		r, _ := http.NewRequest(http.MethodPost, "http://"+entry.CallerAddress+"/v1/chat/completions", strings.NewReader(body))
 		r.Header.Set("Authorization", "Bearer "+s.Customers[0].Key)
 		return r
 	}
@@ -140,9 +140,9 @@
 func benchSite(b *testing.B) *site {
 	g := gomega.NewWithT(b)
 	buildOnce()
-	layout, err := example.New(example.Archive, example.Small, 0)
+	layout, err := example.New(example.Archive, example.MinimalSize, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	layout.Places = 2000
+	layout.MaxConcurrency = 2000
 	layout.Customers[0].Rate = 100000
 	s := &site{Site: layout, dir: b.TempDir(), procs: map[string]*exec.Cmd{}}
 	b.Cleanup(s.stopAll)
--- a/internal/e2e/ends_test.go
+++ b/internal/e2e/ends_test.go
@@ -29,7 +29,7 @@
 // startRawStream starts a stream over the given protocol version.
 func (s *site) startRawStream(entry example.Process, proto string, tokens int) *rawStream {
 	GinkgoHelper()
-	c, err := net.Dial("tcp", entry.Callers)
+	c, err := net.Dial("tcp", entry.CallerAddress)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(func() { _ = c.Close() })
 	Expect(c.SetDeadline(time.Now().Add(2 * waitTimeout))).To(Succeed())
@@ -63,7 +63,7 @@
 	GinkgoHelper()
 	for _, a := range s.Agents {
 		if s.IsRank(a) {
-			s.fault(standin.Fault{Kind: standin.FaultKill, Target: a.Backend, On: down})
+			s.fault(standin.Fault{Kind: standin.FaultKill, Target: a.BackendAddress, On: down})
 		}
 	}
 }
--- a/internal/e2e/faults_test.go
+++ b/internal/e2e/faults_test.go
@@ -26,10 +26,10 @@
 )
 
 // twoOfEach is the size of a site of one failure domain with two entries, two ranks and two services.
-var twoOfEach = example.Size{Domains: 1, EntriesADomain: 2, RanksADomain: 2, ServicesADomain: 2, Customers: 1}
+var twoOfEach = example.Size{Domains: 1, EntriesPerDomain: 2, RanksPerDomain: 2, ServicesPerDomain: 2, Customers: 1}
 
 // twoDomains is the size of a site of two failure domains with one process of each kind in each.
-var twoDomains = example.Size{Domains: 2, EntriesADomain: 1, RanksADomain: 1, ServicesADomain: 1, Customers: 1}
+var twoDomains = example.Size{Domains: 2, EntriesPerDomain: 1, RanksPerDomain: 1, ServicesPerDomain: 1, Customers: 1}
 
 // streamReader reads a stream and records what it contained.
 type streamReader struct {
@@ -49,7 +49,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*waitTimeout)
 	DeferCleanup(cancel)
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, s.Model, tokens, content)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.Callers+"/v1/chat/completions", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+entry.CallerAddress+"/v1/chat/completions", strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	req.Header.Set("Authorization", "Bearer "+s.Customers[0].Key)
 	if resume != "" {
@@ -141,7 +141,7 @@
 	},
 		Entry("when its agent is killed", func(s *site, _ *streamReader, agent example.Process) { s.kill(agent.Name) }),
 		Entry("when its engine dies", func(s *site, _ *streamReader, agent example.Process) {
-			s.fault(standin.Fault{Kind: standin.FaultKill, Target: agent.Backend, On: true})
+			s.fault(standin.Fault{Kind: standin.FaultKill, Target: agent.BackendAddress, On: true})
 		}),
 		Entry("when its agent is frozen, and drops its late tokens", func(s *site, o *streamReader, agent example.Process) {
 			s.signal(agent.Name, syscall.SIGSTOP)
@@ -182,7 +182,7 @@
 	It("moves a stream when its group stalls, and waits for a group that is slow", func() {
 		s, o := startWithStream(example.Archive, twoDomains, "stalled group", 300, 10)
 		first := s.agentOf(o.rank)
-		s.fault(standin.Fault{Kind: standin.FaultStall, Target: first.Backend, On: true})
+		s.fault(standin.Fault{Kind: standin.FaultStall, Target: first.BackendAddress, On: true})
 		o.expectComplete("stalled group", 300)
 		Expect(o.rank).NotTo(Equal(first.Endpoint))
 		fresh := s.startStream(s.Entries[0], "after the stall", 5, "")
@@ -192,7 +192,7 @@
 		second := s.agentOf(fresh.rank)
 		slow := s.startStream(s.Entries[1], "slow group", 12, "")
 		Expect(slow.read(10)).To(BeTrue())
-		s.fault(standin.Fault{Kind: standin.FaultSlow, Target: second.Backend, MS: 2500})
+		s.fault(standin.Fault{Kind: standin.FaultSlow, Target: second.BackendAddress, Milliseconds: 2500})
 		slow.expectComplete("slow group", 12)
 		Expect(slow.ids).To(HaveEach(ContainSubstring(second.Endpoint)), "a slow step is not a stall")
 	})
@@ -274,7 +274,7 @@
 		s := startSite(example.RefundDesk, twoOfEach)
 		for _, a := range s.Agents {
 			if !s.IsRank(a) {
-				s.fault(standin.Fault{Kind: standin.FaultMute, Target: a.Endpoint, On: true})
+				s.fault(standin.Fault{Kind: standin.FaultNoAnswer, Target: a.Endpoint, On: true})
 			}
 		}
 		key := s.createKey(s.Entries[0])
@@ -339,7 +339,7 @@
 // runs.
 func (s *site) payDelayed(endpoint, key, id string) (answer chan reply) {
 	GinkgoHelper()
-	s.fault(standin.Fault{Kind: standin.FaultDelay, Target: endpoint, MS: 300})
+	s.fault(standin.Fault{Kind: standin.FaultDelay, Target: endpoint, Milliseconds: 300})
 	answer = make(chan reply, 1)
 	inBackground(func() {
 		r, _ := s.pay(s.Entries[0], key, id) // The outcome is checked instead.
@@ -366,7 +366,7 @@
 func (s *site) auditTrails() string {
 	all := ""
 	for _, p := range s.all() {
-		resp, err := http.Get("http://" + p.Operators + node.PathAudit)
+		resp, err := http.Get("http://" + p.OperatorAddress + node.PathAudit)
 		if err != nil {
 			continue
 		}
@@ -432,7 +432,7 @@
 	})
 
 	It("rejects an invalid generation and keeps the last valid one", func() {
-		s := startSite(example.Archive, example.Small)
+		s := startSite(example.Archive, example.MinimalSize)
 		values := s.Published()
 		values["policy/archive.ini"] = []byte("[policy]\npriority = nonsense(\n")
 		s.publish(2, values)
--- a/internal/e2e/fleet_test.go
+++ b/internal/e2e/fleet_test.go
@@ -21,8 +21,8 @@
 // service gets.
 func BenchmarkFleet(b *testing.B) {
 	for _, entries := range []int{2, 4, 8, 16} { // Entries in each failure domain; there are four agents for two entries.
-		size := example.Size{Domains: 4, EntriesADomain: entries, RanksADomain: 1, ServicesADomain: 2*entries - 1, Customers: 10}
-		n := size.Domains * (size.EntriesADomain + size.RanksADomain + size.ServicesADomain)
+		size := example.Size{Domains: 4, EntriesPerDomain: entries, RanksPerDomain: 1, ServicesPerDomain: 2*entries - 1, Customers: 10}
+		n := size.Domains * (size.EntriesPerDomain + size.RanksPerDomain + size.ServicesPerDomain)
 		b.Run(fmt.Sprint("processes=", n), func(b *testing.B) { benchFleet(b, size) })
 	}
 }
@@ -36,7 +36,7 @@
 	buildOnce()
 	layout, err := example.New(example.Archive, size, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	layout.Gossip = time.Second
+	layout.GossipInterval = time.Second
 	s := &site{Site: layout, dir: b.TempDir(), procs: map[string]*exec.Cmd{}}
 	b.Cleanup(s.stopAll)
 	start := time.Now()
@@ -76,7 +76,7 @@
 	for _, p := range all {
 		g.Eventually(func() uint64 { return s.status(p).Version.Generation }, waitTimeout, "10ms").Should(gomega.BeEquivalentTo(2))
 		var report node.AuditReport
-		g.Expect(getJSON(p.Operators, node.PathAudit, &report)).To(gomega.Succeed())
+		g.Expect(getJSON(p.OperatorAddress, node.PathAudit, &report)).To(gomega.Succeed())
 		for _, r := range report.Records {
 			if r.Kind == "config-adopted" && r.At.After(publishedAt) {
 				times = append(times, r.At.Sub(publishedAt))
@@ -92,13 +92,13 @@
 
 // count reads a number from the stand-ins' control endpoint.
 func (s *site) count(path string) (n int) {
-	_ = getJSON(s.Control, path, &n) // n stays 0 on an error.
+	_ = getJSON(s.ControlAddress, path, &n) // n stays 0 on an error.
 	return n
 }
 
 // peerBytes returns the payload that a process has exchanged with the peers it called, in bytes.
 func (s *site) peerBytes(p example.Process) float64 {
 	var m map[string]struct{ Count float64 }
-	_ = getJSON(p.Operators, node.PathMetrics, &m) // The counts stay 0 on an error.
+	_ = getJSON(p.OperatorAddress, node.PathMetrics, &m) // The counts stay 0 on an error.
 	return m["peer.bytes-out"].Count + m["peer.bytes-in"].Count
 }
--- a/internal/e2e/path_test.go
+++ b/internal/e2e/path_test.go
@@ -21,7 +21,7 @@
 
 var _ = Describe("the whole path", func() {
 	It("serves a complete answer, a payment with a key, and a load of streams and service calls", func() {
-		s := startSite(example.Archive, example.Small)
+		s := startSite(example.Archive, example.MinimalSize)
 		entry := s.Entries[0]
 
 		whole, err := s.chat(entry, "hello", 5)
@@ -38,8 +38,8 @@
 		Expect(again.body).To(Equal(first.body), "a repeated key gets the answer of the first run")
 		Expect(s.runs()["one"]).To(Equal(1))
 
-		out, err := exec.Command(toolPath, "load", "--target", entry.Callers, "--key", s.Customers[0].Key,
-			"--control", s.Control, "--rate", "50", "--duration", "1s", "--tokens", "10").CombinedOutput()
+		out, err := exec.Command(toolPath, "load", "--target", entry.CallerAddress, "--key", s.Customers[0].Key,
+			"--control", s.ControlAddress, "--rate", "50", "--duration", "1s", "--tokens", "10").CombinedOutput()
 		Expect(err).NotTo(HaveOccurred(), string(out))
 		Expect(string(out)).To(ContainSubstring("sent 50  whole 50 "))
 	})
--- a/internal/e2e/site_test.go
+++ b/internal/e2e/site_test.go
@@ -77,7 +77,7 @@
 	bundle, err := json.Marshal(standin.Bundle{Manifest: s.Pack(1, "", s.Published()), Values: s.Published()})
 	Expect(err).NotTo(HaveOccurred())
 	s.write("generation-1.json", bundle)
-	s.write("standin.ini", s.Standin(filepath.Join(s.dir, "generation-1.json")))
+	s.write("standin.ini", s.StandinSettings(filepath.Join(s.dir, "generation-1.json")))
 	s.start("standin", toolPath, "standin", "--config", filepath.Join(s.dir, "standin.ini"))
 	Eventually(func() error { return s.post(standin.PathFault, standin.Fault{Kind: standin.FaultLeaving}) }, waitTimeout).Should(Succeed())
 	for _, p := range s.all() {
@@ -130,7 +130,7 @@
 // readiness returns the status of a process's readiness endpoint; 0 when it does not answer.
 func (s *site) readiness(p example.Process) int {
 	c, scheme := s.operatorClient()
-	resp, err := c.Get(scheme + p.Operators + node.PathReady)
+	resp, err := c.Get(scheme + p.OperatorAddress + node.PathReady)
 	if err != nil {
 		return 0
 	}
@@ -191,7 +191,7 @@
 	if err != nil {
 		return err
 	}
-	resp, err := http.Post("http://"+s.Control+path, "application/json", bytes.NewReader(raw))
+	resp, err := http.Post("http://"+s.ControlAddress+path, "application/json", bytes.NewReader(raw))
 	if err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 
 func (s *site) runs() (runs map[string]int) {
 	GinkgoHelper()
-	Expect(getJSON(s.Control, standin.PathRuns, &runs)).To(Succeed())
+	Expect(getJSON(s.ControlAddress, standin.PathRuns, &runs)).To(Succeed())
 	return runs
 }
 
@@ -221,7 +221,7 @@
 
 func (s *site) status(p example.Process) (st node.Status) {
 	c, scheme := s.operatorClient()
-	resp, err := c.Get(scheme + p.Operators + node.PathStatus)
+	resp, err := c.Get(scheme + p.OperatorAddress + node.PathStatus)
 	if err != nil {
 		return st
 	}
@@ -240,7 +240,7 @@
 
 // ask sends one request as the first customer; headers may be nil.
 func (s *site) ask(entry example.Process, method, path, body string, headers map[string]string) (reply, error) {
-	req, err := http.NewRequest(method, "http://"+entry.Callers+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+entry.CallerAddress+path, strings.NewReader(body))
 	if err != nil {
 		return reply{}, err
 	}
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -108,7 +108,7 @@
 func (a *answerWriter) writeJSON(v any) *wire.Refusal {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		return wire.Doubt(http.StatusInternalServerError, err.Error())
+		return wire.RefuseUnknown(http.StatusInternalServerError, err.Error())
 	}
 	a.writeComplete(http.StatusOK, "application/json", append(raw, '\n'))
 	return nil
--- a/internal/entry/answer_test.go
+++ b/internal/entry/answer_test.go
@@ -18,7 +18,7 @@
 func TestOnlyCompleteAnswersEndNormally(t *testing.T) {
 	const piece = "data: x\n\n"
 	done := piece + "event: outcome\ndata: {\"outcome\":\"done\",\"reason\":\"\",\"status\":0}\n\ndata: [DONE]\n\n"
-	refusal := wire.Doubt(http.StatusBadGateway, "r")
+	refusal := wire.RefuseUnknown(http.StatusBadGateway, "r")
 	event := func(a *answerWriter) { _ = a.writeEvent([]byte(piece)) }
 	whole := func(a *answerWriter) { a.writeComplete(http.StatusOK, "text/plain", []byte("whole")) }
 	for _, one := range []struct {
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -79,7 +79,7 @@
 	list := []model{}
 	seen := map[string]bool{}
 	for _, s := range req.cfg.Services() {
-		if s.IsGroup() && !seen[s.Model] && req.customer.May(s.Model) {
+		if s.IsGroup() && !seen[s.Model] && req.customer.MayCall(s.Model) {
 			seen[s.Model] = true
 			list = append(list, model{s.Model, "model"})
 		}
@@ -104,7 +104,7 @@
 	if len(groups) == 0 {
 		return wire.Refuse(http.StatusNotFound, 0, "model "+strconv.Quote(body.Model)+" is not served")
 	}
-	if !req.customer.May(body.Model) {
+	if !req.customer.MayCall(body.Model) {
 		return wire.Refuse(http.StatusForbidden, 0, "the customer may not call "+body.Model)
 	}
 	s := &stream{entry: e, req: req, chat: body, groups: groups}
@@ -283,7 +283,7 @@
 		}
 		if f.Event == wire.EventLeaving {
 			if s.moveOffLeaving(c) {
-				return wire.Doubt(http.StatusBadGateway, reasonLeaving)
+				return wire.RefuseUnknown(http.StatusBadGateway, reasonLeaving)
 			}
 			continue
 		}
@@ -298,10 +298,10 @@
 		}
 		if f.Event != "" || !isJSONString(f.Data) {
 			// Relayed as a token, an endpoint's error would become part of a complete answer.
-			return wire.Doubt(http.StatusBadGateway, "endpoint sent something other than a token")
+			return wire.RefuseUnknown(http.StatusBadGateway, "endpoint sent something other than a token")
 		}
 		if err := s.out.writeToken(wire.EventID{Request: s.req.id, Endpoint: c.Endpoint, Offset: s.nextToken}, f.Data); err != nil {
-			return wire.Doubt(http.StatusBadGateway, "caller has gone")
+			return wire.RefuseUnknown(http.StatusBadGateway, "caller has gone")
 		}
 		s.nextToken++
 	}
@@ -309,7 +309,7 @@
 
 // processEndedRefusal returns the refusal of an attempt during which the engine's process ended.
 func processEndedRefusal(data []byte) *wire.Refusal {
-	r := wire.Doubt(http.StatusBadGateway, "engine has ended")
+	r := wire.RefuseUnknown(http.StatusBadGateway, "engine has ended")
 	ended := &wire.Ended{}
 	if json.Unmarshal(data, ended) == nil && ended.Incarnation != "" {
 		r.Ended = ended
@@ -347,10 +347,10 @@
 func (s *stream) interruptionRefusal() *wire.Refusal {
 	switch {
 	case !s.req.deadline.IsZero() && !time.Now().Before(s.req.deadline):
-		return wire.Doubt(http.StatusGatewayTimeout, "deadline has passed")
+		return wire.RefuseUnknown(http.StatusGatewayTimeout, "deadline has passed")
 	case s.req.r.Context().Err() != nil:
-		return wire.Doubt(http.StatusBadGateway, "caller has gone")
+		return wire.RefuseUnknown(http.StatusBadGateway, "caller has gone")
 	default:
-		return wire.Doubt(http.StatusBadGateway, "endpoint fell silent")
+		return wire.RefuseUnknown(http.StatusBadGateway, "endpoint fell silent")
 	}
 }
--- a/internal/entry/ends_test.go
+++ b/internal/entry/ends_test.go
@@ -129,7 +129,7 @@
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	g := gomega.NewWithT(t)
-	layout, err := example.New(example.Archive, example.Size{Domains: 1, EntriesADomain: 1, RanksADomain: 3, ServicesADomain: 2, Customers: 1}, 0)
+	layout, err := example.New(example.Archive, example.Size{Domains: 1, EntriesPerDomain: 1, RanksPerDomain: 3, ServicesPerDomain: 2, Customers: 1}, 0)
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	h := &harness{t: t, layout: layout}
 	dir := standin.NewDirectory()
@@ -145,7 +145,7 @@
 	t.Cleanup(directory.Close)
 	set, err := settings.Parse("test.ini", layout.Settings(layout.Entries[0]))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
-	set.ConfigService, set.Instances, set.Source, set.Seeds = directory.URL, directory.URL, "", nil
+	set.ConfigServiceURL, set.InstancesURL, set.SourceIP, set.Seeds = directory.URL, directory.URL, "", nil
 	set.SuspectAfter = time.Hour // The agents do not gossip.
 	set.StallAfter = time.Hour
 	n, err := node.New(set, zap.NewNop())
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -56,7 +56,7 @@
 
 // New returns an entry that uses the membership, configuration and credentials of n.
 func New(n *node.Node) *Entry {
-	pooled, singleUse := adapter.NewTransport(n.Settings().Source), adapter.NewSingleUseTransport(n.Settings().Source)
+	pooled, singleUse := adapter.NewTransport(n.Settings().SourceIP), adapter.NewSingleUseTransport(n.Settings().SourceIP)
 	pooled.TLSClientConfig = n.Credentials().Client()
 	singleUse.TLSClientConfig = n.Credentials().Client()
 	e := &Entry{
@@ -68,7 +68,7 @@
 		now:       clock.Now,
 		limits:    &limits{node: n, byCustomer: map[string]*customerLimit{}},
 	}
-	n.OnGone(e.tracker.cancelRequests)
+	n.OnDead(e.tracker.cancelRequests)
 	return e
 }
 
@@ -143,7 +143,7 @@
 // recoverPanics calls do and reports whether it returned without a panic. A bug in the entry
 // must not close the caller's connection without an answer.
 func (e *Entry) recoverPanics(id string, do func()) (returned bool) {
-	return duty.Contain("request", e.node.Log(), e.node.Metrics(), do, zap.String("request", id))
+	return duty.RunRecovered("request", e.node.Log(), e.node.Metrics(), do, zap.String("request", id))
 }
 
 // panicRefusal returns the refusal of a request whose handler panicked.
@@ -152,7 +152,7 @@
 	if req == nil {
 		return wire.Refuse(http.StatusInternalServerError, 0, cause)
 	}
-	return wire.Doubt(http.StatusInternalServerError, cause)
+	return wire.RefuseUnknown(http.StatusInternalServerError, cause)
 }
 
 // finish sends the refusal, if there is one, to the caller and counts the outcome of the request.
@@ -172,7 +172,7 @@
 	if req == nil || !req.mayHaveRun || last.Outcome != wire.NotRun {
 		return last
 	}
-	return wire.Doubt(http.StatusBadGateway, "an attempt may have run; after it: "+last.Reason)
+	return wire.RefuseUnknown(http.StatusBadGateway, "an attempt may have run; after it: "+last.Reason)
 }
 
 // recordAttempt records how an attempt ended; a nil refusal is a success.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -78,7 +78,7 @@
 	if !ok {
 		return wire.Refuse(http.StatusNotFound, 0, "no service has this path")
 	}
-	if !req.customer.May(s.Name) {
+	if !req.customer.MayCall(s.Name) {
 		return wire.Refuse(http.StatusForbidden, 0, "the customer may not call "+s.Name)
 	}
 	body, refusal := readBody(req)
@@ -181,7 +181,7 @@
 	}
 	raw, err := adapter.ReadWhole(resp, wire.MaxBodyBytes)
 	if err != nil {
-		return wire.Doubt(http.StatusBadGateway, "answer came only in part")
+		return wire.RefuseUnknown(http.StatusBadGateway, "answer came only in part")
 	}
 	req.out.writeComplete(resp.StatusCode, resp.Header.Get("Content-Type"), raw)
 	return nil
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -75,7 +75,7 @@
 // entryCount returns the number of entries among which limits are divided. Without a published number,
 // the entries that are seen alive are counted; a network partition can then admit more than the limit.
 func (l *limits) entryCount(cfg *published.Config) int {
-	if n := cfg.Entries(); n > 0 {
+	if n := cfg.MaxEntries(); n > 0 {
 		return n
 	}
 	return max(1, len(l.peers())+1)
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		e.tracker.block(c.Endpoint, blockUnreachable)
 	}
-	return wire.Doubt(http.StatusBadGateway, "link to the endpoint was lost")
+	return wire.RefuseUnknown(http.StatusBadGateway, "link to the endpoint was lost")
 }
 
 // readRefusal converts an agent's refusal into the entry's. An answer without an outcome
@@ -93,7 +93,7 @@
 	raw, _ := io.ReadAll(io.LimitReader(resp.Body, wire.MaxEnvelopeBytes)) // The outcome of a partial refusal is taken from its header.
 	r := &wire.Refusal{}
 	if json.Unmarshal(raw, r) != nil || !isFailureStatus(r.Status) {
-		r = wire.Doubt(http.StatusBadGateway, "endpoint answered "+resp.Status)
+		r = wire.RefuseUnknown(http.StatusBadGateway, "endpoint answered "+resp.Status)
 	}
 	if resp.Header.Get(wire.HeaderOutcome) != string(wire.NotRun) {
 		r.Outcome = wire.Unknown
--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -32,37 +32,37 @@
 
 // Process is one daemon of a site.
 type Process struct {
-	Name      string
-	Role      string
-	Domain    string
-	Endpoint  string
-	Source    string // IP number that its connections come from; one a failure domain.
-	Advertise string // Relay before the peer listener.
-	Peers     string // Addresses.
-	Operators string
-	Callers   string
-	Backend   string // Engine or service beside an agent.
+	Name              string
+	Role              string
+	Domain            string
+	Endpoint          string
+	SourceIP          string // IP number that its connections come from; one a failure domain.
+	AdvertisedAddress string // Relay before the peer listener.
+	PeerAddress       string // Addresses.
+	OperatorAddress   string
+	CallerAddress     string
+	BackendAddress    string // Engine or service beside an agent.
 }
 
 // Site is the layout of one site.
 type Site struct {
-	User      User
-	Model     string
-	Path      string // Path of the plain service.
-	Domains   []string
-	Entries   []Process
-	Agents    []Process
-	Groups    map[string][]Process // By group name, in the order of ranks.
-	Directory map[string]string    // Address of the platform's services, by failure domain.
-	Sources   map[string]string    // IP number that connections come from, by failure domain.
-	Control   string               // Address of the stand-ins' control.
-	Customers []Customer
-	Rebalance time.Duration // Of the groups, as published.
-	Places    int           // Requests an agent lets in at once; 0 for the daemon's default.
-	Gossip    time.Duration // Between two probes; 0 for a fifth of a second.
-	Keys      string        // Folder with ca.crt and each process's certificate and key; "" for no TLS.
-	Public    ed25519.PublicKey
-	Private   ed25519.PrivateKey
+	User               User
+	Model              string
+	Path               string // Path of the plain service.
+	Domains            []string
+	Entries            []Process
+	Agents             []Process
+	Groups             map[string][]Process // By group name, in the order of ranks.
+	DirectoryAddresses map[string]string    // Address of the platform's services, by failure domain.
+	SourceIPs          map[string]string    // IP number that connections come from, by failure domain.
+	ControlAddress     string               // Address of the stand-ins' control.
+	Customers          []Customer
+	RebalanceInterval  time.Duration // Of the groups, as published.
+	MaxConcurrency     int           // Requests an agent lets in at once; 0 for the daemon's default.
+	GossipInterval     time.Duration // Between two probes; 0 for a fifth of a second.
+	TLSDir             string        // Folder with ca.crt and each process's certificate and key; "" for no TLS.
+	VerifyKey          ed25519.PublicKey
+	SigningKey         ed25519.PrivateKey
 }
 
 // Customer is a caller with its bearer key.
@@ -74,39 +74,39 @@
 
 // Size says how much of a site to lay out.
 type Size struct {
-	Domains         int
-	EntriesADomain  int
-	RanksADomain    int // One group of so many ranks in each failure domain.
-	ServicesADomain int
-	Customers       int
+	Domains           int
+	EntriesPerDomain  int
+	RanksPerDomain    int // One group of so many ranks in each failure domain.
+	ServicesPerDomain int
+	Customers         int
 }
 
-// Today is the size of each user's site of today.
-var Today = Size{Domains: 3, EntriesADomain: 2, RanksADomain: 4, ServicesADomain: 1, Customers: 10}
+// FullSize is the size of each user's site of today.
+var FullSize = Size{Domains: 3, EntriesPerDomain: 2, RanksPerDomain: 4, ServicesPerDomain: 1, Customers: 10}
 
-// Small is the least site that has everything.
-var Small = Size{Domains: 1, EntriesADomain: 1, RanksADomain: 1, ServicesADomain: 1, Customers: 2}
+// MinimalSize is the least site that has everything.
+var MinimalSize = Size{Domains: 1, EntriesPerDomain: 1, RanksPerDomain: 1, ServicesPerDomain: 1, Customers: 2}
 
 // New lays out a site with free ports of this machine. The seed fixes the keys.
 func New(user User, size Size, seed byte) (s *Site, err error) {
 	defer func() { err = errors.Wrap(err, "lay out site") }()
-	s = &Site{User: user, Groups: map[string][]Process{}, Directory: map[string]string{}, Sources: map[string]string{}}
+	s = &Site{User: user, Groups: map[string][]Process{}, DirectoryAddresses: map[string]string{}, SourceIPs: map[string]string{}}
 	city := "krk"
 	s.Model, s.Path = "plates", "/catalogue/"
 	if user == RefundDesk {
 		city = "sof"
 		s.Model, s.Path = "receipts", "/payments/"
 	}
-	s.Private = ed25519.NewKeyFromSeed([]byte(strings.Repeat(string(rune('a'+seed%26)), ed25519.SeedSize)))
-	s.Public = s.Private.Public().(ed25519.PublicKey)
+	s.SigningKey = ed25519.NewKeyFromSeed([]byte(strings.Repeat(string(rune('a'+seed%26)), ed25519.SeedSize)))
+	s.VerifyKey = s.SigningKey.Public().(ed25519.PublicKey)
 	p := newPorts()
 	defer p.release()
-	s.Control = p.take()
+	s.ControlAddress = p.take()
 	for d := range size.Domains {
 		domain := fmt.Sprintf("%s-%c", city, 'a'+d)
 		s.Domains = append(s.Domains, domain)
-		s.Directory[domain] = p.take()
-		s.Sources[domain] = fmt.Sprintf("127.0.%d.1", d+1)
+		s.DirectoryAddresses[domain] = p.take()
+		s.SourceIPs[domain] = fmt.Sprintf("127.0.%d.1", d+1)
 		s.addDomain(domain, size, p)
 	}
 	for i := range size.Customers {
@@ -118,18 +118,18 @@
 }
 
 func (s *Site) addDomain(domain string, size Size, p *ports) {
-	for i := range size.EntriesADomain {
+	for i := range size.EntriesPerDomain {
 		s.Entries = append(s.Entries, Process{
 			Name: fmt.Sprintf("%s-entry-%d", domain, i+1), Role: "entry", Domain: domain,
-			Source: s.Sources[domain], Advertise: p.take(), Peers: p.take(), Operators: p.take(), Callers: p.take(),
+			SourceIP: s.SourceIPs[domain], AdvertisedAddress: p.take(), PeerAddress: p.take(), OperatorAddress: p.take(), CallerAddress: p.take(),
 		})
 	}
 	group := "group-" + domain
-	for i := range size.RanksADomain {
+	for i := range size.RanksPerDomain {
 		a := s.addAgent(domain, fmt.Sprintf("%s-rank-%d", domain, i), p)
 		s.Groups[group] = append(s.Groups[group], a)
 	}
-	for i := range size.ServicesADomain {
+	for i := range size.ServicesPerDomain {
 		s.addAgent(domain, fmt.Sprintf("%s-svc-%d", domain, i+1), p)
 	}
 }
@@ -137,7 +137,7 @@
 func (s *Site) addAgent(domain, endpoint string, p *ports) Process {
 	a := Process{
 		Name: endpoint + "-vm1", Role: "endpoint", Domain: domain, Endpoint: endpoint,
-		Source: s.Sources[domain], Advertise: p.take(), Peers: p.take(), Operators: p.take(), Backend: p.take(),
+		SourceIP: s.SourceIPs[domain], AdvertisedAddress: p.take(), PeerAddress: p.take(), OperatorAddress: p.take(), BackendAddress: p.take(),
 	}
 	s.Agents = append(s.Agents, a)
 	return a
@@ -219,7 +219,7 @@
 	}
 	for name, ranks := range s.Groups {
 		text := fmt.Appendf(nil, "[group]\nmodel = %s\nexperts = 64\nslots = %d\npolicy = %s\nrebalance-every = %v\n",
-			s.Model, min(64, 64/len(ranks)+4), policy, s.Rebalance)
+			s.Model, min(64, 64/len(ranks)+4), policy, s.RebalanceInterval)
 		for i, r := range ranks {
 			text = fmt.Appendf(text, "\n[endpoint %s]\ndomain = %s\nrank = %d\n", r.Endpoint, r.Domain, i)
 		}
@@ -238,7 +238,7 @@
 
 // Pack returns one signed generation of values.
 func (s *Site) Pack(generation uint64, parent string, values map[string][]byte) published.Manifest {
-	return published.Pack(generation, parent, values, s.Private)
+	return published.Pack(generation, parent, values, s.SigningKey)
 }
 
 // Settings returns the settings file of a process.
@@ -249,27 +249,27 @@
 		fmt.Fprintf(&b, "endpoint = %s\n", p.Endpoint)
 	}
 	fmt.Fprintf(&b, "\n[listen]\npeers = %s\noperators = %s\nadvertise = %s\nsource = %s\n",
-		p.Peers, p.Operators, p.Advertise, p.Source)
-	if p.Callers != "" {
-		fmt.Fprintf(&b, "callers = %s\n", p.Callers)
+		p.PeerAddress, p.OperatorAddress, p.AdvertisedAddress, p.SourceIP)
+	if p.CallerAddress != "" {
+		fmt.Fprintf(&b, "callers = %s\n", p.CallerAddress)
 	}
-	directory := "http://" + s.Directory[p.Domain]
+	directory := "http://" + s.DirectoryAddresses[p.Domain]
 	fmt.Fprintf(&b, "\n[platform]\nconfig-service = %s\ninstances = %s\noperator-key = %s\n",
-		directory, directory, base64.StdEncoding.EncodeToString(s.Public))
-	if p.Backend != "" {
+		directory, directory, base64.StdEncoding.EncodeToString(s.VerifyKey))
+	if p.BackendAddress != "" {
 		kind := "service"
 		if s.IsRank(p) {
 			kind = "engine"
 		}
-		fmt.Fprintf(&b, "\n[endpoint]\n%s = http://%s\n", kind, p.Backend)
-		if s.Places > 0 {
-			fmt.Fprintf(&b, "max-concurrency = %d\nstep-target = 0s\n", s.Places)
+		fmt.Fprintf(&b, "\n[endpoint]\n%s = http://%s\n", kind, p.BackendAddress)
+		if s.MaxConcurrency > 0 {
+			fmt.Fprintf(&b, "max-concurrency = %d\nstep-target = 0s\n", s.MaxConcurrency)
 		}
 	}
-	if s.Keys != "" {
-		fmt.Fprintf(&b, "\n[tls]\nca = %[1]s/ca.crt\ncertificate = %[1]s/%[2]s.crt\nprivate-key = %[1]s/%[2]s.key\n", s.Keys, p.Name)
+	if s.TLSDir != "" {
+		fmt.Fprintf(&b, "\n[tls]\nca = %[1]s/ca.crt\ncertificate = %[1]s/%[2]s.crt\nprivate-key = %[1]s/%[2]s.key\n", s.TLSDir, p.Name)
 	}
-	gossip := s.Gossip
+	gossip := s.GossipInterval
 	if gossip == 0 {
 		gossip = 200 * time.Millisecond
 	}
@@ -277,28 +277,28 @@
 	return []byte(b.String())
 }
 
-// Standin returns the settings file of the stand-ins.
-func (s *Site) Standin(bundle string) []byte {
+// StandinSettings returns the settings file of the stand-ins.
+func (s *Site) StandinSettings(bundle string) []byte {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[standin]\ncontrol = %s\nbundle = %s\n", s.Control, bundle)
+	fmt.Fprintf(&b, "[standin]\ncontrol = %s\nbundle = %s\n", s.ControlAddress, bundle)
 	for _, d := range s.Domains {
-		fmt.Fprintf(&b, "\n[view %s]\naddress = %s\n", d, s.Directory[d])
+		fmt.Fprintf(&b, "\n[view %s]\naddress = %s\n", d, s.DirectoryAddresses[d])
 	}
 	for name, ranks := range s.Groups {
 		fmt.Fprintf(&b, "\n[group %s]\nstep = 5ms\nranks =", name)
 		for _, r := range ranks {
-			fmt.Fprintf(&b, " %s", r.Backend)
+			fmt.Fprintf(&b, " %s", r.BackendAddress)
 		}
 		b.WriteString("\n")
 	}
 	for _, a := range s.Agents {
 		if !s.IsRank(a) {
-			fmt.Fprintf(&b, "\n[service %s]\naddress = %s\n", a.Endpoint, a.Backend)
+			fmt.Fprintf(&b, "\n[service %s]\naddress = %s\n", a.Endpoint, a.BackendAddress)
 		}
 	}
 	for _, p := range append(append([]Process(nil), s.Entries...), s.Agents...) {
-		fmt.Fprintf(&b, "\n[instance %s]\nrole = %s\ndomain = %s\naddress = %s\n", p.Name, p.Role, p.Domain, p.Advertise)
-		fmt.Fprintf(&b, "relay-to = %s\nsource = %s\n", p.Peers, p.Source)
+		fmt.Fprintf(&b, "\n[instance %s]\nrole = %s\ndomain = %s\naddress = %s\n", p.Name, p.Role, p.Domain, p.AdvertisedAddress)
+		fmt.Fprintf(&b, "relay-to = %s\nsource = %s\n", p.PeerAddress, p.SourceIP)
 		if p.Endpoint != "" {
 			fmt.Fprintf(&b, "endpoint = %s\n", p.Endpoint)
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -72,11 +72,11 @@
 // day runs a made trace under a user's prices.
 func day(t *testing.T, kind trace.Kind, prices rebalance.Prices) map[string]Run {
 	t.Helper()
-	tr, err := trace.Make(trace.Config{Kind: kind, Layers: 2, Experts: 64, Steps: 1440, Seed: 1})
+	tr, err := trace.Generate(trace.Config{Kind: kind, Layers: 2, Experts: 64, Steps: 1440, Seed: 1})
 	gomega.NewWithT(t).Expect(err).NotTo(gomega.HaveOccurred())
 	runs := map[string]Run{}
-	for _, r := range Rebalance(RebalanceConfig{Trace: tr, Ranks: 4, Slots: 20, Prices: prices, Lag: 1,
-		ExpertBytes: 50e6, StoreRate: 1e9, SampleMS: 60000, Repack: 30, Seed: 1}) {
+	for _, r := range Rebalance(RebalanceConfig{Trace: tr, Ranks: 4, Slots: 20, Prices: prices, ReportLag: 1,
+		ExpertBytes: 50e6, StoreRate: 1e9, SampleMS: 60000, RepackInterval: 30, Seed: 1}) {
 		runs[r.Name] = r
 	}
 	return runs
@@ -123,7 +123,7 @@
 	for _, cfg := range []GossipConfig{
 		{Nodes: 60, Domains: 3, Seconds: 20, Seed: 1},
 		{Nodes: 60, Domains: 3, Seconds: 30, Seed: 1, Loss: 0.2},
-		{Nodes: 60, Domains: 3, Seconds: 40, Seed: 1, Cut: 8 * time.Second},
+		{Nodes: 60, Domains: 3, Seconds: 40, Seed: 1, PartitionTime: 8 * time.Second},
 	} {
 		row := Spread(cfg).Rows[0]
 		g := gomega.NewWithT(t)
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -16,13 +16,13 @@
 // GossipConfig sizes the experiments on membership and the spread of
 // configuration.
 type GossipConfig struct {
-	Nodes   int
-	Domains int
-	Loss    float64       // Share of messages that are lost.
-	Cut     time.Duration // The last failure domain is cut off for so long, from second 10 on.
-	Pause   time.Duration // One process is paused for so long, from second 5 on.
-	Seconds int
-	Seed    uint64
+	Nodes         int
+	Domains       int
+	Loss          float64       // Share of messages that are lost.
+	PartitionTime time.Duration // The last failure domain is cut off for so long, from second 10 on.
+	PauseTime     time.Duration // One process is paused for so long, from second 5 on.
+	Seconds       int
+	Seed          uint64
 }
 
 // Figures of the daemon that the loop repeats.
@@ -87,8 +87,8 @@
 
 func (r *gossipRun) reach(a, b int) bool {
 	cutOff := func(i int) bool {
-		return r.cfg.Cut > 0 && r.peers[i].domain == r.cfg.Domains-1 &&
-			r.at >= 10*time.Second && r.at < 10*time.Second+r.cfg.Cut
+		return r.cfg.PartitionTime > 0 && r.peers[i].domain == r.cfg.Domains-1 &&
+			r.at >= 10*time.Second && r.at < 10*time.Second+r.cfg.PartitionTime
 	}
 	return !r.peers[b].down && r.at >= r.peers[b].paused && cutOff(a) == cutOff(b) && r.rnd.Float64() >= r.cfg.Loss
 }
@@ -108,7 +108,7 @@
 	r.charge(pb, back)
 	r.merge(a, back, now)
 	for _, way := range [][2]int{{a, b}, {b, a}} {
-		if r.peers[way[1]].conf.Receive(r.peers[way[0]].conf.Current()) == spread.Fetch {
+		if r.peers[way[1]].conf.Decide(r.peers[way[0]].conf.Current()) == spread.Fetch {
 			r.due = append(r.due, way)
 		}
 	}
@@ -146,7 +146,7 @@
 			if _, old := r.found[by]; !old {
 				r.found[by] = r.at
 			}
-		} else if r.cfg.Cut == 0 && r.at >= r.peers[i].paused {
+		} else if r.cfg.PartitionTime == 0 && r.at >= r.peers[i].paused {
 			r.wrong++
 		}
 	}
@@ -188,7 +188,7 @@
 		r.note(i, p.table.ProbeAnswered(name, now))
 		return
 	}
-	for _, h := range p.table.PickRelays(name, r.rnd.Uint64()) {
+	for _, h := range p.table.PickRandom(name, r.rnd.Uint64()) {
 		k := r.index[h.Name]
 		if r.exchange(i, k) && r.exchange(k, target) {
 			return
@@ -211,7 +211,7 @@
 func (r *gossipRun) tell(i, peers int) {
 	t := r.peers[i].table
 	for peers > 0 {
-		some := t.PickRelays(t.Self().Name, r.rnd.Uint64())
+		some := t.PickRandom(t.Self().Name, r.rnd.Uint64())
 		if len(some) == 0 {
 			return
 		}
@@ -228,7 +228,7 @@
 	r.version = published.Version{Generation: r.version.Generation + 1, Hash: "h"}
 	for i, p := range r.peers {
 		watcher := i < 2*r.cfg.Domains
-		cut := r.cfg.Cut > 0 && p.domain == r.cfg.Domains-1 && r.at >= 10*time.Second && r.at < 10*time.Second+r.cfg.Cut
+		cut := r.cfg.PartitionTime > 0 && p.domain == r.cfg.Domains-1 && r.at >= 10*time.Second && r.at < 10*time.Second+r.cfg.PartitionTime
 		if watcher && !cut && p.conf.Adopt(r.version) {
 			p.since = r.at
 			r.tell(i, pushes)
@@ -266,8 +266,8 @@
 	r.run(5 * time.Second)
 	r.killed = cfg.Nodes - 1
 	r.peers[r.killed].down = true
-	if cfg.Pause > 0 {
-		r.peers[0].paused = r.at + cfg.Pause
+	if cfg.PauseTime > 0 {
+		r.peers[0].paused = r.at + cfg.PauseTime
 	}
 	killedAt := r.at
 	r.run(time.Duration(cfg.Seconds) * time.Second)
@@ -282,7 +282,7 @@
 		{"detection p99", "s", quantile(times, 0.99)},
 		{"false deaths", "", float64(r.wrong)},
 	}
-	return Table{Title: fmt.Sprintf("Members: loss %g, one process killed at 5 s, cut %v, pause %v", cfg.Loss, cfg.Cut, cfg.Pause),
+	return Table{Title: fmt.Sprintf("Members: loss %g, one process killed at 5 s, cut %v, pause %v", cfg.Loss, cfg.PartitionTime, cfg.PauseTime),
 		Rows: []Row{{fmt.Sprintf("%d nodes", cfg.Nodes), append(cells, r.perNode()...)}}}
 }
 
@@ -301,8 +301,8 @@
 		switch {
 		case p.conf.Current() != r.version:
 			missing++
-		case cfg.Cut > 0 && p.domain == cfg.Domains-1:
-			healed = append(healed, (p.since - 10*time.Second - cfg.Cut).Seconds())
+		case cfg.PartitionTime > 0 && p.domain == cfg.Domains-1:
+			healed = append(healed, (p.since - 10*time.Second - cfg.PartitionTime).Seconds())
 		default:
 			times = append(times, (p.since - at).Seconds())
 		}
@@ -315,6 +315,6 @@
 		{"after healing", "s", quantile(healed, 1)},
 		{"without it", "", float64(missing)},
 	}
-	return Table{Title: fmt.Sprintf("Spread: loss %g, cut %v", cfg.Loss, cfg.Cut),
+	return Table{Title: fmt.Sprintf("Spread: loss %g, cut %v", cfg.Loss, cfg.PartitionTime),
 		Rows: []Row{{fmt.Sprintf("%d nodes", cfg.Nodes), append(cells, r.perNode()...)}}}
 }
--- a/internal/experiment/rebalance.go
+++ b/internal/experiment/rebalance.go
@@ -13,32 +13,32 @@
 
 // RebalanceConfig is the setting of the rebalancing experiment.
 type RebalanceConfig struct {
-	Trace       trace.Trace
-	Ranks       int
-	Slots       int
-	Prices      rebalance.Prices
-	Lag         int     // Samples until a report is heard.
-	Gap         float64 // Share of reports that are lost.
-	ExpertBytes float64
-	StoreRate   float64 // Bytes a second.
-	SampleMS    float64
-	Repack      int // Samples between two full re-packs of the naive version.
-	Seed        uint64
+	Trace          trace.Trace
+	Ranks          int
+	Slots          int
+	Prices         rebalance.Prices
+	ReportLag      int     // Samples until a report is heard.
+	ReportLoss     float64 // Share of reports that are lost.
+	ExpertBytes    float64
+	StoreRate      float64 // Bytes a second.
+	SampleMS       float64
+	RepackInterval int // Samples between two full re-packs of the naive version.
+	Seed           uint64
 }
 
 // Run is one method's figures over a trace.
 type Run struct {
-	Name       string  `json:"name"`
-	SkewMean   float64 `json:"skew_mean"`
-	SkewP99    float64 `json:"skew_p99"`
-	BytesMoved float64 `json:"bytes_moved"`
-	Switches   int     `json:"switches"`
-	StepsLost  float64 `json:"steps_lost"` // Samples during which the group stood still.
-	TwoMaps    float64 `json:"two_maps_s"` // Seconds with two versions in memory.
-	PlanMS     float64 `json:"plan_ms_p99"`
+	Name           string  `json:"name"`
+	SkewMean       float64 `json:"skew_mean"`
+	SkewP99        float64 `json:"skew_p99"`
+	BytesMoved     float64 `json:"bytes_moved"`
+	Switches       int     `json:"switches"`
+	StepsLost      float64 `json:"steps_lost"` // Samples during which the group stood still.
+	TwoMapsSeconds float64 `json:"two_maps_s"` // Seconds with two versions in memory.
+	PlanMS         float64 `json:"plan_ms_p99"`
 
-	Skews []float64 `json:"-"` // By sample.
-	Bytes []float64 `json:"-"` // Moved up to each sample.
+	Skews           []float64 `json:"-"` // By sample.
+	CumulativeBytes []float64 `json:"-"` // Moved up to each sample.
 }
 
 // method decides on a map at a sample; ok is false when it stays.
@@ -56,7 +56,7 @@
 	shape := rebalance.Shape{Ranks: cfg.Ranks, Experts: cfg.Trace.Experts(), Slots: cfg.Slots}
 	planner := rebalance.New(rebalance.Config{
 		Shape: shape, Layers: cfg.Trace.Layers(), Prices: cfg.Prices, ExpertBytes: cfg.ExpertBytes,
-		StoreRate: cfg.StoreRate, SampleTime: cfg.SampleMS / 1000, MaxAge: cfg.Lag + 5,
+		StoreRate: cfg.StoreRate, SampleTime: cfg.SampleMS / 1000, MaxAge: cfg.ReportLag + 5,
 	})
 	never := func(int, rebalance.Map) (rebalance.Map, bool) { return nil, false }
 	return []Run{
@@ -82,7 +82,7 @@
 		name: "repack", stops: true, done: func() {},
 		observe: func(_ int, tokens [][]float64) { heard = append(heard, tokens) },
 		decide: func(sample int, _ rebalance.Map) (rebalance.Map, bool) {
-			if sample == 0 || sample%cfg.Repack != 0 || len(heard) == 0 {
+			if sample == 0 || sample%cfg.RepackInterval != 0 || len(heard) == 0 {
 				return nil, false
 			}
 			next := make(rebalance.Map, cfg.Trace.Layers())
@@ -118,7 +118,7 @@
 		}
 		slowest, mean := current.StepTime(tokens, s.Ranks, nil)
 		r.Skews = append(r.Skews, slowest/mean)
-		if heard := sample - cfg.Lag; heard >= 0 && rnd.Float64() >= cfg.Gap {
+		if heard := sample - cfg.ReportLag; heard >= 0 && rnd.Float64() >= cfg.ReportLoss {
 			m.observe(heard, cfg.Trace[heard])
 		}
 		if pending == nil {
@@ -130,14 +130,14 @@
 				seconds := bytes / cfg.StoreRate
 				moved += bytes
 				r.Switches++
-				r.TwoMaps += seconds
+				r.TwoMapsSeconds += seconds
 				if m.stops {
 					r.StepsLost += seconds * 1000 / cfg.SampleMS
 				}
 				pending, due = next, sample+1+int(math.Ceil(seconds*1000/cfg.SampleMS))
 			}
 		}
-		r.Bytes = append(r.Bytes, moved)
+		r.CumulativeBytes = append(r.CumulativeBytes, moved)
 	}
 	r.BytesMoved, r.PlanMS = moved, quantile(plans, 0.99)
 	return r.finish()
@@ -166,7 +166,7 @@
 			total += mean
 		}
 		r.Skews = append(r.Skews, slowest/total)
-		r.Bytes = append(r.Bytes, 0)
+		r.CumulativeBytes = append(r.CumulativeBytes, 0)
 	}
 	return r.finish()
 }
@@ -181,7 +181,7 @@
 			{"moved", "GB", r.BytesMoved / 1e9},
 			{"switches", "", float64(r.Switches)},
 			{"steps lost", "samples", r.StepsLost},
-			{"two maps in memory", "s", r.TwoMaps},
+			{"two maps in memory", "s", r.TwoMapsSeconds},
 			{"planning p99", "ms", r.PlanMS},
 		}})
 	}
--- a/internal/experiment/routing.go
+++ b/internal/experiment/routing.go
@@ -11,22 +11,22 @@
 
 // RoutingConfig sizes the routing experiment. Time goes in engine steps.
 type RoutingConfig struct {
-	Entries   int
-	Endpoints int // All of one group: the fullest one paces the step.
-	Limit     int // Sequences an endpoint runs at once.
-	Steps     int
-	Lag       int     // Steps until an entry hears a report.
-	Load      float64 // Share of the endpoints' capacity that is offered.
-	Tokens    int     // Mean length of an answer, in steps.
-	Prefixes  int     // Different prompt prefixes.
-	Cached    int     // Prefixes that an endpoint's cache holds.
-	Prefill   int     // Steps that an uncached prefix costs.
-	Seed      uint64
+	Entries        int
+	Endpoints      int // All of one group: the fullest one paces the step.
+	Limit          int // Sequences an endpoint runs at once.
+	Steps          int
+	ReportLag      int     // Steps until an entry hears a report.
+	OfferedLoad    float64 // Share of the endpoints' capacity that is offered.
+	AnswerSteps    int     // Mean length of an answer, in steps.
+	Prefixes       int     // Different prompt prefixes.
+	CachedPrefixes int     // Prefixes that an endpoint's cache holds.
+	PrefillSteps   int     // Steps that an uncached prefix costs.
+	Seed           uint64
 }
 
 // DefaultRouting is the setting of docs/MEASUREMENTS.md.
-var DefaultRouting = RoutingConfig{Entries: 6, Endpoints: 12, Limit: 32, Steps: 20000, Lag: 1, Load: 0.8,
-	Tokens: 60, Prefixes: 60, Cached: 10, Prefill: 10, Seed: 1}
+var DefaultRouting = RoutingConfig{Entries: 6, Endpoints: 12, Limit: 32, Steps: 20000, ReportLag: 1, OfferedLoad: 0.8,
+	AnswerSteps: 60, Prefixes: 60, CachedPrefixes: 10, PrefillSteps: 10, Seed: 1}
 
 // sequenceEnd is one answer that runs at an endpoint.
 type sequenceEnd struct {
@@ -75,7 +75,7 @@
 // Routing compares the choice of rank under late reports.
 func Routing(cfg RoutingConfig) Table {
 	t := Table{Title: fmt.Sprintf("Routing: %d entries, %d ranks of %d places, load %.2f, reports %d steps old, %d prefixes, %d cached a rank",
-		cfg.Entries, cfg.Endpoints, cfg.Limit, cfg.Load, cfg.Lag, cfg.Prefixes, cfg.Cached)}
+		cfg.Entries, cfg.Endpoints, cfg.Limit, cfg.OfferedLoad, cfg.ReportLag, cfg.Prefixes, cfg.CachedPrefixes)}
 	for _, m := range []struct {
 		name string
 		pick func(r *routingRun, entry, prefix int) int
@@ -122,11 +122,11 @@
 
 func (r *routingRun) drive(pick func(*routingRun, int, int) int) {
 	c := r.cfg
-	perStep := c.Load * float64(c.Endpoints*c.Limit) / (float64(c.Tokens) + float64(c.Prefill)/2)
+	perStep := c.OfferedLoad * float64(c.Endpoints*c.Limit) / (float64(c.AnswerSteps) + float64(c.PrefillSteps)/2)
 	for step := range c.Steps {
 		r.hear(step)
 		for range poisson(r.rnd, perStep) {
-			a := arrival{entry: r.rnd.IntN(c.Entries), prefix: r.prefix(), at: step, length: 1 + int(r.rnd.ExpFloat64()*float64(c.Tokens))}
+			a := arrival{entry: r.rnd.IntN(c.Entries), prefix: r.prefix(), at: step, length: 1 + int(r.rnd.ExpFloat64()*float64(c.AnswerSteps))}
 			to := pick(r, a.entry, a.prefix)
 			r.views[a.entry][to].InFlight++
 			r.engines[to].queue = append(r.engines[to].queue, a)
@@ -170,10 +170,10 @@
 		e.queue = e.queue[1:]
 		length := a.length
 		r.starts++
-		if e.hit(a.prefix, r.cfg.Cached) {
+		if e.hit(a.prefix, r.cfg.CachedPrefixes) {
 			r.hits++
 		} else {
-			length += r.cfg.Prefill
+			length += r.cfg.PrefillSteps
 		}
 		e.running = append(e.running, sequenceEnd{a.entry, step + length})
 		r.waits = append(r.waits, float64(step-a.at+length-a.length))
@@ -183,7 +183,7 @@
 
 func (r *routingRun) report(endpoint, entry, step int) {
 	e := &r.engines[endpoint]
-	r.news = append(r.news, report{step + r.cfg.Lag, entry, endpoint, len(e.running), len(e.queue)})
+	r.news = append(r.news, report{step + r.cfg.ReportLag, entry, endpoint, len(e.running), len(e.queue)})
 }
 
 // hit looks a prefix up and makes it the newest in the cache.
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -149,8 +149,8 @@
 // Version returns the number of the version; a higher one is newer.
 func (c *Config) Version() uint64 { return c.version }
 
-// WithRaw sets the text that c was decoded from, and returns c.
-func (c *Config) WithRaw(raw []byte) *Config {
+// SetRaw sets the text that c was decoded from, and returns c.
+func (c *Config) SetRaw(raw []byte) *Config {
 	c.raw = raw
 	return c
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -76,7 +76,7 @@
 	g.endChecks.Go(func() error {
 		wait.For(context.Background(), g.cfg.EndCheckDelay)
 		g.unfinished.endCheck(e.ID)
-		duty.Contain("look", g.log, g.stats.reg, func() {
+		duty.RunRecovered("look", g.log, g.stats.reg, func() {
 			if g.refusesConnections(context.Background(), e, maxIdleRepeatable) {
 				g.endpointEnded(e)
 			}
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -68,7 +68,7 @@
 
 // configOf returns a configuration whose text has as many bytes as its version number.
 func configOf(version uint64) *fleet.Config {
-	return fleet.NewConfig(version, nil, nil, nil, fleet.Limits{}).WithRaw([]byte(strings.Repeat("x", int(version))))
+	return fleet.NewConfig(version, nil, nil, nil, fleet.Limits{}).SetRaw([]byte(strings.Repeat("x", int(version))))
 }
 
 func endpointAt(id string, revision uint64) fleet.Endpoint {
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -116,7 +116,7 @@
 
 // Receive handles a message from another process. A message that causes a panic is ignored.
 func (n *PeerExchange) Receive(from netip.AddrPort, m peers.Message) {
-	duty.Contain("message", n.log, n.g.stats.reg, func() { n.receive(from, m) })
+	duty.RunRecovered("message", n.log, n.g.stats.reg, func() { n.receive(from, m) })
 }
 
 func (n *PeerExchange) receive(from netip.AddrPort, m peers.Message) {
--- a/internal/gateway/published.go
+++ b/internal/gateway/published.go
@@ -67,7 +67,7 @@
 	// newer than stated.
 	p.Held = time.Since(began)
 	p.Age = n.g.view.ConfirmedAge(n.g.cfg.Now())
-	httpjson.ReplyPacked(w, r, p)
+	httpjson.ReplyCompressed(w, r, p)
 }
 
 // awaitChange waits until the view changes or is confirmed, but no longer than longPollTime. It
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -130,7 +130,7 @@
 // runRecovered calls do and reports whether it returned without a panic. A fault in the gateway
 // must not close the connection, not even while the answer is still in the server's buffer.
 func (q *request) runRecovered(do func()) (returned bool) {
-	return duty.Contain("request", q.g.log, q.g.stats.reg, do, zap.String("id", q.call.ID))
+	return duty.RunRecovered("request", q.g.log, q.g.stats.reg, do, zap.String("id", q.call.ID))
 }
 
 // handle gives the request its final answer.
--- a/internal/httpjson/httpjson.go
+++ b/internal/httpjson/httpjson.go
@@ -42,12 +42,12 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	Bytes(w, "application/json", raw)
+	ReplyBytes(w, "application/json", raw)
 }
 
-// ReplyPacked answers with v, compressed where whoever asked can read that: text of many
+// ReplyCompressed answers with v, compressed where whoever asked can read that: text of many
 // entries that are alike, which goes to many over one link.
-func ReplyPacked(w http.ResponseWriter, r *http.Request, v any) {
+func ReplyCompressed(w http.ResponseWriter, r *http.Request, v any) {
 	raw, err := json.Marshal(v)
 	if err == nil && len(raw) >= leastPacked && strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		w.Header().Set("Content-Encoding", "gzip")
@@ -58,7 +58,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	Bytes(w, "application/json", raw)
+	ReplyBytes(w, "application/json", raw)
 }
 
 // leastPacked is the length in bytes below which nothing is compressed: it fits a packet.
@@ -79,14 +79,14 @@
 	return b.Bytes(), nil
 }
 
-// Binary answers with bytes.
-func Binary(w http.ResponseWriter, raw []byte) {
-	Bytes(w, "application/octet-stream", raw)
+// ReplyBinary answers with bytes.
+func ReplyBinary(w http.ResponseWriter, raw []byte) {
+	ReplyBytes(w, "application/octet-stream", raw)
 }
 
-// Bytes answers with a body of the type given. The length goes out first, so
+// ReplyBytes answers with a body of the type given. The length goes out first, so
 // that whoever asks sees an answer that is cut, also in HTTP/1.0.
-func Bytes(w http.ResponseWriter, contentType string, raw []byte) {
+func ReplyBytes(w http.ResponseWriter, contentType string, raw []byte) {
 	w.Header().Set("Content-Type", contentType)
 	w.Header().Set("Content-Length", strconv.Itoa(len(raw)))
 	_, _ = w.Write(raw) // Whoever asks may be gone.
--- a/internal/httpjson/httpjson_test.go
+++ b/internal/httpjson/httpjson_test.go
@@ -21,7 +21,7 @@
 	long := strings.Repeat("x", 4000)
 	for name, answer := range map[string]func(w http.ResponseWriter){
 		"JSON":  func(w http.ResponseWriter) { Reply(w, long) },
-		"bytes": func(w http.ResponseWriter) { Binary(w, []byte(long)) },
+		"bytes": func(w http.ResponseWriter) { ReplyBinary(w, []byte(long)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
@@ -46,7 +46,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			text := strings.Repeat("x", tc.length)
-			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { ReplyPacked(w, r, text) }))
+			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { ReplyCompressed(w, r, text) }))
 			defer srv.Close()
 			r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, srv.URL, nil)
 			g.Expect(err).NotTo(HaveOccurred())
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -152,11 +152,11 @@
 	return names
 }
 
-// Has reports whether the section is there.
-func (f *File) Has(section string) bool { return f.data.HasSection(section) }
+// HasSection reports whether the section is there.
+func (f *File) HasSection(section string) bool { return f.data.HasSection(section) }
 
-// Fault records a problem at a key; an empty key means the section.
-func (f *File) Fault(section, key, format string, args ...any) {
+// AddProblem records a problem at a key; an empty key means the section.
+func (f *File) AddProblem(section, key, format string, args ...any) {
 	line := f.lines[position{section, key}]
 	if line == 0 {
 		line = f.lines[position{section: section}]
@@ -178,7 +178,7 @@
 func (f *File) Required(section, key string) string {
 	v := f.String(section, key, "")
 	if v == "" {
-		f.Fault(section, key, "must be set")
+		f.AddProblem(section, key, "must be set")
 	}
 	return v
 }
@@ -198,11 +198,11 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || n != n {
-		f.Fault(section, key, "%q is not a number", v)
+		f.AddProblem(section, key, "%q is not a number", v)
 		return def
 	}
 	if n < low || n > high {
-		f.Fault(section, key, "%v is not between %v and %v", n, low, high)
+		f.AddProblem(section, key, "%v is not between %v and %v", n, low, high)
 		return def
 	}
 	return n
@@ -216,11 +216,11 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil {
-		f.Fault(section, key, "%q is not a whole number", v)
+		f.AddProblem(section, key, "%q is not a whole number", v)
 		return def
 	}
 	if n < low || n > high {
-		f.Fault(section, key, "%d is not between %d and %d", n, low, high)
+		f.AddProblem(section, key, "%d is not between %d and %d", n, low, high)
 		return def
 	}
 	return n
@@ -234,7 +234,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d < 0 {
-		f.Fault(section, key, "%q is not a duration such as 250ms", v)
+		f.AddProblem(section, key, "%q is not a duration such as 250ms", v)
 		return def
 	}
 	return d
@@ -250,7 +250,7 @@
 	case "no", "false", "0":
 		return false
 	default:
-		f.Fault(section, key, "%q is neither yes nor no", v)
+		f.AddProblem(section, key, "%q is neither yes nor no", v)
 		return def
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,46 +27,46 @@
 
 // Config says what to send.
 type Config struct {
-	Targets  []string // Callers' listeners, IP:port; used in turn.
-	Rate     float64  // Requests a second.
-	Duration time.Duration
-	Callers  []Caller
-	Model    string
-	Path     string  // Path of the plain service.
-	Streams  float64 // Share of streamed requests to the model.
-	Payments float64 // Share of calls that may not be repeated; the rest reads.
-	Tokens   int     // Tokens of an answer.
-	Deadline time.Duration
-	Seed     uint64
-	Attempts int // Attempts of a caller with one key, or to resume one stream.
+	Targets         []string // Callers' listeners, IP:port; used in turn.
+	Rate            float64  // Requests a second.
+	Duration        time.Duration
+	Callers         []Caller
+	Model           string
+	Path            string  // Path of the plain service.
+	StreamShare     float64 // Share of streamed requests to the model.
+	PaymentShare    float64 // Share of calls that may not be repeated; the rest reads.
+	TokensPerAnswer int     // Tokens of an answer.
+	Deadline        time.Duration
+	Seed            uint64
+	MaxAttempts     int // Attempts of a caller with one key, or to resume one stream.
 }
 
 // Result is what came back.
 type Result struct {
-	Sent    int `json:"sent"`
-	Whole   int `json:"whole"`
-	NotRun  int `json:"not_run"`
-	Unknown int `json:"unknown"`
-	Broken  int `json:"broken"` // Ended without an outcome.
-	Wrong   int `json:"wrong"`  // Not whole, out of order or somebody else's, yet called done or framed as complete.
-
-	FirstToken *hdrhistogram.Histogram `json:"-"` // Microseconds.
-	Between    *hdrhistogram.Histogram `json:"-"`
-	Answer     *hdrhistogram.Histogram `json:"-"`
-
-	// Said is the final word on each payment by its id, for Judge.
-	Said map[string]wire.Outcome `json:"-"`
+	Sent      int `json:"sent"`
+	Complete  int `json:"whole"`
+	NotRun    int `json:"not_run"`
+	Unknown   int `json:"unknown"`
+	NoOutcome int `json:"broken"` // Ended without an outcome.
+	Wrong     int `json:"wrong"`  // Not whole, out of order or somebody else's, yet called done or framed as complete.
+
+	FirstToken    *hdrhistogram.Histogram `json:"-"` // Microseconds.
+	BetweenTokens *hdrhistogram.Histogram `json:"-"`
+	Answer        *hdrhistogram.Histogram `json:"-"`
+
+	// PaymentOutcomes is the final word on each payment by its id, for Judge.
+	PaymentOutcomes map[string]wire.Outcome `json:"-"`
 }
 
-// Verdict compares what callers were told of payments with what ran.
-type Verdict struct {
+// PaymentErrors compares what callers were told of payments with what ran.
+type PaymentErrors struct {
 	Lost        int `json:"lost"`          // Told done, did not run.
 	Doubled     int `json:"doubled"`       // Ran more than once.
 	FalseNotRun int `json:"false_not_run"` // Told not run, did run.
 }
 
-// Judge compares the words on payments with the runs that services counted.
-func Judge(said map[string]wire.Outcome, runs map[string]int) (v Verdict) {
+// CheckPayments compares the words on payments with the runs that services counted.
+func CheckPayments(said map[string]wire.Outcome, runs map[string]int) (v PaymentErrors) {
 	for id, o := range said {
 		switch n := runs[id]; {
 		case n > 1:
@@ -99,13 +99,13 @@
 // Run sends at the rate until the duration is over or ctx ends, and waits for
 // the answers.
 func Run(ctx context.Context, cfg Config) (res Result, err error) {
-	cfg.Attempts = max(1, cfg.Attempts)
+	cfg.MaxAttempts = max(1, cfg.MaxAttempts)
 	r := &runner{cfg: cfg, client: &http.Client{Transport: adapter.NewTransport("")}}
 	r.res = Result{
-		Said:       map[string]wire.Outcome{},
-		FirstToken: hdrhistogram.New(lowestMicros, highestMicros, digits),
-		Between:    hdrhistogram.New(lowestMicros, highestMicros, digits),
-		Answer:     hdrhistogram.New(lowestMicros, highestMicros, digits),
+		PaymentOutcomes: map[string]wire.Outcome{},
+		FirstToken:      hdrhistogram.New(lowestMicros, highestMicros, digits),
+		BetweenTokens:   hdrhistogram.New(lowestMicros, highestMicros, digits),
+		Answer:          hdrhistogram.New(lowestMicros, highestMicros, digits),
 	}
 	defer r.client.CloseIdleConnections()
 	g := &errgroup.Group{}
@@ -147,9 +147,9 @@
 	j := job{n: n, kind: kindRead, caller: r.cfg.Callers[rnd.IntN(len(r.cfg.Callers))]}
 	j.nonce = nonce(rnd)
 	switch draw := rnd.Float64(); {
-	case draw < r.cfg.Streams:
+	case draw < r.cfg.StreamShare:
 		j.kind = kindStream
-	case draw < r.cfg.Streams+r.cfg.Payments:
+	case draw < r.cfg.StreamShare+r.cfg.PaymentShare:
 		j.kind = kindPayment
 	}
 	return j
@@ -171,7 +171,7 @@
 	r.note(func(res *Result) {
 		switch o {
 		case wire.Done:
-			res.Whole++
+			res.Complete++
 			_ = res.Answer.RecordValue(took.Microseconds()) // Beyond the bounds it is not counted.
 		case wire.NotRun:
 			res.NotRun++
@@ -180,7 +180,7 @@
 		case wrong:
 			res.Wrong++
 		default:
-			res.Broken++
+			res.NoOutcome++
 		}
 	})
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -73,7 +73,7 @@
 	t.Cleanup(srv.Close)
 	res, err := Run(context.Background(), Config{
 		Targets: []string{srv.Listener.Addr().String()}, Rate: 1000, Duration: time.Millisecond,
-		Callers: []Caller{{Name: "c", Key: "k"}}, Model: "m", Path: "/s/", Streams: k, Tokens: tokens, Attempts: attempts,
+		Callers: []Caller{{Name: "c", Key: "k"}}, Model: "m", Path: "/s/", StreamShare: k, TokensPerAnswer: tokens, MaxAttempts: attempts,
 	})
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	NewWithT(t).Expect(res.Sent).To(Equal(1))
@@ -102,12 +102,12 @@
 		do   func(entry)
 		want Result
 	}{
-		{"whole", entry.whole, Result{Whole: 1}},
+		{"whole", entry.whole, Result{Complete: 1}},
 		{"broken off with an outcome", func(e entry) { e.upTo(2); e.outcome(wire.Unknown); e.cut() }, Result{Unknown: 1}},
-		{"broken off without one", func(e entry) { e.upTo(2); e.cut() }, Result{Broken: 1}},
-		{"broken off after the last token", func(e entry) { e.upTo(tokens); e.cut() }, Result{Broken: 1}},
-		{"broken off after the outcome done", func(e entry) { e.upTo(tokens); e.outcome(wire.Done); e.cut() }, Result{Broken: 1}},
-		{"broken off after the marker", func(e entry) { e.whole(); e.cut() }, Result{Broken: 1}},
+		{"broken off without one", func(e entry) { e.upTo(2); e.cut() }, Result{NoOutcome: 1}},
+		{"broken off after the last token", func(e entry) { e.upTo(tokens); e.cut() }, Result{NoOutcome: 1}},
+		{"broken off after the outcome done", func(e entry) { e.upTo(tokens); e.outcome(wire.Done); e.cut() }, Result{NoOutcome: 1}},
+		{"broken off after the marker", func(e entry) { e.whole(); e.cut() }, Result{NoOutcome: 1}},
 
 		{"short, framed as whole", func(e entry) { e.upTo(2) }, Result{Wrong: 1}},
 		{"short, framed as whole, not done", func(e entry) { e.upTo(2); e.trailer(wire.Unknown); e.outcome(wire.Unknown) }, Result{Wrong: 1}},
@@ -148,7 +148,7 @@
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			got := streamed(t, one.do)
-			got.Sent, got.FirstToken, got.Between, got.Answer, got.Said = 0, nil, nil, nil, nil
+			got.Sent, got.FirstToken, got.BetweenTokens, got.Answer, got.PaymentOutcomes = 0, nil, nil, nil, nil
 			NewWithT(t).Expect(got).To(Equal(one.want))
 		})
 	}
@@ -174,7 +174,7 @@
 				from = tokens
 			}
 			got := streamed(t, cut, func(e entry) { rest(e, from) })
-			NewWithT(t).Expect(got.Whole).To(Equal(1))
+			NewWithT(t).Expect(got.Complete).To(Equal(1))
 		})
 	}
 }
@@ -188,12 +188,12 @@
 		do   http.HandlerFunc
 		want Result
 	}{
-		{"whole", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)) }, Result{Whole: 1}},
+		{"whole", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)) }, Result{Complete: 1}},
 		{"broken off", func(w http.ResponseWriter, r *http.Request) {
 			_, _ = io.WriteString(w, body(r)[:5])
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
-		}, Result{Broken: 1}},
+		}, Result{NoOutcome: 1}},
 		{"short, framed as whole", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)[:5]) }, Result{Wrong: 1}},
 		{"more than one answer", func(w http.ResponseWriter, r *http.Request) { _, _ = io.WriteString(w, body(r)+body(r)) }, Result{Wrong: 1}},
 		{"somebody else's", func(w http.ResponseWriter, r *http.Request) {
@@ -205,7 +205,7 @@
 				w.Header().Set(wire.HeaderOutcome, string(wire.Done))
 				one.do(w, r)
 			})
-			got.Sent, got.FirstToken, got.Between, got.Answer, got.Said = 0, nil, nil, nil, nil
+			got.Sent, got.FirstToken, got.BetweenTokens, got.Answer, got.PaymentOutcomes = 0, nil, nil, nil, nil
 			NewWithT(t).Expect(got).To(Equal(one.want))
 		})
 	}
--- a/internal/load/requests.go
+++ b/internal/load/requests.go
@@ -46,10 +46,10 @@
 	content := topics[j.n%len(topics)] + j.nonce
 	prompt := "user: " + content + "\n"
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
-		r.cfg.Model, r.cfg.Tokens, content)
+		r.cfg.Model, r.cfg.TokensPerAnswer, content)
 	f := &follower{runner: r, prompt: prompt, start: time.Now()}
 	var o wire.Outcome
-	for attempt := range r.cfg.Attempts {
+	for attempt := range r.cfg.MaxAttempts {
 		req, err := r.newRequest(ctx, j, attempt, http.MethodPost, "/v1/chat/completions", body)
 		if err != nil {
 			return ""
@@ -62,7 +62,7 @@
 			break
 		}
 	}
-	if o == wire.Done && f.next != r.cfg.Tokens {
+	if o == wire.Done && f.next != r.cfg.TokensPerAnswer {
 		return wrong
 	}
 	return o
@@ -158,7 +158,7 @@
 		if f.next == 0 {
 			_ = res.FirstToken.RecordValue(now.Sub(f.start).Microseconds())
 		} else {
-			_ = res.Between.RecordValue(now.Sub(f.at).Microseconds())
+			_ = res.BetweenTokens.RecordValue(now.Sub(f.at).Microseconds())
 		}
 	})
 	f.at, f.last = now, fr.ID
@@ -170,7 +170,7 @@
 // known or the attempts are used up.
 func (r *runner) payment(ctx context.Context, j job) wire.Outcome {
 	key := ""
-	for attempt := 0; attempt < r.cfg.Attempts && key == ""; attempt++ {
+	for attempt := 0; attempt < r.cfg.MaxAttempts && key == ""; attempt++ {
 		key = r.mint(ctx, j, attempt)
 	}
 	if key == "" {
@@ -178,7 +178,7 @@
 	}
 	id := j.nonce
 	said := wire.NotRun
-	for attempt := range r.cfg.Attempts {
+	for attempt := range r.cfg.MaxAttempts {
 		o := r.pay(ctx, j, attempt, key, id)
 		if o == wire.Done || o == wrong {
 			said = o
@@ -189,7 +189,7 @@
 		}
 		time.Sleep(20 * time.Millisecond << min(attempt, 6))
 	}
-	r.note(func(res *Result) { res.Said[id] = said })
+	r.note(func(res *Result) { res.PaymentOutcomes[id] = said })
 	return said
 }
 
@@ -223,7 +223,7 @@
 // platform's balancer does.
 func (r *runner) read(ctx context.Context, j job) wire.Outcome {
 	var o wire.Outcome
-	for attempt := 0; attempt < r.cfg.Attempts && o != wire.Done && o != wrong; attempt++ {
+	for attempt := 0; attempt < r.cfg.MaxAttempts && o != wire.Done && o != wrong; attempt++ {
 		req, err := r.newRequest(ctx, j, attempt, http.MethodGet, r.cfg.Path+"record?id=r"+j.nonce, "")
 		if err != nil {
 			return ""
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -26,7 +26,7 @@
 			return nil
 		case h := <-n.hints.Out():
 			var wanted bool
-			duty.Locked(&n.mu, func() { wanted = n.spread.Receive(h.version) == spread.Fetch })
+			duty.Locked(&n.mu, func() { wanted = n.spread.Decide(h.version) == spread.Fetch })
 			if !wanted {
 				continue
 			}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return m, err
 	}
-	return published.ParseTold(raw, own)
+	return published.ParseUpdate(raw, own)
 }
 
 // PeerGet reads a path of a peer's listener, for at most a second.
@@ -127,7 +127,7 @@
 	var decision spread.Decision
 	var clash bool
 	duty.Locked(&n.mu, func() {
-		decision = n.spread.Receive(v)
+		decision = n.spread.Decide(v)
 		n.spread.RecordValid(v)
 		_, clash = n.spread.Conflict()
 	})
@@ -299,9 +299,9 @@
 	for _, old := range older {
 		if have != "" && old.hash == have {
 			d := m.DeltaFrom(old.manifest)
-			httpjson.Reply(w, published.Told{Delta: &d})
+			httpjson.Reply(w, published.ManifestUpdate{Delta: &d})
 			return
 		}
 	}
-	httpjson.Reply(w, published.Told{Whole: &m})
+	httpjson.Reply(w, published.ManifestUpdate{Full: &m})
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -77,7 +77,7 @@
 			return
 		}
 		g.TryGo(func() error {
-			duty.Contain("probe", n.log, n.reg, func() { n.probe(ctx, p.Target) })
+			duty.RunRecovered("probe", n.log, n.reg, func() { n.probe(ctx, p.Target) })
 			return nil
 		})
 	})
@@ -121,10 +121,10 @@
 // the one that fills its slot; one that starts anew waits as long.
 func (n *Node) Lease() time.Duration { return 3 * n.set.GossipInterval }
 
-// Holds reports whether the process may give orders in the name of its slot: it
+// HoldsLease reports whether the process may give orders in the name of its slot: it
 // has spoken with a peer, or found itself alone, within the lease, is not
 // superseded, and an earlier process in its slot has lost its own lease.
-func (n *Node) Holds(now time.Time) bool {
+func (n *Node) HoldsLease(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sound := !n.heir && n.life.State() != Doubting && n.life.State() != Stopped
@@ -140,7 +140,7 @@
 		return
 	}
 	var ask []member.Member
-	duty.Locked(&n.mu, func() { ask = n.table.PickRelays(target.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { ask = n.table.PickRandom(target.Name, rand.Uint64()) })
 	for _, h := range ask {
 		if n.probeThrough(ctx, h.Address, target.Address) == nil {
 			return
@@ -233,7 +233,7 @@
 		denied = n.table.Self().Incarnation != before.Incarnation
 		lost = n.table.Superseded(m.Rows)
 		n.heir = n.heir || lost
-		decision = n.spread.Receive(m.Version)
+		decision = n.spread.Decide(m.Version)
 	})
 	n.note(changes)
 	if denied {
@@ -277,7 +277,7 @@
 			return g.Wait()
 		case m := <-n.pushes.Out():
 			g.Go(func() error {
-				duty.Contain("push", n.log, n.reg, func() {
+				duty.RunRecovered("push", n.log, n.reg, func() {
 					_ = n.Exchange(ctx, m.Address) // A silent peer is the probes' matter.
 				})
 				return nil
@@ -301,7 +301,7 @@
 	if !ReadJSON(w, r, &m) {
 		return
 	}
-	if err := n.creds.Claims(r.TLS, m.sender()); err != nil {
+	if err := n.creds.VerifyClaim(r.TLS, m.sender()); err != nil {
 		n.trail.Add(audit.PeerRejected, r.RemoteAddr, err.Error())
 		http.Error(w, err.Error(), http.StatusForbidden)
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,9 +114,9 @@
 	if err != nil {
 		return nil, err
 	}
-	transport := adapter.NewTransport(set.Source)
+	transport := adapter.NewTransport(set.SourceIP)
 	transport.TLSClientConfig = creds.Client()
-	direct := &http.Client{Transport: adapter.NewTransport(set.Source)}
+	direct := &http.Client{Transport: adapter.NewTransport(set.SourceIP)}
 	n = &Node{
 		set:    set,
 		log:    log,
@@ -124,8 +124,8 @@
 		trail:  audit.New(set.Name, log, reg),
 		creds:  creds,
 		peers:  &http.Client{Transport: transport},
-		conf:   adapter.NewConfigService(set.ConfigService, direct),
-		list:   adapter.NewInstances(set.Instances, direct),
+		conf:   adapter.NewConfigService(set.ConfigServiceURL, direct),
+		list:   adapter.NewInstances(set.InstancesURL, direct),
 		start:  time.Now(),
 		hints:  ring.NewQueue[hint](hintRing),
 		pushes: ring.NewQueue[member.Member](pushRing),
@@ -135,7 +135,7 @@
 		values: map[string][]byte{},
 
 		suspects: suspects.New(log, reg),
-		life:     chart.MustLoad("drain").Machine(),
+		life:     chart.MustLoad("drain").NewMachine(),
 	}
 	n.table = member.New(member.Config{
 		ProbeInterval:    set.GossipInterval,
@@ -145,7 +145,7 @@
 		IndirectProbes:   helpers,
 	}, member.Member{
 		Name: set.Name, Role: string(set.Role), Endpoint: set.Endpoint, Domain: set.Domain,
-		Address: set.Advertise, StartedAt: n.start.UnixMilli(),
+		Address: set.AdvertisedAddress, StartedAt: n.start.UnixMilli(),
 	})
 	return n, nil
 }
@@ -181,12 +181,12 @@
 	return n.life.State()
 }
 
-// Left is closed when the planned stop begins.
-func (n *Node) Left() <-chan struct{} { return n.left }
+// Leaving is closed when the planned stop begins.
+func (n *Node) Leaving() <-chan struct{} { return n.left }
 
-// OnGone sets the function that is told of each member that is given up. It
+// OnDead sets the function that is told of each member that is given up. It
 // must be called before Run.
-func (n *Node) OnGone(f func(member.Member)) { n.gone = f }
+func (n *Node) OnDead(f func(member.Member)) { n.gone = f }
 
 // Members lists the members that satisfy keep, the node itself included.
 func (n *Node) Members(keep func(member.Member) bool) []member.Member {
@@ -259,9 +259,9 @@
 	n.pushSome()
 }
 
-// Idle takes note that nothing runs any more; it reports whether the planned
+// MarkIdle takes note that nothing runs any more; it reports whether the planned
 // stop is complete.
-func (n *Node) Idle() bool {
+func (n *Node) MarkIdle() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.life.Apply(eventIdle)
@@ -272,9 +272,9 @@
 func (n *Node) pushSome() {
 	var some []member.Member
 	duty.Locked(&n.mu, func() {
-		some = n.table.PickRelays(n.set.Name, rand.Uint64())
+		some = n.table.PickRandom(n.set.Name, rand.Uint64())
 		for range fanOut - helpers {
-			some = append(some, n.table.PickRelays(n.set.Name, rand.Uint64())...)
+			some = append(some, n.table.PickRandom(n.set.Name, rand.Uint64())...)
 		}
 	})
 	for _, m := range some {
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -36,7 +36,7 @@
 	Endpoint string             `json:"endpoint,omitempty"`
 	State    chart.State        `json:"state"`
 	Version  published.Version  `json:"version"`
-	Clash    *published.Version `json:"clash,omitempty"`
+	Conflict *published.Version `json:"clash,omitempty"`
 	UptimeS  float64            `json:"uptime_s"`
 	Pid      int                `json:"pid"`
 	Build    build.Info         `json:"build"`
@@ -61,7 +61,7 @@
 		Pid: os.Getpid(), Build: build.Read(),
 	}
 	if v, ok := n.spread.Conflict(); ok {
-		s.Clash = &v
+		s.Conflict = &v
 	}
 	return s
 }
@@ -82,7 +82,7 @@
 	mux.HandleFunc("GET "+PathMetrics, func(w http.ResponseWriter, _ *http.Request) {
 		var text bytes.Buffer
 		metrics.WriteJSONOnce(n.reg, &text)
-		httpjson.Bytes(w, "application/json", text.Bytes())
+		httpjson.ReplyBytes(w, "application/json", text.Bytes())
 	})
 	mux.HandleFunc("GET "+PathAudit, func(w http.ResponseWriter, _ *http.Request) {
 		records, dropped := n.trail.Records()
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -65,7 +65,7 @@
 // may be stale, is trusted.
 func (n *Node) bootstrap(ctx context.Context) {
 	for _, address := range n.set.Seeds {
-		if address != n.set.Advertise {
+		if address != n.set.AdvertisedAddress {
 			_ = n.Exchange(ctx, address) // Whoever is silent now is heard later.
 		}
 	}
@@ -97,7 +97,7 @@
 // the time to be fetched.
 func (n *Node) askSome(ctx context.Context) {
 	var some []member.Member
-	duty.Locked(&n.mu, func() { some = n.table.PickRelays(n.set.Name, rand.Uint64()) })
+	duty.Locked(&n.mu, func() { some = n.table.PickRandom(n.set.Name, rand.Uint64()) })
 	for _, m := range some {
 		if n.Exchange(ctx, m.Address) == nil && n.awaitConfig(ctx) {
 			return
--- a/internal/oplog/oplog.go
+++ b/internal/oplog/oplog.go
@@ -88,11 +88,11 @@
 		e.AppendInt64(t.UnixMilli())
 	})
 	cfg.EncodeDuration = zapcore.StringDurationEncoder
-	return NewEncoded(out, level, perSecond, zapcore.NewJSONEncoder(cfg))
+	return NewWithEncoder(out, level, perSecond, zapcore.NewJSONEncoder(cfg))
 }
 
-// NewEncoded is New with an encoder of the lines.
-func NewEncoded(out io.Writer, level string, perSecond int, enc zapcore.Encoder) (log *zap.Logger, l *Log, err error) {
+// NewWithEncoder is New with an encoder of the lines.
+func NewWithEncoder(out io.Writer, level string, perSecond int, enc zapcore.Encoder) (log *zap.Logger, l *Log, err error) {
 	at, err := zapcore.ParseLevel(level)
 	if err != nil {
 		return nil, nil, err
--- a/internal/plots/plots.go
+++ b/internal/plots/plots.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return err
 	}
-	bytes, err := lines("GB moved", runs, func(r experiment.Run) []float64 { return r.Bytes })
+	bytes, err := lines("GB moved", runs, func(r experiment.Run) []float64 { return r.CumulativeBytes })
 	if err != nil {
 		return err
 	}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -41,8 +41,8 @@
 	Tokens     int64  // Tokens already sent to the caller.
 }
 
-// Set is the compiled programs of one policy. A Set is immutable.
-type Set struct {
+// Compiled is the compiled programs of one policy. A Set is immutable.
+type Compiled struct {
 	priority cel.Program
 	retry    cel.Program
 	move     cel.Program
@@ -83,22 +83,22 @@
 	return env.Program(ast, cel.CostLimit(costLimit))
 }
 
-// Texts holds the three programs of a policy as published.
-type Texts struct {
+// Sources holds the three programs of a policy as published.
+type Sources struct {
 	Priority string // Gives an int; a higher one goes first.
 	Retry    string // Gives a bool; asked only when repeating is safe at all.
 	Move     string // Gives a bool; asked before a running stream is moved.
 }
 
-// Fault is a program that does not compile.
-type Fault struct {
+// CompileFault is a program that does not compile.
+type CompileFault struct {
 	Key  string
 	Text string
 }
 
 // New compiles the programs; faults lists every one that does not compile.
-func New(texts Texts) (s *Set, faults []Fault) {
-	s = &Set{}
+func New(texts Sources) (s *Compiled, faults []CompileFault) {
+	s = &Compiled{}
 	for _, one := range []struct {
 		key  string
 		text string
@@ -111,7 +111,7 @@
 	} {
 		p, err := compile(one.text, one.want)
 		if err != nil {
-			faults = append(faults, Fault{one.key, err.Error()})
+			faults = append(faults, CompileFault{one.key, err.Error()})
 			continue
 		}
 		*one.dst = p
@@ -131,7 +131,7 @@
 
 // Priority says how early r goes, between 0 and MaxPriority. On an error the
 // default is returned beside it.
-func (s *Set) Priority(r Request) (n int, err error) {
+func (s *Compiled) Priority(r Request) (n int, err error) {
 	if s == nil || s.priority == nil {
 		return DefaultPriority, nil
 	}
@@ -147,7 +147,7 @@
 }
 
 // Retry says whether r may be sent again. It is asked only when that is safe.
-func (s *Set) Retry(r Request) (ok bool, err error) {
+func (s *Compiled) Retry(r Request) (ok bool, err error) {
 	if s == nil {
 		return DefaultRetry, nil
 	}
@@ -155,7 +155,7 @@
 }
 
 // Move says whether the running request r may go on elsewhere.
-func (s *Set) Move(r Request) (ok bool, err error) {
+func (s *Compiled) Move(r Request) (ok bool, err error) {
 	if s == nil {
 		return DefaultMove, nil
 	}
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,7 +11,7 @@
 
 func TestPrograms(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s, faults := New(Texts{Priority: `class == "kiosk" ? 9 : -5`, Retry: `attempt < 3`, Move: `tokens < 10`})
+	s, faults := New(Sources{Priority: `class == "kiosk" ? 9 : -5`, Retry: `attempt < 3`, Move: `tokens < 10`})
 	g.Expect(faults).To(gomega.BeEmpty())
 	high, err := s.Priority(Request{Class: "kiosk"})
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -26,7 +26,7 @@
 
 func TestFaultsAreListedTogether(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, faults := New(Texts{Priority: `true`, Retry: `1`, Move: `unknown > 1`})
+	_, faults := New(Sources{Priority: `true`, Retry: `1`, Move: `unknown > 1`})
 	g.Expect(faults).To(gomega.HaveLen(3))
 }
 
@@ -34,7 +34,7 @@
 	check := func(name, text string) {
 		t.Run(name, func(t *testing.T) {
 			g := gomega.NewWithT(t)
-			s, faults := New(Texts{Priority: text, Retry: text + " == 1"})
+			s, faults := New(Sources{Priority: text, Retry: text + " == 1"})
 			g.Expect(faults).To(gomega.BeEmpty())
 			n, err := s.Priority(Request{Attempt: 0})
 			g.Expect(err).To(gomega.HaveOccurred())
@@ -54,7 +54,7 @@
 	f.Add(`[1,2].exists(x, x == attempt)`)
 	f.Add(strings.Repeat("(", 500))
 	f.Fuzz(func(_ *testing.T, text string) {
-		s, faults := New(Texts{Retry: text})
+		s, faults := New(Sources{Retry: text})
 		if len(faults) == 0 {
 			_, _ = s.Retry(Request{Class: "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa!"}) // It must return.
 		}
--- a/internal/published/build.go
+++ b/internal/published/build.go
@@ -65,7 +65,7 @@
 	switch {
 	case p.customer != nil:
 		c.byName[p.customer.Name] = p.customer
-		for _, h := range p.customer.Hashes {
+		for _, h := range p.customer.KeyHashes {
 			if other, dup := c.customers[h]; dup {
 				clash(kindCustomer, "key-hash", "is also a key of customer "+other.Name)
 			}
--- a/internal/published/delta.go
+++ b/internal/published/delta.go
@@ -71,16 +71,16 @@
 	return m, nil
 }
 
-// Told is how one process tells another its manifest: whole or as a delta.
-type Told struct {
-	Whole *Manifest `json:"whole,omitempty"`
+// ManifestUpdate is how one process tells another its manifest: whole or as a delta.
+type ManifestUpdate struct {
+	Full  *Manifest `json:"whole,omitempty"`
 	Delta *Delta    `json:"delta,omitempty"`
 }
 
-// ParseTold decodes what a peer told and makes the whole manifest of it.
-func ParseTold(raw []byte, own Manifest) (m Manifest, err error) {
+// ParseUpdate decodes what a peer told and makes the whole manifest of it.
+func ParseUpdate(raw []byte, own Manifest) (m Manifest, err error) {
 	defer func() { err = errors.Wrap(err, "manifest of a peer") }()
-	var t Told
+	var t ManifestUpdate
 	if len(raw) > MaxValueBytes {
 		return m, errors.Newf("%d bytes is larger than %d", len(raw), MaxValueBytes)
 	}
@@ -88,8 +88,8 @@
 		return m, err
 	}
 	switch {
-	case t.Whole != nil:
-		return *t.Whole, nil
+	case t.Full != nil:
+		return *t.Full, nil
 	case t.Delta != nil:
 		return t.Delta.Apply(own)
 	}
--- a/internal/published/parse.go
+++ b/internal/published/parse.go
@@ -38,7 +38,7 @@
 		return p
 	}
 	if len(value) > MaxValueBytes {
-		f.Fault("", "", "larger than %d bytes", MaxValueBytes)
+		f.AddProblem("", "", "larger than %d bytes", MaxValueBytes)
 	}
 	p.read(kind, name, f)
 	p.faults = f.Problems()
@@ -56,27 +56,27 @@
 	case kindSite:
 		p.entries = f.Int(kindSite, "entries", 0, 1, 100000)
 	default:
-		f.Fault("", "", "unknown kind %q", kind)
+		f.AddProblem("", "", "unknown kind %q", kind)
 	}
 }
 
 func (p *parsed) readCustomer(name string, f *inifile.File) {
 	cust := &Customer{
-		Name:     name,
-		Hashes:   f.Words(kindCustomer, "key-hash"),
-		Policy:   f.String(kindCustomer, "policy", ""),
-		Rate:     f.Float(kindCustomer, "rate", 0, 0, 1e6),
-		Weight:   f.Float(kindCustomer, "weight", 1, 0.01, 1000),
-		Services: f.Words(kindCustomer, "services"),
+		Name:      name,
+		KeyHashes: f.Words(kindCustomer, "key-hash"),
+		Policy:    f.String(kindCustomer, "policy", ""),
+		Rate:      f.Float(kindCustomer, "rate", 0, 0, 1e6),
+		Weight:    f.Float(kindCustomer, "weight", 1, 0.01, 1000),
+		Services:  f.Words(kindCustomer, "services"),
 	}
 	p.customer = cust
 	cust.Burst = f.Float(kindCustomer, "burst", max(1, cust.Rate), 1, 1e6)
-	if len(cust.Hashes) == 0 {
-		f.Fault(kindCustomer, "key-hash", "must be set")
+	if len(cust.KeyHashes) == 0 {
+		f.AddProblem(kindCustomer, "key-hash", "must be set")
 	}
-	for _, h := range cust.Hashes {
+	for _, h := range cust.KeyHashes {
 		if raw, err := hex.DecodeString(h); err != nil || len(raw) != 32 {
-			f.Fault(kindCustomer, "key-hash", "%q is not a hex SHA-256", h)
+			f.AddProblem(kindCustomer, "key-hash", "%q is not a hex SHA-256", h)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func (p *parsed) readPolicy(name string, f *inifile.File) {
 	pol := &Policy{
 		Name: name,
-		Texts: policy.Texts{
+		Sources: policy.Sources{
 			Priority: f.String(kindPolicy, "priority", ""),
 			Retry:    f.String(kindPolicy, "retry", ""),
 			Move:     f.String(kindPolicy, "move", ""),
@@ -93,10 +93,10 @@
 		SkewPrice:  f.Float(kindPolicy, "skew-price", 1, 0, 1e6),
 		MovePrice:  f.Float(kindPolicy, "move-price", 1, 0, 1e6),
 	}
-	var faults []policy.Fault
-	pol.Programs, faults = policy.New(pol.Texts)
+	var faults []policy.CompileFault
+	pol.Programs, faults = policy.New(pol.Sources)
 	for _, one := range faults {
-		f.Fault(kindPolicy, one.Key, "%s", one.Text)
+		f.AddProblem(kindPolicy, one.Key, "%s", one.Text)
 	}
 	p.policy = pol
 }
@@ -111,13 +111,13 @@
 		s.ExpertBytes = f.Float(kind, "expert-bytes", 50e6, 1, 1e12)
 		s.StoreRate = f.Float(kind, "store-rate", 0, 0, 1e15)
 		s.HourlyBytes = f.Float(kind, "hourly-bytes", 0, 0, 1e18)
-		s.Rebalance = f.Duration(kind, "rebalance-every", 0)
+		s.RebalanceInterval = f.Duration(kind, "rebalance-every", 0)
 		s.Policy = f.String(kind, "policy", "")
 	} else {
 		s.Path = f.Required(kind, "path")
 		s.NotRepeatable = f.Words(kind, "not-repeatable")
 		if s.Path != "" && !strings.HasPrefix(s.Path, "/") {
-			f.Fault(kind, "path", "%q does not begin with /", s.Path)
+			f.AddProblem(kind, "path", "%q does not begin with /", s.Path)
 		}
 	}
 	for _, section := range f.Sections() {
@@ -128,18 +128,18 @@
 		readEndpoint(s, strings.TrimSpace(slot), section, f)
 	}
 	if len(s.Endpoints) == 0 {
-		f.Fault(kind, "", "has no [endpoint NAME] section")
+		f.AddProblem(kind, "", "has no [endpoint NAME] section")
 	}
 	for _, e := range s.Endpoints {
 		if s.IsGroup() && e.Rank >= len(s.Endpoints) {
-			f.Fault("endpoint "+e.Name, "rank", "%d of %d ranks; they are numbered from 0", e.Rank, len(s.Endpoints))
+			f.AddProblem("endpoint "+e.Name, "rank", "%d of %d ranks; they are numbered from 0", e.Rank, len(s.Endpoints))
 		}
 	}
 	if len(s.Endpoints) > mapswitch.MaxRanks && s.IsGroup() {
-		f.Fault(kind, "", "%d ranks are more than %d", len(s.Endpoints), mapswitch.MaxRanks)
+		f.AddProblem(kind, "", "%d ranks are more than %d", len(s.Endpoints), mapswitch.MaxRanks)
 	}
 	if s.IsGroup() && s.Slots*len(s.Endpoints) < s.Experts {
-		f.Fault(kind, "slots", "%d slots of %d ranks do not hold %d experts", s.Slots, len(s.Endpoints), s.Experts)
+		f.AddProblem(kind, "slots", "%d slots of %d ranks do not hold %d experts", s.Slots, len(s.Endpoints), s.Experts)
 	}
 	sort.Slice(s.Endpoints, func(i, j int) bool { return s.Endpoints[i].Name < s.Endpoints[j].Name })
 	p.service = s
@@ -153,7 +153,7 @@
 	}
 	for _, one := range s.Endpoints {
 		if s.IsGroup() && one.Rank == e.Rank {
-			f.Fault(section, "rank", "%d is also the rank of %q", e.Rank, one.Name)
+			f.AddProblem(section, "rank", "%d is also the rank of %q", e.Rank, one.Name)
 		}
 	}
 	s.Endpoints = append(s.Endpoints, e)
--- a/internal/published/published.go
+++ b/internal/published/published.go
@@ -25,17 +25,17 @@
 
 // Customer is one caller of the operator's services.
 type Customer struct {
-	Name     string
-	Hashes   []string // Hex SHA-256 of accepted bearer keys.
-	Policy   string
-	Rate     float64 // Requests a second over all entries; 0 means no limit.
-	Burst    float64 // Requests that may come at once.
-	Weight   float64 // Share in the fair queue, above 0.
-	Services []string
+	Name      string
+	KeyHashes []string // Hex SHA-256 of accepted bearer keys.
+	Policy    string
+	Rate      float64 // Requests a second over all entries; 0 means no limit.
+	Burst     float64 // Requests that may come at once.
+	Weight    float64 // Share in the fair queue, above 0.
+	Services  []string
 }
 
-// May reports whether the customer may call the named service or model.
-func (c *Customer) May(service string) bool {
+// MayCall reports whether the customer may call the named service or model.
+func (c *Customer) MayCall(service string) bool {
 	if len(c.Services) == 0 {
 		return true
 	}
@@ -50,8 +50,8 @@
 // Policy is one published policy with its compiled programs.
 type Policy struct {
 	Name       string
-	Programs   *policy.Set
-	Texts      policy.Texts
+	Programs   *policy.Compiled
+	Sources    policy.Sources
 	RetryShare float64 // Retries allowed per success.
 	SkewPrice  float64 // Value of one percent of step-time skew for an hour.
 	MovePrice  float64 // Price of one gigabyte of moved experts.
@@ -66,20 +66,20 @@
 
 // Service is something callers can ask for: a model group or a plain service.
 type Service struct {
-	Name          string
-	Model         string // Model that the group serves; "" for plain services.
-	Path          string // Path prefix of a plain service; "" for groups.
-	NotRepeatable []string
-	Timeout       time.Duration
-	Endpoints     []Endpoint // Ordered by name.
-	Experts       int        // A layer.
-	Slots         int        // Experts that a rank holds, a layer.
-	Layers        int
-	ExpertBytes   float64
-	StoreRate     float64       // Bytes a second that the weight store gives the group; 0 when not published.
-	HourlyBytes   float64       // Byte budget of moves an hour; 0 for none.
-	Rebalance     time.Duration // Time of a sample of expert load; 0 leaves the map alone.
-	Policy        string        // Whose prices weigh skew against moves.
+	Name              string
+	Model             string // Model that the group serves; "" for plain services.
+	Path              string // Path prefix of a plain service; "" for groups.
+	NotRepeatable     []string
+	Timeout           time.Duration
+	Endpoints         []Endpoint // Ordered by name.
+	Experts           int        // A layer.
+	Slots             int        // Experts that a rank holds, a layer.
+	Layers            int
+	ExpertBytes       float64
+	StoreRate         float64       // Bytes a second that the weight store gives the group; 0 when not published.
+	HourlyBytes       float64       // Byte budget of moves an hour; 0 for none.
+	RebalanceInterval time.Duration // Time of a sample of expert load; 0 leaves the map alone.
+	Policy            string        // Whose prices weigh skew against moves.
 }
 
 // IsGroup reports whether s is a group of model ranks.
@@ -107,9 +107,9 @@
 	parsed    map[string]*parsed // By key: what each value says.
 }
 
-// Entries returns the most entry instances that run at a time; limits are split
+// MaxEntries returns the most entry instances that run at a time; limits are split
 // by it. It is 0 when the operators did not say.
-func (c *Config) Entries() int { return c.entries }
+func (c *Config) MaxEntries() int { return c.entries }
 
 // Version returns the generation that c is.
 func (c *Config) Version() Version { return c.version }
--- a/internal/settings/fleet_test.go
+++ b/internal/settings/fleet_test.go
@@ -41,8 +41,8 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Role).To(Equal(Gateway))
 	g.Expect(s.Seeds).To(Equal([]string{"10.0.0.1:82", "10.0.0.2:82"}))
-	g.Expect(s.Revocation).To(Equal(5 * time.Second))
-	g.Expect(s.RetrySpare).To(Equal(90.0))
+	g.Expect(s.RevocationTime).To(Equal(5 * time.Second))
+	g.Expect(s.RetryFloor).To(Equal(90.0))
 }
 
 func TestFleetSettingsNameEveryFault(t *testing.T) {
@@ -67,7 +67,7 @@
 	text := strings.NewReplacer("retry-spare = 90", "retry-spare = 34.10526315789474", "role = gateway", "role = gateway\nmemory-mb = 183.5\nlink-mbps = 40.5").Replace(gatewayText)
 	s, err := ParseFleet("f", []byte(text))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.RetrySpare).To(BeNumerically("~", 34.1, 0.01))
-	g.Expect(s.MemoryLimit).To(BeNumerically("~", 183.5, 0.01))
+	g.Expect(s.RetryFloor).To(BeNumerically("~", 34.1, 0.01))
+	g.Expect(s.MemoryLimitMB).To(BeNumerically("~", 183.5, 0.01))
 	g.Expect(s.LinkRate).To(BeNumerically("~", 40.5e6/8, 1))
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,26 +26,26 @@
 	Domain   string
 	Endpoint string // Slot that an agent fills; "" for entries.
 
-	Callers   string // Entry only.
-	Peers     string
-	Operators string
-	Advertise string // Peer address that others use; Peers when not set.
-	Source    string // IP number that connections to others come from; "" for any.
-
-	ConfigService string
-	Instances     string
-	OperatorKey   ed25519.PublicKey
-	Seeds         []string // Peer addresses to ask before the list is read.
-
-	Engine     string // Base URL; an agent has Engine or Service.
-	Service    string
-	Queue      int
-	MinLimit   int
-	MaxLimit   int
-	StepTarget time.Duration
-	Fences     bool          // The engine checks the ballots of orders by itself.
-	KeyWindow  time.Duration // How long idempotency keys are remembered.
-	Keys       int           // Idempotency keys remembered at most.
+	CallersAddress    string // Entry only.
+	PeersAddress      string
+	OperatorsAddress  string
+	AdvertisedAddress string // Peer address that others use; Peers when not set.
+	SourceIP          string // IP number that connections to others come from; "" for any.
+
+	ConfigServiceURL string
+	InstancesURL     string
+	OperatorKey      ed25519.PublicKey
+	Seeds            []string // Peer addresses to ask before the list is read.
+
+	EngineURL          string // Base URL; an agent has Engine or Service.
+	ServiceURL         string
+	QueueCapacity      int
+	MinLimit           int
+	MaxLimit           int
+	StepTarget         time.Duration
+	EngineChecksFences bool          // The engine checks the ballots of orders by itself.
+	KeyRetention       time.Duration // How long idempotency keys are remembered.
+	MaxKeys            int           // Idempotency keys remembered at most.
 
 	GossipInterval time.Duration
 	SuspectAfter   time.Duration
@@ -96,30 +96,30 @@
 	switch s.Role {
 	case adapter.RoleEntry:
 		if s.Endpoint != "" {
-			f.Fault(section, "endpoint", "is set, but the role is entry")
+			f.AddProblem(section, "endpoint", "is set, but the role is entry")
 		}
 	case adapter.RoleEndpoint:
 		if s.Endpoint == "" {
-			f.Fault(section, "endpoint", "must be set for the role endpoint")
+			f.AddProblem(section, "endpoint", "must be set for the role endpoint")
 		}
 	case "":
 	default:
-		f.Fault(section, "role", "%q is neither entry nor endpoint", s.Role)
+		f.AddProblem(section, "role", "%q is neither entry nor endpoint", s.Role)
 	}
 }
 
 func (s *Settings) readListen(f *inifile.File) {
 	const section = "listen"
-	s.Peers = address(f, section, "peers", true)
-	s.Operators = address(f, section, "operators", true)
-	s.Callers = address(f, section, "callers", s.Role == adapter.RoleEntry)
-	if s.Callers != "" && s.Role == adapter.RoleEndpoint {
-		f.Fault(section, "callers", "is set, but the role is endpoint")
+	s.PeersAddress = address(f, section, "peers", true)
+	s.OperatorsAddress = address(f, section, "operators", true)
+	s.CallersAddress = address(f, section, "callers", s.Role == adapter.RoleEntry)
+	if s.CallersAddress != "" && s.Role == adapter.RoleEndpoint {
+		f.AddProblem(section, "callers", "is set, but the role is endpoint")
 	}
-	s.Advertise = address(f, section, "advertise", false)
-	s.Source = f.String(section, "source", "")
-	if s.Source != "" && net.ParseIP(s.Source) == nil {
-		f.Fault(section, "source", "%q is not an IP number", s.Source)
+	s.AdvertisedAddress = address(f, section, "advertise", false)
+	s.SourceIP = f.String(section, "source", "")
+	if s.SourceIP != "" && net.ParseIP(s.SourceIP) == nil {
+		f.AddProblem(section, "source", "%q is not an IP number", s.SourceIP)
 	}
 }
 
@@ -128,12 +128,12 @@
 	v := f.String(section, key, "")
 	if v == "" {
 		if required {
-			f.Fault(section, key, "must be set")
+			f.AddProblem(section, key, "must be set")
 		}
 		return ""
 	}
 	if _, err := netip.ParseAddrPort(v); err != nil {
-		f.Fault(section, key, "%q is not IP:PORT", v)
+		f.AddProblem(section, key, "%q is not IP:PORT", v)
 	}
 	return v
 }
@@ -143,24 +143,24 @@
 	v := f.String(section, key, "")
 	if v == "" {
 		if required {
-			f.Fault(section, key, "must be set")
+			f.AddProblem(section, key, "must be set")
 		}
 		return ""
 	}
 	u, err := url.Parse(v)
 	if err != nil || u.Scheme != "http" && u.Scheme != "https" || net.ParseIP(u.Hostname()) == nil {
-		f.Fault(section, key, "%q is not http://IP:PORT or https://IP:PORT", v)
+		f.AddProblem(section, key, "%q is not http://IP:PORT or https://IP:PORT", v)
 	}
 	return strings.TrimSuffix(v, "/")
 }
 
 func (s *Settings) readPlatform(f *inifile.File) {
 	const section = "platform"
-	s.ConfigService = baseURL(f, section, "config-service", true)
-	s.Instances = baseURL(f, section, "instances", true)
+	s.ConfigServiceURL = baseURL(f, section, "config-service", true)
+	s.InstancesURL = baseURL(f, section, "instances", true)
 	for _, seed := range f.Words(section, "seeds") {
 		if _, err := netip.ParseAddrPort(seed); err != nil {
-			f.Fault(section, "seeds", "%q is not IP:PORT", seed)
+			f.AddProblem(section, "seeds", "%q is not IP:PORT", seed)
 		}
 		s.Seeds = append(s.Seeds, seed)
 	}
@@ -170,32 +170,32 @@
 	}
 	key, err := base64.StdEncoding.DecodeString(v)
 	if err != nil || len(key) != ed25519.PublicKeySize {
-		f.Fault(section, "operator-key", "is not a base64 Ed25519 public key")
+		f.AddProblem(section, "operator-key", "is not a base64 Ed25519 public key")
 	}
 	s.OperatorKey = key
 }
 
 func (s *Settings) readEndpoint(f *inifile.File) {
 	const section = "endpoint"
-	s.Engine = baseURL(f, section, "engine", false)
-	s.Service = baseURL(f, section, "service", false)
+	s.EngineURL = baseURL(f, section, "engine", false)
+	s.ServiceURL = baseURL(f, section, "service", false)
 	agent := s.Role == adapter.RoleEndpoint
-	if agent && (s.Engine == "") == (s.Service == "") {
-		f.Fault(section, "", "exactly one of engine and service must be set")
+	if agent && (s.EngineURL == "") == (s.ServiceURL == "") {
+		f.AddProblem(section, "", "exactly one of engine and service must be set")
 	}
-	if !agent && f.Has(section) {
-		f.Fault(section, "", "is set, but the role is entry")
+	if !agent && f.HasSection(section) {
+		f.AddProblem(section, "", "is set, but the role is entry")
 	}
-	s.Queue = f.Int(section, "queue", 256, 1, 100000)
+	s.QueueCapacity = f.Int(section, "queue", 256, 1, 100000)
 	s.MinLimit = f.Int(section, "min-concurrency", 4, 1, 100000)
 	s.MaxLimit = f.Int(section, "max-concurrency", 64, 1, 100000)
 	if s.MinLimit > s.MaxLimit {
-		f.Fault(section, "min-concurrency", "is above max-concurrency")
+		f.AddProblem(section, "min-concurrency", "is above max-concurrency")
 	}
 	s.StepTarget = f.Duration(section, "step-target", 44*time.Millisecond)
-	s.Fences = f.Bool(section, "fences", true)
-	s.KeyWindow = f.Duration(section, "key-window", 10*time.Minute)
-	s.Keys = f.Int(section, "keys", 100000, 1, 10000000)
+	s.EngineChecksFences = f.Bool(section, "fences", true)
+	s.KeyRetention = f.Duration(section, "key-window", 10*time.Minute)
+	s.MaxKeys = f.Int(section, "keys", 100000, 1, 10000000)
 }
 
 func (s *Settings) readTiming(f *inifile.File) {
@@ -205,7 +205,7 @@
 	s.StallAfter = f.Duration(section, "stall-after", 2*time.Second)
 	s.ClockSkew = f.Duration(section, "clock-skew", time.Second)
 	if s.GossipInterval == 0 {
-		f.Fault(section, "gossip-interval", "must be above 0")
+		f.AddProblem(section, "gossip-interval", "must be above 0")
 	}
 }
 
@@ -214,14 +214,14 @@
 	s.CA = existing(f, section, "ca")
 	s.Certificate = existing(f, section, "certificate")
 	s.PrivateKey = existing(f, section, "private-key")
-	if !f.Has(section) {
+	if !f.HasSection(section) {
 		return
 	}
 	for _, one := range []struct{ key, value string }{
 		{"ca", s.CA}, {"certificate", s.Certificate}, {"private-key", s.PrivateKey},
 	} {
 		if one.value == "" {
-			f.Fault(section, one.key, "must be set beside the others")
+			f.AddProblem(section, one.key, "must be set beside the others")
 		}
 	}
 }
@@ -233,7 +233,7 @@
 		return ""
 	}
 	if _, err := os.Stat(v); err != nil {
-		f.Fault(section, key, "%v", err)
+		f.AddProblem(section, key, "%v", err)
 	}
 	return v
 }
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -196,11 +196,11 @@
 
 // containPanic calls a function that queries or orders other ranks and recovers from a panic in it;
 // a rank whose answer is missing is queried again later.
-func (s *Sidecar) containPanic(ask func()) { duty.Contain("ask", s.log, s.reg, ask) }
+func (s *Sidecar) containPanic(ask func()) { duty.RunRecovered("ask", s.log, s.reg, ask) }
 
 // receive handles a message. A message that causes a panic is dropped.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
-	duty.Contain("message", s.log, s.reg, func() {
+	duty.RunRecovered("message", s.log, s.reg, func() {
 		s.suspects.MergeEnds(m.Ends, time.Now())
 		switch {
 		case m.Hello != nil:
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -112,7 +112,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	httpjson.Binary(w, raw)
+	httpjson.ReplyBinary(w, raw)
 }
 
 // queryTree answers a query for this rank, whose engine is the query's first one, and for all ranks
--- a/internal/standin/directory.go
+++ b/internal/standin/directory.go
@@ -88,15 +88,15 @@
 // NewView returns a faultless view of d.
 func NewView(d *Directory) *View { return &View{dir: d} }
 
-// Down makes every call through the view fail.
-func (v *View) Down(on bool) {
+// SetDown makes every call through the view fail.
+func (v *View) SetDown(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.down = on
 }
 
-// Stale freezes what the view shows, or lets it follow again.
-func (v *View) Stale(on bool) {
+// SetStale freezes what the view shows, or lets it follow again.
+func (v *View) SetStale(on bool) {
 	values, list := v.dir.snapshot()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -106,9 +106,9 @@
 	}
 }
 
-// ListLag makes the list lag: each read is kept, and the newest one that is old
+// SetListLag makes the list lag: each read is kept, and the newest one that is old
 // enough is shown.
-func (v *View) ListLag(d time.Duration) {
+func (v *View) SetListLag(d time.Duration) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.late.lag = d
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -17,15 +17,15 @@
 
 // GroupConfig sizes a stand-in engine group.
 type GroupConfig struct {
-	Ranks       int
-	StepTime    time.Duration // Step time of an idle group.
-	PerSequence time.Duration // Added by each sequence on the fullest rank.
-	PrefillStep int           // Prompt bytes that one step takes in.
-	CacheBytes  int           // Prompt prefixes kept by a rank, in bytes.
-	ReportLag   time.Duration // Age of what State reports.
-	Store       *Store        // Where weights come from; nil for a store without bounds.
-	ExpertBytes float64       // Of one expert of one layer.
-	NoFences    bool          // The engines obey any ballot.
+	Ranks           int
+	StepTime        time.Duration // Step time of an idle group.
+	TimePerSequence time.Duration // Added by each sequence on the fullest rank.
+	PrefillBytes    int           // Prompt bytes that one step takes in.
+	CacheBytes      int           // Prompt prefixes kept by a rank, in bytes.
+	ReportLag       time.Duration // Age of what State reports.
+	Store           *Store        // Where weights come from; nil for a store without bounds.
+	ExpertBytes     float64       // Of one expert of one layer.
+	IgnoreFences    bool          // The engines obey any ballot.
 }
 
 // Group is ranks that advance in lock-step: the slowest one paces all.
@@ -138,10 +138,10 @@
 
 // MapReport is what a group saw of its maps.
 type MapReport struct {
-	Map        uint64 `json:"map"` // In force.
+	MapVersion uint64 `json:"map"` // In force.
 	Step       uint64 `json:"step"`
 	Violations int    `json:"violations"` // Steps that ran on two maps.
-	Held       int    `json:"held"`       // Times that the group waited for a decision.
+	Waits      int    `json:"held"`       // Times that the group waited for a decision.
 }
 
 // Maps returns what the group saw of its maps.
@@ -151,11 +151,11 @@
 	g.ranks[0].mu.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return MapReport{Map: m.Map, Step: m.LastStep, Violations: g.violations, Held: g.held}
+	return MapReport{MapVersion: m.Map, Step: m.LastStep, Violations: g.violations, Waits: g.held}
 }
 
-// Demand sets the tokens that the engines report, by layer and expert.
-func (g *Group) Demand(tokens [][]float64) {
+// SetDemand sets the tokens that the engines report, by layer and expert.
+func (g *Group) SetDemand(tokens [][]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.demand = tokens
@@ -166,7 +166,7 @@
 func (g *Group) stepTime() (d time.Duration, ok bool) {
 	for _, e := range g.ranks {
 		e.mu.Lock()
-		own := g.cfg.StepTime + time.Duration(len(e.active))*g.cfg.PerSequence + e.slow
+		own := g.cfg.StepTime + time.Duration(len(e.active))*g.cfg.TimePerSequence + e.slow
 		stall := e.stall
 		e.mu.Unlock()
 		if stall {
@@ -199,7 +199,7 @@
 		default:
 		}
 		if s.fill > 0 {
-			s.fill -= e.group.cfg.PrefillStep
+			s.fill -= e.group.cfg.PrefillBytes
 			continue
 		}
 		select {
@@ -241,15 +241,15 @@
 	return s, true
 }
 
-// Stall stops or resumes the whole group through this rank.
-func (e *Engine) Stall(on bool) {
+// SetStalled stops or resumes the whole group through this rank.
+func (e *Engine) SetStalled(on bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stall = on
 }
 
-// Slow adds time to each step of the group through this rank.
-func (e *Engine) Slow(d time.Duration) {
+// SetAddedStepTime adds time to each step of the group through this rank.
+func (e *Engine) SetAddedStepTime(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slow = d
@@ -363,7 +363,7 @@
 	}
 	before := e.maps.Prepared
 	fence := e.maps.Fence
-	if e.group.cfg.NoFences {
+	if e.group.cfg.IgnoreFences {
 		e.maps.Fence = 0
 	}
 	var reply mapswitch.Reply
--- a/internal/standin/late.go
+++ b/internal/standin/late.go
@@ -63,8 +63,8 @@
 	return s.until
 }
 
-// Given returns the bytes that were asked for so far.
-func (s *Store) Given() float64 {
+// BytesRequested returns the bytes that were asked for so far.
+func (s *Store) BytesRequested() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.given
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -26,16 +26,16 @@
 	return &Network{domains: map[string]string{}, cut: map[string]bool{}, changed: make(chan struct{})}
 }
 
-// Name says which failure domain a source IP number is in.
-func (n *Network) Name(source, domain string) {
+// SetDomain says which failure domain a source IP number is in.
+func (n *Network) SetDomain(source, domain string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.domains[source] = domain
 }
 
-// Cut cuts a failure domain off from all others, or heals it. Connections that
+// SetPartitioned cuts a failure domain off from all others, or heals it. Connections that
 // were held are closed when it heals.
-func (n *Network) Cut(domain string, on bool) {
+func (n *Network) SetPartitioned(domain string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[domain] = on
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -32,10 +32,10 @@
 
 // Fault switches one fault on or off.
 type Fault struct {
-	Kind   string `json:"kind"`   // One of the kinds below.
-	Target string `json:"target"` // View, service, instance, or address of an engine.
-	On     bool   `json:"on"`
-	MS     int    `json:"ms,omitempty"` // Time, for slow, delay and listlag.
+	Kind         string `json:"kind"`   // One of the kinds below.
+	Target       string `json:"target"` // View, service, instance, or address of an engine.
+	On           bool   `json:"on"`
+	Milliseconds int    `json:"ms,omitempty"` // Time, for slow, delay and listlag.
 }
 
 // Demand sets what the engines of a group report on the load of experts.
@@ -46,16 +46,16 @@
 
 // Kinds of faults.
 const (
-	FaultDown    = "down"    // A view answers nothing.
-	FaultStale   = "stale"   // A view stays as it is.
-	FaultListLag = "listlag" // A view shows the list as it was so many milliseconds ago.
-	FaultStall   = "stall"   // An engine stops its group.
-	FaultKill    = "kill"    // An engine dies.
-	FaultSlow    = "slow"    // An engine adds time to each step.
-	FaultDelay   = "delay"   // A service takes its time.
-	FaultMute    = "mute"    // A service runs and does not answer.
-	FaultLeaving = "leaving" // The list has an instance as leaving.
-	FaultCut     = "cut"     // A failure domain is cut off from the others and from the platform.
+	FaultDown      = "down"    // A view answers nothing.
+	FaultStale     = "stale"   // A view stays as it is.
+	FaultListLag   = "listlag" // A view shows the list as it was so many milliseconds ago.
+	FaultStall     = "stall"   // An engine stops its group.
+	FaultKill      = "kill"    // An engine dies.
+	FaultSlow      = "slow"    // An engine adds time to each step.
+	FaultDelay     = "delay"   // A service takes its time.
+	FaultNoAnswer  = "mute"    // A service runs and does not answer.
+	FaultLeaving   = "leaving" // The list has an instance as leaving.
+	FaultPartition = "cut"     // A failure domain is cut off from the others and from the platform.
 )
 
 // Server is the stand-ins of one site behind their listeners.
@@ -110,7 +110,7 @@
 		}
 	}()
 	if err := s.publishFile(f.String("standin", "bundle", "")); err != nil {
-		f.Fault("standin", "bundle", "%v", err)
+		f.AddProblem("standin", "bundle", "%v", err)
 	}
 	s.Store = NewStore(f.Float("standin", "store-rate", 100e9, 1, 1e15))
 	if err := s.listen(f.Required("standin", "control"), s.control()); err != nil {
@@ -155,7 +155,7 @@
 	if target == "" {
 		return nil
 	}
-	s.Net.Name(source, in.Domain)
+	s.Net.SetDomain(source, in.Domain)
 	l, err := net.Listen("tcp", in.Address)
 	if err != nil {
 		return errors.Wrap(err, "stand-in relay")
@@ -167,19 +167,19 @@
 func (s *Server) addGroup(f *inifile.File, section string) (err error) {
 	ranks := f.Words(section, "ranks")
 	if len(ranks) == 0 {
-		f.Fault(section, "ranks", "must be set")
+		f.AddProblem(section, "ranks", "must be set")
 		return nil
 	}
 	g := NewGroup(GroupConfig{
-		Ranks:       len(ranks),
-		StepTime:    max(time.Millisecond, f.Duration(section, "step", 5*time.Millisecond)),
-		PerSequence: f.Duration(section, "per-sequence", 20*time.Microsecond),
-		PrefillStep: f.Int(section, "prefill-bytes", 4096, 1, 1<<20),
-		CacheBytes:  f.Int(section, "cache-bytes", 1<<20, 0, 1<<30),
-		ReportLag:   f.Duration(section, "report-lag", 100*time.Millisecond),
-		Store:       s.Store,
-		ExpertBytes: f.Float(section, "expert-bytes", 50e6, 1, 1e12),
-		NoFences:    !f.Bool(section, "fences", true),
+		Ranks:           len(ranks),
+		StepTime:        max(time.Millisecond, f.Duration(section, "step", 5*time.Millisecond)),
+		TimePerSequence: f.Duration(section, "per-sequence", 20*time.Microsecond),
+		PrefillBytes:    f.Int(section, "prefill-bytes", 4096, 1, 1<<20),
+		CacheBytes:      f.Int(section, "cache-bytes", 1<<20, 0, 1<<30),
+		ReportLag:       f.Duration(section, "report-lag", 100*time.Millisecond),
+		Store:           s.Store,
+		ExpertBytes:     f.Float(section, "expert-bytes", 50e6, 1, 1e12),
+		IgnoreFences:    !f.Bool(section, "fences", true),
 	})
 	s.groups = append(s.groups, g)
 	s.Groups[strings.TrimPrefix(section, "group ")] = g
@@ -260,13 +260,13 @@
 		return s.viewFault(f)
 	case FaultStall, FaultKill, FaultSlow:
 		return s.engineFault(f)
-	case FaultDelay, FaultMute:
+	case FaultDelay, FaultNoAnswer:
 		return s.serviceFault(f)
 	case FaultLeaving:
 		s.Dir.SetLeaving(f.Target)
 		return nil
-	case FaultCut:
-		s.Net.Cut(f.Target, f.On)
+	case FaultPartition:
+		s.Net.SetPartitioned(f.Target, f.On)
 		return nil
 	}
 	return errors.New("no such kind")
@@ -286,11 +286,11 @@
 	}
 	switch f.Kind {
 	case FaultDown:
-		v.Down(f.On)
+		v.SetDown(f.On)
 	case FaultStale:
-		v.Stale(f.On)
+		v.SetStale(f.On)
 	case FaultListLag:
-		v.ListLag(time.Duration(f.MS) * time.Millisecond)
+		v.SetListLag(time.Duration(f.Milliseconds) * time.Millisecond)
 	}
 	return nil
 }
@@ -302,9 +302,9 @@
 	}
 	switch {
 	case f.Kind == FaultStall:
-		e.Stall(f.On)
+		e.SetStalled(f.On)
 	case f.Kind == FaultSlow:
-		e.Slow(time.Duration(f.MS) * time.Millisecond)
+		e.SetAddedStepTime(time.Duration(f.Milliseconds) * time.Millisecond)
 	case f.On:
 		e.Kill()
 	default:
@@ -319,9 +319,9 @@
 		return errors.New("no such service")
 	}
 	if f.Kind == FaultDelay {
-		svc.Delay(time.Duration(f.MS) * time.Millisecond)
+		svc.SetDelay(time.Duration(f.Milliseconds) * time.Millisecond)
 	} else {
-		svc.Mute(f.On)
+		svc.SetNoAnswer(f.On)
 	}
 	return nil
 }
@@ -330,7 +330,7 @@
 func (s *Server) Runs() map[string]int {
 	all := map[string]int{}
 	for _, svc := range s.Services {
-		for id, n := range svc.AllRuns() {
+		for id, n := range svc.RunCounts() {
 			all[id] += n
 		}
 	}
@@ -374,7 +374,7 @@
 		if !ok {
 			return errors.Newf("no group %q", d.Group)
 		}
-		g.Demand(d.Tokens)
+		g.SetDemand(d.Tokens)
 		return nil
 	}))
 	mux.HandleFunc("GET "+PathRuns, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Runs()) })
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -29,8 +29,8 @@
 	Echo string `json:"echo"`
 }
 
-// AllRuns returns a copy of all counts.
-func (s *Service) AllRuns() map[string]int {
+// RunCounts returns a copy of all counts.
+func (s *Service) RunCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make(map[string]int, len(s.runs))
@@ -40,15 +40,15 @@
 	return all
 }
 
-// Delay makes each run take that long.
-func (s *Service) Delay(d time.Duration) {
+// SetDelay makes each run take that long.
+func (s *Service) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Mute makes the service run requests and close without an answer.
-func (s *Service) Mute(on bool) {
+// SetNoAnswer makes the service run requests and close without an answer.
+func (s *Service) SetNoAnswer(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mute = on
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -16,7 +16,7 @@
 	g.Expect(s.Load(200, now)).To(gomega.Equal(now.Add(2 * time.Second)))
 	g.Expect(s.Load(100, now.Add(time.Second))).To(gomega.Equal(now.Add(3 * time.Second)))
 	g.Expect(s.Load(100, now.Add(time.Hour))).To(gomega.Equal(now.Add(time.Hour + time.Second)))
-	g.Expect(s.Given()).To(gomega.Equal(400.0))
+	g.Expect(s.BytesRequested()).To(gomega.Equal(400.0))
 }
 
 func TestLate(t *testing.T) {
--- a/internal/trace/make.go
+++ b/internal/trace/make.go
@@ -45,8 +45,8 @@
 	types [][][]float64 // Popularity by question type, layer and expert.
 }
 
-// Make draws a trace; equal configs give equal traces.
-func Make(cfg Config) (t Trace, err error) {
+// Generate draws a trace; equal configs give equal traces.
+func Generate(cfg Config) (t Trace, err error) {
 	if cfg.Layers < 1 || cfg.Experts < 2 || cfg.Steps < 1 {
 		return nil, errors.New("a trace needs at least 1 layer, 2 experts and 1 step")
 	}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -32,14 +32,14 @@
 	maxIndex = 1 << 12
 )
 
-// FaultError is a malformed line.
-type FaultError struct {
+// LineError is a malformed line.
+type LineError struct {
 	File string
 	Line int
 	Text string
 }
 
-func (e *FaultError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
+func (e *LineError) Error() string { return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Text) }
 
 // Read parses a trace; name is used in errors only.
 func Read(name string, r io.Reader) (t Trace, err error) {
@@ -48,7 +48,7 @@
 	c.FieldsPerRecord = len(header)
 	fault := func(format string, args ...any) error {
 		line, _ := c.FieldPos(0)
-		return &FaultError{name, line, fmt.Sprintf(format, args...)}
+		return &LineError{name, line, fmt.Sprintf(format, args...)}
 	}
 	for first := true; ; first = false {
 		row, err := c.Read()
@@ -57,7 +57,7 @@
 		}
 		var pe *csv.ParseError
 		if errors.As(err, &pe) {
-			return nil, &FaultError{name, pe.Line, pe.Err.Error()}
+			return nil, &LineError{name, pe.Line, pe.Err.Error()}
 		}
 		if err != nil {
 			return nil, err
@@ -85,7 +85,7 @@
 		t[step] = put(t[step], layer, expert, tokens)
 	}
 	if len(t) == 0 {
-		return nil, &FaultError{name, 1, "no rows"}
+		return nil, &LineError{name, 1, "no rows"}
 	}
 	return t.square(), nil
 }
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -27,14 +27,14 @@
 		t.Run(string(k), func(t *testing.T) {
 			g := gomega.NewWithT(t)
 			cfg := Config{Kind: k, Layers: 2, Experts: 8, Steps: 50, Seed: 3}
-			a, err := Make(cfg)
+			a, err := Generate(cfg)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			var buf bytes.Buffer
 			g.Expect(a.Write(&buf)).To(gomega.Succeed())
 			b, err := Read("made", &buf)
 			g.Expect(err).NotTo(gomega.HaveOccurred())
 			g.Expect(b).To(gomega.Equal(a))
-			again, _ := Make(cfg)
+			again, _ := Generate(cfg)
 			g.Expect(again).To(gomega.Equal(a), "a seed fixes the trace")
 		})
 	}
--- a/internal/trust/trust.go
+++ b/internal/trust/trust.go
@@ -50,11 +50,11 @@
 	return h, errors.New("certificate names no holder")
 }
 
-// Claims checks that the other side of a connection is who its message says: a
+// VerifyClaim checks that the other side of a connection is who its message says: a
 // process speaks for itself only, in its own role and failure domain. Without
 // TLS there is nothing to check.
-func (c *Credentials) Claims(s *tls.ConnectionState, claimed Holder) (err error) {
-	if !c.On() {
+func (c *Credentials) VerifyClaim(s *tls.ConnectionState, claimed Holder) (err error) {
+	if !c.Enabled() {
 		return nil
 	}
 	if s == nil || len(s.PeerCertificates) == 0 {
@@ -88,18 +88,18 @@
 // Load reads the files; three empty names give credentials without TLS.
 func Load(ca, cert, key string) (c *Credentials, err error) {
 	c = &Credentials{ca: ca, cert: cert, key: key}
-	if !c.On() {
+	if !c.Enabled() {
 		return c, nil
 	}
 	return c, c.read()
 }
 
-// On reports whether TLS is in use.
-func (c *Credentials) On() bool { return c.ca != "" }
+// Enabled reports whether TLS is in use.
+func (c *Credentials) Enabled() bool { return c.ca != "" }
 
 // Scheme returns the URL scheme of peers.
 func (c *Credentials) Scheme() string {
-	if c.On() {
+	if c.Enabled() {
 		return "https"
 	}
 	return "http"
@@ -148,7 +148,7 @@
 
 // Client returns the TLS settings towards peers, nil without TLS.
 func (c *Credentials) Client() *tls.Config {
-	if !c.On() {
+	if !c.Enabled() {
 		return nil
 	}
 	return &tls.Config{
@@ -167,7 +167,7 @@
 // Server returns the TLS settings of a listener that lets in the given roles;
 // nil without TLS. refused is told of each connection that is turned away.
 func (c *Credentials) Server(refused func(error), roles ...string) *tls.Config {
-	if !c.On() {
+	if !c.Enabled() {
 		return nil
 	}
 	return &tls.Config{
--- a/internal/trust/trust_test.go
+++ b/internal/trust/trust_test.go
@@ -107,11 +107,11 @@
 	c := issue(t, t.TempDir(), ca, pem, mine, time.Now(), time.Hour)
 	pair, _ := c.current()
 	s := &tls.ConnectionState{PeerCertificates: []*x509.Certificate{pair.Leaf}}
-	g.Expect(c.Claims(s, mine)).To(gomega.Succeed())
+	g.Expect(c.VerifyClaim(s, mine)).To(gomega.Succeed())
 	for _, other := range []Holder{{"entry", "krk-b", "entry"}, {"endpoint", "krk-a", "entry"}, {"entry", "krk-a", "other"}, {}} {
-		g.Expect(c.Claims(s, other)).NotTo(gomega.Succeed())
+		g.Expect(c.VerifyClaim(s, other)).NotTo(gomega.Succeed())
 	}
-	g.Expect(c.Claims(nil, mine)).NotTo(gomega.Succeed())
+	g.Expect(c.VerifyClaim(nil, mine)).NotTo(gomega.Succeed())
 }
 
 func TestClientRefusesAWrongServer(t *testing.T) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -159,8 +159,8 @@
 	return &Refusal{Outcome: NotRun, Reason: reason, Status: status, RetryAfterMS: retryAfter.Milliseconds()}
 }
 
-// Doubt returns a Refusal for a request that may have run.
-func Doubt(status int, reason string) *Refusal {
+// RefuseUnknown returns a Refusal for a request that may have run.
+func RefuseUnknown(status int, reason string) *Refusal {
 	return &Refusal{Outcome: Unknown, Reason: reason, Status: status}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -88,7 +88,7 @@
 func TestRefusalHasContentLength(t *testing.T) {
 	long := strings.Repeat("x", 4000)
 	for name, r := range map[string]*Refusal{
-		"refusal":         Doubt(http.StatusBadGateway, long),
+		"refusal":         RefuseUnknown(http.StatusBadGateway, long),
 		"replayed answer": {Outcome: Done, Status: http.StatusOK, Replay: &Replay{ContentType: "text/plain", Body: []byte(long)}},
 	} {
 		t.Run(name, func(t *testing.T) {
