--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -15,32 +15,32 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// process is one program that the soak started.
+// process is a daemon that the soak runs; it may be restarted many times.
 type process struct {
 	s       *site
 	name    string
 	file    string
 	gateway int // -1 for a sidecar.
 
-	mu      sync.Mutex // Guards what follows.
-	cmd     *exec.Cmd
-	life    *life
-	asked   bool // It was told to end.
-	paused  int  // Pauses that overlap.
-	over    chan struct{}
-	waiting errgroup.Group
-	ended   bool // Of the run: nothing is started any more.
+	mu            sync.Mutex // Guards the fields below.
+	cmd           *exec.Cmd
+	current       *incarnation
+	stopRequested bool // A signal to end was sent to the current incarnation.
+	pauses        int  // Number of overlapping pauses.
+	done          chan struct{}
+	waiters       errgroup.Group
+	closed        bool // The run is over: the process is not started again.
 }
 
-// start starts a daemon. Its log goes to a file of the run.
-func (s *site) start(name, file string, gateway int) (p *process, err error) {
+// startProcess starts a daemon. Its log is written to a file in the run's directory.
+func (s *site) startProcess(name, file string, gateway int) (p *process, err error) {
 	p = &process{s: s, name: name, file: file, gateway: gateway}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p, p.launch()
 }
 
-// launch starts the program. The caller holds mu.
+// launch starts an incarnation of the daemon. The caller holds mu.
 func (p *process) launch() error {
 	out, err := os.OpenFile(filepath.Join(p.s.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, fileMode)
 	if err != nil {
@@ -53,36 +53,36 @@
 		_ = out.Close()
 		return err
 	}
-	now := &life{name: p.name, pid: p.cmd.Process.Pid, began: began}
-	p.life = now
-	p.s.ledger.note(func(l *ledger) { l.lives[p.gateway] = append(l.lives[p.gateway], now) })
-	p.asked, p.paused, p.over = false, 0, make(chan struct{})
-	cmd, over := p.cmd, p.over
-	p.waiting.Go(func() error {
+	started := &incarnation{name: p.name, pid: p.cmd.Process.Pid, startAt: began}
+	p.current = started
+	p.s.ledger.do(func(l *ledger) { l.processes[p.gateway] = append(l.processes[p.gateway], started) })
+	p.stopRequested, p.pauses, p.done = false, 0, make(chan struct{})
+	cmd, done := p.cmd, p.done
+	p.waiters.Go(func() error {
 		err := cmd.Wait()
 		_ = out.Close()
 		explained := true
-		p.s.ledger.note(func(l *ledger) {
-			now.over, now.err, now.by = time.Now(), err, signalOf(err)
-			if explained = now.explained(); !explained {
-				l.ends = append(l.ends, fmt.Sprintf("an end that no signal explains: %v", now))
+		p.s.ledger.do(func(l *ledger) {
+			started.endAt, started.err, started.signal = time.Now(), err, signalOf(err)
+			if explained = started.explained(); !explained {
+				l.ends = append(l.ends, fmt.Sprintf("an end that no signal explains: %v", started))
 			}
 		})
 		p.mu.Lock()
-		asked := p.asked
+		stopRequested := p.stopRequested
 		p.mu.Unlock()
-		if !asked {
+		if !stopRequested {
 			last := lastLine(out.Name())
-			p.s.ledger.note(func(l *ledger) { l.ends = append(l.ends, fmt.Sprintf("%s ended by itself: %v: %s", p.name, err, last)) })
-			p.s.say("%s ended by itself: %v: %s", p.name, err, last)
+			p.s.ledger.do(func(l *ledger) { l.ends = append(l.ends, fmt.Sprintf("%s ended by itself: %v: %s", p.name, err, last)) })
+			p.s.logf("%s ended by itself: %v: %s", p.name, err, last)
 		}
-		close(over)
+		close(done)
 		return nil
 	})
 	return nil
 }
 
-// lastLine returns the last line of a log, which tells why a process ended by itself.
+// lastLine returns the last line of a log, which shows why a process ended by itself.
 func lastLine(file string) string {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -92,84 +92,85 @@
 	return lines[len(lines)-1]
 }
 
-// signal sends a signal to the process, which may have ended. It returns what is
-// closed when the life that got it is over.
-func (p *process) signal(sig syscall.Signal) (over <-chan struct{}) {
+// signal sends a signal to the process, which may have ended. The channel is closed when the
+// signalled incarnation has ended.
+func (p *process) signal(sig syscall.Signal) (done <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if sig == syscall.SIGKILL || sig == syscall.SIGTERM {
-		p.asked = true
-		p.s.ledger.tells(p.life, sig)
+		p.stopRequested = true
+		p.s.ledger.recordSignal(p.current, sig)
 	}
-	_ = p.cmd.Process.Signal(sig) // It may be gone.
-	return p.over
+	_ = p.cmd.Process.Signal(sig) // The process may have ended.
+	return p.done
 }
 
-// reload sends SIGHUP. From AllKinds on, where processes start all the time, it is for those that
-// callers have met: one that is being started catches no signals yet and would end.
+// reload sends SIGHUP. With AllKinds, where processes start all the time, only a process that a
+// caller has connected to is sent it: one that is still starting does not catch signals yet and
+// would end.
 func (p *process) reload() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var met bool
-	p.s.ledger.note(func(*ledger) { met = !p.life.met.IsZero() })
-	if met || p.s.cfg.Kinds < AllKinds {
-		_ = p.cmd.Process.Signal(syscall.SIGHUP) // It may be gone.
+	var reachable bool
+	p.s.ledger.do(func(*ledger) { reachable = !p.current.connectedAt.IsZero() })
+	if reachable || p.s.cfg.Kinds < AllKinds {
+		_ = p.cmd.Process.Signal(syscall.SIGHUP) // The process may have ended.
 	}
 }
 
-// pause stops it for a while. Pauses may overlap.
+// pause suspends the process for a duration. Pauses may overlap.
 func (p *process) pause(d time.Duration) {
 	p.mu.Lock()
-	p.paused++
-	life := p.over
-	_ = p.cmd.Process.Signal(syscall.SIGSTOP) // It may be gone.
+	p.pauses++
+	incarnation := p.done
+	_ = p.cmd.Process.Signal(syscall.SIGSTOP) // The process may have ended.
 	p.mu.Unlock()
 	time.Sleep(d)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if life != p.over {
-		return // Another life goes on by itself.
+	if incarnation != p.done {
+		return // A later incarnation is not suspended.
 	}
-	if p.paused--; p.paused == 0 {
-		_ = p.cmd.Process.Signal(syscall.SIGCONT) // It may be gone.
+	if p.pauses--; p.pauses == 0 {
+		_ = p.cmd.Process.Signal(syscall.SIGCONT) // The process may have ended.
 	}
 }
 
-// within reports whether a life is over after at most d.
-func within(over <-chan struct{}, d time.Duration) bool {
+// endsWithin waits for the end of an incarnation, and reports whether it came within d.
+func endsWithin(done <-chan struct{}, d time.Duration) bool {
 	select {
-	case <-over:
+	case <-done:
 		return true
 	case <-time.After(d):
 		return false
 	}
 }
 
-// again starts it anew after its life is over.
-func (p *process) again() error {
+// relaunch starts a new incarnation after the last one has ended.
+func (p *process) relaunch() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.over:
+	case <-p.done:
 	default:
-		return nil // It lives: another fault has started it.
+		return nil // It runs: another fault has started it.
 	}
-	if p.ended {
+	if p.closed {
 		return nil
 	}
 	return p.launch()
 }
 
-// end kills it for good.
-func (p *process) end() {
+// shutDown kills the process and prevents that it is started again.
+func (p *process) shutDown() {
 	if p == nil || p.cmd == nil {
 		return
 	}
 	p.mu.Lock()
-	p.ended = true
-	p.asked = true
-	p.s.ledger.tells(p.life, syscall.SIGKILL)
-	_ = p.cmd.Process.Signal(syscall.SIGKILL) // It may be gone.
+	p.closed = true
+	p.stopRequested = true
+	p.s.ledger.recordSignal(p.current, syscall.SIGKILL)
+	_ = p.cmd.Process.Signal(syscall.SIGKILL) // The process may have ended.
 	p.mu.Unlock()
-	_ = p.waiting.Wait() // Functions of the group return no error.
+	_ = p.waiters.Wait() // Functions of the group return no error.
 }
