--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -273,16 +273,16 @@
 	for _, w := range q.waiting {
 		lowest = min(lowest, q.agedPriority(w, now))
 	}
-	length := map[string]float64{}
+	backlog := map[string]float64{}
 	for _, w := range q.waiting {
-		length[w.Customer] += 1 / w.Weight
+		backlog[w.Customer] += 1 / w.Weight
 	}
 	worst := -1
 	for i, w := range q.waiting {
 		if q.agedPriority(w, now) != lowest {
 			continue
 		}
-		if worst < 0 || length[w.Customer] >= length[q.waiting[worst].Customer] {
+		if worst < 0 || backlog[w.Customer] >= backlog[q.waiting[worst].Customer] {
 			worst = i
 		}
 	}
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -26,8 +26,8 @@
 
 // issued reports whether a statement that the endpoint of this name made at a given time was made by
 // this process or a later one. An answer may come from a process that is not listed yet.
-func (proc Process) issued(at time.Time) bool {
-	return !at.IsZero() && (proc.Start == 0 || at.UnixMilli() >= proc.Start)
+func (proc Process) issued(statedAt time.Time) bool {
+	return !statedAt.IsZero() && (proc.Start == 0 || statedAt.UnixMilli() >= proc.Start)
 }
 
 // endpointState is the state kept for the endpoint with one name.
--- a/internal/decide/cold/cold.go
+++ b/internal/decide/cold/cold.go
@@ -99,17 +99,17 @@
 // fraction of a request: if all gateways started with a whole one, as many requests as there are
 // gateways would arrive at once, which is more than an endpoint can take in a second.
 func (p *Pacer) updatedBudget(id string, t Params, random func() float64, now time.Time) *budget {
-	at, ok := p.budgets[id]
+	b, ok := p.budgets[id]
 	if !ok {
-		at = &budget{tokens: random(), updatedAt: now}
-		p.budgets[id] = at
-		return at
+		b = &budget{tokens: random(), updatedAt: now}
+		p.budgets[id] = b
+		return b
 	}
-	if elapsed := now.Sub(at.updatedAt); elapsed > 0 {
-		at.tokens = min(at.tokens+p.Rate(t)*elapsed.Seconds(), 1)
-		at.updatedAt = now
+	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
+		b.tokens = min(b.tokens+p.Rate(t)*elapsed.Seconds(), 1)
+		b.updatedAt = now
 	}
-	return at
+	return b
 }
 
 // Forget removes endpoints that are no longer cold and budgets that are no longer used.
@@ -119,8 +119,8 @@
 			delete(p.coldUntil, name)
 		}
 	}
-	for id, at := range p.budgets {
-		if now.Sub(at.updatedAt) > budgetRetention {
+	for id, b := range p.budgets {
+		if now.Sub(b.updatedAt) > budgetRetention {
 			delete(p.budgets, id)
 		}
 	}
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -111,8 +111,8 @@
 }
 
 func (m *Machine) allConfirmed() bool {
-	for _, d := range m.confirmed {
-		if !d {
+	for _, confirmed := range m.confirmed {
+		if !confirmed {
 			return false
 		}
 	}
@@ -135,8 +135,8 @@
 	if m.Phase != Arming || r != m.Self {
 		return false
 	}
-	for k, d := range m.confirmed {
-		if k != r && !d {
+	for k, confirmed := range m.confirmed {
+		if k != r && !confirmed {
 			return true
 		}
 	}
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -297,11 +297,11 @@
 func (r *Roster) hellosToOwnDomain(peers []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	hubs := firstN(Hubs, seenWithin(peers, RecentFor, now))
 	for i, e := range hubs {
-		g := Hello{Address: e.Address}
+		hello := Hello{Address: e.Address}
 		if i == r.round%len(hubs) {
-			g.QueryDomain = r.queryDomain()
+			hello.QueryDomain = r.queryDomain()
 		}
-		list = append(list, g)
+		list = append(list, hello)
 	}
 	return append(list, randomHellos(peers, 1+Hubs-len(hubs), random)...)
 }
@@ -356,12 +356,12 @@
 		return list
 	}
 	for i, s := range r.seeds {
-		g := Hello{Address: s}
+		hello := Hello{Address: s}
 		if i == r.round%len(r.seeds) {
-			g.QueryDomain = r.self.Domain
+			hello.QueryDomain = r.self.Domain
 		}
 		if s != r.self.Address {
-			list = append(list, g)
+			list = append(list, hello)
 		}
 	}
 	return mergeDuplicates(list)
@@ -389,14 +389,14 @@
 // mergeDuplicates returns one hello for each address, with the query of the first one that has any.
 func mergeDuplicates(list []Hello) (merged []Hello) {
 	index := map[string]int{}
-	for _, g := range list {
-		i, ok := index[g.Address]
+	for _, hello := range list {
+		i, ok := index[hello.Address]
 		switch {
 		case !ok:
-			index[g.Address] = len(merged)
-			merged = append(merged, g)
+			index[hello.Address] = len(merged)
+			merged = append(merged, hello)
 		case merged[i].QueryDomain == "":
-			merged[i].QueryDomain = g.QueryDomain
+			merged[i].QueryDomain = hello.QueryDomain
 		}
 	}
 	return merged
@@ -405,12 +405,12 @@
 // AnswerQuery returns the answer to a gateway of a failure domain that queries another one: all
 // gateways of the queried domain, all of the own domain if the gateway belongs to it, and the
 // first ones of each other domain.
-func (r *Roster) AnswerQuery(domain, queried string, now time.Time) (list []Member) {
+func (r *Roster) AnswerQuery(askerDomain, queried string, now time.Time) (list []Member) {
 	perDomain := map[string]int{}
 	for _, e := range r.reportable(now) {
-		include := e.Domain == queried || e.Domain == domain && domain == r.self.Domain
+		include := e.Domain == queried || e.Domain == askerDomain && askerDomain == r.self.Domain
 		if perDomain[e.Domain]++; include || perDomain[e.Domain] <= Hubs {
-			list = append(list, e.info(now))
+			list = append(list, e.asMember(now))
 		}
 	}
 	return list
@@ -422,7 +422,9 @@
 	return r.filter(func(e *entry) bool { return r.isAlive(e, now) })
 }
 
-func (e *entry) info(now time.Time) Member { return Member{Gateway: e.Gateway, Age: now.Sub(e.seenAt)} }
+func (e *entry) asMember(now time.Time) Member {
+	return Member{Gateway: e.Gateway, Age: now.Sub(e.seenAt)}
+}
 
 // Sample returns some random gateways of each failure domain: more of the own one, whose other
 // processes learn of gateways from this one.
@@ -434,7 +436,7 @@
 			n = sampleOwnDomain
 		}
 		for _, e := range RandomSubset(inDomain(alive, domain), n, random) {
-			list = append(list, e.info(now))
+			list = append(list, e.asMember(now))
 		}
 	}
 	return list
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -57,8 +57,8 @@
 	ShareMessage
 }
 
-// holder is another gateway that owns a share in this rotation period.
-type holder struct {
+// owner is another gateway that owns a share in this rotation period.
+type owner struct {
 	name         string
 	pending      int64 // Number of the borrow request in flight; 0 without one.
 	askedAt      time.Time
@@ -74,7 +74,7 @@
 	lastUseAt    time.Time // Last request that could have been sent to the endpoint.
 	lastDeniedAt time.Time // Last request that found no token.
 	lastMissAt   time.Time // Last request that found no token while this gateway's own share was lent.
-	holders      []holder  // In this period, among the known gateways; nil until the first borrow request.
+	owners       []owner   // In this period, among the known gateways; nil until the first borrow request.
 	borrower     string    // Gateway to which this gateway's share is lent.
 	lentNumber   int64     // Number of its borrow request; 0 while the share is not lent.
 	lentUntil    time.Time // End of that lease.
@@ -97,11 +97,11 @@
 
 // dropBorrowed drops all borrowed shares: in a new rotation period, or after a change of the set
 // of gateways, the shares have other owners.
-func (s *loans) dropBorrowed() { s.holders = nil }
+func (s *loans) dropBorrowed() { s.owners = nil }
 
 // borrowedCount returns the number of borrowed shares that this gateway holds.
 func (s *loans) borrowedCount() (n int) {
-	for _, h := range s.holders {
+	for _, h := range s.owners {
 		if h.grantNumber != 0 {
 			n++
 		}
@@ -133,10 +133,10 @@
 // expireLeases ends the leases that have expired, in the order and at the time of their expiry.
 func (e *endpoint) expireLeases(now time.Time) {
 	for {
-		var first *holder
+		var first *owner
 		at := now
-		for i := range e.loans.holders {
-			if h := &e.loans.holders[i]; h.grantNumber != 0 && !h.grantedUntil.After(at) {
+		for i := range e.loans.owners {
+			if h := &e.loans.owners[i]; h.grantNumber != 0 && !h.grantedUntil.After(at) {
 				first, at = h, h.grantedUntil
 			}
 		}
@@ -153,8 +153,8 @@
 	}
 }
 
-// holdersOf returns the other gateways that own a share of an endpoint's limit in a rotation period.
-func holdersOf(id string, period int64, limit float64, self string, all []string) (list []holder) {
+// ownersOf returns the other gateways that own a share of an endpoint's limit in a rotation period.
+func ownersOf(id string, period int64, limit float64, self string, all []string) (list []owner) {
 	type scored struct {
 		name  string
 		score uint64
@@ -175,7 +175,7 @@
 	}
 	for _, s := range best {
 		if s.name != self {
-			list = append(list, holder{name: s.name})
+			list = append(list, owner{name: s.name})
 		}
 	}
 	return list
@@ -187,17 +187,17 @@
 		if !e.report.Limited || len(l.gateways) < 2 {
 			continue
 		}
-		l.bucketOf(id, e, now)
+		l.updateBucket(id, e, now)
 		if now.Sub(e.loans.lastUseAt) >= idleAfter {
 			messages = append(messages, e.returnBorrowed(id, now)...)
 			continue
 		}
 		wantsShares := now.Sub(e.loans.lastDeniedAt) < idleAfter
-		if wantsShares && e.loans.holders == nil {
-			e.loans.holders = holdersOf(id, e.period, e.report.Limit, l.self, l.gateways)
+		if wantsShares && e.loans.owners == nil {
+			e.loans.owners = ownersOf(id, e.period, e.report.Limit, l.self, l.gateways)
 		}
-		for i := range e.loans.holders {
-			h := &e.loans.holders[i]
+		for i := range e.loans.owners {
+			h := &e.loans.owners[i]
 			if h.grantNumber != 0 && h.grantedUntil.Sub(now) > leaseTime/2 || h.grantNumber == 0 && !wantsShares || now.Sub(h.askedAt) < max(h.backoff, minBorrowInterval) {
 				continue
 			}
@@ -214,8 +214,8 @@
 
 // returnBorrowed returns all borrowed shares to their owners.
 func (e *endpoint) returnBorrowed(id string, now time.Time) (list []Outgoing) {
-	for i := range e.loans.holders {
-		h := &e.loans.holders[i]
+	for i := range e.loans.owners {
+		h := &e.loans.owners[i]
 		h.pending, h.backoff = 0, 0
 		if h.grantNumber == 0 {
 			continue
@@ -247,7 +247,7 @@
 	if e == nil || !e.report.Limited {
 		return 0
 	}
-	l.bucketOf(id, e, now)
+	l.updateBucket(id, e, now)
 	n := e.loans.borrowedCount()
 	if e.ownsShare && !e.loans.lentOut(now) {
 		n++
@@ -264,7 +264,7 @@
 	if e == nil || !e.report.Limited {
 		return ShareMessage{}, false
 	}
-	l.bucketOf(m.Endpoint, e, now)
+	l.updateBucket(m.Endpoint, e, now)
 	if m.Kind == Borrow {
 		if !l.HasPeer(from) {
 			return ShareMessage{}, false
@@ -281,9 +281,9 @@
 		}
 		return ShareMessage{}, false
 	}
-	i := slices.IndexFunc(e.loans.holders, func(h holder) bool { return h.name == from && h.pending == m.RequestNumber && h.pending != 0 })
+	i := slices.IndexFunc(e.loans.owners, func(h owner) bool { return h.name == from && h.pending == m.RequestNumber && h.pending != 0 })
 	if i >= 0 {
-		e.handleReply(&e.loans.holders[i], m, now)
+		e.handleReply(&e.loans.owners[i], m, now)
 	}
 	return ShareMessage{}, false
 }
@@ -319,7 +319,7 @@
 }
 
 // handleReply handles the answer of a holder to a borrow request.
-func (e *endpoint) handleReply(h *holder, m ShareMessage, now time.Time) {
+func (e *endpoint) handleReply(h *owner, m ShareMessage, now time.Time) {
 	h.pending = 0
 	switch m.Kind {
 	case Grant:
--- a/internal/decide/throttle/lend_test.go
+++ b/internal/decide/throttle/lend_test.go
@@ -407,7 +407,7 @@
 					want = append(want, name)
 				}
 			}
-			for _, h := range holdersOf(endpointID, turn, limit, names[0], names) {
+			for _, h := range ownersOf(endpointID, turn, limit, names[0], names) {
 				got = append(got, h.name)
 			}
 			NewWithT(t).Expect(got).To(ConsistOf(want))
--- a/internal/decide/throttle/share.go
+++ b/internal/decide/throttle/share.go
@@ -75,7 +75,7 @@
 // Backlog assigns a retry time to each caller that one gateway rejects. The times are spaced so
 // that there is capacity for all of them when they retry.
 type Backlog struct {
-	next time.Time // The last retry time assigned.
+	lastAssigned time.Time // The last retry time assigned.
 }
 
 // maxBacklog bounds how far ahead a retry time is assigned: what is known of the limits is not
@@ -85,16 +85,16 @@
 // Next assigns a retry time to one more caller and returns the time until then. The rate is the
 // capacity of this gateway in requests per second.
 func (b *Backlog) Next(rate float64, now time.Time) time.Duration {
-	if b.next.Before(now) {
-		b.next = now
+	if b.lastAssigned.Before(now) {
+		b.lastAssigned = now
 	}
 	step := maxBacklog
 	if rate > 0 {
 		step = time.Duration(min(1/rate, maxBacklog.Seconds()) * float64(time.Second))
 	}
-	if last := now.Add(maxBacklog); b.next.Add(step).After(last) {
+	if latest := now.Add(maxBacklog); b.lastAssigned.Add(step).After(latest) {
 		return maxBacklog
 	}
-	b.next = b.next.Add(step)
-	return b.next.Sub(now)
+	b.lastAssigned = b.lastAssigned.Add(step)
+	return b.lastAssigned.Sub(now)
 }
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -96,7 +96,7 @@
 // changed for this gateway.
 func (l *Limits) Merge(r Update) (changed bool) { return l.record(r.Endpoint, r.Report, maxSends) }
 
-func (l *Limits) record(id string, r Report, sends int) (changed bool) {
+func (l *Limits) record(id string, r Report, sendsDone int) (changed bool) {
 	e, known := l.endpoints[id]
 	if !known {
 		if !r.Limited {
@@ -112,8 +112,8 @@
 	e.report = r
 	switch {
 	case changed:
-		e.since, e.sends, e.sharedAt, e.version = r.At, sends, r.At, l.version-1
-	case sends == maxSends:
+		e.since, e.sends, e.sharedAt, e.version = r.At, sendsDone, r.At, l.version-1
+	case sendsDone == maxSends:
 		e.sharedAt = r.At
 	case r.Limited && r.At.Sub(e.sharedAt) > resendInterval:
 		e.sends = min(e.sends, maxSends-1)
@@ -146,7 +146,7 @@
 	if e == nil || !e.report.Limited {
 		return true
 	}
-	b := l.bucketOf(id, e, now)
+	b := l.updateBucket(id, e, now)
 	allowed := b != nil && b.HasToken(now)
 	e.loans.recordUse(allowed, now)
 	return allowed
@@ -155,7 +155,7 @@
 // Take consumes a token for a request to an endpoint for which MaySend returned true.
 func (l *Limits) Take(id string, now time.Time) {
 	if e := l.endpoints[id]; e != nil && e.report.Limited {
-		if b := l.bucketOf(id, e, now); b != nil {
+		if b := l.updateBucket(id, e, now); b != nil {
 			b.Take(now)
 		}
 	}
@@ -168,10 +168,10 @@
 	}
 }
 
-// bucketOf returns the token bucket for the shares of an endpoint's limit that this gateway
+// updateBucket returns the token bucket for the shares of an endpoint's limit that this gateway
 // holds, or nil if it never held one. It first expires leases, and resizes the bucket when the
 // rotation period or the set of gateways has changed.
-func (l *Limits) bucketOf(id string, e *endpoint, now time.Time) *limit.Bucket {
+func (l *Limits) updateBucket(id string, e *endpoint, now time.Time) *limit.Bucket {
 	e.expireLeases(now)
 	period := periodOf(now)
 	if e.period == period && e.version == l.version {
@@ -193,9 +193,9 @@
 
 // NextUpdates returns up to limit updates that are due to be sent to the other gateways, and
 // counts them as sent.
-func (l *Limits) NextUpdates(limit int) (list []Update) {
+func (l *Limits) NextUpdates(maxCount int) (list []Update) {
 	for id, e := range l.endpoints {
-		if len(list) == limit {
+		if len(list) == maxCount {
 			break
 		}
 		if e.sends < maxSends {
@@ -218,9 +218,9 @@
 }
 
 // ActiveLimits returns up to limit updates for limits in effect, for a gateway that may know none.
-func (l *Limits) ActiveLimits(limit int) (list []Update) {
+func (l *Limits) ActiveLimits(maxCount int) (list []Update) {
 	for id, e := range l.endpoints {
-		if len(list) == limit {
+		if len(list) == maxCount {
 			break
 		}
 		if e.report.Limited {
