--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -51,7 +51,7 @@
 	MinLimit      int           // Lowest concurrency limit, at least 1.
 	MaxLimit      int           // Highest concurrency limit.
 	StepTarget    time.Duration // Step time above which the limit falls; 0 keeps the limit fixed.
-	AgingInterval time.Duration // Waiting time that raises the priority by one; 0 for no aging.
+	AgingInterval time.Duration // Waiting time that raises the priority of a request by one; 0 for no aging.
 }
 
 // Constants of smoothing and of the adaptation of the limit.
@@ -73,7 +73,7 @@
 	minService        float64              // Service that a customer without recent requests is taken to have received.
 	meanServiceTime   time.Duration        // Running mean of the time for which a request runs.
 	meanStepTime      time.Duration        // Running mean of the step time.
-	adaptedAt         time.Time
+	adaptedAt         time.Time            // When the limit was last changed.
 	leaving           bool
 }
 
@@ -102,6 +102,7 @@
 func (q *Queue) StepTime() time.Duration { return q.meanStepTime }
 
 // Offer adds a request and returns what to do now. The request itself is started, refused, or queued.
+// If the queue is full, one request is refused, which may be an earlier one.
 func (q *Queue) Offer(r Request, now time.Time) (a Actions) {
 	if q.leaving {
 		a.Refuse = append(a.Refuse, Refusal{r, ReasonLeaving, minRetryAfter})
@@ -120,8 +121,9 @@
 	return a
 }
 
-// missesDeadline predicts whether r would start after its deadline, and if so, after what time to
-// retry it.
+// missesDeadline predicts whether r would start at or after its deadline. If so, it also returns the
+// time after which to retry r. All waiting requests of the same or a higher aged priority count as
+// ahead of r.
 func (q *Queue) missesDeadline(r Request, now time.Time) (late bool, retryAfter time.Duration) {
 	if r.Deadline.IsZero() {
 		return false, 0
@@ -142,7 +144,8 @@
 	return false, 0
 }
 
-// predictWait predicts the waiting time of a request that is queued behind n others.
+// predictWait predicts the waiting time of a request that is queued behind n others. It is at least
+// minRetryAfter.
 func (q *Queue) predictWait(n int) time.Duration {
 	perRequest := q.meanServiceTime / time.Duration(max(1, int(q.limit)))
 	return max(minRetryAfter, time.Duration(n+1)*perRequest)
@@ -202,8 +205,9 @@
 	return a
 }
 
-// ObserveStep records the duration of one engine step and adapts the limit to it. Lowering the limit
-// stops no running request.
+// ObserveStep records the duration of one engine step and adapts the limit to the mean. The limit falls
+// by a factor when steps take longer than the target. It rises by one when they take clearly less and
+// the limit is used up. Lowering the limit stops no running request.
 func (q *Queue) ObserveStep(step time.Duration, now time.Time) (a Actions) {
 	if q.meanStepTime == 0 {
 		q.meanStepTime = step
@@ -215,6 +219,8 @@
 	atLimit := len(q.running) >= int(q.limit)
 	switch {
 	case q.meanStepTime > q.cfg.StepTarget:
+		// A limit that is not used up falls from the number of running requests, since otherwise the
+		// change would have no effect on them.
 		base := min(q.limit, float64(max(len(q.running), q.cfg.MinLimit)))
 		q.limit = max(float64(q.cfg.MinLimit), base*limitDecrease)
 		q.adaptedAt = now
@@ -234,7 +240,9 @@
 	return r.Priority + int(now.Sub(r.Arrived)/q.cfg.AgingInterval)
 }
 
-// precedes reports whether a goes before b.
+// precedes reports whether a goes before b. The criteria are, in this order: the aged priority; for
+// different customers, the lower service received; for one customer, the earlier deadline, where any
+// deadline is earlier than none; the earlier arrival.
 func (q *Queue) precedes(a, b Request, now time.Time) bool {
 	if pa, pb := q.agedPriority(a, now), q.agedPriority(b, now); pa != pb {
 		return pa > pb
@@ -250,6 +258,9 @@
 	return a.Arrived.Before(b.Arrived)
 }
 
+// serviceOf returns the service that a customer has received relative to its weight. A customer
+// without recent requests is taken to have received minService, so that it cannot claim all the
+// service that it did not use.
 func (q *Queue) serviceOf(customer string) float64 {
 	return max(q.minService, q.normalizedService[customer])
 }
@@ -265,15 +276,15 @@
 	return best
 }
 
-// evictIndex returns the index of the waiting request to refuse when the queue is full: among the
-// lowest priority, the newest request of the customer with the most waiting requests relative to its
-// weight.
+// evictIndex returns the index of the waiting request to refuse when the queue is full. It is one of the
+// requests with the lowest aged priority: the newest one of the customer that has the most waiting
+// requests relative to its weight.
 func (q *Queue) evictIndex(now time.Time) int {
 	lowest := q.agedPriority(q.waiting[0], now)
 	for _, w := range q.waiting {
 		lowest = min(lowest, q.agedPriority(w, now))
 	}
-	backlog := map[string]float64{}
+	backlog := map[string]float64{} // By customer, the number of waiting requests divided by weight.
 	for _, w := range q.waiting {
 		backlog[w.Customer] += 1 / w.Weight
 	}
@@ -296,7 +307,8 @@
 	return r
 }
 
-// startWaiting starts waiting requests as far as the limit allows.
+// startWaiting starts waiting requests as far as the limit allows, and counts each as service to its
+// customer. The service that the customer had received before becomes the new minService.
 func (q *Queue) startWaiting(a *Actions, now time.Time) {
 	for len(q.waiting) > 0 && len(q.running) < int(q.limit) {
 		r := q.remove(q.nextIndex(now))
@@ -306,7 +318,9 @@
 		a.Start = append(a.Start, r)
 	}
 	if len(q.waiting) == 0 && len(q.normalizedService) > 4*q.cfg.Capacity {
-		q.normalizedService = map[string]float64{} // No request is waiting: all customers start from zero again.
+		// The map holds many customers and would grow without bound. No request is waiting, so that all
+		// customers can start from zero again.
+		q.normalizedService = map[string]float64{}
 		q.minService = 0
 	}
 }
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -62,15 +62,15 @@
 	decayedAt            time.Time // When the weights were last decayed.
 	consecutiveFailures  int       // Failures since the last success or ejection.
 	consecutiveEjections int       // Ejections in a row; a success later than maxEjection after the end of the last one resets it.
-	ejectedUntil         time.Time
-	probation            bool // Admitted after an ejection: one request at a time until one succeeds.
-	misplaced            bool // Another endpoint answered at its address.
+	ejectedUntil         time.Time // End of the last ejection; zero when it was never ejected.
+	probation            bool      // Admitted after an ejection: one request at a time until one succeeds.
+	misplaced            bool      // Another endpoint answered at its address; counts until ejectedUntil.
 }
 
 // Table holds the state of all endpoints.
 type Table struct {
 	endpoints    map[string]*endpoint
-	meanLoad     int                  // Mean of the outstanding requests at the candidates with a fresh report.
+	meanLoad     int                  // Mean of the outstanding requests at the candidates with a fresh report; set by each Pick.
 	closedGroups map[string]time.Time // By group, the time of its newest report, if that report says it is closed.
 	outages      outages
 }
@@ -89,9 +89,11 @@
 	return e
 }
 
-// Report records the load report of an endpoint. A report of a later process than known, whose entry
-// has not been read yet, resets the endpoint's state except for the requests that this process has in
-// flight. Report returns false for a report of an earlier process, which is ignored.
+// Report records the load report of an endpoint, and whether its group is open. If the report comes
+// from a later process of the endpoint than the known one, the endpoint's state is reset; only the
+// number of requests that this process has in flight is kept. This happens before the new process is
+// listed. Report returns false for a report of an earlier process, which is ignored. A report older
+// than the last one of the same process is accepted but has no effect.
 func (t *Table) Report(id string, l Load) (accepted bool) {
 	e := t.getOrCreate(id)
 	switch fleet.CompareIncarnations(e.startedAt, l.StartedAt) {
@@ -131,8 +133,9 @@
 	}
 }
 
-// outstanding estimates the number of requests at an endpoint: those of its last report, corrected by
-// what this process has sent and seen end since, or only its own when the report is too old.
+// outstanding estimates the number of requests at an endpoint. It takes the requests of the last
+// report, adds those that this process has sent since, and subtracts those that it has seen end. When
+// the report is too old, it counts only the requests of this process.
 func (e *endpoint) outstanding(now time.Time) int {
 	if now.Sub(e.load.At) > maxReportAge {
 		return e.inFlight
@@ -176,10 +179,11 @@
 	return at
 }
 
-// Serving returns the candidates that are presumed to serve: those whose group is reported open, and
-// those that never named a group while any group is reported open, since all ranks of a group open
-// together. After an outage, the reports of the first few ranks thus count for all of them. known is
-// false when there is no fresh report of any group.
+// Serving returns the candidates that are presumed to serve. All ranks of a group open together, so a
+// fresh report of one rank counts for the whole group, and after an outage the first few reports
+// count for all ranks. A candidate is presumed to serve when its group is reported open. A candidate
+// that never named a group is presumed to serve when any group is reported open. known is false when
+// there is no fresh report of any group.
 func (t *Table) Serving(list []Candidate, now time.Time) (serving []Candidate, known bool) {
 	open := map[string]bool{} // Groups with fresh reports; true when the newest report says that the group serves.
 	for _, e := range t.endpoints {
@@ -230,6 +234,8 @@
 	return false
 }
 
+// decay reduces the weights of the earlier outcomes by the time since the last call: by half after
+// outcomeHalfLife.
 func (e *endpoint) decay(now time.Time) {
 	if d := now.Sub(e.decayedAt); d > 0 && !e.decayedAt.IsZero() {
 		keep := 1 / (1 + d.Seconds()/outcomeHalfLife.Seconds())
@@ -239,7 +245,9 @@
 	e.decayedAt = now
 }
 
-// RecordSuccess records an outcome that does not count against the endpoint.
+// RecordSuccess records an outcome that does not count against the endpoint. It ends the probation
+// after an ejection, and, later than maxEjection after the end of the last ejection, lets the next one
+// be short again.
 func (t *Table) RecordSuccess(id string, now time.Time) {
 	e := t.getOrCreate(id)
 	e.decay(now)
@@ -252,7 +260,8 @@
 }
 
 // RecordFailure records a failure that counts against the endpoint; a plain failure has a weight of 1.
-// It reports whether the endpoint is ejected by it, and for how long.
+// If the failure ejects the endpoint, it returns the duration of the ejection and true. A failure of an
+// endpoint that is already ejected is counted but does not eject it again.
 func (t *Table) RecordFailure(id string, weight float64, now time.Time) (ejection time.Duration, ok bool) {
 	e := t.getOrCreate(id)
 	e.decay(now)
@@ -274,7 +283,7 @@
 }
 
 // MarkMisplaced records that another endpoint answers at an endpoint's address. The endpoint is
-// ejected until the list of endpoints shows the change.
+// ejected for misplacedEjection; by then the list of endpoints shows the change.
 func (t *Table) MarkMisplaced(id string, now time.Time) {
 	e := t.getOrCreate(id)
 	e.ejectedUntil = now.Add(misplacedEjection)
@@ -302,10 +311,14 @@
 	FixedCost   int  // Cost of a forward pass without requests, in requests; 0 for endpoints that run no passes.
 }
 
-// Pick returns the index of the least loaded candidate that is neither ejected nor out of budget; ok
-// is false when there is none. When too many candidates are ejected, ejections are ignored, except
-// those of misplaced endpoints. Ties are broken in favor of the process's own failure domain, then at
-// random.
+// Pick returns the index of the candidate to use. Normally this is the least loaded one that is
+// neither ejected nor out of budget. Ties are broken in favor of the process's own failure domain,
+// then at random. Among endpoints that run passes, the pick is drawn at random with the weights of
+// drawByWaterFilling.
+//
+// Ejections are ignored when too many candidates are ejected, and when otherwise no candidate is left.
+// Misplaced endpoints and those out of budget are never picked; ok is false when there are no others.
+// The function random returns a number from 0 up to, but not including, its argument.
 func (t *Table) Pick(list []Candidate, random func(n int) int, now time.Time) (index int, ok bool) {
 	limit := int(maxEjectedShare * float64(len(list)))
 	ejected := 0
@@ -351,7 +364,8 @@
 
 // drawByWaterFilling picks among ranks whose load all gateways see alike. If all gateways took the
 // least loaded rank, it would soon be the most loaded one. Each rank is therefore drawn with the share
-// of the next arrivals that it would get if these filled the ranks up from the least loaded one.
+// of the next arrivals that it would get if these filled the ranks up from the least loaded one. The
+// index of the least loaded candidate, as leastLoaded returned it, is least.
 func (t *Table) drawByWaterFilling(list []Candidate, least int, random func(n int) int, now time.Time) int {
 	lowest := t.score(t.getOrCreate(list[least].ID), list[least], now)
 	scores := make([]int, 0, len(list))
@@ -360,6 +374,8 @@
 	for i, c := range list {
 		e := t.getOrCreate(c.ID)
 		s := t.score(e, c, now)
+		// Left out are ranks that leastLoaded passed over, such as any with a lower score, and ranks
+		// that are far worse, as closed, silent and very slow ones are.
 		if c.BudgetSpent || i != least && (s < lowest || s >= lowest+slowScore/2 || now.Before(e.ejectedUntil) || e.probation && e.inFlight > 0) {
 			continue
 		}
@@ -395,6 +411,10 @@
 	return level + amount/len(sorted)
 }
 
+// leastLoaded returns the index of the candidate with the lowest score, one of them at random when
+// there are several; ok is false when no candidate is eligible. Endpoints that are out of budget or
+// misplaced are never eligible. With skipEjected, neither are ejected ones, nor those on probation that
+// already have a request of this process in flight.
 func (t *Table) leastLoaded(list []Candidate, random func(n int) int, now time.Time, skipEjected bool) (index int, ok bool) {
 	best, ties := 0, 0
 	for i, c := range list {
@@ -430,6 +450,8 @@
 	maxSlowdown = 8             // Slowdowns above this one count the same.
 )
 
+// score rates a candidate by its outstanding requests, its slowdown and the terms above, in units of
+// 1/scoreUnit request; lower is better.
 func (t *Table) score(e *endpoint, c Candidate, now time.Time) int {
 	fresh := now.Sub(e.load.At) <= maxReportAge
 	requests := e.outstanding(now)
@@ -440,7 +462,8 @@
 	}
 	s := requests * scoreUnit
 	if fresh && e.load.Slowdown > 1 {
-		// A slow rank delays every pass of its group, even with little to do.
+		// A slow rank delays every pass of its group, even with little to do. The slowdown therefore
+		// applies to the cost of a whole pass: the fixed cost, the requests, and the one to be sent.
 		s = int(float64(s+scoreUnit*(1+c.FixedCost))*min(e.load.Slowdown, maxSlowdown)) - scoreUnit*(1+c.FixedCost)
 		if c.FixedCost > 0 && e.load.Slowdown*float64(c.FixedCost) > float64(c.FixedCost+c.Slots) {
 			s += slowScore // It is slower when idle than the others are when full.
--- a/internal/decide/balance/outage.go
+++ b/internal/decide/balance/outage.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// newestOutageWeight is the weight of the newest outage in the estimated duration of one: the
-	// outages of a day differ in length, and there are few.
+	// newestOutageWeight is the weight of the newest outage in the estimated duration of an outage.
+	// The outages of a day differ in length, and there are few.
 	newestOutageWeight = 0.5
 	// minOutage is the shortest time that counts as an outage: when a group opens or closes, reports
 	// of its ranks arrive out of order.
@@ -44,7 +44,9 @@
 	return outages{down: map[string]outage{}, openSince: map[string]time.Time{}, durations: estimate.New(newestOutageWeight)}
 }
 
-// record notes a report that a group is closed or open.
+// record takes in a report that a group is closed or open. The first report that it is closed begins
+// an outage, the first one that it is open ends it. An outage shorter than minOutage is dropped: the
+// group counts as open all along. The duration of an outage is learned only if its start was seen.
 func (o *outages) record(group string, closed bool, now time.Time) {
 	current, down := o.down[group]
 	switch {
@@ -61,7 +63,9 @@
 	}
 }
 
-// expectedOpen returns when a closed group is expected to serve again, now for an open one.
+// expectedOpen returns when a closed group is expected to serve again; for an open group it returns
+// now. The duration expected for the outage is at least overdueFactor
+// times its duration so far.
 func (o *outages) expectedOpen(group string, now time.Time) time.Time {
 	current, down := o.down[group]
 	if !down {
--- a/internal/decide/limit/share.go
+++ b/internal/decide/limit/share.go
@@ -28,17 +28,19 @@
 
 // Share is the part of one customer's limit that one entry may admit. Every entry is entitled to an
 // equal part, which it always has, even when it is cut off. An entry that needs more borrows from
-// others what they do not use. A lender forgoes what it lent until the lease expires, which happens
-// later at the lender than at the borrower, each by its own clock, since the borrower's lease is
-// counted from before its request was sent. The parts therefore never add up to more than the limit,
-// whatever messages are lost or late and whichever entries are cut off.
+// others what they do not use.
+//
+// A lender forgoes what it lent until the lease expires. The lease expires later at the lender than at
+// the borrower, since the borrower counts it from before its request was sent; each uses its own
+// clock. The parts therefore never add up to more than the limit, whatever messages are lost or late
+// and whichever entries are cut off.
 type Share struct {
 	entitlement float64 // Requests per second.
 	lent        []lease
 	borrowed    []lease
-	demand      float64 // Running mean of requests per second, including rejected ones.
-	requests    float64 // Requests since updatedAt.
-	updatedAt   time.Time
+	demand      float64   // Running mean of requests per second, including rejected ones.
+	requests    float64   // Requests since updatedAt.
+	updatedAt   time.Time // When requests were last added to demand.
 }
 
 // NewShare returns the share of an entry with an entitlement in requests per second.
@@ -52,7 +54,8 @@
 // CountRequest counts a request, whether admitted or not.
 func (s *Share) CountRequest() { s.requests++ }
 
-// refresh drops expired leases and adds the counted requests to the demand.
+// refresh drops expired leases. It adds the counted requests to the demand, but only if a tenth of
+// demandSmoothingTime has passed since it last did so.
 func (s *Share) refresh(now time.Time) {
 	s.lent, s.borrowed = unexpired(s.lent, now), unexpired(s.borrowed, now)
 	d := now.Sub(s.updatedAt)
@@ -64,6 +67,7 @@
 	s.requests, s.updatedAt = 0, now
 }
 
+// unexpired returns the leases that have not expired, in the memory of list.
 func unexpired(list []lease, now time.Time) []lease {
 	remaining := list[:0]
 	for _, l := range list {
--- a/internal/decide/mapswitch/coordinator.go
+++ b/internal/decide/mapswitch/coordinator.go
@@ -23,9 +23,9 @@
 	return [...]string{"none", "asking", "finishing", "preparing", "arming", "deciding", "done", "beaten", "too late", "given up"}[p]
 }
 
-// Coordinator drives one switch. UnconfirmedOrders returns again the orders that may be lost. A
-// ballot stands for one plan with one step, so that a late or duplicate order cannot undo a newer
-// one of the same ballot.
+// Coordinator drives one switch. Orders may be lost; UnconfirmedOrders returns them to be sent again.
+// A ballot stands for one plan with one step, so that a late or duplicate order cannot undo a newer
+// order of the same ballot.
 type Coordinator struct {
 	Ballot          uint64
 	Ranks           int
@@ -64,9 +64,10 @@
 	return c.Phase == Done || c.Phase == Beaten || c.Phase == TooLate || c.Phase == GivenUp
 }
 
-// AbortSwitch ends an undecided switch and returns the orders that release the ranks that hold for it. Only
-// a coordinator that has the state of every rank knows that an Abort order cannot undo an earlier
-// decision. Before that, and once it has decided, it cannot abort, and ok is false.
+// AbortSwitch ends an undecided switch and returns the orders that release the ranks that hold for it.
+// It is possible only while Preparing or Arming; otherwise ok is false. Before Preparing, the
+// coordinator lacks the state of some ranks or finishes an earlier decision, which an Abort order could
+// undo. After Arming, it has decided.
 func (c Coordinator) AbortSwitch() (next Coordinator, orders []Order, ok bool) {
 	if c.Phase != Preparing && c.Phase != Arming {
 		return c, nil, false
@@ -84,7 +85,9 @@
 	return c, c.UnconfirmedOrders()
 }
 
-// Handle takes in a reply and returns the resulting orders.
+// Handle takes in a reply. It returns the coordinator after the reply and the orders to send. Replies to
+// another ballot or phase, refusals, and repeated confirmations change nothing. A reply that shows a
+// higher fence ends the coordinator as Beaten.
 func (c Coordinator) Handle(r Reply) (Coordinator, []Order) {
 	if c.Ended() {
 		return c, nil
@@ -115,8 +118,8 @@
 	return c, nil
 }
 
-// recordState records the state of a rank. A decision that some ranks have and others lack is finished
-// before anything else.
+// recordState records the state of a rank, and whether the newest decisions of the ranks differ. A
+// decision that some ranks have and others lack is finished before anything else.
 func (c Coordinator) recordState(r Reply) (Coordinator, []Order) {
 	if c.Confirmed != (RankSet{}) && r.State.Decided != c.NewestDecision {
 		c.DecisionsDiffer = true
--- a/internal/decide/mapswitch/mapswitch.go
+++ b/internal/decide/mapswitch/mapswitch.go
@@ -91,7 +91,8 @@
 	Decided  Plan   `json:"decided"`  // Newest committed plan.
 }
 
-// Handle executes or refuses an order.
+// Handle executes or refuses an order, and returns the state after it and the reply. An order with a
+// ballot lower than Fence is refused. Any other order raises Fence, even if it is then refused.
 func (r RankState) Handle(o Order) (RankState, Reply) {
 	reply := Reply{Kind: o.Kind, Ballot: o.Ballot, Rank: o.Rank, Plan: o.Plan}
 	if o.Ballot >= r.Fence {
@@ -102,6 +103,8 @@
 	return r, reply
 }
 
+// execute executes an order whose ballot is high enough. ok is false when the order does not fit the
+// state; late is true when it is an Arm order for a step that has begun.
 func (r RankState) execute(o Order) (next RankState, ok, late bool) {
 	switch o.Kind {
 	case Ask:
@@ -123,6 +126,8 @@
 	return r, false, false
 }
 
+// arm executes an Arm order. A plan that is already armed or decided is confirmed again. The order is
+// refused when the weights of the plan are not loaded, or an earlier decision is not yet in force.
 func (r RankState) arm(p Plan) (next RankState, ok, late bool) {
 	switch {
 	case r.Armed == p || r.Decided == p:
@@ -138,6 +143,8 @@
 	return r, true, false
 }
 
+// commit executes a Commit order. A plan that is already decided is confirmed again. A plan that is not
+// armed is refused; late is always false.
 func (r RankState) commit(p Plan) (next RankState, ok, late bool) {
 	if r.Decided == p {
 		return r, true, false
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -60,8 +60,8 @@
 // owner is another gateway that owns a share in this rotation period.
 type owner struct {
 	name         string
-	pending      int64 // Number of the borrow request in flight; 0 without one.
-	askedAt      time.Time
+	pending      int64         // Number of the unanswered borrow request; 0 when there is none.
+	askedAt      time.Time     // Time of the last borrow request.
 	backoff      time.Duration // Time after askedAt before the next borrow request.
 	grantNumber  int64         // Number of the borrow request by which its share was lent to this gateway; 0 while it is not.
 	grantedUntil time.Time     // End of the lease of its share.
@@ -71,7 +71,7 @@
 // each share is held by one gateway at a time, as a borrower counts its lease from an earlier
 // time than the lender does.
 type loans struct {
-	lastUseAt    time.Time // Last request that could have been sent to the endpoint.
+	lastUseAt    time.Time // Last request for the endpoint, whether or not it found a token.
 	lastDeniedAt time.Time // Last request that found no token.
 	lastMissAt   time.Time // Last request that found no token while this gateway's own share was lent.
 	owners       []owner   // In this period, among the known gateways; nil until the first borrow request.
@@ -80,7 +80,7 @@
 	lentUntil    time.Time // End of that lease.
 }
 
-// recordUse records that a request could have been sent to the endpoint, and whether it was allowed.
+// recordUse records that there was a request for the endpoint, and whether it found a token.
 func (s *loans) recordUse(allowed bool, now time.Time) {
 	s.lastUseAt = now
 	if allowed {
@@ -101,8 +101,8 @@
 
 // borrowedCount returns the number of borrowed shares that this gateway holds.
 func (s *loans) borrowedCount() (n int) {
-	for _, h := range s.owners {
-		if h.grantNumber != 0 {
+	for _, o := range s.owners {
+		if o.grantNumber != 0 {
 			n++
 		}
 	}
@@ -130,14 +130,15 @@
 	}
 }
 
-// expireLeases ends the leases that have expired, in the order and at the time of their expiry.
+// expireLeases ends the expired leases of borrowed shares and of the own share. It ends them one by
+// one, earliest first, and resizes the bucket as of the end of each lease.
 func (e *endpoint) expireLeases(now time.Time) {
 	for {
 		var first *owner
-		at := now
+		at := now // End of the earliest lease found so far.
 		for i := range e.loans.owners {
-			if h := &e.loans.owners[i]; h.grantNumber != 0 && !h.grantedUntil.After(at) {
-				first, at = h, h.grantedUntil
+			if o := &e.loans.owners[i]; o.grantNumber != 0 && !o.grantedUntil.After(at) {
+				first, at = o, o.grantedUntil
 			}
 		}
 		switch {
@@ -153,7 +154,9 @@
 	}
 }
 
-// ownersOf returns the other gateways that own a share of an endpoint's limit in a rotation period.
+// ownersOf returns the other gateways that own a share of an endpoint's limit in a rotation period, in
+// the order of positionOf. As in ShareOf, the first floor(limit)+1 gateways own one, or all if there
+// are fewer.
 func ownersOf(id string, period int64, limit float64, self string, all []string) (list []owner) {
 	type scored struct {
 		name  string
@@ -181,7 +184,9 @@
 	return list
 }
 
-// OutgoingMessages returns the borrow requests and returns that are due.
+// OutgoingMessages returns the messages that are due, and records them as sent. For an endpoint without
+// recent requests, these return the borrowed shares. Otherwise they are borrow requests, which also
+// renew leases.
 func (l *Limits) OutgoingMessages(now time.Time) (messages []Outgoing) {
 	for id, e := range l.endpoints {
 		if !e.report.Limited || len(l.gateways) < 2 {
@@ -197,32 +202,35 @@
 			e.loans.owners = ownersOf(id, e.period, e.report.Limit, l.self, l.gateways)
 		}
 		for i := range e.loans.owners {
-			h := &e.loans.owners[i]
-			if h.grantNumber != 0 && h.grantedUntil.Sub(now) > leaseTime/2 || h.grantNumber == 0 && !wantsShares || now.Sub(h.askedAt) < max(h.backoff, minBorrowInterval) {
+			o := &e.loans.owners[i]
+			// A borrowed share is asked for again in the second half of its lease, another one while
+			// shares are wanted.
+			if o.grantNumber != 0 && o.grantedUntil.Sub(now) > leaseTime/2 || o.grantNumber == 0 && !wantsShares || now.Sub(o.askedAt) < max(o.backoff, minBorrowInterval) {
 				continue
 			}
-			if h.pending != 0 { // The last request was not answered.
-				h.backoff = min(max(lentBackoffFactor*h.backoff, minBorrowInterval), maxLentBackoff)
+			if o.pending != 0 { // The last request was not answered.
+				o.backoff = min(max(lentBackoffFactor*o.backoff, minBorrowInterval), maxLentBackoff)
 			}
 			l.lastRequestNumber = max(l.lastRequestNumber+1, now.UnixNano()) // Higher than those of an earlier process of this gateway.
-			h.pending, h.askedAt = l.lastRequestNumber, now
-			messages = append(messages, Outgoing{h.name, ShareMessage{Kind: Borrow, Endpoint: id, RequestNumber: h.pending}})
+			o.pending, o.askedAt = l.lastRequestNumber, now
+			messages = append(messages, Outgoing{o.name, ShareMessage{Kind: Borrow, Endpoint: id, RequestNumber: o.pending}})
 		}
 	}
 	return messages
 }
 
-// returnBorrowed returns all borrowed shares to their owners.
+// returnBorrowed gives up all borrowed shares, and returns the messages to their owners. Each message
+// carries tokens of the bucket, up to the burst of one share.
 func (e *endpoint) returnBorrowed(id string, now time.Time) (list []Outgoing) {
 	for i := range e.loans.owners {
-		h := &e.loans.owners[i]
-		h.pending, h.backoff = 0, 0
-		if h.grantNumber == 0 {
+		o := &e.loans.owners[i]
+		o.pending, o.backoff = 0, 0
+		if o.grantNumber == 0 {
 			continue
 		}
 		tokens := min(e.bucket.Tokens(now), e.share.Burst)
-		list = append(list, Outgoing{h.name, ShareMessage{Kind: Return, Endpoint: id, RequestNumber: h.grantNumber, Tokens: tokens}})
-		h.grantNumber = 0
+		list = append(list, Outgoing{o.name, ShareMessage{Kind: Return, Endpoint: id, RequestNumber: o.grantNumber, Tokens: tokens}})
+		o.grantNumber = 0
 		e.bucket.Add(-tokens, now)
 		e.resizeBucket(now)
 	}
@@ -288,7 +296,10 @@
 	return ShareMessage{}, false
 }
 
-// lend answers a borrow request.
+// lend answers a borrow request. It refuses if this gateway owns no share, or uses its share, or had a
+// request without a token within the last leaseTime while the share was lent. It also refuses if the
+// share is lent to another gateway. Otherwise it lends the share, or renews the lease of the gateway
+// that has borrowed it; tokens move only when the share is newly lent.
 func (e *endpoint) lend(to string, number int64, now time.Time) ShareMessage {
 	s := &e.loans
 	switch {
@@ -318,22 +329,23 @@
 	return b
 }
 
-// handleReply handles the answer of a holder to a borrow request.
-func (e *endpoint) handleReply(h *owner, m ShareMessage, now time.Time) {
-	h.pending = 0
+// handleReply handles the answer of a share's owner to a borrow request. After a refusal, the time
+// until the next request grows.
+func (e *endpoint) handleReply(o *owner, m ShareMessage, now time.Time) {
+	o.pending = 0
 	switch m.Kind {
 	case Grant:
-		h.backoff = 0
-		until := h.askedAt.Add(min(m.LeaseTime, leaseTime))
+		o.backoff = 0
+		until := o.askedAt.Add(min(m.LeaseTime, leaseTime))
 		if !until.After(now) {
 			return // The lease expired while the grant was in flight.
 		}
-		h.grantNumber, h.grantedUntil = m.RequestNumber, until
+		o.grantNumber, o.grantedUntil = m.RequestNumber, until
 		e.resizeBucket(now)
 		e.addTokens(m.Tokens, now)
 	case RefusedLent:
-		h.backoff = min(max(lentBackoffFactor*h.backoff, minBorrowInterval), maxLentBackoff)
+		o.backoff = min(max(lentBackoffFactor*o.backoff, minBorrowInterval), maxLentBackoff)
 	default:
-		h.backoff = min(max(inUseBackoffFactor*h.backoff, idleAfter), maxInUseBackoff)
+		o.backoff = min(max(inUseBackoffFactor*o.backoff, idleAfter), maxInUseBackoff)
 	}
 }
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -96,6 +96,9 @@
 // changed for this gateway.
 func (l *Limits) Merge(r Update) (changed bool) { return l.record(r.Endpoint, r.Report, maxSends) }
 
+// record records a report if it is not older than the known one. The number of times that a change
+// counts as already sent to the other gateways is sendsDone: 0 for a report of this gateway's own,
+// maxSends for one received from another gateway.
 func (l *Limits) record(id string, r Report, sendsDone int) (changed bool) {
 	e, known := l.endpoints[id]
 	if !known {
@@ -112,11 +115,11 @@
 	e.report = r
 	switch {
 	case changed:
-		e.since, e.sends, e.sharedAt, e.version = r.At, sendsDone, r.At, l.version-1
-	case sendsDone == maxSends:
+		e.since, e.sends, e.sharedAt, e.version = r.At, sendsDone, r.At, l.version-1 // The old version makes updateBucket resize the bucket.
+	case sendsDone == maxSends: // Another gateway has sent this report.
 		e.sharedAt = r.At
 	case r.Limited && r.At.Sub(e.sharedAt) > resendInterval:
-		e.sends = min(e.sends, maxSends-1)
+		e.sends = min(e.sends, maxSends-1) // Due to be sent once more.
 	}
 	return changed
 }
@@ -140,7 +143,9 @@
 	return n
 }
 
-// MaySend reports whether this gateway may send a request to an endpoint now.
+// MaySend reports whether this gateway may send a request to an endpoint now. It takes no token, but
+// records that there was a request for the endpoint, and whether it found a token: this decides which
+// shares are borrowed and lent.
 func (l *Limits) MaySend(id string, now time.Time) bool {
 	e := l.endpoints[id]
 	if e == nil || !e.report.Limited {
@@ -168,9 +173,9 @@
 	}
 }
 
-// updateBucket returns the token bucket for the shares of an endpoint's limit that this gateway
-// holds, or nil if it never held one. It first expires leases, and resizes the bucket when the
-// rotation period or the set of gateways has changed.
+// updateBucket updates and returns the token bucket for the shares of an endpoint's limit that this gateway
+// holds, or nil if it never held one. It ends expired leases. When the rotation period, the limit or
+// the set of gateways has changed, it also drops the borrowed shares and resizes the bucket.
 func (l *Limits) updateBucket(id string, e *endpoint, now time.Time) *limit.Bucket {
 	e.expireLeases(now)
 	period := periodOf(now)
@@ -180,7 +185,7 @@
 	e.period, e.version = period, l.version
 	e.loans.dropBorrowed()
 	position := positionOf(id, period, l.self, l.gateways)
-	e.share = ShareOf(e.report.Limit, 0, len(l.gateways))
+	e.share = ShareOf(e.report.Limit, 0, len(l.gateways)) // The gateway at position 0 always has a share; all shares have the same rate and burst.
 	ownedBefore := e.ownsShare
 	s := ShareOf(e.report.Limit, position, len(l.gateways))
 	e.ownsShare = s.Rate > 0
