--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -205,9 +205,9 @@
 	return a
 }
 
-// ObserveStep records the duration of one engine step and adapts the limit to the mean. The limit falls
-// by a factor when steps take longer than the target. It rises by one when they take clearly less and
-// the limit is used up. Lowering the limit stops no running request.
+// ObserveStep records the duration of one engine step and adapts the limit to the mean. The limit
+// falls by a factor when steps take longer than the target. It rises by one when they take clearly
+// less and the limit is used up. Lowering the limit stops no running request.
 func (q *Queue) ObserveStep(step time.Duration, now time.Time) (a Actions) {
 	if q.meanStepTime == 0 {
 		q.meanStepTime = step
@@ -276,8 +276,8 @@
 	return best
 }
 
-// evictIndex returns the index of the waiting request to refuse when the queue is full. It is one of the
-// requests with the lowest aged priority: the newest one of the customer that has the most waiting
+// evictIndex returns the index of the waiting request to refuse when the queue is full. It is one of
+// the requests with the lowest aged priority: the newest one of the customer that has the most waiting
 // requests relative to its weight.
 func (q *Queue) evictIndex(now time.Time) int {
 	lowest := q.agedPriority(q.waiting[0], now)
@@ -318,8 +318,8 @@
 		a.Start = append(a.Start, r)
 	}
 	if len(q.waiting) == 0 && len(q.normalizedService) > 4*q.cfg.Capacity {
-		// The map holds many customers and would grow without bound. No request is waiting, so that all
-		// customers can start from zero again.
+		// The map holds many customers and would grow without bound. No request is waiting, so that
+		// all customers can start from zero again.
 		q.normalizedService = map[string]float64{}
 		q.minService = 0
 	}
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -10,10 +10,10 @@
 import "time"
 
 const (
-	// maxBackoff is the longest time for which no request is sent to check whether an endpoint still
-	// asks for backoff.
+	// maxBackoff is the longest time for which an endpoint gets no request at all. If it asked for a
+	// longer backoff, trial requests then check whether it still does.
 	maxBackoff = 5 * time.Minute
-	// trialInterval is the time between two such trial requests while none is answered.
+	// trialInterval is the time between two trial requests while none is answered.
 	trialInterval = 10 * time.Second
 )
 
@@ -24,8 +24,9 @@
 	Start int64 // Start time, Unix milliseconds; 0 when unknown.
 }
 
-// issued reports whether a statement that the endpoint of this name made at a given time was made by
-// this process or a later one. An answer may come from a process that is not listed yet.
+// issued reports whether a statement that the endpoint of this name made at statedAt came from this
+// process or a later one, and so still counts. A later process may have answered before it is listed.
+// The zero time stands for no statement; any statement counts when the start is unknown.
 func (proc Process) issued(statedAt time.Time) bool {
 	return !statedAt.IsZero() && (proc.Start == 0 || statedAt.UnixMilli() >= proc.Start)
 }
@@ -33,10 +34,10 @@
 // endpointState is the state kept for the endpoint with one name.
 type endpointState struct {
 	leavingAt    time.Time // When it last announced that it is leaving; zero if it never has.
-	requestedAt  time.Time // When it last asked for backoff.
+	requestedAt  time.Time // When it last asked for backoff; zero if it never has.
 	backoffUntil time.Time // End of its backoff.
-	// trial is set if a requested backoff was cut to maxBackoff: one request at a time then checks
-	// whether it is over.
+	// trial is set if a requested backoff was cut to maxBackoff. Once the cut backoff has ended, one
+	// request per trialInterval checks whether the endpoint still asks for backoff.
 	trial bool
 }
 
@@ -57,8 +58,9 @@
 	return p
 }
 
-// Backoff records that an endpoint asks for backoff for the given time. It reports false if the
-// endpoint is already backing off.
+// Backoff records that an endpoint asks for backoff for the given time. The backoff is cut to
+// maxBackoff, and never ends earlier than one that the same process asked for before. Backoff reports
+// false if the endpoint is already backing off.
 func (s *Set) Backoff(proc Process, d time.Duration, now time.Time) (changed bool) {
 	_, backingOff := s.BackingOff(proc, now)
 	p := s.getOrCreate(proc.Name)
@@ -80,14 +82,16 @@
 	return changed
 }
 
-// RecordSent records that a request is sent to an endpoint.
+// RecordSent records that a request is sent to an endpoint. If the endpoint is on trial, this is a
+// trial request, and no other is sent for trialInterval.
 func (s *Set) RecordSent(proc Process, now time.Time) {
 	if p := s.endpoints[proc.Name]; p != nil && p.trial {
 		p.backoffUntil = now.Add(trialInterval)
 	}
 }
 
-// RecordAnswer records an answer without a request for backoff, to a request that was sent at sentAt.
+// RecordAnswer records an answer that does not ask for backoff, to a request that was sent at sentAt.
+// If that was the last trial request or a later one, the trial and the backoff end.
 func (s *Set) RecordAnswer(proc Process, sentAt time.Time) {
 	// A trial's backoff ends trialInterval after its request was sent.
 	if p := s.endpoints[proc.Name]; p != nil && p.trial && !sentAt.Before(p.backoffUntil.Add(-trialInterval)) {
@@ -110,7 +114,7 @@
 	return p.backoffUntil.Sub(now), true
 }
 
-// Counts returns the numbers of endpoints that are backing off and that are leaving.
+// Counts returns the number of endpoints that are backing off and the number that are leaving.
 func (s *Set) Counts(now time.Time) (backingOff, leaving int) {
 	for _, p := range s.endpoints {
 		if !p.leavingAt.IsZero() {
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -260,8 +260,8 @@
 }
 
 // RecordFailure records a failure that counts against the endpoint; a plain failure has a weight of 1.
-// If the failure ejects the endpoint, it returns the duration of the ejection and true. A failure of an
-// endpoint that is already ejected is counted but does not eject it again.
+// If the failure ejects the endpoint, it returns the duration of the ejection and true. A failure of
+// an endpoint that is already ejected is counted but does not eject it again.
 func (t *Table) RecordFailure(id string, weight float64, now time.Time) (ejection time.Duration, ok bool) {
 	e := t.getOrCreate(id)
 	e.decay(now)
@@ -413,8 +413,8 @@
 
 // leastLoaded returns the index of the candidate with the lowest score, one of them at random when
 // there are several; ok is false when no candidate is eligible. Endpoints that are out of budget or
-// misplaced are never eligible. With skipEjected, neither are ejected ones, nor those on probation that
-// already have a request of this process in flight.
+// misplaced are never eligible. With skipEjected, neither are ejected ones, nor those on probation
+// that already have a request of this process in flight.
 func (t *Table) leastLoaded(list []Candidate, random func(n int) int, now time.Time, skipEjected bool) (index int, ok bool) {
 	best, ties := 0, 0
 	for i, c := range list {
--- a/internal/decide/cold/cold.go
+++ b/internal/decide/cold/cold.go
@@ -33,7 +33,7 @@
 
 // budget is the token bucket of this gateway for one cold endpoint.
 type budget struct {
-	tokens    float64 // Requests: at most one, and negative after several at once.
+	tokens    float64 // In requests: at most 1, and negative after several requests at once.
 	updatedAt time.Time
 }
 
@@ -58,7 +58,8 @@
 func (p *Pacer) Started(name string, t Params, now time.Time) { p.MarkCold(name, t.Period, now) }
 
 // RecordGroupOpen records the epoch in which a group reports to be open. A new epoch means that the
-// group has formed anew, and therefore that at least one of its ranks has started.
+// group has formed anew, and therefore that at least one of its ranks has started: the whole group is
+// taken to be cold. Nothing is recorded without a group, or for endpoints without a limit when cold.
 func (p *Pacer) RecordGroupOpen(group string, epoch uint64, t Params, now time.Time) {
 	if group == "" || t.Rate <= 0 {
 		return
@@ -74,22 +75,22 @@
 	return now.Before(p.coldUntil[id]) || group != "" && now.Before(p.coldUntil[group])
 }
 
-// MaySend reports whether this gateway may send one more request to a cold endpoint. random returns a
-// number in [0, 1).
+// MaySend reports whether this gateway may send one more request to a cold endpoint; it takes nothing
+// from the budget. random returns a number in [0, 1).
 func (p *Pacer) MaySend(id string, t Params, random func() float64, now time.Time) bool {
 	return t.Rate <= 0 || p.updatedBudget(id, t, random, now).tokens >= 1
 }
 
-// RecordSent records that a request is sent to a cold endpoint.
+// RecordSent takes a request that is sent to a cold endpoint from its budget, below 0 if necessary.
 func (p *Pacer) RecordSent(id string, t Params, random func() float64, now time.Time) {
 	if t.Rate > 0 {
 		p.updatedBudget(id, t, random, now).tokens--
 	}
 }
 
-// targetRateShare is the share of a cold endpoint's rate that all gateways together send: their
-// budgets refill at random times, and of 150 gateways that all send as much as they may, up to twice
-// the mean send within one second.
+// targetRateShare is the share of a cold endpoint's rate that all gateways together send. The budgets
+// of the gateways refill at random times: of 150 gateways that all send as much as they may, up to
+// twice the mean number send within one second.
 const targetRateShare = 0.8
 
 // Rate returns the requests per second that this gateway may send to a cold endpoint.
@@ -112,7 +113,8 @@
 	return b
 }
 
-// Forget removes endpoints that are no longer cold and budgets that are no longer used.
+// Forget removes endpoints and groups that are no longer cold, and budgets that were last updated more
+// than budgetRetention ago.
 func (p *Pacer) Forget(now time.Time) {
 	for name, until := range p.coldUntil {
 		if !now.Before(until) {
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -56,13 +56,13 @@
 	Epoch          uint64
 	Fence          uint64
 	Phase          Phase
-	Version        uint64 // Version of the map being prepared or switched to.
-	Step           uint64 // Pass at which the new map comes into force.
-	HighestVersion uint64 // Highest version reported by any rank or used by this leader.
-	confirmed      []bool // By rank, whether it has confirmed the phase or needs no order.
-	toDisarm       rank.Arming
-	holds          []uint64  // By rank, the pass that it holds; 0 for none.
-	layout         [][][]int // The new map: experts by set and rank.
+	Version        uint64      // Version of the map being prepared or switched to.
+	Step           uint64      // Pass at which the new map comes into force; never decreases.
+	HighestVersion uint64      // Highest version reported by any rank or used by this leader.
+	confirmed      []bool      // By rank, whether it has confirmed the phase or needs no order.
+	toDisarm       rank.Arming // Arming that some rank last reported; zero for none.
+	holds          []uint64    // By rank, the pass that it holds; 0 for none.
+	layout         [][][]int   // The new map: experts by set and rank.
 
 	holdConflicts  int  // Conflicts on the hold order in this switch.
 	versionRetired bool // Version was disarmed: that order may still arrive late, so Version is not armed again.
@@ -77,16 +77,16 @@
 // Absence is what is known of the previous leader when its rank is the only one that does not
 // answer.
 type Absence struct {
-	Rank        int         // Its rank; NoRank when all ranks answer.
-	ArmingKnown bool        // Armed is certain, and the rank will not be armed any more.
-	Armed       rank.Arming // Arming of its own rank; zero when it is not armed.
+	Rank        int         // Rank of the previous leader; NoRank when all ranks answer.
+	ArmingKnown bool        // Armed is certain, and that rank will not be armed any more.
+	Armed       rank.Arming // Arming of that rank; zero when it is not armed.
 }
 
 // NoAbsence means that all ranks answer.
 var NoAbsence = Absence{Rank: NoRank}
 
-// Holder returns the rank at which a leader holds passes and which arms the leader's own rank. It
-// takes over the lead if the leader fails.
+// Holder returns the holder of a leader: the rank at which the leader holds passes, and through which
+// it arms its own rank. The holder takes over the lead if the leader fails.
 func Holder(leader int) int {
 	if leader == 0 {
 		return 1
@@ -94,14 +94,15 @@
 	return 0
 }
 
-// New returns a machine that begins by raising the fence. While a rank is absent, the machine only
-// cleans up what that leader left, as far as it is certain how.
+// New returns a machine that begins by raising the fence. If the previous leader's rank is absent, the
+// machine starts no switch. It only cleans up what that leader left, and only where it is certain how.
 func New(ranks, self int, absence Absence, epoch, fence uint64) *Machine {
 	m := &Machine{Ranks: ranks, Self: self, absent: absence, Epoch: epoch, Fence: fence, holds: make([]uint64, ranks)}
 	m.enter(Fencing)
 	return m
 }
 
+// enter begins a phase, which no rank has confirmed yet. An absent rank needs no order.
 func (m *Machine) enter(p Phase) {
 	m.Phase = p
 	m.confirmed = make([]bool, m.Ranks)
@@ -110,6 +111,7 @@
 	}
 }
 
+// allConfirmed reports whether every rank has confirmed the phase or needs no order.
 func (m *Machine) allConfirmed() bool {
 	for _, confirmed := range m.confirmed {
 		if !confirmed {
@@ -119,7 +121,8 @@
 	return true
 }
 
-// Next returns the orders to send now, by rank; the Op is "" for ranks without an order.
+// Next returns the orders to send now, by rank, including those sent before and not yet confirmed. The
+// Op is "" for ranks without an order.
 func (m *Machine) Next() []rank.Order {
 	orders := make([]rank.Order, m.Ranks)
 	for r := range orders {
@@ -130,7 +133,8 @@
 	return orders
 }
 
-// mustWait reports whether a rank's order must wait until all others have confirmed.
+// mustWait reports whether a rank's order must wait until all others have confirmed. Only the leader's
+// own rank ever waits, since it is armed last.
 func (m *Machine) mustWait(r int) bool {
 	if m.Phase != Arming || r != m.Self {
 		return false
@@ -143,6 +147,7 @@
 	return false
 }
 
+// order returns the order of the current phase to a rank. Its Op is "" in phases without orders.
 func (m *Machine) order(r int) rank.Order {
 	o := rank.Order{Fence: m.Fence, Epoch: m.Epoch}
 	switch m.Phase {
@@ -169,7 +174,8 @@
 // unusedVersion is a version that no map has.
 const unusedVersion = 1 << 50
 
-// Handle takes in the result of an order of the current phase.
+// Handle takes in the result of an order of the current phase, and enters the next phase once every
+// rank has confirmed. Results of ranks that have confirmed already are ignored.
 func (m *Machine) Handle(r int, result rank.Result) {
 	if m.Phase == Deposed || m.confirmed[r] {
 		return
@@ -208,8 +214,9 @@
 	}
 }
 
-// retryHoldLater holds a later pass, since the requested one had already begun. If that keeps failing,
-// another hold stands, which the reports will show.
+// retryHoldLater moves the hold to a later pass, since the requested pass had already begun. If
+// maxHoldConflicts later passes fail too, another hold stands: the switch is aborted, and the reports
+// will show that hold.
 func (m *Machine) retryHoldLater() {
 	m.holdConflicts++
 	if m.holdConflicts > maxHoldConflicts {
@@ -220,13 +227,14 @@
 	m.Step += holdRetryOffset
 }
 
-// maxHoldConflicts is the number of times a later pass is tried.
+// maxHoldConflicts is the number of times that a later pass is tried in one switch.
 const maxHoldConflicts = 3
 
 // holdRetryOffset is the number of passes by which a refused hold is moved: the pass that has begun
 // may be the one after the requested pass.
 const holdRetryOffset = 2
 
+// advance enters the phase that follows the current one when all ranks have confirmed.
 func (m *Machine) advance() {
 	switch m.Phase {
 	case Fencing:
@@ -260,7 +268,8 @@
 	}
 }
 
-// enterReleasing starts to release all reported holds.
+// enterReleasing starts to release all reported holds, or enters Settling if there are none that can
+// be released.
 func (m *Machine) enterReleasing() {
 	m.enter(Releasing)
 	for r, step := range m.holds {
@@ -271,8 +280,9 @@
 	}
 }
 
-// Observe takes in the reports of all ranks, by rank. It returns false if any is of another epoch or
-// says that the group is not open.
+// Observe takes in the reports of all ranks, by rank; that of an absent rank is not read. It returns
+// false, and the phase remains, if any report is of another epoch or says that the group is not open.
+// In the phases Settling and Ready the reports may change the phase.
 func (m *Machine) Observe(reports []rank.Report) bool {
 	for i, r := range reports {
 		if i == m.absent.Rank {
@@ -289,7 +299,8 @@
 	return true
 }
 
-// settle decides the next phase from a set of reports.
+// settle decides the next phase from a set of reports. The phase is Settling where no next phase can
+// be decided yet.
 func (m *Machine) settle(reports []rank.Report) {
 	m.Phase = Settling
 	armed, holding, expected := 0, 0, m.Ranks
@@ -312,9 +323,9 @@
 	case m.absent.Rank != NoRank && !m.canResolveAbsence(armed == expected, holding):
 		return
 	case m.absent.Rank != NoRank && armed == expected && m.absent.Armed != m.toDisarm:
-		m.enter(Clearing)
+		m.enter(Clearing) // All ranks are armed, but the absent one not for the same pass and map.
 	case armed > 0 && armed < expected && holding > 0:
-		m.enter(Clearing)
+		m.enter(Clearing) // Some ranks are armed and others are not; a hold keeps the pass from beginning.
 	case armed == expected && holding > 0:
 		m.enterReleasing() // All ranks switch to the map as the pass begins.
 	case armed > 0:
@@ -322,15 +333,16 @@
 	case holding > 0:
 		m.enterReleasing()
 	case !m.sameMap(reports):
-		return
+		return // The ranks report different maps in force; later reports decide.
 	default:
 		m.enter(Ready)
 	}
 }
 
-// canResolveAbsence reports whether it is certain how to clean up after the absent leader: the only
-// hold is at its holder, and whether its own rank is armed is known or does not matter, since another
-// rank is not armed.
+// canResolveAbsence reports whether it is certain how to clean up after the absent leader. The only
+// hold must be at that leader's holder. If all other ranks are armed, it must also be known whether
+// the leader's rank is. If another rank is not armed, that does not matter, since the switch is
+// undone.
 func (m *Machine) canResolveAbsence(allArmed bool, holdCount int) bool {
 	if holdCount != 1 || m.holds[Holder(m.absent.Rank)] == 0 {
 		return false
@@ -385,8 +397,8 @@
 	m.askOnlyHolder()
 }
 
-// Abort aborts a preparation or a switch that makes no progress. It does nothing in phases that cannot
-// be aborted.
+// Abort aborts a preparation or a switch that makes no progress. It does nothing in phases other than
+// Preparing, Holding and Arming.
 func (m *Machine) Abort() {
 	switch m.Phase {
 	case Preparing:
@@ -401,6 +413,7 @@
 	}
 }
 
+// abortArming starts to disarm every rank under a higher fence. Version is not armed again.
 func (m *Machine) abortArming() {
 	m.Aborted++
 	m.versionRetired = true
--- a/internal/decide/demand/demand.go
+++ b/internal/decide/demand/demand.go
@@ -16,8 +16,8 @@
 	// distance above which demand has shifted. The typical distance is observed, so that few and long
 	// prompts, which make counts uneven, are not mistaken for a shift.
 	shiftRatio = 1.8
-	// typicalWeight is the weight of the newest distance in the typical one: about ten updates take as
-	// long as one request.
+	// typicalWeight is the weight of the newest distance in the typical distance: about ten updates
+	// take as long as one request.
 	typicalWeight = 0.1
 	// initialDistance is the typical distance before any was observed: half of all choices differ.
 	initialDistance = 0.5
@@ -57,8 +57,9 @@
 }
 
 // Update adds the newest counts, ordered by set and then by expert and summed over the given number of
-// ranks. It reports whether they confirm a shift in demand. Counts of another size than configured are
-// ignored.
+// ranks. It reports whether they confirm a shift in demand. Counts of no ranks, or of another size
+// than configured, are ignored. Counts that suggest a shift are not smoothed in: a second update in a
+// row that suggests one confirms it, and its counts replace the smoothed ones.
 func (t *Tracker) Update(counts []uint64, ranks int, now time.Time) (shifted bool) {
 	if ranks == 0 || len(counts) != t.cfg.Sets*t.cfg.Experts {
 		return false
@@ -119,7 +120,7 @@
 }
 
 // distance returns the share of all choices, averaged over the sets, that would have to change to turn
-// one distribution into the other: 0 to 1.
+// one distribution into the other: 0 to 1. A set without any counts in a or b adds no distance.
 func distance(a, b [][]float64) (d float64) {
 	for k := range a {
 		sumA, sumB := total(a[k]), total(b[k])
@@ -151,9 +152,10 @@
 // Shifts returns the number of detected shifts.
 func (t *Tracker) Shifts() int { return t.shifts }
 
-// ExpectedRemaining returns how much longer demand is expected to remain stable: the mean remaining
-// time of those earlier periods between shifts that lasted longer than the current one has so far. If
-// there is none, the current period is expected to last as long again.
+// ExpectedRemaining returns how much longer demand is expected to remain stable. It considers the
+// earlier periods between shifts that lasted longer than the current period has so far, and returns
+// the mean of what was left of them at this age. If there are none, the current period is expected to
+// last as long again as it has so far.
 func (t *Tracker) ExpectedRemaining(now time.Time) time.Duration {
 	elapsed := now.Sub(t.stableSince)
 	sum, n := time.Duration(0), time.Duration(0)
--- a/internal/decide/line/line.go
+++ b/internal/decide/line/line.go
@@ -44,6 +44,7 @@
 	updatedAt time.Time
 }
 
+// valueAt returns the count, decayed since its last update.
 func (r decayingCount) valueAt(now time.Time) float64 {
 	return r.count * math.Exp(-max(now.Sub(r.updatedAt), 0).Seconds()/serviceDecayTime.Seconds())
 }
@@ -56,10 +57,10 @@
 	q.updatedAt = now
 }
 
-// Join queues a request if it would be served in time at the given rate, in requests per second, and
-// reports whether it does. The number otherQueues of other processes with queues for the same capacity
-// is given; each is assumed to be as long as this queue is on average. While the rate is unknown,
-// being 0, only requests with whenRateUnknown set are queued: those that would not be retried
+// Join queues a request if it would be served in time, and reports whether it queued it. The rate is
+// the capacity in requests per second. otherQueues other processes have queues for the same capacity;
+// each is assumed to be as long as this queue is on average. A rate of 0 is unknown: the request is
+// then queued only if whenRateUnknown is set, as it is for requests that would not be retried
 // otherwise.
 func (q *Queue) Join(w Waiter, rate float64, otherQueues int, whenRateUnknown bool, now time.Time) bool {
 	q.updateMeanLength(now)
@@ -76,7 +77,8 @@
 	return true
 }
 
-// IsNext reports whether a request is the next one to be served.
+// IsNext reports whether a request is the next one to be served: the one of the lowest class, then of
+// the customer that has recently received the least service, then the one that joined first.
 func (q *Queue) IsNext(id uint64, now time.Time) bool {
 	if len(q.waiting) == 0 {
 		return false
@@ -90,7 +92,8 @@
 	return best.ID == id
 }
 
-// Leave removes a request; served says whether it received capacity.
+// Leave removes a request, if it is queued. served says whether the request received capacity, which
+// counts as service to its customer.
 func (q *Queue) Leave(id uint64, served bool, now time.Time) {
 	q.updateMeanLength(now)
 	i := slices.IndexFunc(q.waiting, func(w Waiter) bool { return w.ID == id })
--- a/internal/decide/mapswitch/coordinator.go
+++ b/internal/decide/mapswitch/coordinator.go
@@ -66,8 +66,8 @@
 
 // AbortSwitch ends an undecided switch and returns the orders that release the ranks that hold for it.
 // It is possible only while Preparing or Arming; otherwise ok is false. Before Preparing, the
-// coordinator lacks the state of some ranks or finishes an earlier decision, which an Abort order could
-// undo. After Arming, it has decided.
+// coordinator lacks the state of some ranks or finishes an earlier decision, which an Abort order
+// could undo. After Arming, it has decided.
 func (c Coordinator) AbortSwitch() (next Coordinator, orders []Order, ok bool) {
 	if c.Phase != Preparing && c.Phase != Arming {
 		return c, nil, false
@@ -85,9 +85,9 @@
 	return c, c.UnconfirmedOrders()
 }
 
-// Handle takes in a reply. It returns the coordinator after the reply and the orders to send. Replies to
-// another ballot or phase, refusals, and repeated confirmations change nothing. A reply that shows a
-// higher fence ends the coordinator as Beaten.
+// Handle takes in a reply. It returns the coordinator after the reply and the orders to send. Replies
+// to another ballot or phase, refusals, and repeated confirmations change nothing. A reply that shows
+// a higher fence ends the coordinator as Beaten, a late reply to Arm as TooLate.
 func (c Coordinator) Handle(r Reply) (Coordinator, []Order) {
 	if c.Ended() {
 		return c, nil
--- a/internal/decide/mapswitch/mapswitch.go
+++ b/internal/decide/mapswitch/mapswitch.go
@@ -143,8 +143,8 @@
 	return r, true, false
 }
 
-// commit executes a Commit order. A plan that is already decided is confirmed again. A plan that is not
-// armed is refused; late is always false.
+// commit executes a Commit order. A plan that is already decided is confirmed again. A plan that is
+// not armed is refused; late is always false.
 func (r RankState) commit(p Plan) (next RankState, ok, late bool) {
 	if r.Decided == p {
 		return r, true, false
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -43,7 +43,8 @@
 	Leaving     bool   `json:"v,omitempty"` // Never reset for one process.
 }
 
-// newer reports whether update a overrides b.
+// newer reports whether update a overrides b in any respect. With equal start and incarnation, each of
+// two updates may be newer than the other: one by its state, the other by Leaving.
 func newer(a, b Member) bool {
 	if a.StartedAt != b.StartedAt {
 		return a.StartedAt > b.StartedAt
@@ -54,7 +55,8 @@
 	return a.State > b.State || a.Leaving && !b.Leaving
 }
 
-// merge returns the newer of a and b; Leaving stays set for one process.
+// merge returns the newer of a and b. Within one process, Leaving stays set; within one incarnation,
+// the state that overrides the other is kept.
 func merge(a, b Member) Member {
 	m := a
 	if newer(b, a) {
@@ -92,6 +94,7 @@
 	Relays []Member
 }
 
+// entry is the row of one member, and what this process keeps for it.
 type entry struct {
 	member       Member
 	stateSince   time.Time // Time of the last change of the state or of the process.
@@ -104,10 +107,10 @@
 	cfg         Config
 	self        Member
 	members     map[string]*entry
-	probeOrder  []string // Names still to be probed in this round, last one first.
-	probes      int      // Number of probes, of which every deadProbePeriod-th goes to a dead member.
-	lastTick    time.Time
-	viewVersion uint64 // Incremented whenever a member changes.
+	probeOrder  []string  // Names still to be probed in this round, last one first.
+	probes      int       // Number of probes, of which every deadProbePeriod-th goes to a dead member.
+	lastTick    time.Time // Time of the last DetectPause, which the caller calls before every Tick.
+	viewVersion uint64    // Incremented whenever a member changes.
 }
 
 // ViewVersion returns a number that changes with every change of a member, so that data derived from
@@ -158,7 +161,8 @@
 	return n
 }
 
-// TickOverdue reports whether the last Tick was so long ago that the process must have been paused.
+// TickOverdue reports whether the last Tick, as DetectPause recorded it, was so long ago that the
+// process must have been paused.
 func (t *Table) TickOverdue(now time.Time) bool {
 	return !t.lastTick.IsZero() && now.Sub(t.lastTick) >= 2*t.cfg.ProbeInterval+t.cfg.SuspicionTimeout/2
 }
@@ -170,8 +174,9 @@
 	return time.Duration(float64(t.cfg.SuspicionTimeout) * max(1, math.Log10(float64(len(t.members)))/flatLog10))
 }
 
-// DetectPause reports whether the process was paused since the last Tick, and raises its incarnation
-// if so: others may have declared it dead meanwhile.
+// DetectPause reports whether the process was paused since the last call, and records now as the time
+// of the last Tick. After a pause it raises the incarnation of the process, since others may have
+// declared it dead meanwhile.
 func (t *Table) DetectPause(now time.Time) bool {
 	paused := t.TickOverdue(now)
 	t.lastTick = now
@@ -183,6 +188,7 @@
 	return true
 }
 
+// updateSelf puts a change of self into the view, to be sent to others.
 func (t *Table) updateSelf() {
 	t.viewVersion++
 	t.members[t.self.Name] = &entry{member: t.self, sendsLeft: t.transmitLimit()}
@@ -195,7 +201,8 @@
 }
 
 // Tick declares members dead whose suspicion timed out, removes those that have been dead for long,
-// and chooses the member to probe. ok is false when there is none.
+// and chooses the member to probe. A member that this process itself suspects is probed first. ok is
+// false when there is no member to probe; the changes are valid in any case.
 func (t *Table) Tick(now time.Time, random uint64) (p Probe, changes []Change, ok bool) {
 	ownSuspect := ""
 	for name, e := range t.members {
@@ -211,8 +218,8 @@
 		}
 	}
 	sortChanges(changes)
-	if e, found := t.members[ownSuspect]; found && e.member.State == Suspect {
-		return Probe{Target: e.member}, changes, true // The process that suspects a member probes it again, so that it can refute in time.
+	if e, found := t.members[ownSuspect]; found && e.member.State == Suspect { // Not just declared dead.
+		return Probe{Target: e.member}, changes, true // Probed again, so that the member can refute the suspicion in time.
 	}
 	target, ok := t.nextTarget(random)
 	return Probe{Target: target}, changes, ok
@@ -226,7 +233,9 @@
 // so that the two sides of a network partition find each other after it heals.
 const deadProbePeriod = 8
 
-// nextTarget cycles through all members in a random order, so that each is probed once per round.
+// nextTarget returns the next member to probe. It cycles through the members that are not dead in a
+// random order, so that each is probed once per round. Every deadProbePeriod-th call returns a random
+// dead member, if there is any.
 func (t *Table) nextTarget(random uint64) (m Member, ok bool) {
 	t.probes++
 	if t.probes%deadProbePeriod == 0 {
@@ -235,7 +244,7 @@
 			return dead[random%uint64(len(dead))], true
 		}
 	}
-	for range 2 {
+	for range 2 { // The rest of this round, then a new round.
 		for len(t.probeOrder) > 0 {
 			name := t.probeOrder[len(t.probeOrder)-1]
 			t.probeOrder = t.probeOrder[:len(t.probeOrder)-1]
@@ -248,6 +257,7 @@
 	return Member{}, false
 }
 
+// shuffle begins a new round with all members other than this one in an order that random seeds.
 func (t *Table) shuffle(random uint64) {
 	t.probeOrder = t.probeOrder[:0]
 	for name := range t.members {
@@ -257,15 +267,15 @@
 	}
 	sort.Strings(t.probeOrder)
 	for i := len(t.probeOrder) - 1; i > 0; i-- {
-		random = random*6364136223846793005 + 1442695040888963407
+		random = random*6364136223846793005 + 1442695040888963407 // Linear congruential generator.
 		j := int((random >> 33) % uint64(i+1))
 		t.probeOrder[i], t.probeOrder[j] = t.probeOrder[j], t.probeOrder[i]
 	}
 }
 
-// PickRandom picks up to IndirectProbes random alive members, neither this one nor the one named
-// except. They are relays of a probe to that one if it did not answer, or peers to exchange messages
-// with.
+// PickRandom picks up to IndirectProbes random alive members, without the process itself and the
+// member named except. The caller uses them as relays of a probe that except did not answer, or as
+// peers to exchange messages with.
 func (t *Table) PickRandom(except string, random uint64) []Member {
 	alive := t.Members(func(m Member) bool {
 		return m.State == Alive && m.Name != except && m.Name != t.self.Name
@@ -281,8 +291,9 @@
 	return list
 }
 
-// ProbeAnswered records that the target answered, directly or through a relay. The answer carries the
-// target's own row, which is merged separately.
+// ProbeAnswered records that the target answered, directly or through a relay. A suspect target
+// becomes alive; any other remains as it is. The answer carries the target's own row, which is merged
+// separately.
 func (t *Table) ProbeAnswered(target string, now time.Time) (changes []Change) {
 	e, ok := t.members[target]
 	if !ok || e.member.State != Suspect {
@@ -291,7 +302,8 @@
 	return []Change{t.setState(e, Alive, now, "answered a probe")}
 }
 
-// ProbeUnanswered records that the target answered neither directly nor through a relay.
+// ProbeUnanswered records that the target answered neither directly nor through a relay. An alive
+// target becomes suspect; any other remains as it is.
 func (t *Table) ProbeUnanswered(target string, now time.Time) (changes []Change) {
 	e, ok := t.members[target]
 	if !ok || e.member.State != Alive || target == t.self.Name {
@@ -302,6 +314,7 @@
 	return []Change{c}
 }
 
+// setState changes the state of a member, and has the change sent to others.
 func (t *Table) setState(e *entry, s State, now time.Time, cause string) Change {
 	t.viewVersion++
 	c := Change{Member: e.member, Was: e.member.State, Cause: cause}
@@ -346,8 +359,8 @@
 	return rows
 }
 
-// Merge applies the updates of a message. Views that have merged the same updates agree, whatever the
-// order of arrival.
+// Merge applies the updates of a message. Invalid updates are skipped, and those of this process
+// itself go to refute. Views that have merged the same updates agree, whatever the order of arrival.
 func (t *Table) Merge(updates []Member, now time.Time) (changes []Change) {
 	for _, m := range updates {
 		if m.Name == "" || m.Address == "" || m.State < Alive || m.State > Dead {
@@ -364,9 +377,10 @@
 	return changes
 }
 
-// refute answers an update that says that this process is suspect or dead with a higher incarnation.
-// An update with a later start means that another process has taken over the name, which this one
-// cannot refute. An update that it is leaving is never refuted.
+// refute handles an update about this process. If the update says that the process is suspect or dead
+// in its current incarnation or a later one, the process takes the next incarnation. If it says that
+// the process is leaving, that is never refuted: the process leaves. An update with a later start
+// means that another process has taken over the name, which this one cannot refute.
 func (t *Table) refute(m Member) {
 	aboutSelf := m.StartedAt == t.self.StartedAt || m.StartedAt == 0 && m.Address == t.self.Address
 	if m.Leaving && aboutSelf && !t.self.Leaving {
@@ -391,6 +405,7 @@
 	return false
 }
 
+// mergeUpdate merges an update about another member. It returns the change, and whether there is one.
 func (t *Table) mergeUpdate(m Member, now time.Time) (c Change, changed bool) {
 	e, ok := t.members[m.Name]
 	if !ok {
@@ -414,8 +429,9 @@
 	return c, true
 }
 
-// MergePlatformList merges the platform's list of instances: unknown instances become members, and
-// leaving ones are marked. Since the list lags, it never declares a member dead or alive.
+// MergePlatformList merges the platform's list of instances. Unknown instances become members. A known
+// member is marked as leaving if the list says so for the same address. Since the list lags, it never
+// declares a member dead or alive.
 func (t *Table) MergePlatformList(list []Member, now time.Time) (changes []Change) {
 	for _, m := range list {
 		if m.Name == t.self.Name {
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -80,8 +80,8 @@
 	Gateway
 	seenAt      time.Time // Time of its last known message, to any gateway.
 	expired     bool      // Expire has returned it.
-	lastDirect  time.Time // Time of the last message to this gateway, of the process that StartedAt names.
-	wasStopping bool      // The planned stop of that process had begun; later reports of others may be of the next process.
+	lastDirect  time.Time // Time of its last message to this gateway, sent by the process that StartedAt names; zero for none.
+	wasStopping bool      // The planned stop of that process has begun. Stopping may be cleared again, by reports of the next process.
 }
 
 // Roster is the view of one gateway.
@@ -116,9 +116,10 @@
 	return isNew
 }
 
-// LastDirect returns the process of a gateway that last sent a message to this one, the time
-// since then, and whether its planned stop had begun by all reports since; ok is false if the
-// gateway never sent one.
+// LastDirect returns the gateway at an address as its last message to this gateway described it,
+// with the time since that message as Age. Stopping is set if the planned stop of that process
+// had begun, by the message or by any report since. ok is false if the gateway never sent a
+// message.
 func (r *Roster) LastDirect(address string, now time.Time) (m Member, ok bool) {
 	e, ok := r.entries[address]
 	if !ok || e.lastDirect.IsZero() {
@@ -147,8 +148,9 @@
 	}
 }
 
-// MergeMembers records what another gateway reports of others. A report counts only if it is
-// newer than all that is known of its gateway.
+// MergeMembers records what another gateway reports of others. A report of a gateway counts only
+// if that gateway's last message is newer than any known here, and recent enough to count as
+// alive.
 func (r *Roster) MergeMembers(list []Member, now time.Time) {
 	for _, m := range list {
 		if m.Address == r.self.Address || m.Age < 0 || m.Age > r.expiryTime(m.Domain) {
@@ -156,7 +158,7 @@
 		}
 		e, _ := r.entry(m.Address)
 		if seenAt := now.Add(-m.Age); seenAt.After(e.seenAt) {
-			m.StartedAt = e.StartedAt
+			m.StartedAt = e.StartedAt // Known only from a message of the gateway itself.
 			e.Gateway, e.seenAt, e.expired = m.Gateway, seenAt, false
 			e.wasStopping = e.wasStopping || m.Stopping
 			r.addDomain(m.Domain)
@@ -183,7 +185,7 @@
 }
 
 // Expire returns the addresses of the gateways that have ceased to count as alive since the last
-// call; they are still remembered. Gateways without a message for forgetAfter are removed.
+// call; they are still remembered. It also removes gateways without a message for forgetAfter.
 func (r *Roster) Expire(now time.Time) (expired []string) {
 	known := len(r.sorted)
 	r.sorted = slices.DeleteFunc(r.sorted, func(e *entry) bool { return now.Sub(e.seenAt) > forgetAfter })
@@ -266,7 +268,8 @@
 	return recent
 }
 
-// IsHub reports whether this gateway is one of the hubs of its failure domain.
+// IsHub reports whether this gateway is one of the hubs of its failure domain: fewer than Hubs of
+// the gateways that SameDomain returns have a lower address.
 func (r *Roster) IsHub(now time.Time) bool {
 	before := 0
 	for _, g := range r.SameDomain(now) {
@@ -277,8 +280,11 @@
 	return before < Hubs
 }
 
-// NextHellos starts the next round and returns its hellos. The function random returns a number
-// from 0 up to, but not including, its argument.
+// NextHellos starts the next round and returns its hellos. They go to the hubs and a random
+// gateway of the own failure domain; from a hub to hubs of other domains, from any other gateway
+// to a random gateway; to one random gateway that is no longer alive; and to the seeds, soon
+// after the start or while no other gateway is alive. The function random returns a number from 0
+// up to, but not including, its argument.
 func (r *Roster) NextHellos(now time.Time, random func(n int) int) []Hello {
 	r.round++
 	alive := r.alive(now)
@@ -292,8 +298,9 @@
 	return r.addSeeds(mergeDuplicates(list), len(alive) == 0 || now.Sub(r.started) < ExpireAfter)
 }
 
-// hellosToOwnDomain returns the hellos to the hubs of the own failure domain, one of which is
-// queried, and to one other gateway of it; random gateways take the place of missing hubs.
+// hellosToOwnDomain returns the hellos to the hubs of the own failure domain, and to one random
+// gateway of it. One of the hubs is queried, each in turn. Where there are fewer than Hubs hubs,
+// more random gateways take their place.
 func (r *Roster) hellosToOwnDomain(peers []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	hubs := firstN(Hubs, seenWithin(peers, RecentFor, now))
 	for i, e := range hubs {
@@ -309,8 +316,8 @@
 // firstN returns the first n elements of a list, or all if there are fewer.
 func firstN[T any](n int, list []T) []T { return list[:min(n, len(list))] }
 
-// queryDomain returns the failure domain that is queried in this round in addition to the own
-// one: each other one in turn.
+// queryDomain returns the failure domain that is queried in this round: each other domain in
+// turn, or the own one if there is no other. An answer always includes the own domain as well.
 func (r *Roster) queryDomain() string {
 	others := slices.DeleteFunc(slices.Clone(r.domains), func(d string) bool { return d == r.self.Domain })
 	if len(others) == 0 {
@@ -319,8 +326,9 @@
 	return others[r.round%len(others)]
 }
 
-// hellosToOtherDomains returns a hub's hellos to the hubs of the other failure domains. In a
-// domain without a gateway that is alive, the hello goes to one that was alive before.
+// hellosToOtherDomains returns a hub's hellos to the hubs of the other failure domains, in one of
+// remoteEveryRounds rounds. In each domain, one gateway is queried. In a domain without a gateway
+// that is alive, the hello goes to one that was alive before.
 func (r *Roster) hellosToOtherDomains(alive []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	if r.round%remoteEveryRounds != 1 {
 		return nil
@@ -341,8 +349,8 @@
 	return list
 }
 
-// hellosToDomain returns the hellos to some gateways of another failure domain: its first ones,
-// or any if there are no recent messages of these.
+// hellosToDomain returns the hellos to remoteHubs gateways of another failure domain. They are
+// the first ones by address with recent messages, and random ones where these are too few.
 func (r *Roster) hellosToDomain(peers []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	for _, e := range firstN(remoteHubs, seenWithin(peers, remoteRecentFor, now)) {
 		list = append(list, Hello{Address: e.Address})
@@ -350,7 +358,8 @@
 	return mergeDuplicates(append(list, randomHellos(peers, remoteHubs-len(list), random)...))
 }
 
-// addSeeds adds hellos to the seeds if they are needed, and queries one of them.
+// addSeeds adds hellos to the seeds if they are needed, and queries one of them, each in turn. No
+// hello goes to this gateway itself.
 func (r *Roster) addSeeds(list []Hello, needed bool) []Hello {
 	if !needed {
 		return list
@@ -402,9 +411,9 @@
 	return merged
 }
 
-// AnswerQuery returns the answer to a gateway of a failure domain that queries another one: all
-// gateways of the queried domain, all of the own domain if the gateway belongs to it, and the
-// first ones of each other domain.
+// AnswerQuery returns the answer to a gateway in askerDomain that queries a failure domain. The
+// answer holds the gateways that are alive, including stopping ones: all of the queried domain;
+// all of the own domain, if the asker belongs to it; and the first Hubs of each other domain.
 func (r *Roster) AnswerQuery(askerDomain, queried string, now time.Time) (list []Member) {
 	perDomain := map[string]int{}
 	for _, e := range r.reportable(now) {
@@ -422,6 +431,7 @@
 	return r.filter(func(e *entry) bool { return r.isAlive(e, now) })
 }
 
+// asMember returns the gateway with the time since its last message.
 func (e *entry) asMember(now time.Time) Member {
 	return Member{Gateway: e.Gateway, Age: now.Sub(e.seenAt)}
 }
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// expireLeases ends the expired leases of borrowed shares and of the own share. It ends them one by
-// one, earliest first, and resizes the bucket as of the end of each lease.
+// expireLeases ends the expired leases of borrowed shares and of the own share. It ends them one
+// by one, earliest first, and resizes the bucket as of the end of each lease.
 func (e *endpoint) expireLeases(now time.Time) {
 	for {
 		var first *owner
@@ -154,9 +154,9 @@
 	}
 }
 
-// ownersOf returns the other gateways that own a share of an endpoint's limit in a rotation period, in
-// the order of positionOf. As in ShareOf, the first floor(limit)+1 gateways own one, or all if there
-// are fewer.
+// ownersOf returns the other gateways that own a share of an endpoint's limit in a rotation
+// period, in the order of positionOf. As in ShareOf, the first floor(limit)+1 gateways own one,
+// or all if there are fewer.
 func ownersOf(id string, period int64, limit float64, self string, all []string) (list []owner) {
 	type scored struct {
 		name  string
@@ -184,9 +184,9 @@
 	return list
 }
 
-// OutgoingMessages returns the messages that are due, and records them as sent. For an endpoint without
-// recent requests, these return the borrowed shares. Otherwise they are borrow requests, which also
-// renew leases.
+// OutgoingMessages returns the messages that are due, and records them as sent. For an endpoint
+// without recent requests, these return the borrowed shares. Otherwise they are borrow requests,
+// which also renew leases.
 func (l *Limits) OutgoingMessages(now time.Time) (messages []Outgoing) {
 	for id, e := range l.endpoints {
 		if !e.report.Limited || len(l.gateways) < 2 {
@@ -203,8 +203,8 @@
 		}
 		for i := range e.loans.owners {
 			o := &e.loans.owners[i]
-			// A borrowed share is asked for again in the second half of its lease, another one while
-			// shares are wanted.
+			// A borrowed share is asked for again in the second half of its lease, another one
+			// while shares are wanted.
 			if o.grantNumber != 0 && o.grantedUntil.Sub(now) > leaseTime/2 || o.grantNumber == 0 && !wantsShares || now.Sub(o.askedAt) < max(o.backoff, minBorrowInterval) {
 				continue
 			}
@@ -219,8 +219,8 @@
 	return messages
 }
 
-// returnBorrowed gives up all borrowed shares, and returns the messages to their owners. Each message
-// carries tokens of the bucket, up to the burst of one share.
+// returnBorrowed gives up all borrowed shares, and returns the messages to their owners. Each
+// message carries tokens of the bucket, up to the burst of one share.
 func (e *endpoint) returnBorrowed(id string, now time.Time) (list []Outgoing) {
 	for i := range e.loans.owners {
 		o := &e.loans.owners[i]
@@ -296,10 +296,10 @@
 	return ShareMessage{}, false
 }
 
-// lend answers a borrow request. It refuses if this gateway owns no share, or uses its share, or had a
-// request without a token within the last leaseTime while the share was lent. It also refuses if the
-// share is lent to another gateway. Otherwise it lends the share, or renews the lease of the gateway
-// that has borrowed it; tokens move only when the share is newly lent.
+// lend answers a borrow request. It refuses if this gateway owns no share, or uses its share, or
+// had a request without a token within the last leaseTime while the share was lent. It also
+// refuses if the share is lent to another gateway. Otherwise it lends the share, or renews the
+// lease of the gateway that has borrowed it; tokens move only when the share is newly lent.
 func (e *endpoint) lend(to string, number int64, now time.Time) ShareMessage {
 	s := &e.loans
 	switch {
@@ -329,8 +329,8 @@
 	return b
 }
 
-// handleReply handles the answer of a share's owner to a borrow request. After a refusal, the time
-// until the next request grows.
+// handleReply handles the answer of a share's owner to a borrow request. After a refusal, the
+// time until the next request grows.
 func (e *endpoint) handleReply(o *owner, m ShareMessage, now time.Time) {
 	o.pending = 0
 	switch m.Kind {
--- a/internal/decide/throttle/share.go
+++ b/internal/decide/throttle/share.go
@@ -33,9 +33,9 @@
 
 // ShareOf returns the share of a limit, in requests per second, of the gateway at a position,
 // counted from 0. At most floor(limit)+1 gateways have a share, and as many requests can be sent
-// at once. The total in any window thus does not depend on the number of gateways, which may be far
-// larger than the limit. The initial tokens differ by position, so that the first requests of the
-// gateways are spread over the time in which each gains a token.
+// at once. The total in any window thus does not depend on the number of gateways, which may be
+// far larger than the limit. The initial tokens differ by position, so that the first requests of
+// the gateways are spread over the time in which each gains a token.
 func ShareOf(limit float64, position, gateways int) (s Share) {
 	burst := math.Floor(limit) + 1
 	senders := min(burst, float64(max(gateways, 1)))
@@ -78,14 +78,14 @@
 	lastAssigned time.Time // The last retry time assigned.
 }
 
-// maxBacklog is the longest time until an assigned retry: what is known of the limits is not valid
-// for longer.
+// maxBacklog is the longest time until an assigned retry: what is known of the limits is not
+// valid for longer.
 const maxBacklog = 10 * time.Second
 
 // Next assigns a retry time to one more caller and returns the time until then. Consecutive retry
-// times are 1/rate apart, where rate is the capacity of this gateway in requests per second. A caller
-// whose retry time would be more than maxBacklog ahead gets maxBacklog, as do all further ones until
-// there is room again.
+// times are 1/rate apart, where rate is the capacity of this gateway in requests per second. A
+// caller whose retry time would be more than maxBacklog ahead gets maxBacklog, as do all further
+// ones until there is room again.
 func (b *Backlog) Next(rate float64, now time.Time) time.Duration {
 	if b.lastAssigned.Before(now) {
 		b.lastAssigned = now
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -96,9 +96,9 @@
 // changed for this gateway.
 func (l *Limits) Merge(r Update) (changed bool) { return l.record(r.Endpoint, r.Report, maxSends) }
 
-// record records a report if it is not older than the known one. The number of times that a change
-// counts as already sent to the other gateways is sendsDone: 0 for a report of this gateway's own,
-// maxSends for one received from another gateway.
+// record records a report if it is not older than the known one. The number of times that a
+// change counts as already sent to the other gateways is sendsDone: 0 for a report of this
+// gateway's own, maxSends for one received from another gateway.
 func (l *Limits) record(id string, r Report, sendsDone int) (changed bool) {
 	e, known := l.endpoints[id]
 	if !known {
@@ -143,9 +143,9 @@
 	return n
 }
 
-// MaySend reports whether this gateway may send a request to an endpoint now. It takes no token, but
-// records that there was a request for the endpoint, and whether it found a token: this decides which
-// shares are borrowed and lent.
+// MaySend reports whether this gateway may send a request to an endpoint now. It takes no token,
+// but records that there was a request for the endpoint, and whether it found a token: this
+// decides which shares are borrowed and lent.
 func (l *Limits) MaySend(id string, now time.Time) bool {
 	e := l.endpoints[id]
 	if e == nil || !e.report.Limited {
@@ -173,9 +173,10 @@
 	}
 }
 
-// updateBucket updates and returns the token bucket for the shares of an endpoint's limit that this gateway
-// holds, or nil if it never held one. It ends expired leases. When the rotation period, the limit or
-// the set of gateways has changed, it also drops the borrowed shares and resizes the bucket.
+// updateBucket updates and returns the token bucket for the shares of an endpoint's limit that
+// this gateway holds, or nil if it never held one. It ends expired leases. When the rotation
+// period, the limit or the set of gateways has changed, it also drops the borrowed shares and
+// resizes the bucket.
 func (l *Limits) updateBucket(id string, e *endpoint, now time.Time) *limit.Bucket {
 	e.expireLeases(now)
 	period := periodOf(now)
