--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -82,8 +82,8 @@
 	return changed
 }
 
-// RecordSent records that a request is sent to an endpoint. If the endpoint is on trial, this is a
-// trial request, and no other is sent for trialInterval.
+// RecordSent records that a request is sent to an endpoint. If the endpoint's backoff was
+// cut, this is a trial request, and the backoff ends trialInterval from now.
 func (s *Set) RecordSent(proc Process, now time.Time) {
 	if p := s.endpoints[proc.Name]; p != nil && p.trial {
 		p.backoffUntil = now.Add(trialInterval)
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -91,8 +91,8 @@
 
 // Report records the load report of an endpoint, and whether its group is open. If the report comes
 // from a later process of the endpoint than the known one, the endpoint's state is reset; only the
-// number of requests that this process has in flight is kept. This happens before the new process is
-// listed. Report returns false for a report of an earlier process, which is ignored. A report older
+// number of requests that this process has in flight is kept. The new process need not be listed
+// yet. Report returns false for a report of an earlier process, which is ignored. A report older
 // than the last one of the same process is accepted but has no effect.
 func (t *Table) Report(id string, l Load) (accepted bool) {
 	e := t.getOrCreate(id)
@@ -246,8 +246,8 @@
 }
 
 // RecordSuccess records an outcome that does not count against the endpoint. It ends the probation
-// after an ejection, and, later than maxEjection after the end of the last ejection, lets the next one
-// be short again.
+// after an ejection. Later than maxEjection after the end of the last ejection, it also resets the
+// number of consecutive ejections, so that the next ejection is short.
 func (t *Table) RecordSuccess(id string, now time.Time) {
 	e := t.getOrCreate(id)
 	e.decay(now)
--- a/internal/decide/balance/outage.go
+++ b/internal/decide/balance/outage.go
@@ -64,8 +64,7 @@
 }
 
 // expectedOpen returns when a closed group is expected to serve again; for an open group it returns
-// now. The duration expected for the outage is at least overdueFactor
-// times its duration so far.
+// now. An outage is expected to last at least overdueFactor times its duration so far.
 func (o *outages) expectedOpen(group string, now time.Time) time.Time {
 	current, down := o.down[group]
 	if !down {
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -113,8 +113,8 @@
 
 // allConfirmed reports whether every rank has confirmed the phase or needs no order.
 func (m *Machine) allConfirmed() bool {
-	for _, confirmed := range m.confirmed {
-		if !confirmed {
+	for _, done := range m.confirmed {
+		if !done {
 			return false
 		}
 	}
@@ -139,8 +139,8 @@
 	if m.Phase != Arming || r != m.Self {
 		return false
 	}
-	for k, confirmed := range m.confirmed {
-		if k != r && !confirmed {
+	for k, done := range m.confirmed {
+		if k != r && !done {
 			return true
 		}
 	}
@@ -323,7 +323,7 @@
 	case m.absent.Rank != NoRank && !m.canResolveAbsence(armed == expected, holding):
 		return
 	case m.absent.Rank != NoRank && armed == expected && m.absent.Armed != m.toDisarm:
-		m.enter(Clearing) // All ranks are armed, but the absent one not for the same pass and map.
+		m.enter(Clearing) // All others are armed for a switch for which the absent rank is not armed.
 	case armed > 0 && armed < expected && holding > 0:
 		m.enter(Clearing) // Some ranks are armed and others are not; a hold keeps the pass from beginning.
 	case armed == expected && holding > 0:
@@ -341,8 +341,8 @@
 
 // canResolveAbsence reports whether it is certain how to clean up after the absent leader. The only
 // hold must be at that leader's holder. If all other ranks are armed, it must also be known whether
-// the leader's rank is. If another rank is not armed, that does not matter, since the switch is
-// undone.
+// the leader's rank is. If another rank is not armed, this need not be known: the leader's rank
+// is armed last.
 func (m *Machine) canResolveAbsence(allArmed bool, holdCount int) bool {
 	if holdCount != 1 || m.holds[Holder(m.absent.Rank)] == 0 {
 		return false
--- a/internal/decide/limit/share.go
+++ b/internal/decide/limit/share.go
@@ -91,8 +91,9 @@
 	return max(0, s.entitlement-totalRate(s.lent)+totalRate(s.borrowed))
 }
 
-// Shortfall returns the rate that the entry should borrow, 0 when it has enough. Leases that expire
-// within half a lease count as gone, so that they are replaced in time.
+// Shortfall returns the rate that the entry should borrow; 0 when it has enough, or lacks less than
+// minTransferShare of its entitlement. Borrowed leases that expire within half of LeaseTime count as
+// gone, so that they are replaced in time.
 func (s *Share) Shortfall(now time.Time) float64 {
 	s.refresh(now)
 	lasting := 0.0
@@ -108,7 +109,8 @@
 	return want
 }
 
-// Lend lends up to rate of what the entry does not use, for a Lease from now.
+// Lend lends up to rate of what the entry does not use, for LeaseTime from now, and returns the rate
+// that it lent. It lends nothing if that would be less than minTransferShare of the entitlement.
 func (s *Share) Lend(rate float64, now time.Time) (granted float64) {
 	s.refresh(now)
 	unused := s.entitlement - totalRate(s.lent) - s.demand*demandHeadroom
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -419,7 +419,7 @@
 	for _, e := range r.reportable(now) {
 		include := e.Domain == queried || e.Domain == askerDomain && askerDomain == r.self.Domain
 		if perDomain[e.Domain]++; include || perDomain[e.Domain] <= Hubs {
-			list = append(list, e.asMember(now))
+			list = append(list, e.info(now))
 		}
 	}
 	return list
@@ -431,10 +431,8 @@
 	return r.filter(func(e *entry) bool { return r.isAlive(e, now) })
 }
 
-// asMember returns the gateway with the time since its last message.
-func (e *entry) asMember(now time.Time) Member {
-	return Member{Gateway: e.Gateway, Age: now.Sub(e.seenAt)}
-}
+// info returns the gateway with the time since its last message.
+func (e *entry) info(now time.Time) Member { return Member{Gateway: e.Gateway, Age: now.Sub(e.seenAt)} }
 
 // Sample returns some random gateways of each failure domain: more of the own one, whose other
 // processes learn of gateways from this one.
@@ -446,7 +444,7 @@
 			n = sampleOwnDomain
 		}
 		for _, e := range RandomSubset(inDomain(alive, domain), n, random) {
-			list = append(list, e.asMember(now))
+			list = append(list, e.info(now))
 		}
 	}
 	return list
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -289,7 +289,7 @@
 		}
 		return ShareMessage{}, false
 	}
-	i := slices.IndexFunc(e.loans.owners, func(h owner) bool { return h.name == from && h.pending == m.RequestNumber && h.pending != 0 })
+	i := slices.IndexFunc(e.loans.owners, func(o owner) bool { return o.name == from && o.pending == m.RequestNumber && o.pending != 0 })
 	if i >= 0 {
 		e.handleReply(&e.loans.owners[i], m, now)
 	}
