--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -50,12 +50,12 @@
 func New() *Set { return &Set{endpoints: map[string]*endpointState{}} }
 
 func (s *Set) getOrCreate(name string) *endpointState {
-	p := s.endpoints[name]
-	if p == nil {
-		p = &endpointState{}
-		s.endpoints[name] = p
+	state := s.endpoints[name]
+	if state == nil {
+		state = &endpointState{}
+		s.endpoints[name] = state
 	}
-	return p
+	return state
 }
 
 // Backoff records that an endpoint asks for backoff for the given time. The backoff is cut to
@@ -63,14 +63,14 @@
 // false if the endpoint is already backing off.
 func (s *Set) Backoff(proc Process, d time.Duration, now time.Time) (changed bool) {
 	_, backingOff := s.BackingOff(proc, now)
-	p := s.getOrCreate(proc.Name)
-	if !proc.issued(p.requestedAt) {
-		p.backoffUntil, p.trial = time.Time{}, false // Requested by an earlier process.
+	state := s.getOrCreate(proc.Name)
+	if !proc.issued(state.requestedAt) {
+		state.backoffUntil, state.trial = time.Time{}, false // Requested by an earlier process.
 	}
-	p.requestedAt = now
-	p.trial = p.trial || d > maxBackoff
-	if until := now.Add(min(d, maxBackoff)); until.After(p.backoffUntil) {
-		p.backoffUntil = until
+	state.requestedAt = now
+	state.trial = state.trial || d > maxBackoff
+	if until := now.Add(min(d, maxBackoff)); until.After(state.backoffUntil) {
+		state.backoffUntil = until
 	}
 	return !backingOff
 }
@@ -85,8 +85,8 @@
 // RecordSent records that a request is sent to an endpoint. If the endpoint's backoff was
 // cut, this is a trial request, and the backoff ends trialInterval from now.
 func (s *Set) RecordSent(proc Process, now time.Time) {
-	if p := s.endpoints[proc.Name]; p != nil && p.trial {
-		p.backoffUntil = now.Add(trialInterval)
+	if state := s.endpoints[proc.Name]; state != nil && state.trial {
+		state.backoffUntil = now.Add(trialInterval)
 	}
 }
 
@@ -94,33 +94,33 @@
 // If that was the last trial request or a later one, the trial and the backoff end.
 func (s *Set) RecordAnswer(proc Process, sentAt time.Time) {
 	// A trial's backoff ends trialInterval after its request was sent.
-	if p := s.endpoints[proc.Name]; p != nil && p.trial && !sentAt.Before(p.backoffUntil.Add(-trialInterval)) {
-		p.trial, p.backoffUntil = false, sentAt
+	if state := s.endpoints[proc.Name]; state != nil && state.trial && !sentAt.Before(state.backoffUntil.Add(-trialInterval)) {
+		state.trial, state.backoffUntil = false, sentAt
 	}
 }
 
 // Leaving reports whether an endpoint has announced that it is leaving.
 func (s *Set) Leaving(proc Process) bool {
-	p := s.endpoints[proc.Name]
-	return p != nil && proc.issued(p.leavingAt)
+	state := s.endpoints[proc.Name]
+	return state != nil && proc.issued(state.leavingAt)
 }
 
 // BackingOff returns the remaining time of an endpoint's backoff; ok is false if there is none.
 func (s *Set) BackingOff(proc Process, now time.Time) (remaining time.Duration, ok bool) {
-	p := s.endpoints[proc.Name]
-	if p == nil || !proc.issued(p.requestedAt) || !now.Before(p.backoffUntil) {
+	state := s.endpoints[proc.Name]
+	if state == nil || !proc.issued(state.requestedAt) || !now.Before(state.backoffUntil) {
 		return 0, false
 	}
-	return p.backoffUntil.Sub(now), true
+	return state.backoffUntil.Sub(now), true
 }
 
 // Counts returns the number of endpoints that are backing off and the number that are leaving.
 func (s *Set) Counts(now time.Time) (backingOff, leaving int) {
-	for _, p := range s.endpoints {
-		if !p.leavingAt.IsZero() {
+	for _, state := range s.endpoints {
+		if !state.leavingAt.IsZero() {
 			leaving++
 		}
-		if now.Before(p.backoffUntil) {
+		if now.Before(state.backoffUntil) {
 			backingOff++
 		}
 	}
@@ -130,8 +130,8 @@
 // Forget removes endpoints whose names are no longer listed, and those whose backoff has ended, unless
 // they are leaving or still on trial.
 func (s *Set) Forget(listed func(name string) bool, now time.Time) {
-	for name, p := range s.endpoints {
-		if !listed(name) || p.leavingAt.IsZero() && !p.trial && !now.Before(p.backoffUntil) {
+	for name, state := range s.endpoints {
+		if !listed(name) || state.leavingAt.IsZero() && !state.trial && !now.Before(state.backoffUntil) {
 			delete(s.endpoints, name)
 		}
 	}
--- a/internal/decide/balance/balance.go
+++ b/internal/decide/balance/balance.go
@@ -320,7 +320,7 @@
 // Misplaced endpoints and those out of budget are never picked; ok is false when there are no others.
 // The function random returns a number from 0 up to, but not including, its argument.
 func (t *Table) Pick(list []Candidate, random func(n int) int, now time.Time) (index int, ok bool) {
-	limit := int(maxEjectedShare * float64(len(list)))
+	maxEjected := int(maxEjectedShare * float64(len(list)))
 	ejected := 0
 	t.meanLoad = t.meanOutstanding(list, now)
 	for _, c := range list {
@@ -328,7 +328,7 @@
 			ejected++
 		}
 	}
-	index, ok = t.leastLoaded(list, random, now, ejected <= limit)
+	index, ok = t.leastLoaded(list, random, now, ejected <= maxEjected)
 	if !ok {
 		index, ok = t.leastLoaded(list, random, now, false)
 	}
@@ -383,6 +383,7 @@
 		indexes = append(indexes, i)
 		total += e.outstanding(now)
 	}
+	// Like the scores, arriving is in units of 1/scoreUnit request.
 	arriving := max(int(arrivingShare*float64(total)), minArriving) * scoreUnit
 	level := waterLevel(scores, arriving)
 	n := random(max(arriving, 1))
--- a/internal/decide/cutover/cutover.go
+++ b/internal/decide/cutover/cutover.go
@@ -50,11 +50,11 @@
 
 // Machine drives the map switches of one group in one epoch. Use New to make one.
 type Machine struct {
-	Ranks          int
-	Self           int
+	Ranks          int // Number of ranks of the group.
+	Self           int // Rank of the leader that drives this machine.
 	absent         Absence
 	Epoch          uint64
-	Fence          uint64
+	Fence          uint64 // Fence of this leader's orders; a rank refuses orders below the highest fence that it has seen.
 	Phase          Phase
 	Version        uint64      // Version of the map being prepared or switched to.
 	Step           uint64      // Pass at which the new map comes into force; never decreases.
--- a/internal/decide/demand/demand.go
+++ b/internal/decide/demand/demand.go
@@ -159,9 +159,9 @@
 func (t *Tracker) ExpectedRemaining(now time.Time) time.Duration {
 	elapsed := now.Sub(t.stableSince)
 	sum, n := time.Duration(0), time.Duration(0)
-	for _, s := range t.periods {
-		if s > elapsed {
-			sum += s - elapsed
+	for _, period := range t.periods {
+		if period > elapsed {
+			sum += period - elapsed
 			n++
 		}
 	}
--- a/internal/decide/mapswitch/coordinator.go
+++ b/internal/decide/mapswitch/coordinator.go
@@ -28,7 +28,7 @@
 // order of the same ballot.
 type Coordinator struct {
 	Ballot          uint64
-	Ranks           int
+	Ranks           int // Number of ranks of the group.
 	Phase           Phase
 	Plan            Plan    // Plan of the phase; in Finishing the earlier coordinator's.
 	Confirmed       RankSet // Ranks that have confirmed the current phase.
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -108,7 +108,7 @@
 	if g.Address == r.self.Address {
 		return false
 	}
-	e, known := r.entry(g.Address)
+	e, known := r.getOrCreate(g.Address)
 	isNew = !known || e.StartedAt != g.StartedAt
 	*e = entry{Gateway: g, seenAt: now, lastDirect: now, wasStopping: g.Stopping || !isNew && e.wasStopping}
 	r.lastReceived = now
@@ -130,8 +130,9 @@
 	return m, true
 }
 
-// entry returns the entry of a gateway, and adds an empty one if it was not known.
-func (r *Roster) entry(address string) (e *entry, known bool) {
+// getOrCreate returns the entry of a gateway, and whether it was known. For an unknown gateway it
+// adds an entry that holds only the address.
+func (r *Roster) getOrCreate(address string) (e *entry, known bool) {
 	e, known = r.entries[address]
 	if !known {
 		e = &entry{Gateway: Gateway{Address: address}}
@@ -156,7 +157,7 @@
 		if m.Address == r.self.Address || m.Age < 0 || m.Age > r.expiryTime(m.Domain) {
 			continue
 		}
-		e, _ := r.entry(m.Address)
+		e, _ := r.getOrCreate(m.Address)
 		if seenAt := now.Add(-m.Age); seenAt.After(e.seenAt) {
 			m.StartedAt = e.StartedAt // Known only from a message of the gateway itself.
 			e.Gateway, e.seenAt, e.expired = m.Gateway, seenAt, false
@@ -179,8 +180,8 @@
 	return ExpireAfter + 2*time.Duration(len(r.domains))*HelloInterval
 }
 
-// isAlive reports whether a gateway counts as alive, regardless of a planned stop.
-func (r *Roster) isAlive(e *entry, now time.Time) bool {
+// withinExpiry reports whether a gateway counts as alive, regardless of a planned stop.
+func (r *Roster) withinExpiry(e *entry, now time.Time) bool {
 	return now.Sub(e.seenAt) <= r.expiryTime(e.Domain)
 }
 
@@ -193,7 +194,7 @@
 		r.rebuildIndex()
 	}
 	for _, e := range r.sorted {
-		if !e.expired && !r.isAlive(e, now) {
+		if !e.expired && !r.withinExpiry(e, now) {
 			e.expired = true
 			expired = append(expired, e.Address)
 		}
@@ -213,20 +214,21 @@
 
 // Alive returns the other gateways that are alive and not stopping, in the order of their addresses.
 func (r *Roster) Alive(now time.Time) (list []Gateway) {
-	for _, e := range r.alive(now) {
+	for _, e := range r.aliveEntries(now) {
 		list = append(list, e.Gateway)
 	}
 	return list
 }
 
-// alive returns the entries of the other gateways that are alive and not stopping.
-func (r *Roster) alive(now time.Time) []*entry {
-	return r.filter(func(e *entry) bool { return !e.Stopping && r.isAlive(e, now) })
+// aliveEntries returns the entries of the other gateways that are alive and not stopping, in the
+// order of their addresses.
+func (r *Roster) aliveEntries(now time.Time) []*entry {
+	return r.filter(func(e *entry) bool { return !e.Stopping && r.withinExpiry(e, now) })
 }
 
 // unreachable returns the entries that are remembered and not alive.
 func (r *Roster) unreachable(now time.Time) []*entry {
-	return r.filter(func(e *entry) bool { return !r.isAlive(e, now) })
+	return r.filter(func(e *entry) bool { return !r.withinExpiry(e, now) })
 }
 
 // filter returns the entries for which keep returns true, in the order of their addresses.
@@ -242,7 +244,7 @@
 // SameDomain returns the other gateways of the own failure domain whose last message is at most
 // RecentFor ago, in the order of their addresses.
 func (r *Roster) SameDomain(now time.Time) (list []Gateway) {
-	for _, e := range seenWithin(inDomain(r.alive(now), r.self.Domain), RecentFor, now) {
+	for _, e := range seenWithin(inDomain(r.aliveEntries(now), r.self.Domain), RecentFor, now) {
 		list = append(list, e.Gateway)
 	}
 	return list
@@ -287,7 +289,7 @@
 // up to, but not including, its argument.
 func (r *Roster) NextHellos(now time.Time, random func(n int) int) []Hello {
 	r.round++
-	alive := r.alive(now)
+	alive := r.aliveEntries(now)
 	list := r.hellosToOwnDomain(inDomain(alive, r.self.Domain), now, random)
 	if r.IsHub(now) {
 		list = append(list, r.hellosToOtherDomains(alive, now, random)...)
@@ -428,7 +430,7 @@
 // reportable returns the entries that are alive, including stopping ones, in the order of their
 // addresses.
 func (r *Roster) reportable(now time.Time) []*entry {
-	return r.filter(func(e *entry) bool { return r.isAlive(e, now) })
+	return r.filter(func(e *entry) bool { return r.withinExpiry(e, now) })
 }
 
 // info returns the gateway with the time since its last message.
@@ -437,7 +439,7 @@
 // Sample returns some random gateways of each failure domain: more of the own one, whose other
 // processes learn of gateways from this one.
 func (r *Roster) Sample(now time.Time, random func(n int) int) (list []Member) {
-	alive := r.alive(now)
+	alive := r.aliveEntries(now)
 	for _, domain := range r.domains {
 		n := sampleOtherDomain
 		if domain == r.self.Domain {
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -193,7 +193,7 @@
 		}
 	}
 	p.run(rounds(ExpireAfter) + 2)
-	aliveInOwnDomain := func(proc *process) (n int) { return len(inDomain(proc.alive(p.now), proc.self.Domain)) }
+	aliveInOwnDomain := func(proc *process) (n int) { return len(inDomain(proc.aliveEntries(p.now), proc.self.Domain)) }
 	for _, proc := range p.list {
 		if !proc.stopped {
 			g.Expect(aliveInOwnDomain(proc)).To(Equal(p.aliveIn(proc.self.Domain)-1), "of the own failure domain")
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -263,7 +263,10 @@
 	return float64(n) * e.share.Rate
 }
 
-// ReceiveMessage handles a message of another gateway, and returns the answer, if there is one.
+// ReceiveMessage handles a message of another gateway. Only a borrow request has an answer; ok is
+// false when there is none. A borrow request for an endpoint without a known limit is refused. A
+// borrow request of an unknown gateway is ignored, as are returns and answers to requests that are
+// no longer open.
 func (l *Limits) ReceiveMessage(from string, m ShareMessage, now time.Time) (answer ShareMessage, ok bool) {
 	e := l.endpoints[m.Endpoint]
 	if m.Kind == Borrow && (e == nil || !e.report.Limited) {
