--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -10,10 +10,10 @@
 import "time"
 
 const (
-	// maxBackoff is the longest time for which no request is sent to check whether an endpoint still
-	// asks for backoff.
+	// maxBackoff is the longest time for which an endpoint gets no request at all. If it asked for a
+	// longer backoff, trial requests then check whether it still does.
 	maxBackoff = 5 * time.Minute
-	// trialInterval is the time between two such trial requests while none is answered.
+	// trialInterval is the time between two trial requests while none is answered.
 	trialInterval = 10 * time.Second
 )
 
@@ -24,19 +24,20 @@
 	Start int64 // Start time, Unix milliseconds; 0 when unknown.
 }
 
-// issued reports whether a statement that the endpoint of this name made at a given time was made by
-// this process or a later one. An answer may come from a process that is not listed yet.
-func (proc Process) issued(at time.Time) bool {
-	return !at.IsZero() && (proc.Start == 0 || at.UnixMilli() >= proc.Start)
+// issued reports whether a statement that the endpoint of this name made at statedAt came from this
+// process or a later one, and so still counts. A later process may have answered before it is listed.
+// The zero time stands for no statement; any statement counts when the start is unknown.
+func (proc Process) issued(statedAt time.Time) bool {
+	return !statedAt.IsZero() && (proc.Start == 0 || statedAt.UnixMilli() >= proc.Start)
 }
 
 // endpointState is the state kept for the endpoint with one name.
 type endpointState struct {
 	leavingAt    time.Time // When it last announced that it is leaving; zero if it never has.
-	requestedAt  time.Time // When it last asked for backoff.
+	requestedAt  time.Time // When it last asked for backoff; zero if it never has.
 	backoffUntil time.Time // End of its backoff.
-	// trial is set if a requested backoff was cut to maxBackoff: one request at a time then checks
-	// whether it is over.
+	// trial is set if a requested backoff was cut to maxBackoff. Once the cut backoff has ended, one
+	// request per trialInterval checks whether the endpoint still asks for backoff.
 	trial bool
 }
 
@@ -49,26 +50,27 @@
 func New() *Set { return &Set{endpoints: map[string]*endpointState{}} }
 
 func (s *Set) getOrCreate(name string) *endpointState {
-	p := s.endpoints[name]
-	if p == nil {
-		p = &endpointState{}
-		s.endpoints[name] = p
+	state := s.endpoints[name]
+	if state == nil {
+		state = &endpointState{}
+		s.endpoints[name] = state
 	}
-	return p
+	return state
 }
 
-// Backoff records that an endpoint asks for backoff for the given time. It reports false if the
-// endpoint is already backing off.
+// Backoff records that an endpoint asks for backoff for the given time. The backoff is cut to
+// maxBackoff, and never ends earlier than one that the same process asked for before. Backoff reports
+// false if the endpoint is already backing off.
 func (s *Set) Backoff(proc Process, d time.Duration, now time.Time) (changed bool) {
 	_, backingOff := s.BackingOff(proc, now)
-	p := s.getOrCreate(proc.Name)
-	if !proc.issued(p.requestedAt) {
-		p.backoffUntil, p.trial = time.Time{}, false // Requested by an earlier process.
+	state := s.getOrCreate(proc.Name)
+	if !proc.issued(state.requestedAt) {
+		state.backoffUntil, state.trial = time.Time{}, false // Requested by an earlier process.
 	}
-	p.requestedAt = now
-	p.trial = p.trial || d > maxBackoff
-	if until := now.Add(min(d, maxBackoff)); until.After(p.backoffUntil) {
-		p.backoffUntil = until
+	state.requestedAt = now
+	state.trial = state.trial || d > maxBackoff
+	if until := now.Add(min(d, maxBackoff)); until.After(state.backoffUntil) {
+		state.backoffUntil = until
 	}
 	return !backingOff
 }
@@ -80,43 +82,45 @@
 	return changed
 }
 
-// RecordSent records that a request is sent to an endpoint.
+// RecordSent records that a request is sent to an endpoint. If the endpoint's backoff was
+// cut, this is a trial request, and the backoff ends trialInterval from now.
 func (s *Set) RecordSent(proc Process, now time.Time) {
-	if p := s.endpoints[proc.Name]; p != nil && p.trial {
-		p.backoffUntil = now.Add(trialInterval)
+	if state := s.endpoints[proc.Name]; state != nil && state.trial {
+		state.backoffUntil = now.Add(trialInterval)
 	}
 }
 
-// RecordAnswer records an answer without a request for backoff, to a request that was sent at sentAt.
+// RecordAnswer records an answer that does not ask for backoff, to a request that was sent at sentAt.
+// If that was the last trial request or a later one, the trial and the backoff end.
 func (s *Set) RecordAnswer(proc Process, sentAt time.Time) {
 	// A trial's backoff ends trialInterval after its request was sent.
-	if p := s.endpoints[proc.Name]; p != nil && p.trial && !sentAt.Before(p.backoffUntil.Add(-trialInterval)) {
-		p.trial, p.backoffUntil = false, sentAt
+	if state := s.endpoints[proc.Name]; state != nil && state.trial && !sentAt.Before(state.backoffUntil.Add(-trialInterval)) {
+		state.trial, state.backoffUntil = false, sentAt
 	}
 }
 
 // Leaving reports whether an endpoint has announced that it is leaving.
 func (s *Set) Leaving(proc Process) bool {
-	p := s.endpoints[proc.Name]
-	return p != nil && proc.issued(p.leavingAt)
+	state := s.endpoints[proc.Name]
+	return state != nil && proc.issued(state.leavingAt)
 }
 
 // BackingOff returns the remaining time of an endpoint's backoff; ok is false if there is none.
 func (s *Set) BackingOff(proc Process, now time.Time) (remaining time.Duration, ok bool) {
-	p := s.endpoints[proc.Name]
-	if p == nil || !proc.issued(p.requestedAt) || !now.Before(p.backoffUntil) {
+	state := s.endpoints[proc.Name]
+	if state == nil || !proc.issued(state.requestedAt) || !now.Before(state.backoffUntil) {
 		return 0, false
 	}
-	return p.backoffUntil.Sub(now), true
+	return state.backoffUntil.Sub(now), true
 }
 
-// Counts returns the numbers of endpoints that are backing off and that are leaving.
+// Counts returns the number of endpoints that are backing off and the number that are leaving.
 func (s *Set) Counts(now time.Time) (backingOff, leaving int) {
-	for _, p := range s.endpoints {
-		if !p.leavingAt.IsZero() {
+	for _, state := range s.endpoints {
+		if !state.leavingAt.IsZero() {
 			leaving++
 		}
-		if now.Before(p.backoffUntil) {
+		if now.Before(state.backoffUntil) {
 			backingOff++
 		}
 	}
@@ -126,8 +130,8 @@
 // Forget removes endpoints whose names are no longer listed, and those whose backoff has ended, unless
 // they are leaving or still on trial.
 func (s *Set) Forget(listed func(name string) bool, now time.Time) {
-	for name, p := range s.endpoints {
-		if !listed(name) || p.leavingAt.IsZero() && !p.trial && !now.Before(p.backoffUntil) {
+	for name, state := range s.endpoints {
+		if !listed(name) || state.leavingAt.IsZero() && !state.trial && !now.Before(state.backoffUntil) {
 			delete(s.endpoints, name)
 		}
 	}
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -80,8 +80,8 @@
 	Gateway
 	seenAt      time.Time // Time of its last known message, to any gateway.
 	expired     bool      // Expire has returned it.
-	lastDirect  time.Time // Time of the last message to this gateway, of the process that StartedAt names.
-	wasStopping bool      // The planned stop of that process had begun; later reports of others may be of the next process.
+	lastDirect  time.Time // Time of its last message to this gateway, sent by the process that StartedAt names; zero for none.
+	wasStopping bool      // The planned stop of that process has begun. Stopping may be cleared again, by reports of the next process.
 }
 
 // Roster is the view of one gateway.
@@ -108,7 +108,7 @@
 	if g.Address == r.self.Address {
 		return false
 	}
-	e, known := r.entry(g.Address)
+	e, known := r.getOrCreate(g.Address)
 	isNew = !known || e.StartedAt != g.StartedAt
 	*e = entry{Gateway: g, seenAt: now, lastDirect: now, wasStopping: g.Stopping || !isNew && e.wasStopping}
 	r.lastReceived = now
@@ -116,9 +116,10 @@
 	return isNew
 }
 
-// LastDirect returns the process of a gateway that last sent a message to this one, the time
-// since then, and whether its planned stop had begun by all reports since; ok is false if the
-// gateway never sent one.
+// LastDirect returns the gateway at an address as its last message to this gateway described it,
+// with the time since that message as Age. Stopping is set if the planned stop of that process
+// had begun, by the message or by any report since. ok is false if the gateway never sent a
+// message.
 func (r *Roster) LastDirect(address string, now time.Time) (m Member, ok bool) {
 	e, ok := r.entries[address]
 	if !ok || e.lastDirect.IsZero() {
@@ -129,8 +130,9 @@
 	return m, true
 }
 
-// entry returns the entry of a gateway, and adds an empty one if it was not known.
-func (r *Roster) entry(address string) (e *entry, known bool) {
+// getOrCreate returns the entry of a gateway, and whether it was known. For an unknown gateway it
+// adds an entry that holds only the address.
+func (r *Roster) getOrCreate(address string) (e *entry, known bool) {
 	e, known = r.entries[address]
 	if !known {
 		e = &entry{Gateway: Gateway{Address: address}}
@@ -147,16 +149,17 @@
 	}
 }
 
-// MergeMembers records what another gateway reports of others. A report counts only if it is
-// newer than all that is known of its gateway.
+// MergeMembers records what another gateway reports of others. A report of a gateway counts only
+// if that gateway's last message is newer than any known here, and recent enough to count as
+// alive.
 func (r *Roster) MergeMembers(list []Member, now time.Time) {
 	for _, m := range list {
 		if m.Address == r.self.Address || m.Age < 0 || m.Age > r.expiryTime(m.Domain) {
 			continue
 		}
-		e, _ := r.entry(m.Address)
+		e, _ := r.getOrCreate(m.Address)
 		if seenAt := now.Add(-m.Age); seenAt.After(e.seenAt) {
-			m.StartedAt = e.StartedAt
+			m.StartedAt = e.StartedAt // Known only from a message of the gateway itself.
 			e.Gateway, e.seenAt, e.expired = m.Gateway, seenAt, false
 			e.wasStopping = e.wasStopping || m.Stopping
 			r.addDomain(m.Domain)
@@ -177,13 +180,13 @@
 	return ExpireAfter + 2*time.Duration(len(r.domains))*HelloInterval
 }
 
-// isAlive reports whether a gateway counts as alive, regardless of a planned stop.
-func (r *Roster) isAlive(e *entry, now time.Time) bool {
+// withinExpiry reports whether a gateway counts as alive, regardless of a planned stop.
+func (r *Roster) withinExpiry(e *entry, now time.Time) bool {
 	return now.Sub(e.seenAt) <= r.expiryTime(e.Domain)
 }
 
 // Expire returns the addresses of the gateways that have ceased to count as alive since the last
-// call; they are still remembered. Gateways without a message for forgetAfter are removed.
+// call; they are still remembered. It also removes gateways without a message for forgetAfter.
 func (r *Roster) Expire(now time.Time) (expired []string) {
 	known := len(r.sorted)
 	r.sorted = slices.DeleteFunc(r.sorted, func(e *entry) bool { return now.Sub(e.seenAt) > forgetAfter })
@@ -191,7 +194,7 @@
 		r.rebuildIndex()
 	}
 	for _, e := range r.sorted {
-		if !e.expired && !r.isAlive(e, now) {
+		if !e.expired && !r.withinExpiry(e, now) {
 			e.expired = true
 			expired = append(expired, e.Address)
 		}
@@ -211,20 +214,21 @@
 
 // Alive returns the other gateways that are alive and not stopping, in the order of their addresses.
 func (r *Roster) Alive(now time.Time) (list []Gateway) {
-	for _, e := range r.alive(now) {
+	for _, e := range r.aliveEntries(now) {
 		list = append(list, e.Gateway)
 	}
 	return list
 }
 
-// alive returns the entries of the other gateways that are alive and not stopping.
-func (r *Roster) alive(now time.Time) []*entry {
-	return r.filter(func(e *entry) bool { return !e.Stopping && r.isAlive(e, now) })
+// aliveEntries returns the entries of the other gateways that are alive and not stopping, in the
+// order of their addresses.
+func (r *Roster) aliveEntries(now time.Time) []*entry {
+	return r.filter(func(e *entry) bool { return !e.Stopping && r.withinExpiry(e, now) })
 }
 
 // unreachable returns the entries that are remembered and not alive.
 func (r *Roster) unreachable(now time.Time) []*entry {
-	return r.filter(func(e *entry) bool { return !r.isAlive(e, now) })
+	return r.filter(func(e *entry) bool { return !r.withinExpiry(e, now) })
 }
 
 // filter returns the entries for which keep returns true, in the order of their addresses.
@@ -240,7 +244,7 @@
 // SameDomain returns the other gateways of the own failure domain whose last message is at most
 // RecentFor ago, in the order of their addresses.
 func (r *Roster) SameDomain(now time.Time) (list []Gateway) {
-	for _, e := range seenWithin(inDomain(r.alive(now), r.self.Domain), RecentFor, now) {
+	for _, e := range seenWithin(inDomain(r.aliveEntries(now), r.self.Domain), RecentFor, now) {
 		list = append(list, e.Gateway)
 	}
 	return list
@@ -266,7 +270,8 @@
 	return recent
 }
 
-// IsHub reports whether this gateway is one of the hubs of its failure domain.
+// IsHub reports whether this gateway is one of the hubs of its failure domain: fewer than Hubs of
+// the gateways that SameDomain returns have a lower address.
 func (r *Roster) IsHub(now time.Time) bool {
 	before := 0
 	for _, g := range r.SameDomain(now) {
@@ -277,11 +282,14 @@
 	return before < Hubs
 }
 
-// NextHellos starts the next round and returns its hellos. The function random returns a number
-// from 0 up to, but not including, its argument.
+// NextHellos starts the next round and returns its hellos. They go to the hubs and a random
+// gateway of the own failure domain; from a hub to hubs of other domains, from any other gateway
+// to a random gateway; to one random gateway that is no longer alive; and to the seeds, soon
+// after the start or while no other gateway is alive. The function random returns a number from 0
+// up to, but not including, its argument.
 func (r *Roster) NextHellos(now time.Time, random func(n int) int) []Hello {
 	r.round++
-	alive := r.alive(now)
+	alive := r.aliveEntries(now)
 	list := r.hellosToOwnDomain(inDomain(alive, r.self.Domain), now, random)
 	if r.IsHub(now) {
 		list = append(list, r.hellosToOtherDomains(alive, now, random)...)
@@ -292,16 +300,17 @@
 	return r.addSeeds(mergeDuplicates(list), len(alive) == 0 || now.Sub(r.started) < ExpireAfter)
 }
 
-// hellosToOwnDomain returns the hellos to the hubs of the own failure domain, one of which is
-// queried, and to one other gateway of it; random gateways take the place of missing hubs.
+// hellosToOwnDomain returns the hellos to the hubs of the own failure domain, and to one random
+// gateway of it. One of the hubs is queried, each in turn. Where there are fewer than Hubs hubs,
+// more random gateways take their place.
 func (r *Roster) hellosToOwnDomain(peers []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	hubs := firstN(Hubs, seenWithin(peers, RecentFor, now))
 	for i, e := range hubs {
-		g := Hello{Address: e.Address}
+		hello := Hello{Address: e.Address}
 		if i == r.round%len(hubs) {
-			g.QueryDomain = r.queryDomain()
+			hello.QueryDomain = r.queryDomain()
 		}
-		list = append(list, g)
+		list = append(list, hello)
 	}
 	return append(list, randomHellos(peers, 1+Hubs-len(hubs), random)...)
 }
@@ -309,8 +318,8 @@
 // firstN returns the first n elements of a list, or all if there are fewer.
 func firstN[T any](n int, list []T) []T { return list[:min(n, len(list))] }
 
-// queryDomain returns the failure domain that is queried in this round in addition to the own
-// one: each other one in turn.
+// queryDomain returns the failure domain that is queried in this round: each other domain in
+// turn, or the own one if there is no other. An answer always includes the own domain as well.
 func (r *Roster) queryDomain() string {
 	others := slices.DeleteFunc(slices.Clone(r.domains), func(d string) bool { return d == r.self.Domain })
 	if len(others) == 0 {
@@ -319,8 +328,9 @@
 	return others[r.round%len(others)]
 }
 
-// hellosToOtherDomains returns a hub's hellos to the hubs of the other failure domains. In a
-// domain without a gateway that is alive, the hello goes to one that was alive before.
+// hellosToOtherDomains returns a hub's hellos to the hubs of the other failure domains, in one of
+// remoteEveryRounds rounds. In each domain, one gateway is queried. In a domain without a gateway
+// that is alive, the hello goes to one that was alive before.
 func (r *Roster) hellosToOtherDomains(alive []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	if r.round%remoteEveryRounds != 1 {
 		return nil
@@ -341,8 +351,8 @@
 	return list
 }
 
-// hellosToDomain returns the hellos to some gateways of another failure domain: its first ones,
-// or any if there are no recent messages of these.
+// hellosToDomain returns the hellos to remoteHubs gateways of another failure domain. They are
+// the first ones by address with recent messages, and random ones where these are too few.
 func (r *Roster) hellosToDomain(peers []*entry, now time.Time, random func(n int) int) (list []Hello) {
 	for _, e := range firstN(remoteHubs, seenWithin(peers, remoteRecentFor, now)) {
 		list = append(list, Hello{Address: e.Address})
@@ -350,18 +360,19 @@
 	return mergeDuplicates(append(list, randomHellos(peers, remoteHubs-len(list), random)...))
 }
 
-// addSeeds adds hellos to the seeds if they are needed, and queries one of them.
+// addSeeds adds hellos to the seeds if they are needed, and queries one of them, each in turn. No
+// hello goes to this gateway itself.
 func (r *Roster) addSeeds(list []Hello, needed bool) []Hello {
 	if !needed {
 		return list
 	}
 	for i, s := range r.seeds {
-		g := Hello{Address: s}
+		hello := Hello{Address: s}
 		if i == r.round%len(r.seeds) {
-			g.QueryDomain = r.self.Domain
+			hello.QueryDomain = r.self.Domain
 		}
 		if s != r.self.Address {
-			list = append(list, g)
+			list = append(list, hello)
 		}
 	}
 	return mergeDuplicates(list)
@@ -389,26 +400,26 @@
 // mergeDuplicates returns one hello for each address, with the query of the first one that has any.
 func mergeDuplicates(list []Hello) (merged []Hello) {
 	index := map[string]int{}
-	for _, g := range list {
-		i, ok := index[g.Address]
+	for _, hello := range list {
+		i, ok := index[hello.Address]
 		switch {
 		case !ok:
-			index[g.Address] = len(merged)
-			merged = append(merged, g)
+			index[hello.Address] = len(merged)
+			merged = append(merged, hello)
 		case merged[i].QueryDomain == "":
-			merged[i].QueryDomain = g.QueryDomain
+			merged[i].QueryDomain = hello.QueryDomain
 		}
 	}
 	return merged
 }
 
-// AnswerQuery returns the answer to a gateway of a failure domain that queries another one: all
-// gateways of the queried domain, all of the own domain if the gateway belongs to it, and the
-// first ones of each other domain.
-func (r *Roster) AnswerQuery(domain, queried string, now time.Time) (list []Member) {
+// AnswerQuery returns the answer to a gateway in askerDomain that queries a failure domain. The
+// answer holds the gateways that are alive, including stopping ones: all of the queried domain;
+// all of the own domain, if the asker belongs to it; and the first Hubs of each other domain.
+func (r *Roster) AnswerQuery(askerDomain, queried string, now time.Time) (list []Member) {
 	perDomain := map[string]int{}
 	for _, e := range r.reportable(now) {
-		include := e.Domain == queried || e.Domain == domain && domain == r.self.Domain
+		include := e.Domain == queried || e.Domain == askerDomain && askerDomain == r.self.Domain
 		if perDomain[e.Domain]++; include || perDomain[e.Domain] <= Hubs {
 			list = append(list, e.info(now))
 		}
@@ -419,15 +430,16 @@
 // reportable returns the entries that are alive, including stopping ones, in the order of their
 // addresses.
 func (r *Roster) reportable(now time.Time) []*entry {
-	return r.filter(func(e *entry) bool { return r.isAlive(e, now) })
+	return r.filter(func(e *entry) bool { return r.withinExpiry(e, now) })
 }
 
+// info returns the gateway with the time since its last message.
 func (e *entry) info(now time.Time) Member { return Member{Gateway: e.Gateway, Age: now.Sub(e.seenAt)} }
 
 // Sample returns some random gateways of each failure domain: more of the own one, whose other
 // processes learn of gateways from this one.
 func (r *Roster) Sample(now time.Time, random func(n int) int) (list []Member) {
-	alive := r.alive(now)
+	alive := r.aliveEntries(now)
 	for _, domain := range r.domains {
 		n := sampleOtherDomain
 		if domain == r.self.Domain {
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -96,7 +96,10 @@
 // changed for this gateway.
 func (l *Limits) Merge(r Update) (changed bool) { return l.record(r.Endpoint, r.Report, maxSends) }
 
-func (l *Limits) record(id string, r Report, sends int) (changed bool) {
+// record records a report if it is not older than the known one. The number of times that a
+// change counts as already sent to the other gateways is sendsDone: 0 for a report of this
+// gateway's own, maxSends for one received from another gateway.
+func (l *Limits) record(id string, r Report, sendsDone int) (changed bool) {
 	e, known := l.endpoints[id]
 	if !known {
 		if !r.Limited {
@@ -112,11 +115,11 @@
 	e.report = r
 	switch {
 	case changed:
-		e.since, e.sends, e.sharedAt, e.version = r.At, sends, r.At, l.version-1
-	case sends == maxSends:
+		e.since, e.sends, e.sharedAt, e.version = r.At, sendsDone, r.At, l.version-1 // The old version makes updateBucket resize the bucket.
+	case sendsDone == maxSends: // Another gateway has sent this report.
 		e.sharedAt = r.At
 	case r.Limited && r.At.Sub(e.sharedAt) > resendInterval:
-		e.sends = min(e.sends, maxSends-1)
+		e.sends = min(e.sends, maxSends-1) // Due to be sent once more.
 	}
 	return changed
 }
@@ -140,13 +143,15 @@
 	return n
 }
 
-// MaySend reports whether this gateway may send a request to an endpoint now.
+// MaySend reports whether this gateway may send a request to an endpoint now. It takes no token,
+// but records that there was a request for the endpoint, and whether it found a token: this
+// decides which shares are borrowed and lent.
 func (l *Limits) MaySend(id string, now time.Time) bool {
 	e := l.endpoints[id]
 	if e == nil || !e.report.Limited {
 		return true
 	}
-	b := l.bucketOf(id, e, now)
+	b := l.updateBucket(id, e, now)
 	allowed := b != nil && b.HasToken(now)
 	e.loans.recordUse(allowed, now)
 	return allowed
@@ -155,7 +160,7 @@
 // Take consumes a token for a request to an endpoint for which MaySend returned true.
 func (l *Limits) Take(id string, now time.Time) {
 	if e := l.endpoints[id]; e != nil && e.report.Limited {
-		if b := l.bucketOf(id, e, now); b != nil {
+		if b := l.updateBucket(id, e, now); b != nil {
 			b.Take(now)
 		}
 	}
@@ -168,10 +173,11 @@
 	}
 }
 
-// bucketOf returns the token bucket for the shares of an endpoint's limit that this gateway
-// holds, or nil if it never held one. It first expires leases, and resizes the bucket when the
-// rotation period or the set of gateways has changed.
-func (l *Limits) bucketOf(id string, e *endpoint, now time.Time) *limit.Bucket {
+// updateBucket updates and returns the token bucket for the shares of an endpoint's limit that
+// this gateway holds, or nil if it never held one. It ends expired leases. When the rotation
+// period, the limit or the set of gateways has changed, it also drops the borrowed shares and
+// resizes the bucket.
+func (l *Limits) updateBucket(id string, e *endpoint, now time.Time) *limit.Bucket {
 	e.expireLeases(now)
 	period := periodOf(now)
 	if e.period == period && e.version == l.version {
@@ -180,7 +186,7 @@
 	e.period, e.version = period, l.version
 	e.loans.dropBorrowed()
 	position := positionOf(id, period, l.self, l.gateways)
-	e.share = ShareOf(e.report.Limit, 0, len(l.gateways))
+	e.share = ShareOf(e.report.Limit, 0, len(l.gateways)) // The gateway at position 0 always has a share; all shares have the same rate and burst.
 	ownedBefore := e.ownsShare
 	s := ShareOf(e.report.Limit, position, len(l.gateways))
 	e.ownsShare = s.Rate > 0
@@ -193,9 +199,9 @@
 
 // NextUpdates returns up to limit updates that are due to be sent to the other gateways, and
 // counts them as sent.
-func (l *Limits) NextUpdates(limit int) (list []Update) {
+func (l *Limits) NextUpdates(maxCount int) (list []Update) {
 	for id, e := range l.endpoints {
-		if len(list) == limit {
+		if len(list) == maxCount {
 			break
 		}
 		if e.sends < maxSends {
@@ -218,9 +224,9 @@
 }
 
 // ActiveLimits returns up to limit updates for limits in effect, for a gateway that may know none.
-func (l *Limits) ActiveLimits(limit int) (list []Update) {
+func (l *Limits) ActiveLimits(maxCount int) (list []Update) {
 	for id, e := range l.endpoints {
-		if len(list) == limit {
+		if len(list) == maxCount {
 			break
 		}
 		if e.report.Limited {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -160,12 +160,12 @@
 		},
 		{
 			name:          "endpoints that request backoff get none",
-			edits:         []edit{{"../decide/backoff/backoff.go", "if p == nil || !proc.issued(p.requestedAt) || !now.Before(p.backoffUntil) {", "if p == nil || p != nil {"}},
+			edits:         []edit{{"../decide/backoff/backoff.go", "if state == nil || !proc.issued(state.requestedAt) || !now.Before(state.backoffUntil) {", "if state == nil || state != nil {"}},
 			wantViolation: `of rest at \S+ and got`, seed: 6014, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
 			name:          "endpoints whose answers announce that they are leaving get more requests",
-			edits:         []edit{{"../decide/backoff/backoff.go", "return p != nil && proc.issued(p.leavingAt)", "return p != nil && false"}},
+			edits:         []edit{{"../decide/backoff/backoff.go", "return state != nil && proc.issued(state.leavingAt)", "return state != nil && false"}},
 			wantViolation: `after it said in an answer that it leaves`, seed: 6004, kinds: SixthKinds, callers: manyCallers,
 		},
 		{
