--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -62,7 +62,7 @@
 	if _, _, limited := g.limits.Limited(e.ID); limited {
 		g.stats.sentToLimited.Inc(1)
 	}
-	if _, resting := g.backoffs.BackingOff(incarnationOf(e), now); resting {
+	if _, backingOff := g.backoffs.BackingOff(incarnationOf(e), now); backingOff {
 		g.stats.sentToBackingOff.Inc(1)
 	}
 	if g.backoffs.Leaving(incarnationOf(e)) {
@@ -82,8 +82,8 @@
 func (g *Gateway) isBackingOff(e fleet.Endpoint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, resting := g.backoffs.BackingOff(incarnationOf(e), g.cfg.Now())
-	return resting
+	_, backingOff := g.backoffs.BackingOff(incarnationOf(e), g.cfg.Now())
+	return backingOff
 }
 
 // exclusion is what excludes endpoints that the request could otherwise be sent to: each is backing
@@ -96,12 +96,12 @@
 
 func (b exclusion) nonEmpty() bool { return b.rate > 0 || b.backoff > 0 }
 
-// exclude reports whether an endpoint is excluded now by its backoff or rate limit, and adds the
+// addIfExcluded reports whether an endpoint is excluded now by its backoff or rate limit, and adds the
 // cause to b. The caller holds mu.
-func (g *Gateway) exclude(b *exclusion, e fleet.Endpoint, now time.Time) bool {
-	if left, resting := g.backoffs.BackingOff(incarnationOf(e), now); resting {
-		if b.backoff == 0 || left < b.backoff {
-			b.backoff = left
+func (g *Gateway) addIfExcluded(total *exclusion, e fleet.Endpoint, now time.Time) bool {
+	if remaining, backingOff := g.backoffs.BackingOff(incarnationOf(e), now); backingOff {
+		if total.backoff == 0 || remaining < total.backoff {
+			total.backoff = remaining
 		}
 		return true
 	}
@@ -109,8 +109,8 @@
 		return false
 	}
 	perSecond, _, _ := g.limits.Limited(e.ID)
-	b.rate += throttle.TotalRate(perSecond)
-	b.localRate += g.limits.AvailableRate(e.ID, now)
+	total.rate += throttle.TotalRate(perSecond)
+	total.localRate += g.limits.AvailableRate(e.ID, now)
 	g.signalPartsWanted()
 	return true
 }
@@ -122,7 +122,7 @@
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	for _, e := range s.ByService[q.service] {
-		if q.g.acceptsNew(s, e) && !q.g.exclude(&b, e, now) {
+		if q.g.acceptsNew(s, e) && !q.g.addIfExcluded(&b, e, now) {
 			return exclusion{}
 		}
 	}
@@ -138,7 +138,7 @@
 	after = q.exclusion.backoff
 	if q.exclusion.rate > 0 {
 		q.g.stats.throttled.Inc(1)
-		if limitRetry := q.throttledRetry(q.exclusion); after == 0 || limitRetry < after {
+		if limitRetry := q.assignThrottledRetry(q.exclusion); after == 0 || limitRetry < after {
 			after = limitRetry
 		}
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -17,12 +17,15 @@
 )
 
 // refusedBeforeShare is the portion of a group's limit up to which callers are admitted that were
-// refused before. Their answer is late anyway. Admitted equally, they take the capacity of callers
-// who could be served in time, and those come again in turn: with 5% more requests than can be
-// served, a third of all callers had to come twice.
+// refused before. Their answer is late anyway. If they were admitted like others, they would take the
+// capacity of callers who could be served in time. These would be refused and come again: with 5%
+// more requests than can be served, a third of all callers had to come twice.
 const refusedBeforeShare = 0.85
 
-// chooseEndpoint picks the endpoint for the next attempt.
+// chooseEndpoint picks the endpoint for the next attempt and charges its rate limit. It first returns
+// the charge for an earlier choice that was not sent to. If ok is false, the fields of the request
+// say why: exclusion, allGroupsDown with groupOpensAt, or full. None of them is set if no further
+// attempt is allowed or no usable endpoint is listed.
 func (q *request) chooseEndpoint(now time.Time) (e fleet.Endpoint, ok bool) {
 	q.allGroupsDown, q.exclusion = false, exclusion{}
 	if !q.mayAttemptMore() {
@@ -61,7 +64,7 @@
 		}
 		q.full = false
 		list, ok = q.chooseGroup(list, now)
-		if ok && !q.inQueue && len(q.attempted) == 0 && q.g.queued(q.service) {
+		if ok && !q.inQueue && len(q.attempted) == 0 && q.g.anyQueued(q.service) {
 			ok = false // Others have queued before it.
 		}
 		if !ok {
@@ -71,7 +74,7 @@
 	}
 	i, ok := q.g.table.Pick(list, random, now)
 	if !ok {
-		if allSpent(list) {
+		if allBudgetsSpent(list) {
 			q.full = true
 			q.setColdTurnover(len(list), terms)
 		}
@@ -83,20 +86,22 @@
 	return candidates[index], true
 }
 
-// mayAttemptMore reports whether the request may be sent to one more endpoint.
+// mayAttemptMore reports whether the request may be sent to one more endpoint: neither the attempts
+// of its route are used up, nor were too many endpoints unreachable.
 func (q *request) mayAttemptMore() bool {
 	return len(q.attempted) < q.route.MaxAttempts && len(q.unreachable) <= maxUnreached
 }
 
-// candidates returns the endpoints of the service that may be tried, and what excludes others for
-// now. If there is no other endpoint, one that closed a reused connection during the request may be
-// tried once more. The caller holds mu.
+// candidates returns the endpoints of the service that may be tried, and the backoffs and rate limits
+// that exclude others for now. An endpoint that was sent the request already is no candidate. The
+// only exception is the one that closed a reused connection under the last attempt: it may be tried
+// once more if there is no other candidate. The caller holds mu.
 func (q *request) candidates() (list []fleet.Endpoint, exclusions exclusion) {
 	var retryable []fleet.Endpoint
 	s := q.g.view.State()
 	now := q.g.cfg.Now()
 	for _, e := range s.ByService[q.service] {
-		if !q.g.acceptsNew(s, e) || q.g.exclude(&exclusions, e, now) || slices.Contains(q.unreachable, e.ID) {
+		if !q.g.acceptsNew(s, e) || q.g.addIfExcluded(&exclusions, e, now) || slices.Contains(q.unreachable, e.ID) {
 			continue
 		}
 		if q.groupRejected && q.g.passes.GroupOf(e.ID) == q.rejectingGroup {
@@ -114,54 +119,64 @@
 	return list, exclusions
 }
 
-// acceptsNew reports whether an endpoint of a state may be sent new requests. The caller holds mu.
+// acceptsNew reports whether an endpoint of the view's state s may be sent new requests: it is not
+// missing, leaving or in an evacuated failure domain. The caller holds mu.
 func (g *Gateway) acceptsNew(s *follow.State, e fleet.Endpoint) bool {
 	_, missing := s.Missing[e.ID]
 	return !missing && !e.Leaving && !g.backoffs.Leaving(incarnationOf(e)) && !s.Evacuated(e.Domain)
 }
 
-// chooseGroup draws one of the groups of the ranks in list by their free capacity, and returns the
-// ranks of that group. A request that was sent before is admitted wherever possible, since it
-// already counts as in flight. The caller holds mu.
+// chooseGroup draws one of the open groups of the ranks in list by their free capacity, and returns
+// the ranks of that group. Ok is false if the request has to wait for capacity.
+//
+// In these cases no group is drawn:
+//   - An open group has no limit. All ranks in list are returned.
+//   - The request gets no capacity, but its answer has begun or it may have run. It already counts as
+//     in flight and is admitted anyway, to the ranks of all groups that are not silent.
+//   - The request gets no capacity, but no group's limit is known from its passes. It is admitted in
+//     the same way.
+//
+// The caller holds mu.
 func (q *request) chooseGroup(list []balance.Candidate, now time.Time) (chosen []balance.Candidate, ok bool) {
 	names, members := q.ranksByGroup(list)
-	offers := make([]passes.Option, 0, len(names))
-	open := make([]string, 0, len(names))
-	limited := false // The limit of some group is known from its passes.
+	options := make([]passes.Option, 0, len(names))
+	optionNames := make([]string, 0, len(names))
+	anyLimitKnown := false // The limit of at least one group is known from its passes.
 	q.turnover = passes.Turnover{}
 	for _, name := range names {
 		ranks := members[name]
 		if q.g.table.AllClosed(ranks, now) {
 			continue
 		}
-		o, known := q.groupOffer(name, ranks, now)
+		o, known := q.groupOption(name, ranks, now)
 		if o.Limit <= 0 {
 			return list, true // No known limit applies.
 		}
-		limited = limited || known
+		anyLimitKnown = anyLimitKnown || known
 		o.LastReport = q.g.table.LastReport(ranks)
-		offers, open = append(offers, o), append(open, name)
+		options, optionNames = append(options, o), append(optionNames, name)
 	}
-	passes.MarkSilent(offers, now)
-	i, ok := passes.Choose(offers, random)
+	passes.MarkSilent(options, now)
+	i, ok := passes.Choose(options, random)
 	switch {
-	case ok && q.takeCapacity(open[i], offers[i]):
-		return members[open[i]], true
-	case q.reply.begun() || q.mayHaveRun || !limited:
-		return nonSilentRanks(offers, open, members, list), true
+	case ok && q.takeCapacity(optionNames[i], options[i]):
+		return members[optionNames[i]], true
+	case q.reply.begun() || q.mayHaveRun || !anyLimitKnown:
+		return nonSilentRanks(options, optionNames, members, list), true
 	}
-	for k, o := range offers {
+	for k, o := range options {
 		if q.waited > 0 {
 			break // Noted before.
 		}
-		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f admitted at each", open[k], o.Requests, o.Ranks, o.Limit))
+		q.note(fmt.Sprintf("group %s full: %d requests at %d ranks, %.1f admitted at each", optionNames[k], o.Requests, o.Ranks, o.Limit))
 	}
 	return nil, false
 }
 
 // nonSilentRanks returns the ranks of the groups that are not silent, or list if there are none.
-func nonSilentRanks(offers []passes.Option, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
-	for i, o := range offers {
+// Names[i] is the group of options[i].
+func nonSilentRanks(options []passes.Option, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
+	for i, o := range options {
 		if !o.Silent {
 			ranks = append(ranks, members[names[i]]...)
 		}
@@ -172,8 +187,9 @@
 	return ranks
 }
 
-// takeCapacity reports whether the request gets a part of the free capacity of a group, for which
-// other gateways compete. The caller holds mu.
+// takeCapacity asks for a part of the free capacity of a group, for which other gateways compete, and
+// reports whether the request gets it. A request asks the same group again only after a newer report
+// of the group's load. The caller holds mu.
 func (q *request) takeCapacity(group string, o passes.Option) bool {
 	s := q.g.capacityShares[group]
 	if s == nil {
@@ -208,9 +224,9 @@
 }
 
 // onlyGroup returns the group of the ranks in list if exactly one group is known among them, and ""
-// otherwise. For services whose cold ranks can be overloaded, ranks that have not reported their
-// group yet count as members of it: as a group of their own they would have no known limit. The
-// caller holds mu.
+// otherwise. Ranks that have not reported their group yet count as members of that group: as a group
+// of their own they would have no known limit. This applies only to services that limit the rate of
+// cold ranks; for others it returns "". The caller holds mu.
 func (q *request) onlyGroup(list []balance.Candidate) (sole string) {
 	if coldTerms(q.config, q.service).Rate <= 0 {
 		return ""
@@ -225,11 +241,13 @@
 	return sole
 }
 
-// groupOffer returns how many requests a group holds and may hold, and adds the group's turnover to
-// that of the request. Known is false if nothing is known about its passes, for example when it has
-// just opened; until then each pass is given as much work as it performs without any request. The
-// caller holds mu.
-func (q *request) groupOffer(name string, ranks []balance.Candidate, now time.Time) (o passes.Option, known bool) {
+// groupOption returns how many requests a group holds and may hold, and adds the group's turnover to
+// that of the request.
+//
+// Known is false if no limit is known from the group's passes, for example when it has just opened.
+// Each rank may then hold as many requests as cost as much as a pass without any request, but no more
+// than its slots. The limit is lower for a caller that was refused before. The caller holds mu.
+func (q *request) groupOption(name string, ranks []balance.Candidate, now time.Time) (o passes.Option, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
 		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].FixedCost))
@@ -250,8 +268,9 @@
 	return o, known
 }
 
-// shape returns how the passes of a service's engines are modeled; ok is false for a service
-// without engines.
+// shape returns how the passes of a service's engines are modeled. Ok is false for a service without
+// engines, or whose configuration states no decode time. The shapes of the last used configuration
+// are cached.
 func (g *Gateway) shape(c *fleet.Config, service string) (s passes.Shape, ok bool) {
 	svc := c.Service(service)
 	if svc == nil || svc.Engine == nil || svc.Engine.DecodeTimePerRequest <= 0 {
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -30,9 +30,9 @@
 	return t
 }
 
-// reportGatewayCount records how many gateways a sidecar knows. That many share the capacity of the
+// recordGatewayCount records how many gateways a sidecar knows. That many share the capacity of the
 // endpoint beside the sidecar, including those from which this gateway has not received a hello.
-func (g *Gateway) reportGatewayCount(n int, now time.Time) {
+func (g *Gateway) recordGatewayCount(n int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if n >= g.reportedGateways || now.Sub(g.reportedGatewaysAt) > gatewayCountTTL {
@@ -135,8 +135,8 @@
 	}
 }
 
-// allSpent reports whether the rate limit of cold endpoints is all that excludes them.
-func allSpent(list []balance.Candidate) bool {
+// allBudgetsSpent reports whether the rate limit of cold endpoints is all that excludes them.
+func allBudgetsSpent(list []balance.Candidate) bool {
 	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.BudgetSpent })
 }
 
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -102,11 +102,11 @@
 // a second.
 const trialInProgressRetry = time.Second
 
-// quarantined reports whether the request must not be sent, since endpoints ended while running it
+// checkQuarantined reports whether the request must not be sent, since endpoints ended while running it
 // or identical requests, here or at other gateways. Without quarantine, each attempt, each gateway
 // and each retry by the caller cost one more endpoint, and its group about five seconds: three
 // endpoints within five seconds of one day.
-func (q *request) quarantined() bool {
+func (q *request) checkQuarantined() bool {
 	now := q.g.cfg.Now()
 	v, left := q.g.suspects.Judge(q.key, now)
 	q.quarantinedFor = 0
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -15,7 +15,7 @@
 	retries               metrics.Counter      // Requests sent to a further endpoint.
 	waited                metrics.Counter      // Requests that waited for capacity.
 	moved                 metrics.Counter      // Requests moved away from slow ranks.
-	resumedStreams        metrics.Counter      // Streams that were continued at another endpoint.
+	interruptedStreams    metrics.Counter      // Streams that were continued at another endpoint.
 	heldForGroup          metrics.Counter      // Requests that waited for a group of ranks to open.
 	silentAttempts        metrics.Counter      // Attempts aborted because no data arrived, and continued elsewhere.
 	sentToCold            metrics.Counter      // Requests sent to endpoints that count as cold.
@@ -49,7 +49,7 @@
 		retries:               metrics.GetOrRegisterCounter("gateway.repeats", reg),
 		waited:                metrics.GetOrRegisterCounter("gateway.waited", reg),
 		moved:                 metrics.GetOrRegisterCounter("gateway.moved", reg),
-		resumedStreams:        metrics.GetOrRegisterCounter("gateway.resumed", reg),
+		interruptedStreams:    metrics.GetOrRegisterCounter("gateway.resumed", reg),
 		heldForGroup:          metrics.GetOrRegisterCounter("gateway.held-for-group", reg),
 		silentAttempts:        metrics.GetOrRegisterCounter("gateway.silent-tries", reg),
 		sentToCold:            metrics.GetOrRegisterCounter("gateway.to-cold", reg),
@@ -74,8 +74,8 @@
 	}
 }
 
-func (f *gatewayMetrics) setBackoffs(resting, leaving int) {
-	f.backingOff.Update(int64(resting))
+func (f *gatewayMetrics) setBackoffs(backingOff, leaving int) {
+	f.backingOff.Update(int64(backingOff))
 	f.leaving.Update(int64(leaving))
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -54,8 +54,8 @@
 	MemoryBytes   int64         // Memory limit of the process; 0 for none.
 	MaxKeyAge     time.Duration // Configuration age from which a customer's key is no longer accepted.
 	RetryShare    float64       // Retries allowed per request of a service within RetryWindow.
-	RetryWindow   time.Duration
-	RetryFloor    float64       // Retries that all gateways together may send without any request.
+	RetryWindow   time.Duration // Period over which requests and retries are counted.
+	RetryFloor    float64       // Retries that all gateways together may send within RetryWindow without any request.
 	GracePeriod   time.Duration // Longest planned stop; 0 for no limit.
 	// PropagationDelay is the longest time for which a caller and this gateway may use different
 	// versions of the configuration.
@@ -100,18 +100,18 @@
 	backoffs             *backoff.Set
 	limits               *throttle.Limits
 	limitsChanged        chan struct{}                // Holds a value while a change of limits waits to be announced.
-	partsWanted          chan struct{}                // Holds a value while a request found no token of a rate limit.
+	partsWanted          chan struct{}                // Holds a value from when a request finds no token of a rate limit until lend receives it.
 	invalidPartsLoggedAt time.Time                    // When an invalid message about parts was last logged.
 	backlogs             map[string]*throttle.Backlog // Callers refused by rate limits, by service.
 	coldRevisions        map[string]uint64            // Revision of the entry whose cold time was applied, by endpoint.
 	reportedGateways     int                          // Most gateways that a sidecar lately reported to know.
-	reportedGatewaysAt   time.Time
+	reportedGatewaysAt   time.Time                    // When reportedGateways was reported.
 	evacuated            evacuatedDomains
 	ownsTrialKey         func(k quarantine.Key) bool // Whether trials of a key run here; nil without peers.
 
 	shapesMu     sync.Mutex // Guards the fields below.
-	shapesConfig *fleet.Config
-	shapes       map[string]passes.Shape // By service, for shapesConfig.
+	shapesConfig *fleet.Config           // Configuration from which shapes were computed.
+	shapes       map[string]passes.Shape // By service; filled on first use.
 
 	endChecks        errgroup.Group // Delayed checks whether endpoints have ended; each returns by itself.
 	lastWaiterID     atomic.Uint64
@@ -179,11 +179,13 @@
 // sweepInterval is the time between two removals of state of endpoints that are no longer listed.
 const sweepInterval = 500 * time.Millisecond
 
-// Run removes outdated state periodically until ctx is done.
+// Run applies the view and removes outdated state every sweepInterval until ctx is done.
 func (g *Gateway) Run(ctx context.Context) error {
 	return wait.Every(ctx, sweepInterval, g.sweep)
 }
 
+// sweep applies the view as ViewChanged does, and removes the state of endpoints that are no longer
+// listed and other state that has expired. It also updates the gauges of backoffs and rate limits.
 func (g *Gateway) sweep() {
 	s := g.view.State()
 	g.ViewChanged()
@@ -205,8 +207,9 @@
 	g.stats.limited.Update(int64(g.limits.Count()))
 }
 
-// ViewChanged must be called after each change of the view. It closes connections to leaving
-// endpoints at once.
+// ViewChanged must be called after each change of the view. It publishes the idle timeout of callers'
+// connections and applies the changes of cold endpoints and evacuated failure domains. It also closes
+// the idle connections to endpoints that are leaving or no longer listed.
 func (g *Gateway) ViewChanged() {
 	s := g.view.State()
 	if s.Config != nil {
@@ -219,8 +222,10 @@
 	})
 }
 
-// ReportLoad records the load of the endpoint at an address. The reporter is a process beside the
-// endpoint, which knows no more of it than its address.
+// ReportLoad records the load of the endpoint at an address, and moves requests away from the endpoint
+// if it is too slow. The reporter is a process beside the endpoint, which knows no more of it than its
+// address. The report is ignored if no endpoint is listed at the address, or if it is from an earlier
+// process than the listed one.
 func (g *Gateway) ReportLoad(address string, l balance.Load) {
 	s := g.view.State()
 	e, ok := s.ByAddress[address]
@@ -236,7 +241,9 @@
 	}
 }
 
-// applyLoad records an endpoint's load and reports whether its requests should be moved away.
+// applyLoad records an endpoint's load and reports whether its requests should be moved away. The
+// argument ranked says whether the endpoint is a rank whose passes are modeled by shape; the passes of
+// others are not tracked. A load of an earlier process than the known one is ignored.
 func (g *Gateway) applyLoad(e fleet.Endpoint, l balance.Load, cfg *fleet.Config, shape passes.Shape, ranked bool) (moveAway bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -272,7 +279,8 @@
 // intervals.
 const isolatedAfter = 3 * helloInterval
 
-// SetOtherGateways sets the number of other gateways and the time of the last hello from any.
+// SetOtherGateways sets the number of other gateways and the time of the last hello from any of them.
+// It also adjusts the retry floors, which are shared by all gateways.
 func (g *Gateway) SetOtherGateways(n int, lastHello time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -292,11 +300,14 @@
 	retryShareUsed = 0.8
 )
 
+// retryFloor returns how many retries per retry window this gateway may send for a service without
+// any request. The caller holds mu.
 func (g *Gateway) retryFloor() float64 {
 	return retryFloorUsed * g.cfg.RetryFloor / float64(max(g.otherGateways+1, minGateways))
 }
 
-// retryWindow returns the retry budget of a service. The caller holds mu.
+// retryWindow returns the retry budget of a service. The first call for a service adds one. The caller
+// holds mu.
 func (g *Gateway) retryWindow(service string) *retry.Window {
 	w, ok := g.retryWindows[service]
 	if !ok {
@@ -356,8 +367,8 @@
 // are still accepted.
 const maxAdvertisedKeepAlive = 2 * time.Second
 
-// stopState reports whether the planned stop has begun, and whether new requests are refused
-// because it has lasted too long.
+// stopState reports whether the planned stop has begun, and whether new requests are refused because
+// it has lasted for more than stopAcceptTime. Both are true once the process terminates.
 func (g *Gateway) stopState(now time.Time) (begun, refusing bool) {
 	if g.processCtx.Err() != nil {
 		return true, true
@@ -370,7 +381,8 @@
 // callers: it could not accept their keys for much longer.
 const maxReadyAge = 3200 * time.Millisecond
 
-// Ready reports whether new callers should be routed to this gateway.
+// Ready reports whether new callers should be routed to this gateway: no planned stop has begun, and
+// the configuration is younger than maxReadyAge.
 func (g *Gateway) Ready(now time.Time) bool {
 	begun, _ := g.stopState(now)
 	return !begun && g.view.Age(now) < maxReadyAge
@@ -387,4 +399,5 @@
 	})
 }
 
+// random returns a random number in [0, n).
 func random(n int) int { return rand.IntN(n) }
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -60,14 +60,14 @@
 		messages = n.g.limits.OutgoingMessages(now)
 		more = n.g.limits.HasOpenLoans(now)
 	})
-	by := map[string][]peers.ShareMessage{}
+	byGateway := map[string][]peers.ShareMessage{}
 	for _, l := range messages {
 		if l.Kind == throttle.Borrow {
 			n.g.stats.partsAsked.Inc(1)
 		}
-		by[l.To] = append(by[l.To], partOf(l.ShareMessage))
+		byGateway[l.To] = append(byGateway[l.To], toShareMessage(l.ShareMessage))
 	}
-	for to, parts := range by {
+	for to, parts := range byGateway {
 		n.sendPartsTo(to, parts)
 	}
 	return more
@@ -97,7 +97,7 @@
 		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseTime: p.LeaseTime()}
 		answer, ok := g.limits.ReceiveMessage(m.Address, part, now)
 		if ok {
-			answers = append(answers, partOf(answer))
+			answers = append(answers, toShareMessage(answer))
 		}
 		if answer.Kind == throttle.Grant {
 			g.stats.partsLent.Inc(1)
@@ -109,7 +109,7 @@
 	return answers
 }
 
-func partOf(p throttle.ShareMessage) peers.ShareMessage {
+func toShareMessage(p throttle.ShareMessage) peers.ShareMessage {
 	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseMs: p.LeaseTime.Milliseconds()}
 }
 
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -82,9 +82,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	maps.DeleteFunc(n.unresponsive, func(_ string, at time.Time) bool { return now.Sub(at) > unresponsiveTTL })
-	answers := func(a string) bool { _, deaf := n.unresponsive[a]; return !deaf && a != n.self }
-	fails := func(a string) bool { return !answers(a) && a != n.self }
-	return slices.Concat(filter(list, answers), filter(list, fails))
+	responsive := func(a string) bool { _, failed := n.unresponsive[a]; return !failed && a != n.self }
+	failedLately := func(a string) bool { return !responsive(a) && a != n.self }
+	return slices.Concat(filter(list, responsive), filter(list, failedLately))
 }
 
 // filter returns the elements of a list for which f is true.
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -18,7 +18,7 @@
 		l.Forward = false
 		n.forward(peers.Message{Load: &l})
 	}
-	n.g.reportGatewayCount(l.GatewayCount, time.Now())
+	n.g.recordGatewayCount(l.GatewayCount, time.Now())
 	n.g.ReportLoad(l.Address, balance.Load{
 		StartedAt: l.StartedAt, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: l.Slowdown, PassTime: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
 	})
@@ -31,7 +31,7 @@
 		n.forward(peers.Message{Loads: &l})
 	}
 	now := time.Now()
-	n.g.reportGatewayCount(l.GatewayCount, now)
+	n.g.recordGatewayCount(l.GatewayCount, now)
 	n.g.setGroupLimit(l.Group, float64(l.LimitPerRank), now)
 	for _, r := range l.Ranks {
 		a, err := r.EngineAddress()
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -241,7 +241,7 @@
 	n.sendHellos()
 	for {
 		select {
-		case <-n.listed():
+		case <-n.viewUpdatesUntilGreeted():
 			n.helloListedSidecars()
 		case <-ctx.Done():
 			return nil
@@ -255,9 +255,9 @@
 	}
 }
 
-// listed returns a channel that is closed when the view changes, until the first hello to sidecars
+// viewUpdatesUntilGreeted returns a channel that is closed when the view changes, until the first hello to sidecars
 // has been sent; nil afterwards.
-func (n *PeerExchange) listed() <-chan struct{} {
+func (n *PeerExchange) viewUpdatesUntilGreeted() <-chan struct{} {
 	if n.sidecarsGreeted {
 		return nil
 	}
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -44,26 +44,26 @@
 // classify reports whether a caller with the given time left has certainly been refused before, and
 // whether it may have been: until enough callers are seen, those of a route are assumed to wait at
 // first for the whole timeout of the route.
-func (p *callerTimeouts) classify(route string, left, timeout time.Duration) (certain, possible bool) {
+func (p *callerTimeouts) classify(route string, timeLeft, routeTimeout time.Duration) (certain, possible bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r, known := p.routes[route]
 	longestBefore := r.longest
 	if r.callersSeen < minCallersSeen {
 		r.callersSeen++
-		possible = waitedRetryAfter(left, timeout)
+		possible = waitedRetryAfter(timeLeft, routeTimeout)
 	}
-	r.longest = max(r.longest, left)
+	r.longest = max(r.longest, timeLeft)
 	if known || len(p.routes) < maxTrackedRoutes {
 		p.routes[route] = r
 	}
-	certain = waitedRetryAfter(left, longestBefore)
+	certain = waitedRetryAfter(timeLeft, longestBefore)
 	return certain, possible || certain
 }
 
 // waitedRetryAfter reports whether a caller with the given time left has waited for Retry-After
 // since it had the longest time left.
-func waitedRetryAfter(left, longest time.Duration) bool {
+func waitedRetryAfter(timeLeft, longest time.Duration) bool {
 	retryAfter := min(fullRetry, time.Duration(retryAfterHonored*float64(longest)))
-	return left < longest-time.Duration(retryAfterShare*float64(retryAfter))
+	return timeLeft < longest-time.Duration(retryAfterShare*float64(retryAfter))
 }
--- a/internal/gateway/published.go
+++ b/internal/gateway/published.go
@@ -73,7 +73,7 @@
 // awaitChange waits until the view changes or is confirmed, but no longer than longPollTime. It
 // returns at once if the view holds anything that is new to the other gateway.
 func (n *PeerExchange) awaitChange(ctx context.Context, q publishedQuery) {
-	moved := n.g.view.Updated()
+	updated := n.g.view.Updated()
 	s := n.g.view.State()
 	if s.Config != nil && s.Config.Version() > q.version || n.g.view.ChangedSince(q.after) {
 		return
@@ -81,7 +81,7 @@
 	timer := time.NewTimer(longPollTime)
 	defer timer.Stop()
 	select {
-	case <-moved:
+	case <-updated:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -16,15 +16,15 @@
 
 // applyLimit applies what an answer says about its endpoint's rate limit.
 func (q *request) applyLimit(e fleet.Endpoint, a fleet.Answer) {
-	w := throttle.Report{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
+	report := throttle.Report{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
 	switch {
 	case a.HasRateLimit:
 	case a.Signed:
-		w.At = q.sentBoottime // A limit announced since the request was sent remains in effect.
+		report.At = q.sentBoottime // A limit announced since the request was sent remains in effect.
 	default:
 		return // Only the answer to a request that ran shows that a limit has ended.
 	}
-	if q.g.applyRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.RecordAnswer(e.ID, w) }) {
+	if q.g.applyRateLimit(e.ID, zap.String("request", q.call.ID), func(l *throttle.Limits) bool { return l.RecordAnswer(e.ID, report) }) {
 		q.g.signalLimitsChanged()
 	}
 }
@@ -43,12 +43,12 @@
 	if limited {
 		fields = append(fields, zap.Float64("before-per-second", previous), zap.Time("since", since))
 	}
-	now, _, limited := g.limits.Limited(id)
+	current, _, limited := g.limits.Limited(id)
 	if !limited {
 		g.log.Info("endpoint names no rate limit any more", fields...)
 		return true
 	}
-	g.log.Info("endpoint names a rate limit", append(fields, zap.Float64("per-second", now), zap.Int("gateways", g.limits.GatewayCount()))...)
+	g.log.Info("endpoint names a rate limit", append(fields, zap.Float64("per-second", current), zap.Int("gateways", g.limits.GatewayCount()))...)
 	return true
 }
 
@@ -67,8 +67,10 @@
 			g.log.Warn("ignored invalid rate limit of an endpoint", zap.Stringer("told-by", from), zap.Float64("per-second", limit.PerSecond), zap.Int64("age-ms", limit.AgeMs))
 			continue
 		}
-		w := throttle.Report{Limited: limit.Limited, Limit: limit.PerSecond, At: g.cfg.Now().Add(-limit.Age())}
-		g.applyRateLimit(limit.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Merge(throttle.Update{Endpoint: limit.Endpoint, Report: w}) })
+		report := throttle.Report{Limited: limit.Limited, Limit: limit.PerSecond, At: g.cfg.Now().Add(-limit.Age())}
+		g.applyRateLimit(limit.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool {
+			return l.Merge(throttle.Update{Endpoint: limit.Endpoint, Report: report})
+		})
 	}
 }
 
@@ -123,10 +125,10 @@
 	}
 }
 
-// throttledRetry returns the time after which the rate limits have capacity for one more of the
+// assignThrottledRetry returns the time after which the rate limits have capacity for one more of the
 // callers refused here. Callers return to any gateway, as do those refused by the others; if this
 // gateway borrows parts, most callers come here. The caller holds mu.
-func (q *request) throttledRetry(by exclusion) time.Duration {
+func (q *request) assignThrottledRetry(by exclusion) time.Duration {
 	g := q.g
 	b := g.backlogs[q.service]
 	if b == nil {
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -25,12 +25,12 @@
 	timer := time.NewTimer(time.Until(hold.UntilConfig(q.arrived, callerTimeout)))
 	defer timer.Stop()
 	for {
-		moved := q.g.view.Updated()
+		updated := q.g.view.Updated()
 		if s := q.g.view.State(); s.Config != nil {
 			return s
 		}
 		select {
-		case <-moved:
+		case <-updated:
 		case <-timer.C:
 			return q.g.view.State()
 		case <-q.ctx.Done():
@@ -71,8 +71,8 @@
 
 // holdUntil returns until when a caller that would not retry can be kept waiting, if a first event
 // takes the given time.
-func (q *request) holdUntil(first time.Duration) time.Time {
-	until := hold.UntilGroupOpen(q.lastOutputAt(), q.callerLeavesAfter(), first)
+func (q *request) holdUntil(firstEventTime time.Duration) time.Time {
+	until := hold.UntilGroupOpen(q.lastOutputAt(), q.callerLeavesAfter(), firstEventTime)
 	if until.After(q.deadline) {
 		return q.deadline
 	}
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -138,12 +138,12 @@
 	if err := q.reply.setWriteDeadline(); err != nil {
 		q.note("caller: " + err.Error()) // The next write shows whether the caller is gone.
 	}
-	begun, closed := q.g.stopState(q.arrived)
+	begun, refusing := q.g.stopState(q.arrived)
 	if begun {
 		q.closeAfterAnswer()
 	}
 	switch {
-	case closed:
+	case refusing:
 		q.refuse("instance is stopping", stopRetry)
 	case q.admit() && q.readBody():
 		q.run()
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -14,15 +14,17 @@
 // Results of an attempt.
 const (
 	done      result = iota // The request has its final answer.
-	unreached               // The endpoint could not be reached; nothing was sent.
+	unreached               // Nothing was sent: the endpoint could not be reached or must not be used any more.
 	notRun                  // The endpoint did not run it and will not run it.
 	unknown                 // It may have run.
 )
 
-// maxUnreached limits the endpoints that may fail to be reached before anything is sent.
+// maxUnreached is how many endpoints a request may fail to reach and still be sent to another one.
 const maxUnreached = 2
 
-// run sends the request to endpoints until it has its final answer.
+// run sends the request to one endpoint after another until it has its final answer, or until it is
+// concluded without one. Before each attempt it checks the caller, the deadline, the configuration and
+// the quarantine again.
 func (q *request) run() {
 	defer func() {
 		q.g.mu.Lock()
@@ -51,7 +53,7 @@
 			q.concludeUnserved(last, false)
 			return
 		}
-		if q.quarantined() {
+		if q.checkQuarantined() {
 			q.note("quarantined, endpoints ended while running it")
 			q.concludeUnserved(last, false)
 			return
@@ -76,7 +78,7 @@
 		if last = q.attempt(e); last == done {
 			return
 		}
-		q.retryTaken = q.consumeMoved() || q.retryTaken
+		q.retryTaken = q.consumeMoved() || q.retryTaken // The latter is set by abortSilent.
 		if last == unknown {
 			q.mayHaveRun = true
 			if !q.mayResend() {
@@ -93,7 +95,10 @@
 	return q.route.MayRepeat() && (!q.reply.begun() || q.cursor.resumable())
 }
 
-// concludeUnserved gives the final answer of a request for which no further attempt is made.
+// concludeUnserved ends a request for which no further attempt is made. Last is the result of its last
+// attempt, and late says that its deadline has passed. It sends nothing if the caller has left or the
+// answer has begun. Otherwise it sends the first that applies: the error answer that was held back, a
+// failure if the request may have run, or a refusal.
 func (q *request) concludeUnserved(last result, late bool) {
 	switch {
 	case q.ctx.Err() != nil:
@@ -115,7 +120,7 @@
 	}
 }
 
-// refuseNotRun refuses a request for which no endpoint could be found.
+// refuseNotRun refuses a request that no endpoint has run.
 func (q *request) refuseNotRun() {
 	if !q.exclusion.nonEmpty() {
 		q.exclusion = q.exclusionFromAll() // The endpoint that rejected it last may have been the last one not excluded.
@@ -128,7 +133,8 @@
 }
 
 // retryDelay returns how long the caller should wait before it retries a request that no endpoint
-// has run. If several causes apply, the first in this order counts.
+// has run. If several causes apply, the first in this order counts. For a request excluded by rate
+// limits it assigns a retry time, see exclusionRetry, so it is called once for each refusal.
 func (q *request) retryDelay() time.Duration {
 	switch {
 	case q.quarantinedFor > 0:
@@ -150,7 +156,8 @@
 	return noEndpointRetry
 }
 
-// takeRetry takes one retry from the service's budget.
+// takeRetry takes one retry from the service's budget and counts it. It returns false if there is none
+// left.
 func (q *request) takeRetry() bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -188,7 +188,7 @@
 		q.outcome = callerLeft
 		return done
 	}
-	if !errors.Is(err, upstream.ErrSilent) && !q.isBeingMoved(e) {
+	if !errors.Is(err, upstream.ErrSilent) && !q.noteIfMoved(e) {
 		q.recordFailure(e, 1, "stream: "+err.Error())
 		q.checkEndpointEnded(e, err)
 	}
@@ -205,5 +205,5 @@
 	if err := q.reply.flush(); err != nil {
 		q.note("caller: " + err.Error())
 	}
-	q.g.stats.resumedStreams.Inc(1)
+	q.g.stats.interruptedStreams.Inc(1)
 }
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -24,6 +24,9 @@
 	maxIdleRepeatable    = 30 * time.Second
 )
 
+// maxIdle returns how long a connection to an endpoint may have been idle to be used for the next
+// attempt; 0 stands for a new connection. That also applies to an endpoint that has just closed a
+// reused connection.
 func (q *request) maxIdle(e fleet.Endpoint) time.Duration {
 	lastRepeat := len(q.attempted) > 0 && len(q.attempted)+1 >= q.route.MaxAttempts
 	if !q.route.MayRepeat() || lastRepeat || e.ID == q.closedReused {
@@ -32,7 +35,8 @@
 	return maxIdleRepeatable
 }
 
-// attempt sends the request to one endpoint and relays its answer.
+// attempt sends the request to one endpoint and relays its answer. It returns unreached without sending
+// anything if it gets no connection, or if the endpoint must not be sent the request any more.
 func (q *request) attempt(e fleet.Endpoint) result {
 	g := q.g
 	duty.Locked(&g.mu, func() {
@@ -74,9 +78,9 @@
 	return q.exchange(e, conn)
 }
 
-// bindConn closes the connection when the caller leaves or the process terminates, for as long as
-// the request uses it. The returned function ends that; a connection returned to the pool belongs
-// to another request.
+// bindConn has the connection closed when the caller leaves or the process terminates. Release ends
+// that, since a connection that was returned to the pool may belong to another request. So does the
+// function detachConn, which bindConn sets.
 func (q *request) bindConn(conn *upstream.Conn) (release func()) {
 	detachCaller := context.AfterFunc(q.ctx, conn.Close)
 	detachProcess := context.AfterFunc(q.g.processCtx, conn.Close)
@@ -99,8 +103,10 @@
 	x.Done(q.g.pool)
 }
 
-// mayStillSend checks again, right before sending, whether the endpoint accepts new requests and
-// the configuration is still valid: the process may have been suspended since the last check.
+// mayStillSend checks again, right before sending, whether the endpoint accepts new requests and the
+// configuration is still valid: the process may have been suspended since the last check. The checks
+// take effect as in run: revalidate adopts a newer configuration, and checkQuarantined may begin a
+// trial.
 func (q *request) mayStillSend(e fleet.Endpoint) bool {
 	s := q.g.view.State()
 	now, ok := s.Endpoints[e.ID]
@@ -119,7 +125,7 @@
 	if _, ok := q.revalidate(); !ok || !q.keyFresh() {
 		return false // The loop in run repeats the check and notes the cause.
 	}
-	if q.quarantined() {
+	if q.checkQuarantined() {
 		return false // As above.
 	}
 	return q.remaining() > 0
@@ -133,6 +139,7 @@
 	q.recordSending() // After usePermit: a trial's answer counts only if it was sent no earlier than the trial began.
 	q.attemptFinished = false
 	defer func() {
+		// If nothing was sent, connectionFailed has removed the endpoint from attempted.
 		if !q.attemptFinished && len(q.attempted) > 0 && q.attempted[len(q.attempted)-1] == e.ID {
 			q.noteUnfinished(e)
 			q.g.checkEndedLater(e)
@@ -144,7 +151,7 @@
 		defer q.unregisterMovable()
 	}
 	out := &upstream.Request{Method: q.r.Method, Target: q.r.RequestURI, Host: q.r.Host, Body: q.body}
-	out.Header = q.g.codec.EndpointHeader(q.r.Header, q.stamp(e))
+	out.Header = q.g.codec.EndpointHeader(q.r.Header, q.attemptInfo(e))
 	x, err := conn.Send(out, q.deadline)
 	if err != nil {
 		conn.Close()
@@ -163,13 +170,14 @@
 	return q.relay(e, x, resp, answer)
 }
 
-// relay handles an answer whose head was received: it decides by the answer's headers whether the
-// answer is valid, and passes on what is meant for the caller.
+// relay handles an answer whose head was received. An answer that says that the request was not run is
+// recorded, and an answer without the signature of the endpoint or with an encoded body is dropped as
+// a failure. Any other answer is passed on to the caller, as a stream or complete.
 func (q *request) relay(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response, answer fleet.Answer) result {
 	q.applyAnswerHints(e, resp.StatusCode, answer)
 	if answer.NotRun {
 		q.attemptFinished = true
-		q.notRunByEndpoint(e, resp.StatusCode, answer)
+		q.recordNotRun(e, resp.StatusCode, answer)
 		x.Abort()
 		return notRun
 	}
@@ -194,8 +202,9 @@
 	return q.relayComplete(e, x, resp)
 }
 
-// stamp returns what is sent to the endpoint in addition to the caller's headers.
-func (q *request) stamp(e fleet.Endpoint) fleet.AttemptInfo {
+// attemptInfo returns what is sent to the endpoint in addition to the caller's headers. The weights
+// version is given only if a stream is continued, which must come from the same version.
+func (q *request) attemptInfo(e fleet.Endpoint) fleet.AttemptInfo {
 	s := fleet.AttemptInfo{EndpointName: e.Name(), TimeLeft: q.remaining(), Priority: q.priority()}
 	if q.customer != nil {
 		s.Customer = q.customer.Name
@@ -216,7 +225,8 @@
 	return 0
 }
 
-// connectionFailed handles a connection that failed before the head of an answer was received.
+// connectionFailed handles a connection that failed before the head of an answer was received. The
+// result is done if the caller has left, unreached if the request was not sent, and unknown otherwise.
 func (q *request) connectionFailed(e fleet.Endpoint, x *upstream.Exchange, err error) result {
 	if q.ctx.Err() != nil {
 		q.noteCallerLeft(e, "no answer yet", q.sentAt)
@@ -226,12 +236,12 @@
 	if x.Progress() == upstream.Unsent {
 		q.attempted = q.attempted[:len(q.attempted)-1]
 		q.unreachable = append(q.unreachable, e.ID)
-		if !q.isBeingMoved(e) {
+		if !q.noteIfMoved(e) {
 			q.recordFailure(e, 1, "unsent: "+err.Error())
 		}
 		return unreached
 	}
-	if errors.Is(err, upstream.ErrSilent) || q.isBeingMoved(e) {
+	if errors.Is(err, upstream.ErrSilent) || q.noteIfMoved(e) {
 		return unknown // The failure is recorded already, or the endpoint is not at fault.
 	}
 	weight, reused := 1.0, x.Conn().Reused()
@@ -245,8 +255,11 @@
 	return unknown
 }
 
-// notRunByEndpoint records an answer saying that the request was not run.
-func (q *request) notRunByEndpoint(e fleet.Endpoint, status int, a fleet.Answer) {
+// recordNotRun records an answer saying that the request was not run. If another endpoint has answered
+// at the address of e, e is marked as misplaced; an endpoint may give the same status because of the
+// weights version, which does not count. If the answer blames an endpoint, the whole group of e
+// rejects the request.
+func (q *request) recordNotRun(e fleet.Endpoint, status int, a fleet.Answer) {
 	q.recordFailure(e, 0, fmt.Sprintf("rejected without running it: %d %s", status, a.BlamedEndpoint)) // Being full is no fault.
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
@@ -264,26 +277,28 @@
 	return q.call.WeightsVersion != "" || q.reply.begun() && q.cursor.weights != ""
 }
 
-// noteCallerLeft records the attempt in flight when the caller left, which has no result of its
-// own.
+// noteCallerLeft notes how far the attempt was, and its duration, when the caller left. Such an attempt
+// has no result of its own.
 func (q *request) noteCallerLeft(e fleet.Endpoint, where string, since time.Time) {
 	q.note(fmt.Sprintf("%s: %s after %d ms, as the caller left", e.ID, where, time.Since(since).Milliseconds()))
 }
 
-// recordFailure records a failure of an endpoint with the given weight.
+// recordFailure notes a failure and counts it against the endpoint with the given weight, which may
+// eject the endpoint. A weight of 0 only notes it: the endpoint is not at fault.
 func (q *request) recordFailure(e fleet.Endpoint, weight float64, text string) {
 	q.note(e.ID + ": " + text)
 	if weight == 0 {
 		return
 	}
-	var out time.Duration
-	var ok bool
-	duty.Locked(&q.g.mu, func() { out, ok = q.g.table.RecordFailure(e.ID, weight, time.Now()) })
-	if ok {
-		q.g.log.Warn("endpoint ejected", zap.String("endpoint", e.ID), zap.String("cause", text), zap.Duration("for", out))
+	var ejection time.Duration
+	var ejected bool
+	duty.Locked(&q.g.mu, func() { ejection, ejected = q.g.table.RecordFailure(e.ID, weight, time.Now()) })
+	if ejected {
+		q.g.log.Warn("endpoint ejected", zap.String("endpoint", e.ID), zap.String("cause", text), zap.Duration("for", ejection))
 	}
 }
 
+// recordSuccess records that an endpoint has answered completely and without an error of its own.
 func (q *request) recordSuccess(e fleet.Endpoint) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
--- a/internal/gateway/vacate.go
+++ b/internal/gateway/vacate.go
@@ -46,14 +46,14 @@
 	if !g.otherEndpointAccepts(id) {
 		return
 	}
-	for q, placement := range g.movable[id] {
-		if !placement.mayRetry || q.moved || !q.stillAllowed(true) || !g.retryWindow(q.service).Take(g.cfg.Now(), rand.Float64) {
+	for q, attempt := range g.movable[id] {
+		if !attempt.mayRetry || q.moved || !q.stillAllowed(true) || !g.retryWindow(q.service).Take(g.cfg.Now(), rand.Float64) {
 			continue
 		}
 		g.stats.moved.Inc(1)
 		q.moved = true
 		g.log.Info("request moved", zap.String("id", q.call.ID), zap.String("from", id))
-		placement.conn.Close()
+		attempt.conn.Close()
 	}
 }
 
@@ -79,9 +79,9 @@
 	return moved
 }
 
-// isBeingMoved reports whether moveRequests is ending the current attempt, which is no fault of its
+// noteIfMoved reports whether moveRequests is ending the current attempt, which is no fault of its
 // endpoint.
-func (q *request) isBeingMoved(e fleet.Endpoint) bool {
+func (q *request) noteIfMoved(e fleet.Endpoint) bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if q.moved {
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -76,5 +76,5 @@
 	return l
 }
 
-// queued reports whether requests are already waiting for a service. The caller holds mu.
-func (g *Gateway) queued(service string) bool { return g.queue(service).Len() > 0 }
+// anyQueued reports whether requests are already waiting for a service. The caller holds mu.
+func (g *Gateway) anyQueued(service string) bool { return g.queue(service).Len() > 0 }
