--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -33,7 +33,8 @@
 	fullRetryJitter = 900 * time.Millisecond
 )
 
-// refuse answers that the request was not run and will not be run.
+// refuse answers that the request was not run and will not be run. Retry-After is given in seconds,
+// rounded up to hundredths.
 func (q *request) refuse(cause string, after time.Duration) {
 	q.note(cause)
 	q.outcome, q.retryAfter = refused, after
@@ -61,7 +62,8 @@
 	q.answer(status)
 }
 
-// fail answers that it is unknown whether the request ran.
+// fail answers that it is unknown whether the request ran. Status 504 means that its deadline
+// passed.
 func (q *request) fail(status int, cause string) {
 	q.note(cause)
 	q.outcome = failed
@@ -97,14 +99,16 @@
 // maxNotes limits the notes that are kept of a request for the log.
 const maxNotes = 8
 
-// note records the result of an attempt for the log.
+// note keeps the result of an attempt, or another cause of the outcome, for the log. Notes beyond
+// maxNotes are dropped.
 func (q *request) note(text string) {
 	if len(q.notes) < maxNotes {
 		q.notes = append(q.notes, text)
 	}
 }
 
-// logAndCount logs the request and counts its outcome.
+// logAndCount logs the request and counts its outcome. The level is warning unless the request was
+// served without any note.
 func (q *request) logAndCount() {
 	now := time.Now()
 	q.g.stats.countOutcome(q.outcome)
--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -32,7 +32,9 @@
 	return backoff.Process{Name: e.Name(), Start: e.StartedAt}
 }
 
-// applyBackoff records that an endpoint wants no requests for a while, or none at all any more.
+// applyBackoff records what an answer says about the endpoint's backoff: that it wants no requests
+// for a while, that it no longer asks for that, or that it is leaving and wants none at all any
+// more.
 func (q *request) applyBackoff(e fleet.Endpoint, a fleet.Answer) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
@@ -52,8 +54,9 @@
 	g.stats.setBackoffs(g.backoffs.Counts(now))
 }
 
-// usePermit records that the request is being sent, and counts it if its endpoint has requested
-// backoff, a rate limit or to leave.
+// usePermit records that the request is being sent, so that the charge to the endpoint's rate limit
+// is not returned any more. It counts the request if the endpoint has announced a rate limit, has
+// requested backoff or is leaving.
 func (q *request) usePermit(e fleet.Endpoint) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
@@ -96,8 +99,9 @@
 
 func (b exclusion) nonEmpty() bool { return b.rate > 0 || b.backoff > 0 }
 
-// addIfExcluded reports whether an endpoint is excluded now by its backoff or rate limit, and adds the
-// cause to b. The caller holds mu.
+// addIfExcluded reports whether an endpoint is excluded now by its backoff or rate limit, and adds
+// the cause to total. For a rate limit it also signals that parts of limits are wanted from other
+// gateways. The caller holds mu.
 func (g *Gateway) addIfExcluded(total *exclusion, e fleet.Endpoint, now time.Time) bool {
 	if remaining, backingOff := g.backoffs.BackingOff(incarnationOf(e), now); backingOff {
 		if total.backoff == 0 || remaining < total.backoff {
@@ -131,7 +135,7 @@
 
 // exclusionRetry returns how long it is until one of the endpoints that are excluded could be sent
 // the request: until the first backoff ends or the rate limits allow it, whichever is sooner. A
-// request excluded by rate limits is counted as throttled.
+// request excluded by rate limits is counted as throttled, and a retry time is assigned to it.
 func (q *request) exclusionRetry() (after time.Duration) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -24,7 +24,7 @@
 // published is a gateway's view as sent to another gateway.
 type published struct {
 	Life     int64         `json:"life"` // Of the sending process; its change numbers are valid within it only.
-	Age      time.Duration `json:"age"`
+	Age      time.Duration `json:"age"`  // Since the state was last known to be complete, when the answer was made.
 	Held     time.Duration `json:"held"` // How long the call was held to wait for a change.
 	Version  uint64        `json:"version"`
 	Revision uint64        `json:"revision"`         // Of the configuration.
@@ -87,7 +87,8 @@
 	return n.fetch(ctx, from, "")
 }
 
-// fetch fetches published state from another gateway; query holds further query parameters.
+// fetch fetches published state from another gateway. Query holds further query parameters, each
+// with a leading "&".
 func (n *PeerExchange) fetch(ctx context.Context, from, query string) (p published, err error) {
 	defer func() { err = errors.Wrapf(err, "gateway %s", from) }()
 	version := uint64(0)
@@ -105,9 +106,10 @@
 	return p, json.Unmarshal(raw, &p)
 }
 
-// mergePublished merges another gateway's state into the own view. Its age is counted from before
-// the call was sent. Nothing is removed, since the other gateway may be behind this one, and
-// endpoints that may have expired are not added.
+// mergePublished merges another gateway's state into the own view. The other gateway determined the
+// age no earlier than Held after requestedAt, when the call was sent, so the state is taken to be
+// no newer than it is. Nothing is removed, since the other gateway may be behind this one.
+// Endpoints that may have expired are not added.
 func (n *PeerExchange) mergePublished(p published, requestedAt time.Time) error {
 	if err := n.offerConfig(p); err != nil {
 		return err
@@ -118,6 +120,7 @@
 	return nil
 }
 
+// offerConfig offers the configuration of another gateway's answer to the view, if it has one.
 func (n *PeerExchange) offerConfig(p published) error {
 	if len(p.Config) == 0 {
 		return nil
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -17,15 +17,15 @@
 )
 
 // refusedBeforeShare is the portion of a group's limit up to which callers are admitted that were
-// refused before. Their answer is late anyway. If they were admitted like others, they would take the
-// capacity of callers who could be served in time. These would be refused and come again: with 5%
-// more requests than can be served, a third of all callers had to come twice.
+// refused before. Their answer is late anyway. If they were admitted like others, they would take
+// the capacity of callers who could be served in time. These would be refused and come again: with
+// 5% more requests than can be served, a third of all callers had to come twice.
 const refusedBeforeShare = 0.85
 
-// chooseEndpoint picks the endpoint for the next attempt and charges its rate limit. It first returns
-// the charge for an earlier choice that was not sent to. If ok is false, the fields of the request
-// say why: exclusion, allGroupsDown with groupOpensAt, or full. None of them is set if no further
-// attempt is allowed or no usable endpoint is listed.
+// chooseEndpoint picks the endpoint for the next attempt and charges its rate limit. It first
+// returns the charge for an earlier choice that was not sent to. If ok is false, the reason may be
+// in exclusion, in allGroupsDown with groupOpensAt, or in full. Full may also be left from an
+// earlier choice.
 func (q *request) chooseEndpoint(now time.Time) (e fleet.Endpoint, ok bool) {
 	q.allGroupsDown, q.exclusion = false, exclusion{}
 	if !q.mayAttemptMore() {
@@ -92,10 +92,10 @@
 	return len(q.attempted) < q.route.MaxAttempts && len(q.unreachable) <= maxUnreached
 }
 
-// candidates returns the endpoints of the service that may be tried, and the backoffs and rate limits
-// that exclude others for now. An endpoint that was sent the request already is no candidate. The
-// only exception is the one that closed a reused connection under the last attempt: it may be tried
-// once more if there is no other candidate. The caller holds mu.
+// candidates returns the endpoints of the service that may be tried, and the backoffs and rate
+// limits that exclude others for now. An endpoint that was sent the request already is no
+// candidate. The only exception is the one that closed a reused connection under the last attempt:
+// it may be tried once more if there is no other candidate. The caller holds mu.
 func (q *request) candidates() (list []fleet.Endpoint, exclusions exclusion) {
 	var retryable []fleet.Endpoint
 	s := q.g.view.State()
@@ -131,10 +131,10 @@
 //
 // In these cases no group is drawn:
 //   - An open group has no limit. All ranks in list are returned.
-//   - The request gets no capacity, but its answer has begun or it may have run. It already counts as
-//     in flight and is admitted anyway, to the ranks of all groups that are not silent.
-//   - The request gets no capacity, but no group's limit is known from its passes. It is admitted in
-//     the same way.
+//   - The request gets no capacity, but its answer has begun or it may have run. It already counts
+//     as in flight and is admitted anyway, to the ranks of all groups that are not silent.
+//   - The request gets no capacity, but no group's limit is known from its passes. It is admitted
+//     in the same way.
 //
 // The caller holds mu.
 func (q *request) chooseGroup(list []balance.Candidate, now time.Time) (chosen []balance.Candidate, ok bool) {
@@ -187,9 +187,9 @@
 	return ranks
 }
 
-// takeCapacity asks for a part of the free capacity of a group, for which other gateways compete, and
-// reports whether the request gets it. A request asks the same group again only after a newer report
-// of the group's load. The caller holds mu.
+// takeCapacity asks for a part of the free capacity of a group, for which other gateways compete,
+// and reports whether the request gets it. A request asks the same group again only after a newer
+// report of the group's load. The caller holds mu.
 func (q *request) takeCapacity(group string, o passes.Option) bool {
 	s := q.g.capacityShares[group]
 	if s == nil {
@@ -224,9 +224,9 @@
 }
 
 // onlyGroup returns the group of the ranks in list if exactly one group is known among them, and ""
-// otherwise. Ranks that have not reported their group yet count as members of that group: as a group
-// of their own they would have no known limit. This applies only to services that limit the rate of
-// cold ranks; for others it returns "". The caller holds mu.
+// otherwise. Ranks that have not reported their group yet count as members of that group: as a
+// group of their own they would have no known limit. This applies only to services that limit the
+// rate of cold ranks; for others it returns "". The caller holds mu.
 func (q *request) onlyGroup(list []balance.Candidate) (sole string) {
 	if coldTerms(q.config, q.service).Rate <= 0 {
 		return ""
@@ -241,12 +241,13 @@
 	return sole
 }
 
-// groupOption returns how many requests a group holds and may hold, and adds the group's turnover to
-// that of the request.
+// groupOption returns how many requests a group holds and may hold, and adds the group's turnover
+// to that of the request.
 //
 // Known is false if no limit is known from the group's passes, for example when it has just opened.
-// Each rank may then hold as many requests as cost as much as a pass without any request, but no more
-// than its slots. The limit is lower for a caller that was refused before. The caller holds mu.
+// Each rank may then hold as many requests as cost as much as a pass without any request, but no
+// more than its slots. The limit is lower for a caller that was refused before. The caller holds
+// mu.
 func (q *request) groupOption(name string, ranks []balance.Candidate, now time.Time) (o passes.Option, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
@@ -268,9 +269,9 @@
 	return o, known
 }
 
-// shape returns how the passes of a service's engines are modeled. Ok is false for a service without
-// engines, or whose configuration states no decode time. The shapes of the last used configuration
-// are cached.
+// shape returns how the passes of a service's engines are modeled. Ok is false for a service
+// without engines, or whose configuration states no decode time. The shapes of the last used
+// configuration are cached.
 func (g *Gateway) shape(c *fleet.Config, service string) (s passes.Shape, ok bool) {
 	svc := c.Service(service)
 	if svc == nil || svc.Engine == nil || svc.Engine.DecodeTimePerRequest <= 0 {
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -31,7 +31,9 @@
 }
 
 // recordGatewayCount records how many gateways a sidecar knows. That many share the capacity of the
-// endpoint beside the sidecar, including those from which this gateway has not received a hello.
+// endpoint beside the sidecar, including those from which this gateway has not received a hello. A
+// lower count than the recorded one is ignored until the recorded one is older than
+// gatewayCountTTL.
 func (g *Gateway) recordGatewayCount(n int, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -88,7 +90,8 @@
 // evacuatedDomains are the failure domains whose endpoints are sent no new requests.
 type evacuatedDomains map[string]bool
 
-// update applies a state of the view and returns the domains whose evacuation began or ended.
+// update applies a state of the view, and returns the domains whose evacuation has begun and those
+// whose evacuation has ended since the last update.
 func (d evacuatedDomains) update(s *follow.State) (began, ended []string) {
 	for _, e := range s.Evacuations() {
 		switch {
@@ -119,7 +122,8 @@
 }
 
 // markCold marks the candidates that are cold, and those among them to which this gateway has sent
-// all that it may for now. The caller holds mu.
+// all that it may for now. It marks none if the service has no rate limit for cold endpoints. The
+// caller holds mu.
 func (q *request) markCold(list []balance.Candidate, t cold.Params, now time.Time) {
 	if t.Rate <= 0 {
 		return
@@ -135,14 +139,16 @@
 	}
 }
 
-// allBudgetsSpent reports whether the rate limit of cold endpoints is all that excludes them.
+// allBudgetsSpent reports whether there are candidates and this gateway has sent to each of them
+// all that it may send to a cold endpoint for now.
 func allBudgetsSpent(list []balance.Candidate) bool {
 	return len(list) > 0 && !slices.ContainsFunc(list, func(c balance.Candidate) bool { return !c.BudgetSpent })
 }
 
 // setColdTurnover sets the turnover for a request that waits for one of the given number of cold
-// endpoints. Each gateway has its own share of their rate, so the rate of all gateways is set, as
-// for capacity that they share. The caller holds mu.
+// endpoints: the rate at which all gateways together may send to them. Each gateway has its own
+// share of that rate, but the queue expects the rate of capacity that all gateways share. The
+// caller holds mu.
 func (q *request) setColdTurnover(endpoints int, t cold.Params) {
 	q.turnover.Rate = q.g.cold.Rate(t) * float64(endpoints*(q.g.competitors()+1))
 }
@@ -167,15 +173,16 @@
 	return now.Sub(since) < noReportsTimeout
 }
 
-// hasRecentRankReports reports whether any rank reported recently.
+// hasRecentRankReports reports whether any rank reported within half of noReportsTimeout.
 func (g *Gateway) hasRecentRankReports(now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return now.Sub(g.table.LastReportOfAny()) < noReportsTimeout/2
 }
 
-// recordUnreachable records that an endpoint could not be reached: one that refuses connections has
-// ended, and will be cold after its restart. The caller holds mu.
+// recordUnreachable records that an endpoint could not be reached with err. An endpoint that
+// refuses connections has ended, and will be cold after its restart. Other errors are ignored. The
+// caller holds mu.
 func (q *request) recordUnreachable(id string, err error, now time.Time) {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		q.g.cold.Started(id, coldTerms(q.config, q.service), now)
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -52,7 +52,9 @@
 	q.g.suspects.RecordSuccess(q.key)
 }
 
-// checkEndpointEnded checks whether the endpoint of an attempt that was cut with err has ended.
+// checkEndpointEnded checks whether the endpoint of an attempt that was cut with err has ended. If
+// so, it counts the end, records the attempt as unfinished, and records the end as that of the
+// endpoint.
 func (q *request) checkEndpointEnded(e fleet.Endpoint, err error) (ended bool) {
 	if !closedByPeer(err) || !q.g.refusesConnections(q.ctx, e, maxIdleNonRepeatable) {
 		return false
@@ -65,10 +67,10 @@
 	return true
 }
 
-// checkEndedLater checks after EndCheckDelay whether an endpoint has ended at which an attempt did
-// not come to its end. The endpoint may have dropped the answer before it closed its listener, or
-// the gateway may have aborted the attempt before that. One check covers all attempts within the
-// delay.
+// checkEndedLater schedules a check, after EndCheckDelay, whether an endpoint has ended at which an
+// attempt did not come to its end. An earlier check could miss the end: the endpoint may have
+// dropped the answer before it closed its listener, or the gateway may have aborted the attempt
+// before that. One check covers all attempts within the delay.
 func (g *Gateway) checkEndedLater(e fleet.Endpoint) {
 	if !g.unfinished.beginCheck(e.ID) {
 		return
@@ -102,10 +104,13 @@
 // a second.
 const trialInProgressRetry = time.Second
 
-// checkQuarantined reports whether the request must not be sent, since endpoints ended while running it
-// or identical requests, here or at other gateways. Without quarantine, each attempt, each gateway
-// and each retry by the caller cost one more endpoint, and its group about five seconds: three
-// endpoints within five seconds of one day.
+// checkQuarantined reports whether the request must not be sent, since endpoints ended while
+// running it or identical requests, here or at other gateways. It sets quarantinedFor. If a trial
+// is due that runs at this gateway, it begins the trial and the request may be sent.
+//
+// Without quarantine, each attempt, each gateway and each retry by the caller cost one more
+// endpoint, and its group about five seconds. On one day, three endpoints ended within five
+// seconds.
 func (q *request) checkQuarantined() bool {
 	now := q.g.cfg.Now()
 	v, left := q.g.suspects.Judge(q.key, now)
@@ -123,7 +128,8 @@
 	return true
 }
 
-// recordSending records the quarantine state of the request as it is sent.
+// recordSending records the time at which the request is sent, and what is known then of earlier
+// ends.
 func (q *request) recordSending() {
 	q.sentBoottime = q.g.cfg.Now()
 	q.knowledge = q.g.suspects.SendingState(q.key, q.sentBoottime)
@@ -132,7 +138,8 @@
 	}
 }
 
-// ownsTrial reports whether trials of a key, which take place at one gateway only, run here.
+// ownsTrial reports whether trials of a key run at this gateway. They take place at one gateway
+// only; without peers it is this one.
 func (g *Gateway) ownsTrial(k quarantine.Key) bool {
 	var owner func(quarantine.Key) bool
 	duty.Locked(&g.mu, func() { owner = g.ownsTrialKey })
@@ -146,9 +153,9 @@
 }
 
 // refusesConnections reports whether an endpoint's address refuses connections, which means that
-// its process has ended. That distinguishes it from an endpoint that dropped one answer, and from a
-// rank whose group was cut because another rank ended. A sound connection that was idle for less
-// than maxIdle counts as a new one; it is kept for the next request.
+// its process has ended. An endpoint that only dropped one answer still accepts them, and so does a
+// rank whose group was cut because another rank ended. A healthy idle connection of the pool, used
+// within maxIdle, counts as accepted, too. The connection is kept for the next request.
 func (g *Gateway) refusesConnections(ctx context.Context, e fleet.Endpoint, maxIdle time.Duration) bool {
 	conn, err := g.pool.Get(ctx, e.ID, e.Address, maxIdle)
 	if err != nil {
--- a/internal/gateway/event.go
+++ b/internal/gateway/event.go
@@ -23,11 +23,12 @@
 	weights string // Weights version from here on; "" if it does not change.
 }
 
-// marksPosition reports whether the stream has a position after the event at which another run can
-// continue.
+// marksPosition reports whether another run can continue the stream after the event. An event with
+// data but without an id leaves the position unknown; one without data does not change it.
 func (ev *event) marksPosition() bool { return ev.hasID || !ev.hasData }
 
-// readEvent reads one event into buf. It returns io.EOF if the stream ended before the event.
+// readEvent reads one event; its raw bytes reuse the memory of buf. It returns io.EOF if the stream
+// ended before the event, and errPartialEvent if it ended within the event.
 func (g *Gateway) readEvent(br *bufio.Reader, buf []byte) (ev event, err error) {
 	ev.raw = buf[:0]
 	for {
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -15,7 +15,7 @@
 	retries               metrics.Counter      // Requests sent to a further endpoint.
 	waited                metrics.Counter      // Requests that waited for capacity.
 	moved                 metrics.Counter      // Requests moved away from slow ranks.
-	interruptedStreams    metrics.Counter      // Streams that were continued at another endpoint.
+	interruptedStreams    metrics.Counter      // Streams cut after their answer had begun, whether or not they were continued.
 	heldForGroup          metrics.Counter      // Requests that waited for a group of ranks to open.
 	silentAttempts        metrics.Counter      // Attempts aborted because no data arrived, and continued elsewhere.
 	sentToCold            metrics.Counter      // Requests sent to endpoints that count as cold.
@@ -74,6 +74,7 @@
 	}
 }
 
+// setBackoffs sets the numbers of endpoints that are backing off and that are leaving.
 func (f *gatewayMetrics) setBackoffs(backingOff, leaving int) {
 	f.backingOff.Update(int64(backingOff))
 	f.leaving.Update(int64(leaving))
@@ -97,4 +98,5 @@
 	metrics.GetOrRegisterCounter("gateway.stream-end."+how, f.reg).Inc(1)
 }
 
+// observeFirstByte records the time from a request's arrival to its answer or first event.
 func (f *gatewayMetrics) observeFirstByte(d time.Duration) { f.firstByteMs.Update(d.Milliseconds()) }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -109,7 +109,7 @@
 	evacuated            evacuatedDomains
 	ownsTrialKey         func(k quarantine.Key) bool // Whether trials of a key run here; nil without peers.
 
-	shapesMu     sync.Mutex // Guards the fields below.
+	shapesMu     sync.Mutex              // Guards the fields below.
 	shapesConfig *fleet.Config           // Configuration from which shapes were computed.
 	shapes       map[string]passes.Shape // By service; filled on first use.
 
@@ -207,9 +207,9 @@
 	g.stats.limited.Update(int64(g.limits.Count()))
 }
 
-// ViewChanged must be called after each change of the view. It publishes the idle timeout of callers'
-// connections and applies the changes of cold endpoints and evacuated failure domains. It also closes
-// the idle connections to endpoints that are leaving or no longer listed.
+// ViewChanged must be called after each change of the view. It publishes the idle timeout of
+// callers' connections and applies the changes of cold endpoints and evacuated failure domains. It
+// also closes the idle connections to endpoints that are leaving or no longer listed.
 func (g *Gateway) ViewChanged() {
 	s := g.view.State()
 	if s.Config != nil {
@@ -222,10 +222,10 @@
 	})
 }
 
-// ReportLoad records the load of the endpoint at an address, and moves requests away from the endpoint
-// if it is too slow. The reporter is a process beside the endpoint, which knows no more of it than its
-// address. The report is ignored if no endpoint is listed at the address, or if it is from an earlier
-// process than the listed one.
+// ReportLoad records the load of the endpoint at an address, and moves requests away from the
+// endpoint if it is too slow. The reporter is a process beside the endpoint, which knows no more of
+// it than its address. The report is ignored if no endpoint is listed at the address, if there is
+// no configuration yet, or if it is from an earlier process than the listed one.
 func (g *Gateway) ReportLoad(address string, l balance.Load) {
 	s := g.view.State()
 	e, ok := s.ByAddress[address]
@@ -242,8 +242,8 @@
 }
 
 // applyLoad records an endpoint's load and reports whether its requests should be moved away. The
-// argument ranked says whether the endpoint is a rank whose passes are modeled by shape; the passes of
-// others are not tracked. A load of an earlier process than the known one is ignored.
+// argument ranked says whether the endpoint is a rank whose passes are modeled by shape; the passes
+// of others are not tracked. A load of an earlier process than the known one is ignored.
 func (g *Gateway) applyLoad(e fleet.Endpoint, l balance.Load, cfg *fleet.Config, shape passes.Shape, ranked bool) (moveAway bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -267,8 +267,8 @@
 	}
 }
 
-// isolated reports whether this gateway is cut off: it knew other gateways, but none has sent a
-// hello lately.
+// isolated reports whether this gateway is cut off: it has received hellos of other gateways, but
+// none within isolatedAfter.
 func (g *Gateway) isolated() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -279,8 +279,8 @@
 // intervals.
 const isolatedAfter = 3 * helloInterval
 
-// SetOtherGateways sets the number of other gateways and the time of the last hello from any of them.
-// It also adjusts the retry floors, which are shared by all gateways.
+// SetOtherGateways sets the number of other gateways and the time of the last hello from any of
+// them. It also adjusts the retry floors, which are shared by all gateways.
 func (g *Gateway) SetOtherGateways(n int, lastHello time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -290,8 +290,9 @@
 	}
 }
 
-// Portions of the published retry budget that one gateway uses. Only part of the floor is used,
-// since gateways may not know of each other; that part is divided among at least minGateways.
+// Portions of the published retry budget that gateways use. Only the portion retryFloorUsed of the
+// floor is used, since gateways may not know of each other. It is divided among at least
+// minGateways.
 const (
 	retryFloorUsed = 0.35
 	minGateways    = 8
@@ -306,8 +307,8 @@
 	return retryFloorUsed * g.cfg.RetryFloor / float64(max(g.otherGateways+1, minGateways))
 }
 
-// retryWindow returns the retry budget of a service. The first call for a service adds one. The caller
-// holds mu.
+// retryWindow returns the retry budget of a service. The first call for a service adds one. The
+// caller holds mu.
 func (g *Gateway) retryWindow(service string) *retry.Window {
 	w, ok := g.retryWindows[service]
 	if !ok {
@@ -321,8 +322,8 @@
 // for estimates of round-trip times.
 const responseTimeWeight = 0.125
 
-// responseEstimator returns the estimator of the time that a service takes for an answer that is not
-// a stream. Its first call for a service adds one without samples. The caller holds mu.
+// responseEstimator returns the estimator of the time that a service takes for an answer that is
+// not a stream. Its first call for a service adds one without samples. The caller holds mu.
 func (g *Gateway) responseEstimator(service string) *estimate.Estimator {
 	t := g.responseTimes[service]
 	if t == nil {
@@ -367,8 +368,8 @@
 // are still accepted.
 const maxAdvertisedKeepAlive = 2 * time.Second
 
-// stopState reports whether the planned stop has begun, and whether new requests are refused because
-// it has lasted for more than stopAcceptTime. Both are true once the process terminates.
+// stopState reports whether the planned stop has begun, and whether new requests are refused
+// because it has lasted for more than stopAcceptTime. Both are true once the process terminates.
 func (g *Gateway) stopState(now time.Time) (begun, refusing bool) {
 	if g.processCtx.Err() != nil {
 		return true, true
@@ -381,8 +382,8 @@
 // callers: it could not accept their keys for much longer.
 const maxReadyAge = 3200 * time.Millisecond
 
-// Ready reports whether new callers should be routed to this gateway: no planned stop has begun, and
-// the configuration is younger than maxReadyAge.
+// Ready reports whether new callers should be routed to this gateway: no planned stop has begun,
+// and the configuration is younger than maxReadyAge.
 func (g *Gateway) Ready(now time.Time) bool {
 	begun, _ := g.stopState(now)
 	return !begun && g.view.Age(now) < maxReadyAge
--- a/internal/gateway/kept.go
+++ b/internal/gateway/kept.go
@@ -28,8 +28,8 @@
 	CallerWriteTimeout = 4 * time.Second
 	// writeChunkBytes is how much of a complete answer a caller must read within that time.
 	writeChunkBytes = 64 << 10
-	// bodyDrainTimeout is how long an answer waits for the rest of a body that is not needed: less
-	// than the answer may then be left unread.
+	// bodyDrainTimeout is how long an answer waits for the rest of a body that is not needed. It is
+	// less than CallerWriteTimeout, for which the answer may then be left unread.
 	bodyDrainTimeout = CallerWriteTimeout / 2
 	// bodyGrace is how long after the request's deadline a body is still read, so that callers who
 	// are a little late are refused on a connection that stays open.
@@ -96,7 +96,7 @@
 type countedBody struct {
 	io.ReadCloser
 	q        *request
-	reserved int64 // Counted already, and not read yet.
+	reserved int64 // Bytes that are counted as buffered already, and not read yet.
 }
 
 // Read fails once the limit of buffered bytes is exceeded.
@@ -112,7 +112,8 @@
 	return n, err
 }
 
-// addBuffered counts bytes that stay buffered until the request ends.
+// addBuffered counts bytes that stay buffered until the request ends, even beyond the limit. A
+// negative n releases bytes.
 func (q *request) addBuffered(n int) {
 	q.buffered += int64(n)
 	q.g.bufferedTotal.add(int64(n))
@@ -133,9 +134,9 @@
 	return err
 }
 
-// setReadDeadline sets the time by which a body must have been read to its end. The deadline ends
-// with the body: the server removes it there, before it reads on to detect whether the caller
-// leaves.
+// setReadDeadline sets the time by which a body must have been read to its end. It does nothing if
+// there is no body, or if it has been read already. When the body ends, the server removes the
+// deadline before it reads on to detect whether the caller leaves.
 func (p *reply) setReadDeadline(until time.Time) error {
 	if !p.bodyPending {
 		return nil
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// lend requests parts of rate limits from other gateways and returns them, until ctx is done. A
+// lend borrows parts of rate limits from other gateways and gives them back, until ctx is done. A
 // part is another gateway's share of an endpoint's rate limit, with its tokens, lent for a limited
 // time.
 func (n *PeerExchange) lend(ctx context.Context) error {
@@ -51,8 +51,8 @@
 	}
 }
 
-// sendDueParts sends the messages about parts that are due. It reports whether more may become due
-// without another request.
+// sendDueParts sends the messages about parts that are due: requests to borrow and returns. It
+// reports whether more may become due without another signal of partsWanted.
 func (n *PeerExchange) sendDueParts() (more bool) {
 	now := n.g.cfg.Now()
 	var messages []throttle.Outgoing
@@ -88,7 +88,8 @@
 	n.sendPartsTo(m.Address, n.g.applyParts(m))
 }
 
-// applyParts applies received parts and returns the answers.
+// applyParts applies the received messages about parts, and returns the answers to those that have
+// one.
 func (g *Gateway) applyParts(m peers.Lending) (answers []peers.ShareMessage) {
 	now := g.cfg.Now()
 	g.mu.Lock()
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -19,8 +19,8 @@
 
 // Intervals and timeouts of long polls.
 const (
-	// unresponsiveTTL is how long a gateway that did not answer is polled after all others. By then a
-	// gateway that has died is no longer listed.
+	// unresponsiveTTL is how long a gateway that did not answer is polled after all others. By then
+	// a gateway that has died is no longer listed.
 	unresponsiveTTL = roster.RecentFor
 	// firstHelloWait is the longest time for which a new process waits for hellos of its failure
 	// domain, so that not all new processes poll the seeds: a few round trips to the seeds. It
@@ -42,7 +42,8 @@
 // errNoReader means that no gateway is known that reads the store.
 var errNoReader = errors.New("no gateway of the domain is known to read the store")
 
-// peerPositions holds the position of the last answer of the polled gateways, by address.
+// peerPositions holds the position of the last answer to a long poll, by the address of the
+// gateway. It holds only the gateway that answered last.
 type peerPositions map[string]changePosition
 
 // changePosition is the number of the last change that is known from one process of a gateway.
@@ -51,8 +52,10 @@
 	number      uint64
 }
 
-// FollowPeers polls a gateway that reads the store and applies the changes. If that gateway does
-// not answer, the others are polled in turn.
+// FollowPeers sends one long poll to a gateway that it may follow, and applies the changes. If that
+// gateway does not answer, the others are polled in turn. A new process first waits for the seeds
+// at the first start of the whole system, and for hellos of its failure domain. The error is
+// errNoReader if there is no gateway to poll, and that of the last one if none answers.
 func (n *PeerExchange) FollowPeers(ctx context.Context) (err error) {
 	if n.firstStart && time.Since(n.started) < startWindow {
 		wait.For(ctx, startWindow-time.Since(n.started)) // The seeds may not be up yet.
@@ -71,7 +74,9 @@
 	return err
 }
 
-// followOrder returns the gateways to poll, in the order in which to try them.
+// followOrder returns the gateways to poll, in the order in which to try them. Those that lately
+// failed to answer come last. While this gateway is warming up, and by the gateways known so far
+// would be one of the readers, it polls the seeds.
 func (n *PeerExchange) followOrder(now time.Time) []string {
 	list, place := n.followTargets()
 	if n.warmingUp(now) && place < readersPerDomain {
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -12,7 +12,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// receiveLoad records the load of one engine, and forwards it if asked to.
+// receiveLoad records the load of one engine. If asked to, it forwards the load, and its recipients
+// do not forward it again.
 func (n *PeerExchange) receiveLoad(l peers.Load) {
 	if l.Forward {
 		l.Forward = false
@@ -24,7 +25,8 @@
 	})
 }
 
-// receiveLoads records the loads of ranks of a group, and forwards them if asked to.
+// receiveLoads records the loads of ranks of a group, and the limit that the group's leader
+// announced. If asked to, it forwards them, and their recipients do not forward them again.
 func (n *PeerExchange) receiveLoads(l peers.Loads) {
 	if l.Forward {
 		l.Forward = false
@@ -45,7 +47,7 @@
 	}
 }
 
-// forward sends loads to the other gateways of the own failure domain.
+// forward sends a message with loads to the other live gateways of the own failure domain.
 func (n *PeerExchange) forward(m peers.Message) {
 	var to []string
 	duty.Locked(&n.mu, func() {
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -32,8 +32,8 @@
 	// hello is sent. The report of one rank is valid for its whole group, and hellos of all
 	// gateways to all sidecars would be most of the traffic on their links after an outage.
 	unheardHelloFanout = 16
-	// sidecarHelloRounds is the number of hello rounds per hello to sidecars, whose subscriptions
-	// last longer.
+	// sidecarHelloRounds is the number of hello rounds per hello to sidecars: a sidecar keeps a
+	// gateway as a subscriber for longer than one round.
 	sidecarHelloRounds = 2
 	// sidecarHelloFanout is the number of sidecars, drawn at random each time, to which each
 	// gateway sends hellos in addition to those of its failure domain, which receive them from
@@ -42,7 +42,7 @@
 	// borrowAge is the configuration age from which the published state is fetched from another
 	// gateway. While the store is reachable, its answers keep the age below this.
 	borrowAge = 2200 * time.Millisecond
-	// borrowInterval is the time between two such calls, and borrowTimeout limits each of them.
+	// borrowInterval is the time between two such fetches, and borrowTimeout limits each of them.
 	borrowInterval = 400 * time.Millisecond
 	borrowTimeout  = 350 * time.Millisecond
 	// maxPublishedBytes limits the size of another gateway's answer.
@@ -57,18 +57,18 @@
 	log              *zap.Logger
 	decode           func(raw []byte) (*fleet.Config, error)
 	client           *http.Client
-	self             string
-	incarnation      int64
+	self             string // Address of the own peer listener.
+	incarnation      int64  // Start of this process, in Unix milliseconds.
 	started          time.Time
 	readSpread       time.Duration // Period over which store reads are spread if peers provide only old state.
 	firstStart       bool          // The whole system starts for the first time.
 	name             string
-	seeds            []string
-	sidecarPort      int // Port on which sidecars listen.
+	seeds            []string // Addresses at which other gateways may be reachable.
+	sidecarPort      int      // Port on which sidecars listen.
 	domain           string
 	mu               sync.Mutex
 	roster           *roster.Roster
-	borrowing        bool
+	borrowing        bool                 // State was fetched by borrow since the age of the view was last below borrowAge.
 	lendersChosen    int                  // Number of lenders chosen; used by the hello-and-borrow duty only.
 	sidecarsGreeted  bool                 // The first hello to listed sidecars was sent; used by that duty only.
 	helloRounds      int                  // Number of hello rounds; used by that duty only.
@@ -81,11 +81,11 @@
 type PeerExchangeConfig struct {
 	Name         string
 	Domain       string
-	Address      string // Peer listener of this gateway.
-	Seeds        []string
-	EffectTime   time.Duration // Time within which a new configuration must take effect.
-	FirstStart   bool          // The whole system starts for the first time.
-	SidecarsPort int
+	Address      string                                  // Peer listener of this gateway.
+	Seeds        []string                                // Addresses at which other gateways may be reachable.
+	EffectTime   time.Duration                           // Time within which a new configuration must take effect.
+	FirstStart   bool                                    // The whole system starts for the first time.
+	SidecarsPort int                                     // Port on which sidecars listen.
 	Decode       func(raw []byte) (*fleet.Config, error) // Parses the text of a configuration.
 }
 
@@ -175,7 +175,8 @@
 		zap.Duration("last-heard", h.Previous.Age()), zap.String("told-by", h.Name))
 }
 
-// enroll adds the sender of a hello, and the gateways that the hello lists, to the roster.
+// enroll adds the sender of a hello, and the gateways that the hello lists, to the roster. Its
+// results are those of receiveHello.
 func (n *PeerExchange) enroll(h peers.Hello, known []roster.Member, now time.Time) (isNew bool, previous *peers.PreviousIncarnation) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -187,7 +188,8 @@
 	return isNew, previous
 }
 
-// answerHello answers a hello and lists the gateways that it asks for.
+// answerHello answers a hello and lists the gateways that the hello asks for, in as many messages
+// as they need. Only the first message tells of the sender's previous process.
 func (n *PeerExchange) answerHello(to netip.AddrPort, h peers.Hello, previous *peers.PreviousIncarnation) {
 	now := time.Now()
 	known := n.gatewaysAsked(h, now)
@@ -200,7 +202,7 @@
 	}
 }
 
-// gatewaysAsked returns the gateways that a hello asks for.
+// gatewaysAsked returns the gateways that a hello asks for; none if it asks for no failure domain.
 func (n *PeerExchange) gatewaysAsked(h peers.Hello, now time.Time) []roster.Member {
 	if h.QueriedDomain == "" {
 		return nil
@@ -210,7 +212,8 @@
 	return n.roster.AnswerQuery(h.Domain, h.QueriedDomain, now)
 }
 
-// liveGateways returns the addresses of the other gateways that are live.
+// liveGateways returns the addresses of the other gateways that are alive and not stopping, in
+// their order.
 func (n *PeerExchange) liveGateways() (list []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -255,8 +258,8 @@
 	}
 }
 
-// viewUpdatesUntilGreeted returns a channel that is closed when the view changes, until the first hello to sidecars
-// has been sent; nil afterwards.
+// viewUpdatesUntilGreeted returns a channel that is closed at the next change or confirmation of
+// the view. After the first hello to listed sidecars it returns nil, a channel that is never ready.
 func (n *PeerExchange) viewUpdatesUntilGreeted() <-chan struct{} {
 	if n.sidecarsGreeted {
 		return nil
@@ -275,9 +278,9 @@
 	n.helloSidecars(to)
 }
 
-// helloUnheardSidecars sends hellos to sidecars while none of them reports: after an outage of both
-// sides, sidecars that were not up yet have missed the last hello, and requests wait for their
-// reports.
+// helloUnheardSidecars sends hellos to some sidecars while none of them reports and no planned stop
+// has begun. After an outage of both sides, sidecars that were not up yet have missed the last
+// hello, and requests wait for their reports.
 func (n *PeerExchange) helloUnheardSidecars() {
 	if leaving, _ := n.g.stopState(time.Now()); leaving || n.g.hasRecentRankReports(time.Now()) {
 		return
@@ -293,8 +296,8 @@
 	return &peers.Hello{Name: n.name, Incarnation: n.incarnation, Address: n.self, Domain: n.domain, StoreUnreachable: n.storeUnreachable, Leaving: leaving}
 }
 
-// sidecarHello returns the hello for sidecars, which also lists other gateways: those send hellos
-// to other sidecars.
+// sidecarHello returns the hello for sidecars. It also gives the number of gateways and lists some
+// of the others, since a sidecar receives hellos from only a few gateways.
 func (n *PeerExchange) sidecarHello() *peers.Hello {
 	now := time.Now()
 	h := n.ownHello(now)
@@ -305,7 +308,9 @@
 	return h
 }
 
-// sendHellos sends hellos to gateways and sidecars.
+// sendHellos sends a round of hellos to gateways, and hellos and ends to sidecars every
+// sidecarHelloRounds rounds, beginning with the first; during a planned stop in every round. It
+// also updates what depends on the number of gateways, and announces changed rate limits.
 func (n *PeerExchange) sendHellos() {
 	now := time.Now()
 	expired, greetings, others, lastHello := n.beginRound(now)
@@ -330,7 +335,8 @@
 	n.sendEndsToSidecars(sidecars)
 }
 
-// beginRound begins a round of hellos.
+// beginRound begins a round of hellos. It returns the addresses of the gateways that have expired,
+// the hellos to send, the number of other live gateways, and when the last hello was received.
 func (n *PeerExchange) beginRound(now time.Time) (expired []string, greetings []roster.Hello, others int, lastHello time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// callerTimeouts learns for each route how long callers wait at their first request, and detects by
-// that which callers retry: less of their time is left.
+// callerTimeouts learns for each route how long callers wait at their first request. It detects by
+// that which callers retry: they have less time left.
 type callerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]routeTimeouts // Invariant: at most maxTrackedRoutes.
@@ -41,9 +41,11 @@
 
 func newCallerTimeouts() *callerTimeouts { return &callerTimeouts{routes: map[string]routeTimeouts{}} }
 
-// classify reports whether a caller with the given time left has certainly been refused before, and
-// whether it may have been: until enough callers are seen, those of a route are assumed to wait at
-// first for the whole timeout of the route.
+// classify records a caller with the given time left, and reports whether it has certainly been
+// refused before, and whether it possibly has; the second includes the first. The caller is certain
+// to have been refused by comparison with the longest time left that was seen before. Until
+// minCallersSeen callers of the route are seen, it is also compared with the route's timeout, which
+// callers are assumed to wait for at first.
 func (p *callerTimeouts) classify(route string, timeLeft, routeTimeout time.Duration) (certain, possible bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/published.go
+++ b/internal/gateway/published.go
@@ -16,11 +16,13 @@
 // publishedQuery is what a gateway asks of another one.
 type publishedQuery struct {
 	version     uint64 // Of the asking gateway's configuration.
-	incarnation int64  // Of the process that issued after.
+	incarnation int64  // Of the process that numbered the changes; 0 for none.
 	after       uint64 // Number of the newest change that the asking gateway knows.
 	hold        bool   // Wait for a change.
 }
 
+// parsePublishedQuery parses the query of a call. Only a call that is to be held names an
+// incarnation and a change.
 func parsePublishedQuery(r *http.Request) (q publishedQuery, err error) {
 	values := r.URL.Query()
 	if q.version, err = strconv.ParseUint(values.Get("version"), 10, 64); err != nil {
@@ -37,7 +39,9 @@
 	return q, errors.Wrap(err, "after")
 }
 
-// servePublished serves the view of this gateway to another one.
+// servePublished serves the view of this gateway to another one: all changes after the one that the
+// other gateway names, or everything if it names none of this process. The configuration is
+// included only if it is newer than that of the other gateway.
 func (n *PeerExchange) servePublished(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
 	q, err := parsePublishedQuery(r)
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -14,7 +14,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// applyLimit applies what an answer says about its endpoint's rate limit.
+// applyLimit applies what an answer says about its endpoint's rate limit. A change is signaled, so
+// that it is announced to other gateways.
 func (q *request) applyLimit(e fleet.Endpoint, a fleet.Answer) {
 	report := throttle.Report{Limited: a.HasRateLimit, Limit: a.RateLimit, At: q.g.cfg.Now()}
 	switch {
@@ -125,9 +126,11 @@
 	}
 }
 
-// assignThrottledRetry returns the time after which the rate limits have capacity for one more of the
-// callers refused here. Callers return to any gateway, as do those refused by the others; if this
-// gateway borrows parts, most callers come here. The caller holds mu.
+// assignThrottledRetry assigns a retry time to one more of the callers refused here, and returns
+// the time until then, when the rate limits by which it was excluded have capacity for it. Callers
+// return to any gateway, as do those refused by the others, so an equal part of the rate of all
+// gateways counts. If this gateway borrows parts, most callers come here, and the rate of its own
+// parts counts if it is higher. The caller holds mu.
 func (q *request) assignThrottledRetry(by exclusion) time.Duration {
 	g := q.g
 	b := g.backlogs[q.service]
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -26,7 +26,14 @@
 	maxFollowers = 8
 )
 
-// ReadsStore reports whether this gateway is one of the few of its domain that read the store.
+// ReadsStore reports whether this gateway is one of the few of its domain that read the store. It
+// also records storeReachable, whether this gateway gets answers from the store, for its hellos.
+//
+// The first of these cases applies:
+//   - During a planned stop, it reads the store only if no other gateway can.
+//   - While it is warming up, it does not read the store.
+//   - If the store is reachable for other gateways only, it does not read the store.
+//   - Otherwise it reads the store if it is among the first readersPerDomain candidates.
 func (n *PeerExchange) ReadsStore(storeReachable bool) bool {
 	duty.Locked(&n.mu, func() { n.storeUnreachable = !storeReachable })
 	leaving, _ := n.g.stopState(time.Now())
@@ -59,8 +66,9 @@
 	return list
 }
 
-// readerCandidates returns the other gateways of the domain that can read the store. If there are
-// none and this one cannot read it either, it returns those that try to, and anyReachable is false.
+// readerCandidates returns the other gateways of the domain that can read the store, in the order
+// of their addresses. If there are none and this one cannot read it either, by storeReachable, it
+// returns those that cannot. AnyReachable reports whether any other gateway can read the store.
 func (n *PeerExchange) readerCandidates(storeReachable bool) (list []string, anyReachable bool) {
 	var unreachable []string
 	var near []roster.Gateway
@@ -95,7 +103,9 @@
 }
 
 // parentPlace returns the place of the parent of the gateway at a place, which must not be one of
-// the readers. Places are those in the order of addresses.
+// the readers. Places are those in the order of addresses. The first gateways after the readers are
+// divided among the readers in turn, maxFollowers for each. Each further maxFollowers gateways have
+// the next gateway as their parent, beginning with the first after the readers.
 func parentPlace(place int) int {
 	follower := place - readersPerDomain
 	if follower < readersPerDomain*maxFollowers {
--- a/internal/gateway/recover.go
+++ b/internal/gateway/recover.go
@@ -16,7 +16,7 @@
 const groupOpenPoll = 25 * time.Millisecond
 
 // awaitConfig waits for the first configuration, but no longer than is useful before the caller is
-// asked to retry, and returns the state of the view.
+// asked to retry. It returns the state of the view, which may have no configuration.
 func (q *request) awaitConfig() *follow.State {
 	callerTimeout := defaultCallerTimeout
 	if q.call.HasCallerTimeout {
@@ -41,9 +41,11 @@
 	}
 }
 
-// awaitGroupOpen waits for a group of ranks to open while all are closed. It does so for a caller
-// that would not retry and would still be connected at the expected time: that caller is served
-// late, or not at all. It reports whether an endpoint is available now.
+// awaitGroupOpen waits for a group of ranks to open while all are closed. It waits only for a
+// caller that would not retry, and would still be connected when a group is expected to open: that
+// caller is served late, or not at all. It does not wait if no further attempt is allowed, or if an
+// error answer is held back that can be sent instead. It reports whether an endpoint is available
+// now.
 func (q *request) awaitGroupOpen(now time.Time) (e fleet.Endpoint, ok bool) {
 	if !q.wontReturn() || !q.mayAttemptMore() || q.fallback != nil {
 		return e, false
@@ -65,12 +67,12 @@
 	return e, false
 }
 
-// wontReturn reports whether the caller would not retry if it were refused: it has been refused
-// before, or has received a part of its answer.
+// wontReturn reports whether the caller is taken not to retry if it were refused: it has, or may
+// have, been refused before, or it has received a part of its answer.
 func (q *request) wontReturn() bool { return q.reply.begun() || q.refusedBefore || q.maybeRefused }
 
 // holdUntil returns until when a caller that would not retry can be kept waiting, if a first event
-// takes the given time.
+// takes the given time. It is no later than the request's deadline.
 func (q *request) holdUntil(firstEventTime time.Duration) time.Time {
 	until := hold.UntilGroupOpen(q.lastOutputAt(), q.callerLeavesAfter(), firstEventTime)
 	if until.After(q.deadline) {
@@ -79,7 +81,8 @@
 	return until
 }
 
-// lastOutputAt returns when the caller last received an event, or when the request arrived.
+// lastOutputAt returns when the last event was sent to the caller, or when the request arrived if
+// none was.
 func (q *request) lastOutputAt() time.Time {
 	if q.lastEventAt.After(q.arrived) {
 		return q.lastEventAt
@@ -87,7 +90,8 @@
 	return q.arrived
 }
 
-// clearGroupRejection clears the rejection by a group once the group reports that it is open.
+// clearGroupRejection clears the rejection by a group once the group has reported, after it
+// rejected the request, that it is open.
 func (q *request) clearGroupRejection(now time.Time) {
 	if !q.groupRejected {
 		return
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -35,44 +35,44 @@
 	deadline        time.Time     // Time by which the final answer is due.
 
 	attempted       []string        // Endpoints to which it was sent.
-	unreachable     []string        // Endpoints that could not be reached.
+	unreachable     []string        // Endpoints that could not be reached, or were found unusable right before sending.
 	closedReused    string          // Endpoint that only closed a reused connection under the last attempt; "" for none.
 	notes           []string        // Result of each attempt, for the log.
 	mayHaveRun      bool            // An endpoint may have run it.
 	fallback        *fallbackAnswer // Newest error answer that was held back to try another endpoint; nil if none.
 	groupRejected   bool            // A whole group of ranks rejected it.
-	allGroupsDown   bool            // All groups of ranks are closed.
-	groupOpensAt    time.Time       // When the first of them is expected to open again.
-	rejectingGroup  string
+	allGroupsDown   bool            // All groups of ranks are closed, or no rank has reported yet.
+	groupOpensAt    time.Time       // When the first group is expected to open, or ranks to report; zero if not known.
+	rejectingGroup  string          // Group that last rejected the request; "" for none.
 	groupRejectedAt time.Time       // When rejectingGroup did so.
 	configTooOld    bool            // The configuration is too old to verify the request's key.
 	buffered        int64           // Bytes buffered for it.
 	chosenCold      bool            // The endpoint chosen last is cold.
-	full            bool            // No endpoint has capacity now.
-	exclusion       exclusion       // Backoffs and rate limits that exclude all endpoints.
+	full            bool            // No endpoint had capacity at the last choice.
+	exclusion       exclusion       // Backoffs and rate limits that leave no endpoint to choose; empty if they do not.
 	permitEndpoint  string          // Endpoint whose limit was charged for a request not sent yet; "" for none.
 	turnover        passes.Turnover // Of all groups, as of the last choice.
-	waited          time.Duration   // Time spent waiting for capacity or for a group to open.
+	waited          time.Duration   // From its arrival to the last check for capacity or an open group; 0 if it did not wait.
 	inQueue         bool            // It waits in the queue of its service.
 	lastAsk         *capacityAsk    // Last time it asked for capacity; nil before.
 	sentAt          time.Time       // When it was last sent to an endpoint.
-	// Stops the attempt's connection from being closed when the caller leaves or the process
-	// terminates; returns false if it is being closed already.
+	// detachConn stops the attempt's connection from being closed when the caller leaves or the
+	// process terminates. It returns false if the connection is being closed already.
 	detachConn        func() bool
 	unregisterMovable func()           // Excludes the attempt from moveRequests; never nil.
 	moved             bool             // moveRequests ended the attempt and took a retry; guarded by g.mu.
 	retryTaken        bool             // The retry for the next attempt is already taken.
 	refusedBefore     bool             // The caller was refused before.
-	maybeRefused      bool             // As above, but too few callers were seen to be sure.
+	maybeRefused      bool             // The caller may have been refused before: too few callers were seen to be sure.
 	lastResponse      endpointResponse // Sent by the last endpoint whose answer was read.
 	cursor            cursor           // Position up to which the caller has the stream.
 	firstByteAt       time.Time        // When the answer or its first event was sent to the caller.
-	events            int
-	lastEventAt       time.Time     // When the last event was sent to the caller.
-	maxEventGap       time.Duration // Longest time between two events.
-	outcome           outcome
-	retryAfter        time.Duration
-	servedBy          string // Endpoint whose answer head the caller received.
+	events            int              // Events with data that were sent to the caller, over all attempts.
+	lastEventAt       time.Time        // When the last event was sent to the caller.
+	maxEventGap       time.Duration    // Longest time between two events.
+	outcome           outcome          // Empty until the request has ended.
+	retryAfter        time.Duration    // Retry-After of a refusal; 0 for none.
+	servedBy          string           // Endpoint whose answer head the caller received.
 	suspicion
 }
 
@@ -106,6 +106,8 @@
 // Handler returns the HTTP handler for callers.
 func (g *Gateway) Handler() http.Handler { return http.HandlerFunc(g.serve) }
 
+// serve handles one request from its arrival to its log line. A request whose handling panics is
+// answered as failed, unless its answer has begun.
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -150,8 +152,8 @@
 	}
 }
 
-// admit finds the route and the customer of the request. It returns false if the request already
-// has its final answer.
+// admit checks the request by the configuration and sets its route, customer, service, deadline and
+// stream position. It returns false if the request already has its final answer.
 func (q *request) admit() bool {
 	s := q.awaitConfig()
 	switch {
@@ -197,9 +199,9 @@
 	return true
 }
 
-// remaining returns the time left until the request's deadline. Suspensions of the machine count as
-// elapsed: the caller went on waiting meanwhile, and an endpoint would otherwise be granted time
-// that has passed.
+// remaining returns the time left until the request's deadline, 0 if the process terminates.
+// Suspensions of the machine count as elapsed: the caller went on waiting meanwhile, and an
+// endpoint would otherwise be granted time that has passed.
 func (q *request) remaining() time.Duration {
 	if q.g.processCtx.Err() != nil {
 		return 0
@@ -212,6 +214,8 @@
 // minHeaderLimit is the header size that is accepted whatever limit is published.
 const minHeaderLimit = 4 << 10
 
+// headerBytes returns the size of the request's target and header fields on the wire. Each field
+// has four bytes besides its name and value: a colon, a space and the line end.
 func (q *request) headerBytes() (n int) {
 	n = len(q.r.RequestURI)
 	for name, values := range q.r.Header {
@@ -243,8 +247,10 @@
 	return q.customer == nil || q.g.view.Age(q.g.cfg.Now()) < q.g.cfg.MaxKeyAge
 }
 
-// revalidate reports whether the newest configuration still allows the request. The request may
-// have waited, or the process may have been suspended, since the last check.
+// revalidate adopts the newest configuration for the request, and reports whether that still allows
+// it. The request may have waited, or the process may have been suspended, since the last check. If
+// the route no longer leads to the service, another service is drawn, but a request whose answer
+// has begun must stay with its service and is not allowed any more.
 func (q *request) revalidate() (cause string, ok bool) {
 	c := q.g.view.State().Config
 	if c == q.config {
@@ -269,8 +275,9 @@
 	return "", true
 }
 
-// stillAllowed reports whether the newest configuration would allow another attempt; a request
-// whose answer has begun must stay with its service. It changes nothing.
+// stillAllowed reports whether the newest configuration would allow another attempt and is recent
+// enough for the request's key. Unlike revalidate, it changes nothing. Begun says that the answer
+// has begun, so that the request must stay with its service.
 func (q *request) stillAllowed(begun bool) bool {
 	c := q.g.view.State().Config
 	if c != q.config {
@@ -285,7 +292,8 @@
 	return q.keyFresh()
 }
 
-// pickService draws a service at random by the route's weights.
+// pickService draws a service at random by the route's weights. If no weight is positive, it
+// returns the first service.
 func (q *request) pickService() string {
 	total := 0
 	for _, s := range q.route.Split {
@@ -304,7 +312,7 @@
 }
 
 // readBody reads the whole body, so that it can be sent more than once and no incomplete request is
-// sent.
+// sent. It returns false if the request already has its final answer.
 func (q *request) readBody() bool {
 	limit := q.config.Limits().BodyBytes
 	if limit <= 0 {
@@ -331,7 +339,7 @@
 	}
 	if err == nil {
 		q.reply.bodyPending = false
-		q.addBuffered(len(body) - int(q.buffered))
+		q.addBuffered(len(body) - int(q.buffered)) // The length of the body replaces the reservation.
 		q.body = body
 		return true
 	}
@@ -373,7 +381,8 @@
 	}
 }
 
-// priority returns the request's priority, where 0 is the most urgent.
+// priority returns the priority of the request's customer if it has one, and that of the route
+// otherwise; 0 is the most urgent.
 func (q *request) priority() int {
 	if q.customer != nil && q.customer.HasPriority {
 		return q.customer.Priority
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -23,8 +23,8 @@
 const maxUnreached = 2
 
 // run sends the request to one endpoint after another until it has its final answer, or until it is
-// concluded without one. Before each attempt it checks the caller, the deadline, the configuration and
-// the quarantine again.
+// concluded without one. Before each attempt it checks the caller, the deadline, the configuration
+// and the quarantine again.
 func (q *request) run() {
 	defer func() {
 		q.g.mu.Lock()
@@ -95,10 +95,10 @@
 	return q.route.MayRepeat() && (!q.reply.begun() || q.cursor.resumable())
 }
 
-// concludeUnserved ends a request for which no further attempt is made. Last is the result of its last
-// attempt, and late says that its deadline has passed. It sends nothing if the caller has left or the
-// answer has begun. Otherwise it sends the first that applies: the error answer that was held back, a
-// failure if the request may have run, or a refusal.
+// concludeUnserved ends a request for which no further attempt is made. Last is the result of its
+// last attempt, and late says that its deadline has passed. It sends nothing if the caller has left
+// or the answer has begun. Otherwise it sends the first that applies: the error answer that was
+// held back, a failure if the request may have run, or a refusal.
 func (q *request) concludeUnserved(last result, late bool) {
 	switch {
 	case q.ctx.Err() != nil:
@@ -156,8 +156,8 @@
 	return noEndpointRetry
 }
 
-// takeRetry takes one retry from the service's budget and counts it. It returns false if there is none
-// left.
+// takeRetry takes one retry from the service's budget and counts it. It returns false if there is
+// none left.
 func (q *request) takeRetry() bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// silenceLimit returns for how long from now the answer may be silent.
+// silenceLimit returns for how long from now the answer may be silent. Until the first event, that
+// is what is left of a time that began when the request was sent.
 func (q *request) silenceLimit(e fleet.Endpoint, x *upstream.Exchange) time.Duration {
 	a := q.answerTiming(e)
 	if x.Progress() == upstream.Answered && q.lastResponse.events > 0 {
@@ -37,7 +38,8 @@
 	return max(a.BeforeFirst()-time.Since(q.sentAt), 0)
 }
 
-// callerLeavesAfter returns how long the caller waits without receiving anything.
+// callerLeavesAfter returns how long the caller waits without receiving anything: the published
+// time, or deadlineShare of the request's time if none is published.
 func (q *request) callerLeavesAfter() time.Duration {
 	if q.route.SilenceTimeout > 0 {
 		return q.route.SilenceTimeout
@@ -58,7 +60,8 @@
 }
 
 // abortSilent decides whether the attempt is aborted because its answer is silent, so that the
-// request continues elsewhere. If so, it takes the retry for that.
+// request continues elsewhere. If so, it takes the retry for that and records a failure of the
+// endpoint.
 func (q *request) abortSilent(e fleet.Endpoint, silent time.Duration) bool {
 	if q.ctx.Err() != nil || !q.mayResend() || !q.mayMoveElsewhere() || !q.takeRetry() {
 		return false
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -108,7 +108,8 @@
 	return !q.moved
 }
 
-// sendEvent passes one event on; flush is true if no further event is buffered.
+// sendEvent passes one event on, preceded by the head of resp if the answer has not begun. Flush is
+// true if no further event is buffered.
 func (q *request) sendEvent(e fleet.Endpoint, resp *http.Response, ev event, flush bool) error {
 	var h replyHead
 	if !q.reply.begun() {
@@ -132,7 +133,8 @@
 	return q.reply.flush()
 }
 
-// recordEventTime records what the time of an event shows of the passes of its group.
+// recordEventTime records the time to the request's first event, or the gap since its last event,
+// for the passes of the endpoint's group.
 func (q *request) recordEventTime(e fleet.Endpoint, now time.Time) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
@@ -144,7 +146,8 @@
 	q.g.passes.RecordGap(e.ID, now.Sub(q.lastEventAt), now)
 }
 
-// endStream ends a stream that its endpoint ended as complete.
+// endStream ends a stream whose body was read to its end. The stream counts as cut if its end
+// cannot be told from the end of the endpoint's process.
 func (q *request) endStream(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
 	if !q.reply.begun() {
 		return q.endEmptyStream(e, x, resp)
@@ -166,7 +169,8 @@
 }
 
 // endEmptyStream ends a stream without any event. It is complete if its framing says so and the
-// caller had received events before: the last of them was the end.
+// caller had received events before, by the id that it names: the last of them was the end.
+// Otherwise the endpoint has failed.
 func (q *request) endEmptyStream(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
 	if !q.cursor.idKnown || !x.Framed() {
 		x.Abort()
@@ -181,7 +185,8 @@
 	return done
 }
 
-// streamFailed handles a stream that was cut.
+// streamFailed handles a stream that was cut. The endpoint is at fault unless its silence has been
+// recorded already or the request is being moved.
 func (q *request) streamFailed(e fleet.Endpoint, err error) result {
 	if q.ctx.Err() != nil {
 		q.noteCallerLeft(e, "stream not ended", q.sentAt)
@@ -196,8 +201,8 @@
 	return unknown
 }
 
-// flushPartialStream sends the complete events of a stream that ends here: they reach the caller
-// whether or not the stream is continued.
+// flushPartialStream sends the complete events of a stream that was cut, and counts the stream as
+// interrupted. The events reach the caller whether or not the stream is continued.
 func (q *request) flushPartialStream() {
 	if !q.reply.begun() {
 		return
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -32,7 +32,8 @@
 )
 
 // announceChanges announces ends and changed rate limits seen here to all other gateways at once,
-// until ctx is done. Hellos repeat the ends, since messages may be lost.
+// until ctx is done. An end is that of an endpoint's process during a request. Hellos repeat the
+// ends, since messages may be lost.
 func (n *PeerExchange) announceChanges(ctx context.Context) error {
 	for {
 		select {
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -18,7 +18,7 @@
 
 // maxIdleNonRepeatable and maxIdleRepeatable limit how long a reused connection may have been idle.
 // A request that must not run twice gets a new connection, since a request lost on a reused one may
-// have run. So does the last retry of any request.
+// have run. The last retry of any request gets a new connection, too.
 const (
 	maxIdleNonRepeatable = 0
 	maxIdleRepeatable    = 30 * time.Second
@@ -35,8 +35,9 @@
 	return maxIdleRepeatable
 }
 
-// attempt sends the request to one endpoint and relays its answer. It returns unreached without sending
-// anything if it gets no connection, or if the endpoint must not be sent the request any more.
+// attempt sends the request to one endpoint and relays its answer. It returns unreached without
+// sending anything if it gets no connection, or if the endpoint must not be sent the request any
+// more.
 func (q *request) attempt(e fleet.Endpoint) result {
 	g := q.g
 	duty.Locked(&g.mu, func() {
@@ -103,10 +104,10 @@
 	x.Done(q.g.pool)
 }
 
-// mayStillSend checks again, right before sending, whether the endpoint accepts new requests and the
-// configuration is still valid: the process may have been suspended since the last check. The checks
-// take effect as in run: revalidate adopts a newer configuration, and checkQuarantined may begin a
-// trial.
+// mayStillSend checks again, right before sending, whether the endpoint accepts new requests and
+// the configuration is still valid: the process may have been suspended since the last check. The
+// checks take effect as in run: revalidate adopts a newer configuration, and checkQuarantined may
+// begin a trial.
 func (q *request) mayStillSend(e fleet.Endpoint) bool {
 	s := q.g.view.State()
 	now, ok := s.Endpoints[e.ID]
@@ -170,9 +171,9 @@
 	return q.relay(e, x, resp, answer)
 }
 
-// relay handles an answer whose head was received. An answer that says that the request was not run is
-// recorded, and an answer without the signature of the endpoint or with an encoded body is dropped as
-// a failure. Any other answer is passed on to the caller, as a stream or complete.
+// relay handles an answer whose head was received. An answer that says that the request was not run
+// is recorded, and an answer without the signature of the endpoint or with an encoded body is
+// dropped as a failure. Any other answer is passed on to the caller, as a stream or complete.
 func (q *request) relay(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response, answer fleet.Answer) result {
 	q.applyAnswerHints(e, resp.StatusCode, answer)
 	if answer.NotRun {
@@ -226,7 +227,8 @@
 }
 
 // connectionFailed handles a connection that failed before the head of an answer was received. The
-// result is done if the caller has left, unreached if the request was not sent, and unknown otherwise.
+// result is done if the caller has left, unreached if the request was not sent, and unknown
+// otherwise.
 func (q *request) connectionFailed(e fleet.Endpoint, x *upstream.Exchange, err error) result {
 	if q.ctx.Err() != nil {
 		q.noteCallerLeft(e, "no answer yet", q.sentAt)
@@ -255,10 +257,10 @@
 	return unknown
 }
 
-// recordNotRun records an answer saying that the request was not run. If another endpoint has answered
-// at the address of e, e is marked as misplaced; an endpoint may give the same status because of the
-// weights version, which does not count. If the answer blames an endpoint, the whole group of e
-// rejects the request.
+// recordNotRun records an answer saying that the request was not run. If another endpoint has
+// answered at the address of e, e is marked as misplaced; an endpoint may give the same status
+// because of the weights version, which does not count. If the answer blames an endpoint, the whole
+// group of e rejects the request.
 func (q *request) recordNotRun(e fleet.Endpoint, status int, a fleet.Answer) {
 	q.recordFailure(e, 0, fmt.Sprintf("rejected without running it: %d %s", status, a.BlamedEndpoint)) // Being full is no fault.
 	q.g.mu.Lock()
@@ -277,8 +279,8 @@
 	return q.call.WeightsVersion != "" || q.reply.begun() && q.cursor.weights != ""
 }
 
-// noteCallerLeft notes how far the attempt was, and its duration, when the caller left. Such an attempt
-// has no result of its own.
+// noteCallerLeft notes how far the attempt was, and its duration, when the caller left. Such an
+// attempt has no result of its own.
 func (q *request) noteCallerLeft(e fleet.Endpoint, where string, since time.Time) {
 	q.note(fmt.Sprintf("%s: %s after %d ms, as the caller left", e.ID, where, time.Since(since).Milliseconds()))
 }
--- a/internal/gateway/unfinished.go
+++ b/internal/gateway/unfinished.go
@@ -41,7 +41,7 @@
 	return &unfinishedAttempts{byEndpoint: map[string][]unfinishedAttempt{}, pendingChecks: map[string]bool{}}
 }
 
-// note records an attempt at an endpoint.
+// note records an attempt at an endpoint. Only the newest maxUnfinishedPerEndpoint are kept.
 func (t *unfinishedAttempts) note(endpoint string, u unfinishedAttempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +49,8 @@
 	t.byEndpoint[endpoint] = list[max(len(list)-maxUnfinishedPerEndpoint, 0):]
 }
 
-// take removes and returns the attempts to which the end of an endpoint is attributed.
+// take removes all attempts at an endpoint, and returns those to which its end is attributed: those
+// that ended within unfinishedTTL.
 func (t *unfinishedAttempts) take(endpoint string, now time.Time) (list []unfinishedAttempt) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,7 +59,8 @@
 	return slices.DeleteFunc(list, func(u unfinishedAttempt) bool { return now.Sub(u.endedAt) >= unfinishedTTL })
 }
 
-// forget removes attempts older than unfinishedTTL.
+// forget removes the attempts at each endpoint whose newest attempt ended unfinishedTTL ago or
+// earlier.
 func (t *unfinishedAttempts) forget(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/vacate.go
+++ b/internal/gateway/vacate.go
@@ -19,8 +19,8 @@
 	mayRetry bool // It may be sent to one more endpoint.
 }
 
-// registerMovable records that a request is at an endpoint from which it may be moved. The returned
-// function removes the record.
+// registerMovable records that a request is at an endpoint from which it may be moved. Unregister
+// removes the record; it may be called more than once.
 func (g *Gateway) registerMovable(id string, q *request, conn *upstream.Conn) (unregister func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -79,8 +79,8 @@
 	return moved
 }
 
-// noteIfMoved reports whether moveRequests is ending the current attempt, which is no fault of its
-// endpoint.
+// noteIfMoved reports whether moveRequests is ending the current attempt, and notes it if so. The
+// endpoint is not at fault then.
 func (q *request) noteIfMoved(e fleet.Endpoint) bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -18,8 +18,10 @@
 	queuePoll = 12 * time.Millisecond
 )
 
-// awaitCapacity waits in the queue of its service for capacity, as long as the request can still be
-// served in time. It reports whether an endpoint is available now.
+// awaitCapacity waits in the queue of the request's service for capacity, as long as the request
+// can still be served in time. A caller that would not retry waits for as long as holdUntil allows.
+// The request does not wait at all if the queue expects that its turn comes too late. It reports
+// whether an endpoint is available now.
 func (q *request) awaitCapacity(now time.Time) (e fleet.Endpoint, ok bool) {
 	g := q.g
 	until := q.arrived.Add(q.route.TargetLatency - q.turnover.FirstEvent)
@@ -62,8 +64,8 @@
 	return e, false
 }
 
-// class returns the request's class in the order of admission. An answer to a caller that was
-// refused before is late anyway.
+// class returns the request's class in the order of admission. A caller that would not retry counts
+// as late: the answer to one that was refused before is late anyway.
 func (q *request) class() room.Class { return room.ClassOf(q.priority(), q.wontReturn()) }
 
 // queue returns the queue of a service. The caller holds mu.
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -18,7 +18,7 @@
 const maxAnswerBytes = 16 << 20
 
 // relayComplete reads an answer to its end before passing it on, so that no incomplete answer is
-// sent.
+// sent. An error answer of the endpoint is held back as fallback if another endpoint can be tried.
 func (q *request) relayComplete(e fleet.Endpoint, x *upstream.Exchange, resp *http.Response) result {
 	body, err := q.readCompleteBody(x, resp)
 	if err != nil {
@@ -100,7 +100,8 @@
 	return missing || !listed || q.g.isLeaving(now)
 }
 
-// mayTryAnother reports whether the request could be sent to another endpoint.
+// mayTryAnother reports whether the request could be sent to another endpoint. It chooses one, with
+// all effects of chooseEndpoint; the next choice or the end of run returns the charge for it.
 func (q *request) mayTryAnother() bool {
 	if !q.route.MayRepeat() || len(q.attempted) >= q.route.MaxAttempts {
 		return false
@@ -112,7 +113,7 @@
 	return now.Before(q.deadline)
 }
 
-// sendAnswer sends a complete answer to the caller.
+// sendAnswer sends a complete answer to the caller, and sets the outcome.
 func (q *request) sendAnswer(e fleet.Endpoint, resp *http.Response, body []byte) {
 	q.servedBy, q.outcome = e.ID, served
 	q.firstByteAt = time.Now()
