--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -75,8 +75,8 @@
 }
 
 // setBackoffs sets the numbers of endpoints that are backing off and that are leaving.
-func (f *gatewayMetrics) setBackoffs(backingOff, leaving int) {
-	f.backingOff.Update(int64(backingOff))
+func (f *gatewayMetrics) setBackoffs(backoffs, leaving int) {
+	f.backingOff.Update(int64(backoffs))
 	f.leaving.Update(int64(leaving))
 }
 
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -68,10 +68,8 @@
 			g.log.Warn("ignored invalid rate limit of an endpoint", zap.Stringer("told-by", from), zap.Float64("per-second", limit.PerSecond), zap.Int64("age-ms", limit.AgeMs))
 			continue
 		}
-		report := throttle.Report{Limited: limit.Limited, Limit: limit.PerSecond, At: g.cfg.Now().Add(-limit.Age())}
-		g.applyRateLimit(limit.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool {
-			return l.Merge(throttle.Update{Endpoint: limit.Endpoint, Report: report})
-		})
+		w := throttle.Report{Limited: limit.Limited, Limit: limit.PerSecond, At: g.cfg.Now().Add(-limit.Age())}
+		g.applyRateLimit(limit.Endpoint, zap.Stringer("told-by", from), func(l *throttle.Limits) bool { return l.Merge(throttle.Update{Endpoint: limit.Endpoint, Report: w}) })
 	}
 }
 
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -30,7 +30,7 @@
 // also records storeReachable, whether this gateway gets answers from the store, for its hellos.
 //
 // The first of these cases applies:
-//   - During a planned stop, it reads the store only if no other gateway can.
+//   - During a planned stop, it reads the store only if no other gateway of the domain can.
 //   - While it is warming up, it does not read the store.
 //   - If the store is reachable for other gateways only, it does not read the store.
 //   - Otherwise it reads the store if it is among the first readersPerDomain candidates.
