--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -24,8 +24,8 @@
 
 // chooseEndpoint picks the endpoint for the next attempt and charges its rate limit. It first
 // returns the charge for an earlier choice that was not sent to. If ok is false, the reason may be
-// in exclusion, in allGroupsDown with groupOpensAt, or in full. Full may also be left from an
-// earlier choice.
+// in exclusion, in allGroupsDown with groupOpensAt, or in noCapacity. The last of them may also be
+// left from an earlier choice.
 func (q *request) chooseEndpoint(now time.Time) (e fleet.Endpoint, ok bool) {
 	q.allGroupsDown, q.exclusion = false, exclusion{}
 	if !q.mayAttemptMore() {
@@ -36,7 +36,7 @@
 	q.returnPermit() // The previously chosen endpoint was not sent to.
 	candidates, exclusions := q.candidates()
 	if len(candidates) == 0 && exclusions.nonEmpty() {
-		q.exclusion, q.full = exclusions, false
+		q.exclusion, q.noCapacity = exclusions, false
 		return e, false
 	}
 	list := make([]balance.Candidate, len(candidates))
@@ -62,20 +62,20 @@
 			q.groupOpensAt = q.g.table.ExpectedOpen(list, now)
 			return e, false
 		}
-		q.full = false
+		q.noCapacity = false
 		list, ok = q.chooseGroup(list, now)
 		if ok && !q.inQueue && len(q.attempted) == 0 && q.g.anyQueued(q.service) {
 			ok = false // Others have queued before it.
 		}
 		if !ok {
-			q.full = true
+			q.noCapacity = true
 			return e, false
 		}
 	}
 	i, ok := q.g.table.Pick(list, random, now)
 	if !ok {
 		if allBudgetsSpent(list) {
-			q.full = true
+			q.noCapacity = true
 			q.setColdTurnover(len(list), terms)
 		}
 		return e, false
@@ -120,7 +120,8 @@
 }
 
 // acceptsNew reports whether an endpoint of the view's state s may be sent new requests: it is not
-// missing, leaving or in an evacuated failure domain. The caller holds mu.
+// missing, leaving by its entry or an answer, or in an evacuated failure domain. The caller holds
+// mu.
 func (g *Gateway) acceptsNew(s *follow.State, e fleet.Endpoint) bool {
 	_, missing := s.Missing[e.ID]
 	return !missing && !e.Leaving && !g.backoffs.Leaving(incarnationOf(e)) && !s.Evacuated(e.Domain)
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -42,10 +42,10 @@
 func newCallerTimeouts() *callerTimeouts { return &callerTimeouts{routes: map[string]routeTimeouts{}} }
 
 // classify records a caller with the given time left, and reports whether it has certainly been
-// refused before, and whether it possibly has; the second includes the first. The caller is certain
-// to have been refused by comparison with the longest time left that was seen before. Until
-// minCallersSeen callers of the route are seen, it is also compared with the route's timeout, which
-// callers are assumed to wait for at first.
+// refused before, and whether it possibly has; the second includes the first. It is certain by
+// comparison with the longest time left of the callers seen before. Until minCallersSeen callers of
+// the route are seen, it is possible by comparison with the route's timeout, for which callers are
+// assumed to wait at first.
 func (p *callerTimeouts) classify(route string, timeLeft, routeTimeout time.Duration) (certain, possible bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -124,8 +124,8 @@
 	return follow.PeerSource{ReadsSource: n.ReadsStore, Fetch: n.FollowPeers, Turn: n.turn, Spread: n.readSpread}
 }
 
-// turn returns the place of this gateway, as a fraction from 0, in the order in which the gateways
-// of its domain read the store.
+// turn returns the place of this gateway, as a fraction in [0, 1), in the order in which the
+// gateways of its domain that can read the store take turns.
 func (n *PeerExchange) turn() float64 {
 	list, _ := n.readerCandidates(true)
 	place, _ := slices.BinarySearch(list, n.self)
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -48,7 +48,7 @@
 	configTooOld    bool            // The configuration is too old to verify the request's key.
 	buffered        int64           // Bytes buffered for it.
 	chosenCold      bool            // The endpoint chosen last is cold.
-	full            bool            // No endpoint had capacity at the last choice.
+	noCapacity      bool            // The last choice that looked for capacity found none.
 	exclusion       exclusion       // Backoffs and rate limits that leave no endpoint to choose; empty if they do not.
 	permitEndpoint  string          // Endpoint whose limit was charged for a request not sent yet; "" for none.
 	turnover        passes.Turnover // Of all groups, as of the last choice.
@@ -249,8 +249,8 @@
 
 // revalidate adopts the newest configuration for the request, and reports whether that still allows
 // it. The request may have waited, or the process may have been suspended, since the last check. If
-// the route no longer leads to the service, another service is drawn, but a request whose answer
-// has begun must stay with its service and is not allowed any more.
+// the route no longer leads to the service, another service is drawn. A request whose answer has
+// begun must stay with its service, and is not allowed any more in this case.
 func (q *request) revalidate() (cause string, ok bool) {
 	c := q.g.view.State().Config
 	if c == q.config {
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -62,7 +62,7 @@
 		if !ok && !q.exclusion.nonEmpty() && (q.groupRejected || q.allGroupsDown) {
 			e, ok = q.awaitGroupOpen(now)
 		}
-		if !ok && q.full && !q.mayHaveRun && q.fallback == nil {
+		if !ok && q.noCapacity && !q.mayHaveRun && q.fallback == nil {
 			e, ok = q.awaitCapacity(now)
 		}
 		if !ok {
@@ -147,7 +147,7 @@
 		return isolatedRetry
 	case q.configTooOld:
 		return storeOutageRetry
-	case q.full:
+	case q.noCapacity:
 		return fullRetry + time.Duration(random(int(fullRetryJitter)))
 	}
 	if len(q.attempted) > 0 { // Endpoints did not run it, for other causes than these.
--- a/internal/gateway/try.go
+++ b/internal/gateway/try.go
@@ -110,8 +110,8 @@
 // begin a trial.
 func (q *request) mayStillSend(e fleet.Endpoint) bool {
 	s := q.g.view.State()
-	now, ok := s.Endpoints[e.ID]
-	if !ok || q.g.isLeaving(now) || now.Address != e.Address {
+	current, ok := s.Endpoints[e.ID]
+	if !ok || q.g.isLeaving(current) || current.Address != e.Address {
 		q.note(e.ID + " is leaving")
 		return false
 	}
@@ -281,8 +281,8 @@
 
 // noteCallerLeft notes how far the attempt was, and its duration, when the caller left. Such an
 // attempt has no result of its own.
-func (q *request) noteCallerLeft(e fleet.Endpoint, where string, since time.Time) {
-	q.note(fmt.Sprintf("%s: %s after %d ms, as the caller left", e.ID, where, time.Since(since).Milliseconds()))
+func (q *request) noteCallerLeft(e fleet.Endpoint, progress string, since time.Time) {
+	q.note(fmt.Sprintf("%s: %s after %d ms, as the caller left", e.ID, progress, time.Since(since).Milliseconds()))
 }
 
 // recordFailure notes a failure and counts it against the endpoint with the given weight, which may
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -57,7 +57,7 @@
 		if !next {
 			continue
 		}
-		if e, ok = q.chooseEndpoint(now); ok || !q.full {
+		if e, ok = q.chooseEndpoint(now); ok || !q.noCapacity {
 			return e, ok
 		}
 	}
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -96,8 +96,8 @@
 func (q *request) endpointLeaving(e fleet.Endpoint) bool {
 	s := q.g.view.State()
 	_, missing := s.Missing[e.ID]
-	now, listed := s.Endpoints[e.ID]
-	return missing || !listed || q.g.isLeaving(now)
+	current, listed := s.Endpoints[e.ID]
+	return missing || !listed || q.g.isLeaving(current)
 }
 
 // mayTryAnother reports whether the request could be sent to another endpoint. It chooses one, with
