--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -32,7 +32,9 @@
 	return backoff.Process{Name: e.Name(), Start: e.StartedAt}
 }
 
-// applyBackoff records that an endpoint wants no requests for a while, or none at all any more.
+// applyBackoff records what an answer says about the endpoint's backoff: that it wants no requests
+// for a while, that it no longer asks for that, or that it is leaving and wants none at all any
+// more.
 func (q *request) applyBackoff(e fleet.Endpoint, a fleet.Answer) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
@@ -52,8 +54,9 @@
 	g.stats.setBackoffs(g.backoffs.Counts(now))
 }
 
-// usePermit records that the request is being sent, and counts it if its endpoint has requested
-// backoff, a rate limit or to leave.
+// usePermit records that the request is being sent, so that the charge to the endpoint's rate limit
+// is not returned any more. It counts the request if the endpoint has announced a rate limit, has
+// requested backoff or is leaving.
 func (q *request) usePermit(e fleet.Endpoint) {
 	g, now := q.g, q.g.cfg.Now()
 	g.mu.Lock()
@@ -62,7 +65,7 @@
 	if _, _, limited := g.limits.Limited(e.ID); limited {
 		g.stats.sentToLimited.Inc(1)
 	}
-	if _, resting := g.backoffs.BackingOff(incarnationOf(e), now); resting {
+	if _, backingOff := g.backoffs.BackingOff(incarnationOf(e), now); backingOff {
 		g.stats.sentToBackingOff.Inc(1)
 	}
 	if g.backoffs.Leaving(incarnationOf(e)) {
@@ -82,8 +85,8 @@
 func (g *Gateway) isBackingOff(e fleet.Endpoint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	_, resting := g.backoffs.BackingOff(incarnationOf(e), g.cfg.Now())
-	return resting
+	_, backingOff := g.backoffs.BackingOff(incarnationOf(e), g.cfg.Now())
+	return backingOff
 }
 
 // exclusion is what excludes endpoints that the request could otherwise be sent to: each is backing
@@ -96,12 +99,13 @@
 
 func (b exclusion) nonEmpty() bool { return b.rate > 0 || b.backoff > 0 }
 
-// exclude reports whether an endpoint is excluded now by its backoff or rate limit, and adds the
-// cause to b. The caller holds mu.
-func (g *Gateway) exclude(b *exclusion, e fleet.Endpoint, now time.Time) bool {
-	if left, resting := g.backoffs.BackingOff(incarnationOf(e), now); resting {
-		if b.backoff == 0 || left < b.backoff {
-			b.backoff = left
+// addIfExcluded reports whether an endpoint is excluded now by its backoff or rate limit, and adds
+// the cause to total. For a rate limit it also signals that parts of limits are wanted from other
+// gateways. The caller holds mu.
+func (g *Gateway) addIfExcluded(total *exclusion, e fleet.Endpoint, now time.Time) bool {
+	if remaining, backingOff := g.backoffs.BackingOff(incarnationOf(e), now); backingOff {
+		if total.backoff == 0 || remaining < total.backoff {
+			total.backoff = remaining
 		}
 		return true
 	}
@@ -109,8 +113,8 @@
 		return false
 	}
 	perSecond, _, _ := g.limits.Limited(e.ID)
-	b.rate += throttle.TotalRate(perSecond)
-	b.localRate += g.limits.AvailableRate(e.ID, now)
+	total.rate += throttle.TotalRate(perSecond)
+	total.localRate += g.limits.AvailableRate(e.ID, now)
 	g.signalPartsWanted()
 	return true
 }
@@ -122,7 +126,7 @@
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	for _, e := range s.ByService[q.service] {
-		if q.g.acceptsNew(s, e) && !q.g.exclude(&b, e, now) {
+		if q.g.acceptsNew(s, e) && !q.g.addIfExcluded(&b, e, now) {
 			return exclusion{}
 		}
 	}
@@ -131,14 +135,14 @@
 
 // exclusionRetry returns how long it is until one of the endpoints that are excluded could be sent
 // the request: until the first backoff ends or the rate limits allow it, whichever is sooner. A
-// request excluded by rate limits is counted as throttled.
+// request excluded by rate limits is counted as throttled, and a retry time is assigned to it.
 func (q *request) exclusionRetry() (after time.Duration) {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	after = q.exclusion.backoff
 	if q.exclusion.rate > 0 {
 		q.g.stats.throttled.Inc(1)
-		if limitRetry := q.throttledRetry(q.exclusion); after == 0 || limitRetry < after {
+		if limitRetry := q.assignThrottledRetry(q.exclusion); after == 0 || limitRetry < after {
 			after = limitRetry
 		}
 	}
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// lend requests parts of rate limits from other gateways and returns them, until ctx is done. A
+// lend borrows parts of rate limits from other gateways and gives them back, until ctx is done. A
 // part is another gateway's share of an endpoint's rate limit, with its tokens, lent for a limited
 // time.
 func (n *PeerExchange) lend(ctx context.Context) error {
@@ -51,8 +51,8 @@
 	}
 }
 
-// sendDueParts sends the messages about parts that are due. It reports whether more may become due
-// without another request.
+// sendDueParts sends the messages about parts that are due: requests to borrow and returns. It
+// reports whether more may become due without another signal of partsWanted.
 func (n *PeerExchange) sendDueParts() (more bool) {
 	now := n.g.cfg.Now()
 	var messages []throttle.Outgoing
@@ -60,14 +60,14 @@
 		messages = n.g.limits.OutgoingMessages(now)
 		more = n.g.limits.HasOpenLoans(now)
 	})
-	by := map[string][]peers.ShareMessage{}
+	byGateway := map[string][]peers.ShareMessage{}
 	for _, l := range messages {
 		if l.Kind == throttle.Borrow {
 			n.g.stats.partsAsked.Inc(1)
 		}
-		by[l.To] = append(by[l.To], partOf(l.ShareMessage))
+		byGateway[l.To] = append(byGateway[l.To], toShareMessage(l.ShareMessage))
 	}
-	for to, parts := range by {
+	for to, parts := range byGateway {
 		n.sendPartsTo(to, parts)
 	}
 	return more
@@ -88,7 +88,8 @@
 	n.sendPartsTo(m.Address, n.g.applyParts(m))
 }
 
-// applyParts applies received parts and returns the answers.
+// applyParts applies the received messages about parts, and returns the answers to those that have
+// one.
 func (g *Gateway) applyParts(m peers.Lending) (answers []peers.ShareMessage) {
 	now := g.cfg.Now()
 	g.mu.Lock()
@@ -97,7 +98,7 @@
 		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseTime: p.LeaseTime()}
 		answer, ok := g.limits.ReceiveMessage(m.Address, part, now)
 		if ok {
-			answers = append(answers, partOf(answer))
+			answers = append(answers, toShareMessage(answer))
 		}
 		if answer.Kind == throttle.Grant {
 			g.stats.partsLent.Inc(1)
@@ -109,7 +110,7 @@
 	return answers
 }
 
-func partOf(p throttle.ShareMessage) peers.ShareMessage {
+func toShareMessage(p throttle.ShareMessage) peers.ShareMessage {
 	return peers.ShareMessage{Kind: int(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseMs: p.LeaseTime.Milliseconds()}
 }
 
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -12,26 +12,28 @@
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 )
 
-// receiveLoad records the load of one engine, and forwards it if asked to.
+// receiveLoad records the load of one engine. If asked to, it forwards the load, and its recipients
+// do not forward it again.
 func (n *PeerExchange) receiveLoad(l peers.Load) {
 	if l.Forward {
 		l.Forward = false
 		n.forward(peers.Message{Load: &l})
 	}
-	n.g.reportGatewayCount(l.GatewayCount, time.Now())
+	n.g.recordGatewayCount(l.GatewayCount, time.Now())
 	n.g.ReportLoad(l.Address, balance.Load{
 		StartedAt: l.StartedAt, Running: l.Running, Waiting: l.Waiting, Group: l.Group, Epoch: l.Epoch, Closed: l.Closed, Slowdown: l.Slowdown, PassTime: time.Duration(l.PassMs) * time.Millisecond, At: time.Now(),
 	})
 }
 
-// receiveLoads records the loads of ranks of a group, and forwards them if asked to.
+// receiveLoads records the loads of ranks of a group, and the limit that the group's leader
+// announced. If asked to, it forwards them, and their recipients do not forward them again.
 func (n *PeerExchange) receiveLoads(l peers.Loads) {
 	if l.Forward {
 		l.Forward = false
 		n.forward(peers.Message{Loads: &l})
 	}
 	now := time.Now()
-	n.g.reportGatewayCount(l.GatewayCount, now)
+	n.g.recordGatewayCount(l.GatewayCount, now)
 	n.g.setGroupLimit(l.Group, float64(l.LimitPerRank), now)
 	for _, r := range l.Ranks {
 		a, err := r.EngineAddress()
@@ -45,7 +47,7 @@
 	}
 }
 
-// forward sends loads to the other gateways of the own failure domain.
+// forward sends a message with loads to the other live gateways of the own failure domain.
 func (n *PeerExchange) forward(m peers.Message) {
 	var to []string
 	duty.Locked(&n.mu, func() {
--- a/internal/gateway/patience.go
+++ b/internal/gateway/patience.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// callerTimeouts learns for each route how long callers wait at their first request, and detects by
-// that which callers retry: less of their time is left.
+// callerTimeouts learns for each route how long callers wait at their first request. It detects by
+// that which callers retry: they have less time left.
 type callerTimeouts struct {
 	mu     sync.Mutex
 	routes map[string]routeTimeouts // Invariant: at most maxTrackedRoutes.
@@ -41,29 +41,31 @@
 
 func newCallerTimeouts() *callerTimeouts { return &callerTimeouts{routes: map[string]routeTimeouts{}} }
 
-// classify reports whether a caller with the given time left has certainly been refused before, and
-// whether it may have been: until enough callers are seen, those of a route are assumed to wait at
-// first for the whole timeout of the route.
-func (p *callerTimeouts) classify(route string, left, timeout time.Duration) (certain, possible bool) {
+// classify records a caller with the given time left, and reports whether it has certainly been
+// refused before, and whether it possibly has; the second includes the first. It is certain by
+// comparison with the longest time left of the callers seen before. Until minCallersSeen callers of
+// the route are seen, it is possible by comparison with the route's timeout, for which callers are
+// assumed to wait at first.
+func (p *callerTimeouts) classify(route string, timeLeft, routeTimeout time.Duration) (certain, possible bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	r, known := p.routes[route]
 	longestBefore := r.longest
 	if r.callersSeen < minCallersSeen {
 		r.callersSeen++
-		possible = waitedRetryAfter(left, timeout)
+		possible = waitedRetryAfter(timeLeft, routeTimeout)
 	}
-	r.longest = max(r.longest, left)
+	r.longest = max(r.longest, timeLeft)
 	if known || len(p.routes) < maxTrackedRoutes {
 		p.routes[route] = r
 	}
-	certain = waitedRetryAfter(left, longestBefore)
+	certain = waitedRetryAfter(timeLeft, longestBefore)
 	return certain, possible || certain
 }
 
 // waitedRetryAfter reports whether a caller with the given time left has waited for Retry-After
 // since it had the longest time left.
-func waitedRetryAfter(left, longest time.Duration) bool {
+func waitedRetryAfter(timeLeft, longest time.Duration) bool {
 	retryAfter := min(fullRetry, time.Duration(retryAfterHonored*float64(longest)))
-	return left < longest-time.Duration(retryAfterShare*float64(retryAfter))
+	return timeLeft < longest-time.Duration(retryAfterShare*float64(retryAfter))
 }
--- a/internal/gateway/vacate.go
+++ b/internal/gateway/vacate.go
@@ -19,8 +19,8 @@
 	mayRetry bool // It may be sent to one more endpoint.
 }
 
-// registerMovable records that a request is at an endpoint from which it may be moved. The returned
-// function removes the record.
+// registerMovable records that a request is at an endpoint from which it may be moved. Unregister
+// removes the record; it may be called more than once.
 func (g *Gateway) registerMovable(id string, q *request, conn *upstream.Conn) (unregister func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -46,14 +46,14 @@
 	if !g.otherEndpointAccepts(id) {
 		return
 	}
-	for q, placement := range g.movable[id] {
-		if !placement.mayRetry || q.moved || !q.stillAllowed(true) || !g.retryWindow(q.service).Take(g.cfg.Now(), rand.Float64) {
+	for q, attempt := range g.movable[id] {
+		if !attempt.mayRetry || q.moved || !q.stillAllowed(true) || !g.retryWindow(q.service).Take(g.cfg.Now(), rand.Float64) {
 			continue
 		}
 		g.stats.moved.Inc(1)
 		q.moved = true
 		g.log.Info("request moved", zap.String("id", q.call.ID), zap.String("from", id))
-		placement.conn.Close()
+		attempt.conn.Close()
 	}
 }
 
@@ -79,9 +79,9 @@
 	return moved
 }
 
-// isBeingMoved reports whether moveRequests is ending the current attempt, which is no fault of its
-// endpoint.
-func (q *request) isBeingMoved(e fleet.Endpoint) bool {
+// noteIfMoved reports whether moveRequests is ending the current attempt, and notes it if so. The
+// endpoint is not at fault then.
+func (q *request) noteIfMoved(e fleet.Endpoint) bool {
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	if q.moved {
