--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -26,7 +26,8 @@
 	PassesPerAnswer float64       // Number of passes that an average answer takes.
 }
 
-// NewShape returns the shape of engines whose callers allow a pause between two events.
+// NewShape returns the shape of engines whose callers allow a pause between two events, 0 for any
+// pause. FixedCost is at least 1, so that the cost of a request is finite in a group without requests.
 func NewShape(e *fleet.Engine, pause time.Duration) Shape {
 	return Shape{
 		FixedCost:       max(float64(e.BaseStepTime)/float64(e.DecodeTimePerRequest), 1),
@@ -74,7 +75,7 @@
 	minEstimate = 4
 	// moveThreshold is the fraction of MaxPause that the empty pass of a slow rank must exceed for
 	// its requests to be moved to other ranks: a single request makes a pass of the whole group
-	// last so long that its answers are late until the rank holds no request.
+	// last so long that the answers of the group are late until this rank holds no request.
 	moveThreshold = 0.5
 	// moveFill is the maximum fraction of the slots of the other ranks in use for the requests of
 	// slow ranks to be moved to them.
@@ -85,10 +86,10 @@
 type group struct {
 	shape          Shape
 	ranks          map[string]RankReport
-	reportsInRound int           // Number of reports since lastRound.
-	lastRound      time.Time     // Time of the last report that completed a round: as many reports as there are ranks.
-	gap            time.Duration // Moving average of pauses between stream events of this process; 0 before the first.
-	gapAt          time.Time
+	reportsInRound int                // Number of reports since lastRound.
+	lastRound      time.Time          // Time of the last report that completed a round: as many reports as there are ranks.
+	gap            time.Duration      // Moving average of pauses between stream events of this process; 0 before the first.
+	gapAt          time.Time          // Time of the last recorded pause.
 	firstEvent     estimate.Estimator // Time from sending a request to its first event.
 	announced      leaderLimit
 }
@@ -126,7 +127,7 @@
 
 // RecordGap records the pause d between two events of a stream that this process receives from
 // endpoint id. The pause shows the duration of a pass before the ranks report it, since each pass
-// produces one event of each stream.
+// produces one event of each stream. The average starts again if the last pause is too old.
 func (t *Tracker) RecordGap(id string, d time.Duration, now time.Time) {
 	g := t.groups[t.groupOf[id]]
 	if g == nil {
@@ -148,8 +149,9 @@
 	g.firstEvent.Add(d)
 }
 
-// TypicalTimes returns the time within which nearly all first events of an endpoint's group
-// arrive, and the time between two events of its streams; 0 if unknown.
+// TypicalTimes returns two times of an endpoint's group, each 0 if unknown: the time within which
+// nearly all first events arrive, and the time between two events of a stream, which is that of one
+// pass.
 func (t *Tracker) TypicalTimes(id string) (first, pass time.Duration) {
 	g := t.groups[t.groupOf[id]]
 	if g == nil {
@@ -161,14 +163,15 @@
 	return first, g.gap
 }
 
-// Turnover is the rate at which a group completes requests, and its time to a first event.
+// Turnover is the rate at which one rank of a group completes requests, and the group's time to a
+// first event.
 type Turnover struct {
 	Rate       float64       // Requests per second that end at one rank when it holds as many as its limit.
 	FirstEvent time.Duration // Time within which nearly all first events arrive.
 }
 
-// Turnover returns the turnover of a group whose ranks may hold perRank requests each; ok is
-// false if it is not known.
+// Turnover returns the turnover of a group whose ranks hold perRank requests each. The result ok is
+// false if the number of passes per answer, the time to a first event or the pass time is unknown.
 func (t *Tracker) Turnover(name string, perRank float64, now time.Time) (v Turnover, ok bool) {
 	g := t.groups[name]
 	if g == nil || g.shape.PassesPerAnswer <= 0 || !g.firstEvent.Known() {
@@ -206,9 +209,9 @@
 // GroupOf returns the name of an endpoint's group, "" if it is not known.
 func (t *Tracker) GroupOf(id string) string { return t.groupOf[id] }
 
-// LastRound returns the time at which the last round of reports was complete, that is, as many
-// reports as the group has ranks. Except for lost reports, what is known of the group is no older
-// than a round before that.
+// LastRound returns the time at which the last round of reports was complete; zero before the first.
+// A round is as many reports as the group has ranks. Unless reports were lost, the oldest report
+// known at that time was no older than one round.
 func (t *Tracker) LastRound(name string) (at time.Time) {
 	if g := t.groups[name]; g != nil {
 		at = g.lastRound
@@ -216,32 +219,35 @@
 	return at
 }
 
-// requestCost returns the time, in seconds, that a request adds to a pass: the duration of a pass
-// divided by the requests per rank, including FixedCost.
+// requestCost returns the time, in seconds, that one request per rank adds to a pass: the duration of
+// a pass divided by the sum of FixedCost and the mean requests per rank. The duration is that of
+// recent pauses in this process's streams, or the mean of the ranks' reports if there are none.
+// Reports that are too old, without a pass time or of a closed group are ignored; ok is false if
+// none remains.
 func (g *group) requestCost(now time.Time) (seconds float64, ok bool) {
-	n, pass, running := 0, time.Duration(0), 0
+	valid, passTimeSum, runningSum := 0, time.Duration(0), 0
 	for _, r := range g.ranks {
 		if r.Closed || r.PassTime <= 0 || now.Sub(r.At) > maxReportAge {
 			continue
 		}
-		n++
-		pass += r.PassTime
-		running += min(r.Running, max(g.shape.Slots, 1))
+		valid++
+		passTimeSum += r.PassTime
+		runningSum += min(r.Running, max(g.shape.Slots, 1)) // A pass has at most Slots requests of a rank.
 	}
-	if n == 0 {
+	if valid == 0 {
 		return 0, false
 	}
-	mean := float64(running) / float64(n)
-	passTime := pass.Seconds() / float64(n)
+	meanRunning := float64(runningSum) / float64(valid)
+	passTime := passTimeSum.Seconds() / float64(valid)
 	if now.Sub(g.gapAt) <= gapValidity*g.shape.MaxPause {
 		passTime = g.gap.Seconds()
 	}
-	return passTime / (g.shape.FixedCost + mean), true
+	return passTime / (g.shape.FixedCost + meanRunning), true
 }
 
 // Limit returns how many requests a rank of a group may hold on average: the limit that the
-// group's leader announced, or this process's estimate if that is too old. The result ok is false
-// if only the slots are known to limit it.
+// group's leader announced, or this process's estimate if none was announced recently. The result
+// ok is false if there is no estimate either; then only the slots are known to limit the requests.
 func (t *Tracker) Limit(name string, now time.Time) (perRank float64, ok bool) {
 	g := t.groups[name]
 	if g != nil && g.announced.fresh(now) {
@@ -250,7 +256,9 @@
 	return t.Estimate(name, now)
 }
 
-// Estimate returns Limit as estimated by this process, without an announced limit.
+// Estimate returns how many requests a rank of a group may hold on average, as estimated by this
+// process without the leader's limit. The result ok is false if the group has no known MaxPause,
+// slots or pass time.
 func (t *Tracker) Estimate(name string, now time.Time) (perRank float64, ok bool) {
 	g := t.groups[name]
 	if g == nil || g.shape.MaxPause <= 0 || g.shape.Slots <= 0 {
@@ -264,7 +272,9 @@
 }
 
 // limitFor returns how many requests a rank may hold on average so that a pass, to which each
-// request adds requestCost seconds, lasts at most the fraction fill of MaxPause; at least minPerRank.
+// request adds requestCost seconds, lasts at most the fraction fill of MaxPause. The limit is at
+// least minPerRank and at most the number of slots. With a slow rank, a pass may be longer: its
+// empty pass plus slowFill of the time that remains to MaxPause.
 func (g *group) limitFor(requestCost, fill, minPerRank float64, now time.Time) (perRank float64) {
 	pause, slowdown := g.shape.MaxPause.Seconds(), g.slowdown(now)
 	empty := slowdown * g.shape.EmptyPass.Seconds()
@@ -291,8 +301,9 @@
 }
 
 // ShouldMoveRequests reports whether the requests at an endpoint are to be moved to other ranks of
-// its group, because it is so slow that it makes all passes too long. The other ranks must have
-// capacity for them.
+// its group, because it is so slow that it makes all passes too long. It returns false if the
+// requests of all ranks together would fill more than moveFill of the slots of the ranks that are
+// not slow.
 func (t *Tracker) ShouldMoveRequests(id string, now time.Time) bool {
 	g := t.groups[t.groupOf[id]]
 	if g == nil || !g.isSlow(g.ranks[id]) {
@@ -311,6 +322,7 @@
 	return float64(running) <= moveFill*float64(capacity)
 }
 
+// isSlow reports whether a rank's empty pass exceeds moveThreshold of MaxPause.
 func (g *group) isSlow(r RankReport) bool {
 	return r.Slowdown > 1 && r.Slowdown*g.shape.EmptyPass.Seconds() > moveThreshold*g.shape.MaxPause.Seconds()
 }
@@ -353,7 +365,8 @@
 const sameDomainWeight = 2.0
 
 // Choose chooses a random group, weighted by free capacity, so that gateways with the same view do
-// not all choose the same group; ok is false if no group has capacity for one more request.
+// not all choose the same group. Groups that are silent are skipped. The function random returns a
+// number in [0, n). The result ok is false if no group has capacity for one more request.
 func Choose(options []Option, random func(n int) int) (index int, ok bool) {
 	weights := make([]int, len(options))
 	sum := 0
@@ -374,8 +387,9 @@
 			return i, true
 		}
 	}
-	return len(options) - 1, true
+	return len(options) - 1, true // Not reached: random returns less than sum.
 }
 
-// weightsPerRequest is the resolution of weights: the weight of capacity for one request.
+// weightsPerRequest is the weight of capacity for one request. Weights are integers, so it is also
+// their resolution.
 const weightsPerRequest = 8
--- a/internal/decide/passes/told.go
+++ b/internal/decide/passes/told.go
@@ -21,14 +21,15 @@
 
 // leaderLimit is the newest limit that the leader of a group announced.
 type leaderLimit struct {
-	perRank float64 // Requests per rank; 0 if none was announced.
-	at      time.Time
+	perRank float64   // Requests per rank; 0 if none was announced.
+	at      time.Time // Time of the announcement.
 }
 
+// fresh reports whether a limit was announced and is still valid.
 func (l leaderLimit) fresh(now time.Time) bool { return l.perRank > 0 && now.Sub(l.at) <= maxLimitAge }
 
 // RecordAnnouncedLimit records the limit that the leader of a group announces, in requests per
-// rank; 0 if the leader does not know one.
+// rank; 0 if the leader does not know one. An announcement older than the known one is ignored.
 func (t *Tracker) RecordAnnouncedLimit(name string, perRank float64, at time.Time) {
 	if g := t.groups[name]; g != nil && !at.Before(g.announced.at) {
 		g.announced = leaderLimit{perRank: perRank, at: at}
@@ -57,12 +58,13 @@
 // ready for use.
 type Limiter struct {
 	smoothed float64   // Smoothed limit, requests per rank; 0 if there is none.
-	at       time.Time // Time of the last call of Next.
+	at       time.Time // Time of the last call of UpdateLimit that returned a limit.
 }
 
-// Next processes the newest reports of all ranks and returns how many requests each may hold on
-// average; ok is false if no pass time is known, as when the group has just opened.
-func (l *Limiter) Next(s Shape, ranks []RankReport, now time.Time) (perRank float64, ok bool) {
+// UpdateLimit processes the newest reports of all ranks and returns how many requests each may hold on
+// average: the smoothed limit. The result ok is false if no pass time is known, as when the group
+// has just opened, or if MaxPause or the slots are unknown. The smoothing then starts again.
+func (l *Limiter) UpdateLimit(s Shape, ranks []RankReport, now time.Time) (perRank float64, ok bool) {
 	g := group{shape: s, ranks: make(map[string]RankReport, len(ranks))}
 	for i, r := range ranks {
 		g.ranks[strconv.Itoa(i)] = r
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -24,7 +24,7 @@
 	holdGrowth = 4
 	// maxHold bounds the growth, so that gateways need not be restarted after the endpoints are fixed.
 	maxHold = 6 * time.Hour
-	// retention is how long ends are remembered for a request that is not held.
+	// retention is how long ends are remembered at least, counted from the last one.
 	retention = 15 * time.Minute
 	// sameCauseWindow is the time within which ends may have the same cause, such as a partition
 	// that resets connections: requests in flight failed over a period of 0.6 s, and requests that
@@ -32,14 +32,15 @@
 	// form again.
 	sameCauseWindow = 2 * time.Second
 	// minEndsForTrial is the number of ends that may have the same cause after which the request is
-	// only sent as a trial, by one gateway. Fewer ends may be the loss of one or two instances. It
-	// is also the number of ends after which the users' requirements count what is sent.
+	// only sent as a trial, by one gateway. Fewer ends may be the loss of one or two instances. The
+	// users' requirements, too, count how often a request is sent only after this number of ends.
 	minEndsForTrial = 3
 	// maxKeys bounds the number of keys, and with it the memory: about 200 bytes per end.
 	maxKeys = 512
 )
 
-// Knowledge is what was known of earlier ends during a request when it was sent to an endpoint.
+// Knowledge is what was known when a request was sent to an endpoint: whether processes had ended
+// while they ran this request before.
 type Knowledge int
 
 // The kinds of knowledge, in ascending order of severity.
@@ -65,9 +66,9 @@
 
 // The verdicts.
 const (
-	Free  Verdict = iota
-	Trial         // One request may be sent, by the gateway that owns its key.
-	Held
+	Free  Verdict = iota // It may be sent.
+	Trial                // One request may be sent, by the gateway that owns its key.
+	Held                 // It may not be sent yet.
 )
 
 // record is an end and the time when it was last sent to other processes; zero if it is yet to be
@@ -97,8 +98,9 @@
 func (b *History) Empty() bool { return len(b.entries) == 0 }
 
 // Add records an end. The time lastSent is zero for an end that this process observed, and now for
-// one received from another process, which sends it to all others itself. Add reports whether
-// the end changed the history.
+// one received from another process, which sends it to all others itself. An end that is known
+// already only becomes void or gains knowledge. A new key may displace another one, see evict. Add
+// reports whether the end changed the history.
 func (b *History) Add(e End, lastSent time.Time) bool {
 	known, ok := b.entries[e.Key]
 	if !ok {
@@ -112,7 +114,7 @@
 		return true
 	}
 	if r.Void == (r.Void || e.Void) && r.Knowledge >= e.Knowledge {
-		return false
+		return false // The end says nothing new.
 	}
 	r.Void, r.Knowledge = r.Void || e.Void, max(r.Knowledge, e.Knowledge)
 	r.lastSent = lastSent
@@ -133,8 +135,8 @@
 	delete(b.entries, drop)
 }
 
-// RecordCompletion records that a request completed, which makes its ends void. It reports whether
-// any of them had counted.
+// RecordCompletion records that a request completed, which makes its ends void and ends its trial.
+// It reports whether any of the ends had counted.
 func (b *History) RecordCompletion(k Key) bool {
 	e := b.entries[k]
 	if e == nil {
@@ -151,7 +153,8 @@
 }
 
 // RecordAnswer records that an endpoint answered a request sent at sentAt, which shows that its
-// process had not ended before. It reports whether an end of it had counted.
+// process had not ended before. Ends of this process recorded before sentAt become void. It reports
+// whether any of them had counted.
 func (b *History) RecordAnswer(endpoint string, sentAt time.Time) bool {
 	counted := false
 	for _, e := range b.entries {
@@ -162,7 +165,8 @@
 	return counted
 }
 
-// KnowledgeOf returns the knowledge of ends with which a request is sent now.
+// KnowledgeOf returns the knowledge with which a request is sent now if it is not sent as a trial:
+// KnownEnd if an end that counts is older than sameCauseWindow, otherwise NoKnownEnd.
 func (b *History) KnowledgeOf(k Key, now time.Time) Knowledge {
 	if e := b.entries[k]; e != nil {
 		for _, r := range e.counted() {
@@ -174,8 +178,13 @@
 	return NoKnownEnd
 }
 
-// Judge returns whether a request may be sent, and the remaining time of its hold.
-func (b *History) Judge(k Key, now time.Time) (v Verdict, left time.Duration) {
+// Judge returns whether a request may be sent, and the remaining time of its hold, 0 unless it is
+// held.
+//
+// While all ends may have the same cause, the request is free up to minEndsForTrial-1 ends. With more
+// it is held until sameCauseWindow after the last end. After ends with different causes or a failed
+// trial, it is held for holdAfter the number of failed trials. Each hold is followed by a trial.
+func (b *History) Judge(k Key, now time.Time) (v Verdict, remaining time.Duration) {
 	e := b.entries[k]
 	if e == nil {
 		return Free, 0
@@ -186,13 +195,13 @@
 		if len(ends) < minEndsForTrial {
 			return Free, 0
 		}
-		if left = e.lastCountedAt().Add(sameCauseWindow).Sub(now); left > 0 {
-			return Held, left // A trial could fail by the same cause.
+		if remaining = e.lastCountedAt().Add(sameCauseWindow).Sub(now); remaining > 0 {
+			return Held, remaining // A trial could fail by the same cause.
 		}
 		return Trial, 0
 	}
-	if left = e.lastCountedAt().Add(holdAfter(e.failedTrials())).Sub(now); left > 0 {
-		return Held, left
+	if remaining = e.lastCountedAt().Add(holdAfter(e.failedTrials())).Sub(now); remaining > 0 {
+		return Held, remaining
 	}
 	return Trial, 0
 }
@@ -217,14 +226,15 @@
 	return true
 }
 
-// EndTrial ends a trial without a result.
+// EndTrial ends the trial of a request, if there is one, without recording a result.
 func (b *History) EndTrial(k Key) {
 	if e := b.entries[k]; e != nil {
 		e.trialUntil = time.Time{}
 	}
 }
 
-// Forget removes the keys whose ends have expired.
+// Forget removes the keys whose ends have expired. They expire retention after the last end, or
+// later if holdGrowth times the hold is longer.
 func (b *History) Forget(now time.Time) {
 	for k, e := range b.entries {
 		if now.Sub(e.lastAt()) > max(retention, holdGrowth*holdAfter(e.failedTrials())) {
@@ -233,8 +243,8 @@
 	}
 }
 
-// Held returns the number of requests that are held.
-func (b *History) Held(now time.Time) (n int) {
+// HeldCount returns the number of requests that are held now; those on trial do not count.
+func (b *History) HeldCount(now time.Time) (n int) {
 	for k := range b.entries {
 		if v, _ := b.Judge(k, now); v == Held {
 			n++
@@ -243,9 +253,9 @@
 	return n
 }
 
-// NextToSend returns up to limit ends to send to all other processes, and marks them as sent: those
-// first that were sent least recently.
-func (b *History) NextToSend(limit int, now time.Time) (list []End) {
+// TakeNextToSend returns up to limit ends to send to all other processes, and marks them as sent.
+// Ends that were never sent in their present state come first, then those sent least recently.
+func (b *History) TakeNextToSend(limit int, now time.Time) (list []End) {
 	all := b.all()
 	slices.SortFunc(all, func(x, y *record) int { return cmp.Or(x.lastSent.Compare(y.lastSent), x.compareNewest(y)) })
 	for _, r := range all[:min(limit, len(all))] {
@@ -255,8 +265,8 @@
 	return list
 }
 
-// MostSevere returns up to limit ends to send to one process that may know none: those of held
-// requests first.
+// MostSevere returns up to limit ends to send to one process that may know none. Ends of the keys
+// with the most severe knowledge come first, and newer ones first among those.
 func (b *History) MostSevere(limit int) (list []End) {
 	all := b.all()
 	slices.SortFunc(all, func(x, y *record) int {
@@ -278,7 +288,8 @@
 	return list
 }
 
-// compareNewest orders newer ends first, and by key and endpoint for a deterministic order.
+// compareNewest compares two ends for sorting: newer ones first, and ends of the same time by key and
+// endpoint, so that the order is deterministic.
 func (r *record) compareNewest(other *record) int {
 	return cmp.Or(other.At.Compare(r.At), slices.Compare(r.Key[:], other.Key[:]), cmp.Compare(r.Endpoint, other.Endpoint))
 }
--- a/internal/decide/rebalance/improve.go
+++ b/internal/decide/rebalance/improve.go
@@ -26,11 +26,11 @@
 type Improver struct {
 	bounds  Bounds
 	current Map
-	editors []*editor
-	means   []float64
-	best    []change // Best change by layer; a gain of 0 means that none is left.
-	loaded  []int    // Copies to be loaded, by rank.
-	result  Improvement
+	editors []*editor   // By layer.
+	means   []float64   // Mean load of a rank, by layer.
+	best    []change    // Best change by layer; a gain of 0 means that none is left.
+	loaded  []int       // Copies to be loaded, by rank.
+	result  Improvement // Only Before is set; Result sets the other fields.
 }
 
 // NewImprover returns an improver that starts from the map current.
@@ -55,7 +55,8 @@
 	return i
 }
 
-// SetPerRank sets how many new experts a rank may load in all layers together, 0 for no bound.
+// SetPerRank sets how many new experts a rank may load in all layers together, 0 for no bound. It
+// searches all layers again, since changes may have become possible.
 func (i *Improver) SetPerRank(perRank int) {
 	i.bounds.PerRank = perRank
 	for l := range i.best {
@@ -63,6 +64,7 @@
 	}
 }
 
+// skew returns the skew of layer l as edited so far; 1 if the layer has no load.
 func (i *Improver) skew(l int) float64 {
 	if i.means[l] <= 0 {
 		return 1
@@ -70,19 +72,19 @@
 	return i.editors[l].slowest() / i.means[l]
 }
 
-// findBest finds the best change of layer l and keeps it in best.
+// findBest finds the best change of layer l and keeps it in best; the zero change if none gains.
 func (i *Improver) findBest(l int) {
 	i.best[l] = change{}
 	if i.means[l] <= 0 {
 		return
 	}
-	if c, ok := i.editors[l].best(); ok {
+	if c, ok := i.editors[l].bestChange(); ok {
 		i.best[l] = c
 	}
 }
 
-// Step applies the change with the highest gain per copy; it reports whether
-// there was one.
+// Step applies the change with the highest gain per copy, of all layers, and
+// reports whether there was one.
 func (i *Improver) Step() bool {
 	for {
 		l := -1
--- a/internal/decide/rebalance/layer.go
+++ b/internal/decide/rebalance/layer.go
@@ -5,13 +5,13 @@
 import "slices"
 
 // change is one edit of a layer: expert add gets a replica at rank to, and the
-// replica of drop at rank from is removed, if drop is an expert.
+// replica of expert drop at rank from is removed.
 type change struct {
-	add, to    int
-	drop, from int // drop is -1 for none.
-	cost       int // Expert copies to be loaded.
-	gain       float64
-	swapped    int // For a swap: the expert that moves to rank from; otherwise -1.
+	add, to    int     // add is -1 for none.
+	drop, from int     // drop is -1 for none.
+	cost       int     // Expert copies to be loaded.
+	gain       float64 // Decrease of the slowest rank's load.
+	swapped    int     // For a swap: the expert that moves to rank from; otherwise -1.
 }
 
 // editor improves one layer step by step.
@@ -51,6 +51,7 @@
 	return e
 }
 
+// sort orders byLoad by the present loads.
 func (e *editor) sort() {
 	slices.SortFunc(e.byLoad, func(a, b int) int {
 		switch {
@@ -70,8 +71,9 @@
 // maxTargets is how many of the least loaded ranks are considered as targets of a change.
 const maxTargets = 8
 
-// best returns the change with the highest gain per copy; ok is false when none gains.
-func (e *editor) best() (c change, ok bool) {
+// bestChange returns the change with the highest gain per copy that moves load away from the slowest
+// rank; ok is false when none gains.
+func (e *editor) bestChange() (c change, ok bool) {
 	hot := e.byLoad[len(e.byLoad)-1]
 	for _, x := range e.rows[hot] {
 		for _, to := range e.byLoad[:min(maxTargets, len(e.byLoad)-1)] {
@@ -96,26 +98,28 @@
 	return c, c.gain > 0
 }
 
-// consider stores c in best if it is possible and has a higher gain per copy.
+// consider stores c in best if it is possible and has a higher gain per copy. A
+// removal, which copies nothing, counts as one copy.
 func (e *editor) consider(best *change, c change) {
 	if !e.fits(c) {
 		return
 	}
 	c.gain = e.slowest() - e.slowestAfter(c)
 	if c.gain <= 1e-9*e.slowest() {
-		return
+		return // No gain but for rounding errors.
 	}
 	if best.gain == 0 || c.gain*float64(max(1, best.cost)) > best.gain*float64(max(1, c.cost)) {
 		*best = c
 	}
 }
 
+// fits reports whether the ranks that c adds experts to may load them and have slots for them.
 func (e *editor) fits(c change) bool {
 	if !e.canAdd(c.add, c.to) || !e.canAdd(c.swapped, c.from) {
 		return false
 	}
 	if c.add < 0 || c.swapped >= 0 || c.drop >= 0 && c.from == c.to {
-		return true
+		return true // Rank to holds no more experts than before.
 	}
 	return len(e.rows[c.to]) < e.shape.Slots
 }
@@ -209,7 +213,8 @@
 	return experts, ranks
 }
 
-// slowestAfter returns the load of the slowest rank after c.
+// slowestAfter returns the load of the slowest rank after c: the highest trial load, or the load of
+// the slowest rank that c does not affect.
 func (e *editor) slowestAfter(c change) float64 {
 	e.setTrialLoads(c)
 	slowest := 0.0
--- a/internal/decide/rebalance/map.go
+++ b/internal/decide/rebalance/map.go
@@ -36,9 +36,10 @@
 	Slots   int // Experts that a rank can hold per layer; Ranks*Slots >= Experts.
 }
 
-// Even returns the map that a group starts with: experts are placed round-robin
-// over the ranks, and further replicas round-robin in the remaining slots.
-func Even(s Shape, layers int) Map {
+// RoundRobin returns the map that a group starts with: experts are placed round-robin
+// over the ranks, and further replicas round-robin in the remaining slots. A slot may
+// stay empty.
+func RoundRobin(s Shape, layers int) Map {
 	m := make(Map, layers)
 	for l := range m {
 		m[l] = make(Layer, s.Experts)
@@ -66,11 +67,13 @@
 	return n
 }
 
+// insert adds r to a sorted list of ranks, which may be changed in place.
 func insert(ranks []int, r int) []int {
 	at, _ := slices.BinarySearch(ranks, r)
 	return slices.Insert(ranks, at, r)
 }
 
+// remove returns a sorted list of ranks without r; the list itself is not changed.
 func remove(ranks []int, r int) []int {
 	at, ok := slices.BinarySearch(ranks, r)
 	if !ok {
@@ -79,8 +82,9 @@
 	return slices.Delete(slices.Clone(ranks), at, at+1)
 }
 
-// Loads returns the work of each rank in one layer: its tokens divided by its
-// speed. A nil speed means that all ranks have the same speed.
+// Loads returns the load of each rank in one layer: the tokens of its experts divided
+// by its speed. The argument ranks is the number of ranks. A nil speed means that all
+// ranks have the same speed.
 func (l Layer) Loads(tokens []float64, ranks int, speed []float64) []float64 {
 	loads := make([]float64, ranks)
 	for e, holders := range l {
@@ -114,8 +118,9 @@
 	return n
 }
 
-// StepTime returns the sum over the layers of the slowest rank's work, and the
-// sum of the mean work, for the given tokens by layer and expert.
+// StepTime returns the duration of a step, and the duration that it would have if all
+// ranks had the mean load, for the given tokens by layer and expert. Both are sums of
+// loads over the layers, in the unit of Loads.
 func (m Map) StepTime(tokens [][]float64, ranks int, speed []float64) (slowest, mean float64) {
 	for l, layer := range m {
 		loads := layer.Loads(tokens[l], ranks, speed)
--- a/internal/decide/rebalance/planner.go
+++ b/internal/decide/rebalance/planner.go
@@ -36,14 +36,14 @@
 // Planner plans map switches for one group. It is a pure state machine.
 type Planner struct {
 	cfg          Config
-	fast         [][]float64 // Smoothed tokens by layer and expert.
-	slow         [][]float64
-	reports      int     // Number of reports since the start or the last switch.
-	newest       int     // Sample number of the newest report; -1 before the first.
-	drift        float64 // Fraction of the tokens that change experts per sample.
-	budget       float64 // Bytes that may be moved now.
-	budgetSample int     // Sample up to which budget has been refilled.
-	horizonHours float64 // Hours for which the gain of the current decision is counted.
+	fast         [][]float64 // Tokens by layer and expert, smoothed over fastSamples.
+	slow         [][]float64 // The same, smoothed over slowSamples.
+	reports      int         // Number of reports since the start or the last switch.
+	newest       int         // Sample number of the newest report; -1 before the first.
+	drift        float64     // Fraction of the tokens that change experts per sample.
+	budget       float64     // Bytes that may be moved now.
+	budgetSample int         // Sample up to which budget has been refilled.
+	horizonHours float64     // Hours for which the gain of the current decision is counted.
 }
 
 // New returns a planner without reports.
@@ -66,23 +66,24 @@
 	gap := float64(sample - p.newest)
 	p.newest = sample
 	p.reports++
-	fast, slow := 1-math.Exp(-gap/fastSamples), 1-math.Exp(-gap/slowSamples)
+	fastWeight, slowWeight := 1-math.Exp(-gap/fastSamples), 1-math.Exp(-gap/slowSamples)
 	if first {
-		fast, slow = 1, 1
+		fastWeight, slowWeight = 1, 1
 	}
 	moved, total := 0.0, 0.0
 	for l := range tokens {
 		for x, n := range tokens[l] {
-			p.fast[l][x] += fast * (n - p.fast[l][x])
-			p.slow[l][x] += slow * (n - p.slow[l][x])
+			p.fast[l][x] += fastWeight * (n - p.fast[l][x])
+			p.slow[l][x] += slowWeight * (n - p.slow[l][x])
 			moved += math.Abs(p.fast[l][x] - p.slow[l][x])
 			total += p.slow[l][x]
 		}
 	}
 	if total > 0 {
-		// The two means lag by their time constants, so the distance between
-		// them is the drift during the difference of the two.
-		p.drift += slow * (moved/(2*total)/(slowSamples-fastSamples) - p.drift)
+		// The two means lag behind demand by their time constants, so the distance
+		// between them is the drift during the difference of these constants. A token
+		// that changes experts counts twice in moved, hence the 2.
+		p.drift += slowWeight * (moved/(2*total)/(slowSamples-fastSamples) - p.drift)
 	}
 }
 
@@ -91,8 +92,8 @@
 func (p *Planner) MapSwitched() { p.reports = 0 }
 
 // horizon returns how long, in hours, a gain reached now is expected to last: until
-// drift has moved as large a fraction of the tokens as the skew that the switch is
-// to correct.
+// drift has moved half as large a fraction of the tokens as the skew that the switch
+// is to correct. It is at most maxHorizon.
 func (p *Planner) horizon(skew float64) float64 {
 	if p.drift <= 0 {
 		return maxHorizon
@@ -109,8 +110,9 @@
 	Gain      float64 // Expected fraction of the step time saved.
 }
 
-// Decide returns a plan that replaces the active map; ok is false when no switch is
-// worth its cost, or when there are too few or too old reports.
+// Decide returns a plan that replaces the active map, and takes its bytes from the
+// budget. The result ok is false when no switch is worth its cost or within the
+// budget, or when there are too few or too old reports.
 func (p *Planner) Decide(sample int, current Map) (plan Plan, ok bool) {
 	p.refillBudget(sample)
 	if p.reports < warmupReports || sample-p.newest > p.cfg.MaxAge {
@@ -157,14 +159,18 @@
 	return max(0, 1-plan.Bytes/p.cfg.StoreRate/3600/p.horizonHours)
 }
 
+// refillBudget adds the bytes allowed for the time since the last refill to the budget,
+// which holds at most those of one hour.
 func (p *Planner) refillBudget(sample int) {
 	hours := float64(sample-p.budgetSample) * p.cfg.SampleTime / 3600
 	p.budgetSample = sample
 	p.budget = min(p.cfg.HourlyBytes, p.budget+hours*p.cfg.HourlyBytes)
 }
 
-// improve edits every layer until the next change is not worth its transfer.
-// It returns the number of copies to be loaded, or -1 when nothing was changed.
+// improve edits every layer until the next change is not worth its transfer or exceeds
+// the budget. The argument slowest is the step time under the current map, and value
+// that of saving one percent of it. It returns the number of copies to be loaded, or
+// -1 when nothing was changed.
 func (p *Planner) improve(current Map, slowest, value float64) (next Map, copies int) {
 	next = current.Clone()
 	copies = -1
@@ -176,7 +182,7 @@
 	for l := range next {
 		e := newEditor(p.cfg.Shape, next[l], p.fast[l], p.cfg.Speed)
 		for range p.cfg.Shape.Experts * p.cfg.Shape.Slots {
-			c, ok := e.best()
+			c, ok := e.bestChange()
 			if !ok || value*100*c.gain/slowest <= price*float64(c.cost) {
 				break
 			}
--- a/internal/decide/room/room.go
+++ b/internal/decide/room/room.go
@@ -106,16 +106,16 @@
 // fraction of the demand of urgency own that is admitted. Slots that exceed the demand of an
 // urgency go to the others.
 func fillSlots(demand [urgencyLevels]float64, slots float64, own int) (fraction float64) {
-	full := [urgencyLevels]bool{}
+	satisfied := [urgencyLevels]bool{}
 	for {
-		total, next := 0.0, -1
+		weightedDemand, next := 0.0, -1
 		for u, n := range demand {
-			if !full[u] {
-				total += urgencyWeights[u] * n
+			if !satisfied[u] {
+				weightedDemand += urgencyWeights[u] * n
 			}
 		}
 		for u := range demand {
-			if !full[u] && slots*urgencyWeights[u] >= total {
+			if !satisfied[u] && slots*urgencyWeights[u] >= weightedDemand {
 				next = u
 			}
 		}
@@ -123,9 +123,9 @@
 		case next == own:
 			return 1
 		case next < 0:
-			return slots * urgencyWeights[own] / total
+			return slots * urgencyWeights[own] / weightedDemand
 		}
-		full[next] = true
+		satisfied[next] = true
 		slots -= demand[next]
 	}
 }
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -121,12 +121,12 @@
 
 func (l *leader) demandConfig() demand.Config {
 	e := l.shape
-	memory := defaultSmoothing
+	smoothing := defaultSmoothing
 	if e.MeanAnswerTokens > 0 && e.BaseStepTime > 0 {
 		step := e.BaseStepTime + time.Duration(e.Slots)*e.DecodeTimePerRequest/2
-		memory = time.Duration(smoothingShare * e.MeanAnswerTokens * float64(step))
+		smoothing = time.Duration(smoothingShare * e.MeanAnswerTokens * float64(step))
 	}
-	return demand.Config{Sets: e.LayerSets, Experts: e.ExpertsPerSet, Ranks: len(l.byRank), SmoothingTime: memory}
+	return demand.Config{Sets: e.LayerSets, Experts: e.ExpertsPerSet, Ranks: len(l.byRank), SmoothingTime: smoothing}
 }
 
 // group returns the group as a remap.Group.
@@ -271,7 +271,7 @@
 // switchOver puts the map whose experts have been copied into force.
 func (l *leader) switchOver(ctx context.Context) {
 	p, m := &l.planner, l.machine
-	change, copiedAt, gainedBefore := p.pending, time.Now(), m.Completed
+	change, copiedAt, completedBefore := p.pending, time.Now(), m.Completed
 	p.pending = nil
 	m.SwitchAt(l.switchStep())
 	l.sendUntilSettled(ctx, switchTimeout)
@@ -280,7 +280,7 @@
 	l.copyOverrun += time.Duration(switchTimeWeight * float64(max(copiedAt.Sub(change.copiesDueAt), 0)-l.copyOverrun))
 	l.switchedAt = time.Now()
 	took := l.switchedAt.Sub(copiedAt)
-	inForce := m.Completed > gainedBefore
+	inForce := m.Completed > completedBefore
 	if inForce {
 		// The time of a failed switch shows how long an answer was missing, as from a frozen
 		// instance, not how long orders take.
@@ -350,8 +350,8 @@
 	allEqual := true
 	for r, m := range l.byRank {
 		speed[r] = 1
-		if pace := m.report.Slowdown; pace > 1 {
-			speed[r] = 1 / pace
+		if slowdown := m.report.Slowdown; slowdown > 1 {
+			speed[r] = 1 / slowdown
 			allEqual = false
 		}
 	}
--- a/internal/sidecar/counts.go
+++ b/internal/sidecar/counts.go
@@ -85,19 +85,19 @@
 
 // addCounts returns the encoded sum of two encoded lists of counts.
 func addCounts(a, b []byte) (sum []byte, err error) {
-	left, err := decodeCounts(a)
+	total, err := decodeCounts(a)
 	if err != nil {
 		return nil, err
 	}
-	right, err := decodeCounts(b)
+	addend, err := decodeCounts(b)
 	if err != nil {
 		return nil, err
 	}
-	if len(left) != len(right) {
-		return nil, errors.Newf("counts: cannot add lists of %d and %d numbers", len(left), len(right))
+	if len(total) != len(addend) {
+		return nil, errors.Newf("counts: cannot add lists of %d and %d numbers", len(total), len(addend))
 	}
-	for i, n := range right {
-		left[i] += n
+	for i, n := range addend {
+		total[i] += n
 	}
-	return encodeCounts(left)
+	return encodeCounts(total)
 }
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -104,7 +104,7 @@
 	began := time.Now()
 	for ctx.Err() == nil {
 		now := time.Now()
-		wait.For(ctx, max(l.untilNextPoll(now)-now.Sub(began), minPollPause))
+		wait.For(ctx, max(l.nextPollInterval(now)-now.Sub(began), minPollPause))
 		began = time.Now()
 		l.poll(ctx)
 	}
@@ -122,8 +122,8 @@
 	return time.Duration(min(others, fanoutFor(others)))
 }
 
-// untilNextPoll returns the time until the next poll.
-func (l *leader) untilNextPoll(now time.Time) time.Duration {
+// nextPollInterval returns the time until the next poll.
+func (l *leader) nextPollInterval(now time.Time) time.Duration {
 	if l.awaitsEvent(now) {
 		return awaitPollInterval + l.callsPerPoll()*pollIntervalPerCall/2
 	}
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -68,11 +68,11 @@
 	recent := func(o peers.Lead, at time.Time) bool {
 		return o.Epoch == own.Epoch && o.Rank != own.Rank && now.Sub(at) < leadTimeout
 	}
-	lower := recent(lead.announced, lead.announcedAt) && lead.announced.Rank < own.Rank
+	lowerLeads := recent(lead.announced, lead.announcedAt) && lead.announced.Rank < own.Rank
 	if l.machine != nil {
-		return !lower
+		return !lowerLeads
 	}
-	if lower || recent(lead.active, lead.activeAt) {
+	if lowerLeads || recent(lead.active, lead.activeAt) {
 		return false
 	}
 	since := l.openedAt
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -44,7 +44,7 @@
 func (s *Sidecar) registerGateway(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool, load *peers.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isNew = s.gateways.hello(from, h, now)
+	isNew = s.gateways.recordHello(from, h, now)
 	s.addKnownGateways(h.KnownGateways, now)
 	if isNew && !s.reportAt.IsZero() {
 		load = s.load(s.report, false)
@@ -123,7 +123,7 @@
 		pass := s.passes.mean
 		loads = peers.Loads{Group: own.Group, Closed: s.groupStalled, PassMs: int(pass.Milliseconds()), Forward: true}
 		loads.Epoch, loads.GatewayCount = own.Epoch, s.gateways.gatewayCount()
-		loads.LimitPerRank = float32(l.limitPerRank(pass, now))
+		loads.LimitPerRank = float32(l.updateLimit(pass, now))
 		to = s.gateways.onePerDomain(now)
 		s.groupLoadsSentAt = now
 	})
@@ -133,9 +133,9 @@
 	}
 }
 
-// limitPerRank returns how many requests a rank of the group may hold on average, or 0 if that is
+// updateLimit returns how many requests a rank of the group may hold on average, or 0 if that is
 // unknown, as right after the group opened.
-func (l *leader) limitPerRank(pass time.Duration, now time.Time) (limit float64) {
+func (l *leader) updateLimit(pass time.Duration, now time.Time) (limit float64) {
 	if l.shape == nil || l.shape.DecodeTimePerRequest <= 0 {
 		return 0
 	}
@@ -145,7 +145,7 @@
 			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Slowdown, At: now})
 		}
 	}
-	limit, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
+	limit, ok := l.limiter.UpdateLimit(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
 	if !ok {
 		return 0
 	}
--- a/internal/sidecar/loads_test.go
+++ b/internal/sidecar/loads_test.go
@@ -145,7 +145,7 @@
 				}
 				return report, nil
 			}
-			s.gateways.hello(netip.MustParseAddrPort(gateway.Address()), peers.Hello{Domain: "a"}, now)
+			s.gateways.recordHello(netip.MustParseAddrPort(gateway.Address()), peers.Hello{Domain: "a"}, now)
 			g.Expect(s.reportInterval(now)).To(Equal(tc.interval))
 			s.reportLoad(context.Background(), tc.openChanged)
 			if !tc.sent {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -250,13 +250,13 @@
 	return &peers.Load{
 		Address: s.cfg.Address, StartedAt: r.StartedAt, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown,
 		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.mean.Milliseconds()), GatewayCount: s.gateways.gatewayCount(),
-		Closed: engineLost || r.Group != "" && !r.Open || s.checkStalled(r),
+		Closed: engineLost || r.Group != "" && !r.Open || s.updateStalled(r),
 	}
 }
 
-// checkStalled reports whether the group makes no passes although it has requests, and logs when
+// updateStalled reports whether the group makes no passes although it has requests, and logs when
 // that changes. The caller holds mu.
-func (s *Sidecar) checkStalled(r rank.Report) bool {
+func (s *Sidecar) updateStalled(r rank.Report) bool {
 	now := time.Now()
 	if r.Running+r.Waiting == 0 {
 		s.passes.newestAt = now // An idle group makes no passes; the stall time starts with the first request.
@@ -348,9 +348,9 @@
 	if !s.recordReport(r, err) || err != nil || !r.Open || r.Size < 2 {
 		return
 	}
-	var idle bool
-	duty.Locked(&s.mu, func() { idle = s.counts.Step == r.Step && s.counts.Epoch == r.Epoch })
-	if !idle {
+	var noNewPass bool
+	duty.Locked(&s.mu, func() { noNewPass = s.counts.Step == r.Step && s.counts.Epoch == r.Epoch })
+	if !noNewPass {
 		s.readCounts(ctx)
 	}
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -159,14 +159,14 @@
 	at := time.Now()
 	busy := rank.Report{Open: true, Size: 3, Step: 7, Running: 2}
 	s.passes.observe(7, at.Add(-minStallTime/2))
-	g.Expect(s.checkStalled(busy)).To(BeFalse(), "a pass shorter than the stall time")
+	g.Expect(s.updateStalled(busy)).To(BeFalse(), "a pass shorter than the stall time")
 	s.passes.newestAt = at.Add(-2 * minStallTime)
-	g.Expect(s.checkStalled(busy)).To(BeTrue())
+	g.Expect(s.updateStalled(busy)).To(BeTrue())
 	idle := busy
 	idle.Running = 0
-	g.Expect(s.checkStalled(idle)).To(BeFalse(), "an idle group makes no passes")
+	g.Expect(s.updateStalled(idle)).To(BeFalse(), "an idle group makes no passes")
 	s.passes.observe(8, time.Now())
-	g.Expect(s.checkStalled(busy)).To(BeFalse())
+	g.Expect(s.updateStalled(busy)).To(BeFalse())
 }
 
 func TestOrderTimeoutFollowsMeasuredTimes(t *testing.T) {
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -43,9 +43,9 @@
 
 func newSubscribers(domain string) subscribers { return subscribers{domain: domain} }
 
-// hello records a gateway's hello. It returns true if the gateway's process was unknown or its
+// recordHello records a gateway's hello. It returns true if the gateway's process was unknown or its
 // subscription had expired.
-func (s *subscribers) hello(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool) {
+func (s *subscribers) recordHello(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool) {
 	g, known := s.getOrAdd(from, h.Domain)
 	isNew = !known || g.incarnation != h.Incarnation || now.Sub(g.lastHello) > subscriptionTTL
 	g.incarnation, g.lastHello, g.gatewaysKnown = h.Incarnation, now, h.GatewayCount
--- a/internal/sidecar/subscribers_test.go
+++ b/internal/sidecar/subscribers_test.go
@@ -23,7 +23,7 @@
 	s := newSubscribers("a")
 	for n := range 3 {
 		for d, name := range []string{"a", "b", "c"} {
-			s.hello(gatewayAddress(d, n), peers.Hello{Domain: name}, now)
+			s.recordHello(gatewayAddress(d, n), peers.Hello{Domain: name}, now)
 		}
 	}
 	return s
@@ -53,7 +53,7 @@
 	now := time.Unix(1000, 0)
 	s := threeDomainSubscribers(now)
 	later := now.Add(subscriptionTTL + time.Second)
-	s.hello(gatewayAddress(1, 2), peers.Hello{Domain: "b"}, later)
+	s.recordHello(gatewayAddress(1, 2), peers.Hello{Domain: "b"}, later)
 	direct, relays := s.targets(later)
 	g.Expect(direct).To(BeEmpty())
 	g.Expect(relays).To(ConsistOf(gatewayAddress(1, 2)))
@@ -63,8 +63,8 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	s.hello(gatewayAddress(1, 0), peers.Hello{}, now)
-	s.hello(gatewayAddress(1, 1), peers.Hello{}, now)
+	s.recordHello(gatewayAddress(1, 0), peers.Hello{}, now)
+	s.recordHello(gatewayAddress(1, 1), peers.Hello{}, now)
 	direct, relays := s.targets(now)
 	g.Expect(direct).To(HaveLen(2))
 	g.Expect(relays).To(BeEmpty())
@@ -92,12 +92,12 @@
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
 	for n := range maxDirectGateways {
-		s.hello(gatewayAddress(0, n), peers.Hello{Domain: "a"}, now)
+		s.recordHello(gatewayAddress(0, n), peers.Hello{Domain: "a"}, now)
 	}
 	direct, relays := s.targets(now)
 	g.Expect(direct).To(HaveLen(maxDirectGateways))
 	g.Expect(relays).To(BeEmpty())
-	s.hello(gatewayAddress(0, maxDirectGateways), peers.Hello{Domain: "a"}, now)
+	s.recordHello(gatewayAddress(0, maxDirectGateways), peers.Hello{Domain: "a"}, now)
 	direct, relays = s.targets(now)
 	g.Expect(direct).To(BeEmpty())
 	g.Expect(relays).To(HaveLen(1))
@@ -107,17 +107,17 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
-	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1, GatewayCount: 500}, now)
+	s.recordHello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1, GatewayCount: 500}, now)
 	s.addKnown(gatewayAddress(1, 0), "b", now.Add(-subscriptionTTL+time.Second))
 	s.addKnown(gatewayAddress(0, 0), "a", now.Add(-subscriptionTTL))
 	g.Expect(s.onePerDomain(now)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 0)))
 	g.Expect(s.gatewayCount()).To(Equal(500))
-	g.Expect(s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, now)).To(BeFalse())
-	g.Expect(s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1}, now)).To(BeTrue(), "it was known only from another gateway")
+	g.Expect(s.recordHello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, now)).To(BeFalse())
+	g.Expect(s.recordHello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1}, now)).To(BeTrue(), "it was known only from another gateway")
 	later := now.Add(2 * time.Second)
-	s.hello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, later)
+	s.recordHello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, later)
 	s.addKnown(gatewayAddress(1, 1), "b", later)
-	s.hello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1, GatewayCount: 7}, now.Add(-time.Hour))
+	s.recordHello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1, GatewayCount: 7}, now.Add(-time.Hour))
 	g.Expect(s.onePerDomain(later)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 1)), "an older report expires")
 }
 
@@ -129,7 +129,7 @@
 	now := time.Unix(1000, 0)
 	s := newSubscribers("a")
 	h := peers.Hello{Domain: "b", Incarnation: 1}
-	g.Expect(s.hello(gatewayAddress(1, 0), h, now)).To(BeTrue())
-	g.Expect(s.hello(gatewayAddress(1, 0), h, now.Add(subscriptionTTL))).To(BeFalse())
-	g.Expect(s.hello(gatewayAddress(1, 0), h, now.Add(2*subscriptionTTL+time.Millisecond))).To(BeTrue())
+	g.Expect(s.recordHello(gatewayAddress(1, 0), h, now)).To(BeTrue())
+	g.Expect(s.recordHello(gatewayAddress(1, 0), h, now.Add(subscriptionTTL))).To(BeFalse())
+	g.Expect(s.recordHello(gatewayAddress(1, 0), h, now.Add(2*subscriptionTTL+time.Millisecond))).To(BeTrue())
 }
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -145,10 +145,10 @@
 		})
 	}
 	_ = g.Wait() // As above.
-	place := 0
+	firstIndex := 0
 	for i, part := range parts {
-		s.merge(&sum, below[i], place)
-		place += len(part)
+		s.merge(&sum, below[i], firstIndex)
+		firstIndex += len(part)
 	}
 	return sum
 }
@@ -158,8 +158,8 @@
 func (s *Sidecar) queryPart(ctx context.Context, q treeQuery, part []string) (a treeResponse) {
 	for first := range part {
 		deadline, ok := ctx.Deadline()
-		if left := time.Until(deadline) - hopTime; ok && left > 0 {
-			q.Timeout = left
+		if remaining := time.Until(deadline) - hopTime; ok && remaining > 0 {
+			q.Timeout = remaining
 		} else {
 			return treeResponse{}
 		}
@@ -205,9 +205,9 @@
 
 // merge adds a response from below to sum. The ranks of the response start at the given index of
 // the query's list.
-func (s *Sidecar) merge(sum *treeResponse, from treeResponse, place int) {
+func (s *Sidecar) merge(sum *treeResponse, from treeResponse, firstIndex int) {
 	for _, r := range from.Ranks {
-		r.Index += place
+		r.Index += firstIndex
 		sum.Ranks = append(sum.Ranks, r)
 	}
 	if from.SummedRanks == 0 {
