--- a/internal/decide/once/once.go
+++ b/internal/decide/once/once.go
@@ -20,7 +20,7 @@
 	OutcomeUnknown              // Ran or may have run; the answer is unknown.
 )
 
-// Verdict is the answer to Begin.
+// Verdict is the result of Begin.
 type Verdict int
 
 // The verdicts.
@@ -77,7 +77,8 @@
 
 // Begin marks name as running if it may start. The time minted is the creation
 // time in the key; digest is a hash of the request, which detects the use of one
-// name for two requests.
+// name for two requests. For a name that has a mark, the verdict follows from the
+// mark alone. The answer is nil unless the verdict is Replay.
 func (t *Table) Begin(name string, digest uint64, minted, now time.Time) (v Verdict, a *Answer) {
 	t.expire(now)
 	if m, ok := t.marks[name]; ok {
@@ -100,6 +101,8 @@
 	return Run, nil
 }
 
+// verdict returns the verdict on another request with the name of the mark. A finished
+// request whose answer was not kept counts as one that may have run.
 func (m *mark) verdict() Verdict {
 	switch m.state {
 	case Running:
@@ -134,7 +137,8 @@
 	}
 }
 
-// Finish records the answer of a running name.
+// Finish records the answer of a running name. The answer is not kept for replays if
+// all kept bodies together would exceed MaxAnswerBytes.
 func (t *Table) Finish(name string, a Answer) {
 	m, ok := t.marks[name]
 	if !ok || m.state != Running {
@@ -154,13 +158,15 @@
 	}
 }
 
-// fromEarlierProcess reports whether an earlier process of the endpoint may have received a name.
+// fromEarlierProcess reports whether an earlier process of the endpoint may have received a name
+// that was created at minted.
 func (t *Table) fromEarlierProcess(minted time.Time) bool {
 	return minted.Before(t.cfg.Started.Add(t.cfg.Skew))
 }
 
-// Tombstone guarantees that name never runs, if it was not received before and this
-// process would have received it. It returns the state of name afterwards.
+// Tombstone guarantees that name never runs, unless it has a mark already. It returns
+// the state of name afterwards. That is OutcomeUnknown if no guarantee is possible: an
+// earlier process may have run it, its mark may have expired, or the table is full.
 func (t *Table) Tombstone(name string, minted, now time.Time) State {
 	t.expire(now)
 	if m, ok := t.marks[name]; ok {
@@ -168,7 +174,7 @@
 	}
 	expired := minted.Before(now.Add(-t.cfg.Window + t.cfg.Skew))
 	if t.fromEarlierProcess(minted) || expired || len(t.marks) >= t.cfg.Capacity {
-		return OutcomeUnknown // No guarantee is possible.
+		return OutcomeUnknown
 	}
 	t.add(name, Tombstoned, 0, now)
 	return Tombstoned
--- a/internal/decide/remap/remap.go
+++ b/internal/decide/remap/remap.go
@@ -57,7 +57,7 @@
 	After      float64
 }
 
-// Gain returns the fraction of a pass that the plan saves.
+// Gain returns the time that the plan saves, as a fraction of the present pass.
 func (p Plan) Gain() float64 {
 	if p.Before <= 0 {
 		return 0
@@ -65,7 +65,8 @@
 	return (p.Before - p.After) / p.Before
 }
 
-// gainPerSecond returns the gain of a plan per second of the duration of the change.
+// gainPerSecond returns the difference of Before and After per second of the duration
+// of the change.
 func (p Plan) gainPerSecond(e Effort) float64 {
 	return (p.Before - p.After) / e.duration(p.MaxPerRank).Seconds()
 }
@@ -106,7 +107,7 @@
 const stepsPerYield = 8
 
 // canGainMore reports whether the given number of copies per rank could gain more per
-// second than p, if they made the load perfectly even.
+// second than p, if they made the load perfectly even, that is, After were 1.
 func canGainMore(p Plan, e Effort, copies int) bool {
 	perfect := Plan{Before: p.Before, After: 1, MaxPerRank: copies}
 	return perfect.gainPerSecond(e) > p.gainPerSecond(e)
@@ -125,15 +126,17 @@
 	return price.PerSecond*p.SavedSeconds(e, price.Horizon) - price.PerCopy*float64(p.Copies)
 }
 
-// IsWorthwhile reports whether a plan saves more than its copies and its duration cost,
-// and shortens a pass by at least as much as copying lengthens one in the meantime. A
-// stream is late by its longest pass, so later savings do not compensate for a longer pass.
+// IsWorthwhile reports whether a plan saves time and is worth more than its copies. It
+// must also shorten a pass by at least as much as copying lengthens one in the meantime:
+// a stream is late by its longest pass, so later savings do not compensate for a longer
+// pass.
 func (p Plan) IsWorthwhile(e Effort, price Price) bool {
 	return p.Gain() >= p.slowdown(e) && p.SavedSeconds(e, price.Horizon) > 0 && p.NetValue(e, price) > 0
 }
 
 // slowdown returns the fraction by which copying lengthens the longest pass: a pass that
-// lasts longer than the copying is slowed down for a part of its time only.
+// lasts longer than the copying is slowed down for a part of its time only. If the
+// duration of a pass is unknown, it counts as shorter than the copying.
 func (p Plan) slowdown(e Effort) float64 {
 	copying := time.Duration(p.MaxPerRank) * e.CopyTime
 	if copying >= e.CurrentPass {
@@ -144,9 +147,12 @@
 
 // Replaces reports whether a plan for the present demand is to replace a change in
 // progress that needs the time remaining. In both cases the map of the plan is active
-// in the end; what differs is the duration of passes until then. The argument current
-// is the duration of a pass under the active map, and next that under the map of the
-// change in progress, both relative as in Plan.
+// in the end; what differs is the duration of passes until then. If it replaces the
+// change, its map is active earlier, by the time remaining. If not, the map of the
+// change in progress is active while the plan is carried out.
+//
+// The argument current is the duration of a pass under the active map, and next that
+// under the map of the change in progress, both relative as in Plan.
 func (p Plan) Replaces(e Effort, remaining time.Duration, current, next float64) bool {
 	gainIfReplaced := remaining.Seconds() * (current - p.After)
 	gainIfKept := e.duration(p.MaxPerRank).Seconds() * (current - next)
@@ -154,7 +160,7 @@
 }
 
 // PassTime returns the duration of a pass under a map and a demand, relative to a
-// pass under a map that loads all ranks equally.
+// pass under a map that loads all ranks equally; 1 if there is no demand.
 func (g Group) PassTime(m rebalance.Map, demand [][]float64) float64 {
 	slowest, mean := m.StepTime(demand, g.Shape.Ranks, g.Speed)
 	if mean <= 0 {
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -15,12 +15,13 @@
 	tokens float64 // Invariant: 0 <= tokens <= max.
 }
 
-// NewBudget returns a full budget.
+// NewBudget returns a full budget: one success earns share retries, and at most limit
+// retries accumulate.
 func NewBudget(share, limit float64) *Budget {
 	return &Budget{share: share, max: limit, tokens: limit}
 }
 
-// RecordSuccess adds the share of a retry that one success earns.
+// RecordSuccess adds the share of a retry that one success earns, up to the maximum.
 func (b *Budget) RecordSuccess() { b.tokens = min(b.max, b.tokens+b.share) }
 
 // SetShare changes the share, when a new policy takes effect.
@@ -54,9 +55,11 @@
 // MaxAttempts is the maximum number of attempts of one request.
 const MaxAttempts = 4
 
-// Next returns whether to try again, and after which delay. A request that may
-// have run is retried only if it is repeatable and the policy allows it; one that
-// was not run is retried regardless of the policy.
+// Next returns the delay before the next attempt; again is false if there is to be
+// none. A request that may have run is retried only if it is repeatable and the
+// policy allows it; a request that was not run is retried regardless of both. None
+// is retried after MaxAttempts attempts, or if the delay would reach the deadline.
+// The delay is random, below a ceiling that doubles with each attempt.
 func Next(a Attempt, now time.Time) (delay time.Duration, again bool) {
 	if a.Number >= MaxAttempts {
 		return 0, false
--- a/internal/decide/retry/window.go
+++ b/internal/decide/retry/window.go
@@ -31,11 +31,14 @@
 	roundingAt int64   // Number of the part in which rounding was drawn; 0 before the first draw.
 }
 
-// NewWindow returns an empty window.
+// NewWindow returns an empty window of the given length. It allows retries for the
+// fraction share of the requests, plus floor retries.
 func NewWindow(length time.Duration, share, floor float64) *Window {
 	return &Window{partLength: max(length/windowParts, 1), share: share, floor: floor}
 }
 
+// advance makes the part that contains now the newest one, and clears all parts that
+// have begun since. It does nothing if now is in an earlier part.
 func (w *Window) advance(now time.Time) {
 	n := now.UnixNano() / int64(w.partLength)
 	for range min(n-w.newest, storedParts) {
--- a/internal/decide/room/room.go
+++ b/internal/decide/room/room.go
@@ -33,6 +33,7 @@
 	return c
 }
 
+// late reports whether requests of the class would be late even if admitted now.
 func (c Class) late() bool { return c >= urgencyLevels }
 
 // urgencyWeights are the relative frequencies of admission by urgency while there is not enough
@@ -51,7 +52,9 @@
 	smoothed   [classCount]float64 // Smoothed number of requests between two reports.
 }
 
-// RecordReport records that the number of free slots was reported at the given time.
+// RecordReport records that the number of free slots was reported at the given time: it begins a
+// new report interval. Reports that are not newer than the newest one are ignored. Requests before
+// the first report do not count.
 func (s *Share) RecordReport(at time.Time) {
 	if !at.After(s.lastReport) {
 		return
@@ -69,10 +72,10 @@
 // slot again at the next report.
 func (s *Share) LastReport() time.Time { return s.lastReport }
 
-// Admit reports whether a request of a class takes one of the free slots, for which other
-// processes have requests, too; others is the number of these processes. The argument surge is
-// set while all of them have requests that waited for the same event, as right after an outage:
-// the smoothed numbers are meaningless then, and each of the others is assumed to have as many
+// Admit counts a request of a class and decides whether it takes one of the free slots. The
+// argument others is the number of other processes with requests for these slots. The argument surge
+// is set while all processes have requests that waited for the same event, as right after an outage.
+// The smoothed numbers are meaningless then, and each of the others is assumed to have as many
 // requests as this process. The function random returns a number in [0, 1).
 func (s *Share) Admit(c Class, slots float64, others int, surge bool, random func() float64) bool {
 	s.requests[c]++
@@ -87,7 +90,7 @@
 	if c.late() {
 		first = urgencyLevels
 		for k := range first {
-			slots -= s.smoothed[k] * processes
+			slots -= s.smoothed[k] * processes // Reserved for requests that can be in time.
 		}
 	}
 	var demand [urgencyLevels]float64
@@ -95,7 +98,7 @@
 		demand[u] = s.smoothed[first+Class(u)] * processes
 	}
 	own := int(c - first)
-	demand[own] = max(demand[own], s.requests[c]) // During a surge at this process the smoothed number is too low.
+	demand[own] = max(demand[own], s.requests[c]) // If this process suddenly has more requests, the smoothed number is too low.
 	if surge {
 		demand[own] = max(demand[own], s.requests[c]*processes)
 	}
@@ -104,7 +107,8 @@
 
 // fillSlots distributes slots over the demand of the urgencies by their weights, and returns the
 // fraction of the demand of urgency own that is admitted. Slots that exceed the demand of an
-// urgency go to the others.
+// urgency go to the others: each round takes out one urgency whose demand is satisfied, until own is
+// satisfied or none is. The fraction is negative if slots is.
 func fillSlots(demand [urgencyLevels]float64, slots float64, own int) (fraction float64) {
 	satisfied := [urgencyLevels]bool{}
 	for {
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -43,7 +43,8 @@
 )
 
 // load returns the endpoint's predicted wait: its requests as a fraction of its
-// limit, plus the number of requests above the limit.
+// limit, plus the number of requests above the limit. For an endpoint that has not
+// reported, it is unreportedLoad plus the number of requests in flight.
 func (c Candidate) load() float64 {
 	if c.Limit == 0 {
 		return unreportedLoad + float64(c.InFlight)
@@ -82,11 +83,12 @@
 	return first
 }
 
-// preferred returns the least loaded of the first prefixEndpoints endpoints in the
+// preferred returns the index of the least loaded of the first prefixEndpoints endpoints in the
 // rendezvous order of the prefix, so that only a few endpoints cache a popular
-// prefix. It returns -1 if even the load of that one is far above the mean.
+// prefix. It returns -1 if even the least load is far above mean, the mean load of all
+// usable candidates. The list usable holds indices of candidates and is not empty.
 func preferred(list []Candidate, usable []int, prefix string, mean float64) int {
-	first := make([]int, 0, prefixEndpoints)
+	first := make([]int, 0, prefixEndpoints) // Candidates with the highest scores, highest first.
 	scores := make([]uint64, 0, prefixEndpoints)
 	for _, i := range usable {
 		s := own.Score(prefix, list[i].Endpoint)
@@ -115,8 +117,8 @@
 	return best
 }
 
-// cost returns the predicted wait at a candidate, weighted by its step time, and the
-// cost of a hop to another failure domain.
+// cost returns the predicted wait at a candidate, plus the cost of a hop if it is in
+// another failure domain. The wait is longer by one percent for each 10 ms of step time.
 func cost(c Candidate, r Request) float64 {
 	sum := c.load()
 	if c.StepMS > 0 {
--- a/internal/decide/silence/silence.go
+++ b/internal/decide/silence/silence.go
@@ -30,19 +30,22 @@
 	PassTime      time.Duration // Typical time between two events; 0 if unknown.
 }
 
-// BeforeFirst returns how long to wait for the first event after the request was sent.
+// BeforeFirst returns how long to wait for the first event after the request was sent:
+// targetFraction of the target, or firstEventFactor times FirstEvent if that is longer.
 func (a Answer) BeforeFirst() time.Duration {
 	wait := max(time.Duration(targetFraction*float64(a.Target)), time.Duration(firstEventFactor*float64(a.FirstEvent)))
 	return a.limited(wait)
 }
 
-// MidStream returns how long to wait for the next event after an event: at least the
-// target, since a failing rank stalls its group for some time and the stream then ends
-// by itself.
+// MidStream returns how long to wait for the next event after an event: missedPasses
+// passes, but at least the target, since a failing rank stalls its group for some time
+// and the stream then ends by itself.
 func (a Answer) MidStream() time.Duration {
 	return a.limited(max(a.Target, missedPasses*a.PassTime))
 }
 
+// limited returns wait, but at most callerTimeoutFraction of the caller's timeout if the
+// caller has one.
 func (a Answer) limited(wait time.Duration) time.Duration {
 	if a.CallerTimeout <= 0 {
 		return wait
--- a/internal/decide/spread/spread.go
+++ b/internal/decide/spread/spread.go
@@ -46,10 +46,10 @@
 	return Fetch
 }
 
-// Adopt makes a fetched and valid generation the current one. It reports false, and
-// leaves the current one unchanged, if that is not older, because a newer one arrived
-// in the meantime: the configuration never goes back. A second manifest of the same
-// generation is recorded as a conflict.
+// Adopt makes a fetched and valid generation the current one. If v is not newer than the
+// current one, because a newer one arrived in the meantime, Adopt keeps that one and
+// returns false: the configuration never goes back. A second manifest of the current
+// generation is recorded as a conflict in either case.
 func (s *State) Adopt(v published.Version) bool {
 	s.recordConflict(v)
 	if !v.Newer(s.current) {
@@ -59,7 +59,8 @@
 	return true
 }
 
-// recordConflict records a conflict if v is another manifest of the current generation.
+// recordConflict records a conflict if v is another manifest of the current generation: the
+// manifest of the two that is not newer, which is not adopted.
 func (s *State) recordConflict(v published.Version) {
 	if v.Generation != s.current.Generation || v.Hash == s.current.Hash {
 		return
@@ -75,7 +76,7 @@
 func (s *State) RecordValid(v published.Version) { s.recordConflict(v) }
 
 // Refuse records that a generation is invalid, so that it is not fetched again from
-// every peer.
+// every peer. If maxRefused generations are remembered already, they are forgotten first.
 func (s *State) Refuse(v published.Version) {
 	if len(s.refused) >= maxRefused {
 		s.refused = map[published.Version]bool{}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -28,8 +28,8 @@
 	Lending *Lending `cbor:"7,keyasint,omitempty"`
 }
 
-// Hello announces a gateway. A gateway answers it with a hello of its own; sidecars send loads to
-// the gateways that they know.
+// Hello announces a gateway. A gateway that receives a hello answers it with one of its own. Sidecars
+// send no hellos; they send loads to the gateways that they know.
 type Hello struct {
 	Name             string           `cbor:"1,keyasint"`
 	Incarnation      int64            `cbor:"2,keyasint"` // Start time of the process, Unix milliseconds.
@@ -70,7 +70,7 @@
 	_                struct{} `cbor:",toarray"`
 	Address          []byte   // Peer listener: IP address and port, as encoded by netip.AddrPort.MarshalBinary.
 	AgeMs            int64    // Since its last message.
-	StoreUnreachable bool
+	StoreUnreachable bool     // As in Hello.
 	Leaving          bool
 }
 
--- a/internal/rank/rank.go
+++ b/internal/rank/rank.go
@@ -34,7 +34,7 @@
 // Arming is a map version that comes into force at the start of a pass.
 type Arming struct {
 	Version uint64 `json:"version" cbor:"1,keyasint,omitempty"` // 0 for none.
-	Step    uint64 `json:"step" cbor:"2,keyasint,omitempty"`
+	Step    uint64 `json:"step" cbor:"2,keyasint,omitempty"`    // The pass.
 }
 
 // Counts is how often the requests of a rank have chosen each expert since the engine started.
@@ -61,7 +61,7 @@
 	Prepare Op = "prepare" // Copy the experts of a map that the rank does not hold yet.
 	Arm     Op = "arm"     // Switch to the prepared map at the start of a pass.
 	Disarm  Op = "disarm"  // Revoke an arming.
-	Hold    Op = "hold"    // Do not begin a pass.
+	Hold    Op = "hold"    // Do not begin pass Step until released; this holds all ranks.
 	Release Op = "go"      // Release a hold.
 )
 
--- a/internal/sidecar/ask.go
+++ b/internal/sidecar/ask.go
@@ -70,7 +70,8 @@
 	return responsive, silent
 }
 
-// pollResponsive polls this rank and, through the tree, the listed ones.
+// pollResponsive polls this rank and, through the tree, the listed ones. It requests counts, too, if
+// countsPollInterval has passed. Listed ranks that do not answer are marked as silent.
 func (l *leader) pollResponsive(ctx context.Context, own rank.Report, list []*member) {
 	q := newQuery(list)
 	q.Engines = append([]string{l.s.cfg.Address}, q.Engines...)
@@ -105,7 +106,7 @@
 }
 
 // countsPollInterval returns the time between two requests for counts. While the leader polls often
-// for an awaited event, counts would make each poll slow.
+// for an awaited event, most polls request none, since counts would make each of them slow.
 func (l *leader) countsPollInterval(now time.Time) time.Duration {
 	if l.awaitsEvent(now) {
 		return awaitingPollsPerCounts * l.pollInterval()
@@ -182,7 +183,7 @@
 
 // pollEngineDirectly polls an engine whose sidecar does not answer: the sidecar may have died while
 // its engine held the group. It returns nil if the engine was polled too recently or does not
-// answer either. Each such call has a cost, so they are rate-limited.
+// answer either. Each such call has a cost, so there is at most one per enginePollInterval.
 func (l *leader) pollEngineDirectly(ctx context.Context, m *member) *rank.Report {
 	if time.Since(m.enginePolledAt) < enginePollInterval {
 		return nil
@@ -236,7 +237,7 @@
 	return true
 }
 
-// wasLeader reports whether r is the other rank that is last known to have led in this epoch.
+// wasLeader reports whether rank r, not this one, is the last known to have led in this epoch.
 func (l *leader) wasLeader(r int, own rank.Report) bool {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -65,7 +65,8 @@
 	httpjson.Reply(w, s.armLeader(r.Context(), o.Engine, o.Order))
 }
 
-// executeWithMap sends an order to this sidecar's engine, with the decoded map if it is a Prepare.
+// executeWithMap sends an order to this sidecar's engine, with the decoded map if it is a Prepare. If
+// the map cannot be decoded, nothing is sent and the result is Lost.
 func (s *Sidecar) executeWithMap(ctx context.Context, o rank.Order, encoded *encodedMap) (done rankResponse) {
 	if o.Op == rank.Prepare && encoded != nil {
 		m, err := s.maps.decode(*encoded)
@@ -79,8 +80,8 @@
 	return rankResponse{Result: a.Result, Error: a.Error}
 }
 
-// executeOrder sends an order to this sidecar's engine. An order without an answer is sent again:
-// that is harmless, whereas waiting for the answer would stall the group.
+// executeOrder sends an order to this sidecar's engine. An order without an answer is sent again for
+// orderRetryWindow: that is harmless, whereas waiting for the answer would stall the group.
 func (s *Sidecar) executeOrder(ctx context.Context, o rank.Order) (a orderResponse) {
 	for began := time.Now(); ; {
 		tried := time.Now()
@@ -101,6 +102,7 @@
 	return min(max(orderTimeoutFactor*s.orderTook.UpperBound(), minOrderTimeout), maxOrderTimeout)
 }
 
+// tryOrder sends an order to this sidecar's engine once.
 func (s *Sidecar) tryOrder(ctx context.Context, o rank.Order) (a orderResponse) {
 	ctx, cancel := context.WithTimeout(ctx, s.orderAttemptTimeout())
 	defer cancel()
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -73,9 +73,10 @@
 	minPassTimeWeight = 0.05
 )
 
-// passTimeWeight returns the current value of a shorter pass as a fraction of its full value. While
-// passes are short, the weight is proportional to the requests running: in a fleet whose groups
-// have little load, copies would cost more than the requests served are worth. With 3,000 endpoints
+// passTimeWeight returns the current value of a shorter pass as a fraction of its full value. It rises
+// from 0 to 1 between lowPassRatio and highPassRatio. While passes are short, the weight is
+// proportional to the slots in use, up to minPassTimeWeight: in a fleet whose groups have little
+// load, copies would cost more than the requests served are worth. Without a pause limit the weight is 1. With 3,000 endpoints
 // under the load of 300, copies and all other costs take 0.314 of the value served, instead of
 // 0.499.
 func (l *leader) passTimeWeight() float64 {
@@ -86,7 +87,8 @@
 	return min(max(part, minPassTimeWeight*l.slotUtilization()), 1)
 }
 
-// slotUtilization returns the fraction of the group's slots that are in use by requests.
+// slotUtilization returns the requests of the group, including waiting ones, as a fraction of its
+// slots, at most 1.
 func (l *leader) slotUtilization() float64 {
 	total := 0
 	for _, n := range l.running() {
@@ -96,8 +98,9 @@
 	return min(float64(total)/float64(slots), 1)
 }
 
-// ingestCounts passes the counts of the newest poll to the demand tracker, unless no pass has been
-// made since the previous ones.
+// ingestCounts passes the counts of the newest poll to the demand tracker. It ignores counts of
+// another epoch, and those of a window that it has passed on already. It also updates the planner's
+// pass time.
 func (l *leader) ingestCounts() {
 	p := &l.planner
 	duty.Locked(&l.s.mu, func() { p.passTime = l.s.passes.mean })
@@ -119,6 +122,8 @@
 	}
 }
 
+// demandConfig returns the configuration of the demand tracker. Counts are smoothed over
+// smoothingShare of the duration of an average answer with half of the slots in use.
 func (l *leader) demandConfig() demand.Config {
 	e := l.shape
 	smoothing := defaultSmoothing
@@ -153,7 +158,8 @@
 	}
 }
 
-// planChange starts a change to a new map, if that pays.
+// planChange starts a change to a new map, if that pays. It does nothing while demand is unknown or a
+// shift is suspected, or if the map in force cannot be read.
 func (l *leader) planChange(ctx context.Context) {
 	p := &l.planner
 	if p.tracker == nil || p.tracker.Smoothed() == nil || p.tracker.ShiftSuspected() || !l.readMap(ctx) {
@@ -194,7 +200,8 @@
 	return remap.Make(l.group(), l.planner.current, l.planner.tracker.Smoothed(), l.effort(), price, yield)
 }
 
-// beginChange starts a change: the ranks copy the experts that the plan requires.
+// beginChange starts a change: the ranks copy the experts that the plan requires. The change is
+// abandoned if not all ranks answer the orders to copy in time.
 func (l *leader) beginChange(ctx context.Context, plan remap.Plan) {
 	p, m := &l.planner, l.machine
 	version := (m.HighestVersion/versionStride+1)*versionStride + uint64(m.Self)
@@ -238,7 +245,8 @@
 }
 
 // advanceChange continues the change in progress: it switches maps once the copies are complete,
-// and abandons the change when they are overdue.
+// abandons the change when they are overdue, and reconsiders it when demand or the speed of a rank
+// has changed.
 func (l *leader) advanceChange(ctx context.Context) {
 	p := &l.planner
 	now := time.Now()
@@ -268,14 +276,15 @@
 	l.beginChange(ctx, plan)
 }
 
-// switchOver puts the map whose experts have been copied into force.
+// switchOver puts the map whose experts have been copied into force. A switch that is not complete
+// within switchTimeout is aborted. Either way, the change is no longer in progress afterwards.
 func (l *leader) switchOver(ctx context.Context) {
 	p, m := &l.planner, l.machine
 	change, copiedAt, completedBefore := p.pending, time.Now(), m.Completed
 	p.pending = nil
 	m.SwitchAt(l.switchStep())
 	l.sendUntilSettled(ctx, switchTimeout)
-	m.Abort()
+	m.Abort() // Does nothing if the switch is complete.
 	l.sendUntilSettled(ctx, recoveryTimeout)
 	l.copyOverrun += time.Duration(switchTimeWeight * float64(max(copiedAt.Sub(change.copiesDueAt), 0)-l.copyOverrun))
 	l.switchedAt = time.Now()
@@ -327,7 +336,8 @@
 	return max(minPassesAhead, int(l.switchTime.UpperBound()/pass)+minPassesAhead)
 }
 
-// copyTime returns how long a rank takes to copy the given number of experts.
+// copyTime returns how long a rank takes to copy the given number of experts; 0 if the link's
+// bandwidth is unknown.
 func (l *leader) copyTime(copies int) time.Duration {
 	if l.shape.LinkRate <= 0 {
 		return 0
@@ -335,7 +345,7 @@
 	return time.Duration(float64(copies) * l.shape.ExpertBytes / l.shape.LinkRate * float64(time.Second))
 }
 
-// running returns the number of running and waiting requests of each rank, for the log.
+// running returns the number of requests of each rank, running and waiting.
 func (l *leader) running() []int {
 	list := make([]int, len(l.byRank))
 	for r, m := range l.byRank {
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -71,12 +71,12 @@
 	// 0 if there is none.
 	pauseLimit     time.Duration
 	listReadAt     time.Time
-	members        []*member // All endpoints of the service, ordered by failure domain.
-	self           *member   // This sidecar's own member.
-	byRank         []*member // Members of this group by rank; nil before the first poll; the element of the absent rank is nil.
-	absent         int       // Rank that led before, if only that rank does not answer; otherwise cutover.NoRank.
-	machine        *cutover.Machine
-	rankStartTimes []int64 // Start times of the ranks' engines when machine was created.
+	members        []*member        // All endpoints of the service, ordered by failure domain.
+	self           *member          // This sidecar's own member.
+	byRank         []*member        // Members of this group by rank; nil before the first poll; the element of the absent rank is nil.
+	absent         int              // Rank that led before, if only that rank does not answer; otherwise cutover.NoRank.
+	machine        *cutover.Machine // Nil while this sidecar does not lead.
+	rankStartTimes []int64          // Start times of the ranks' engines when machine was created.
 	fence          uint64
 	planner        planner
 	switchTime     estimate.Estimator // How long the orders of a switch take.
@@ -99,7 +99,7 @@
 	return &leader{s: s, absent: cutover.NoRank, switchTime: estimate.New(switchTimeWeight)}
 }
 
-// run polls the group until ctx ends.
+// run polls the group until ctx ends. Between two polls it waits at least minPollPause.
 func (l *leader) run(ctx context.Context) error {
 	began := time.Now()
 	for ctx.Err() == nil {
@@ -116,13 +116,16 @@
 	return minPollInterval + l.callsPerPoll()*pollIntervalPerCall
 }
 
-// callsPerPoll returns how many calls this sidecar makes for a poll.
+// callsPerPoll returns how many calls this sidecar makes for a poll. The number is a Duration only so
+// that it can be multiplied by one.
 func (l *leader) callsPerPoll() time.Duration {
 	others := max(len(l.byRank)-1, 0)
 	return time.Duration(min(others, fanoutFor(others)))
 }
 
-// nextPollInterval returns the time until the next poll.
+// nextPollInterval returns the time from the start of the last poll to the start of the next. It is
+// short while an event is awaited. While experts are copied, it is at most the time until the copies
+// should be complete.
 func (l *leader) nextPollInterval(now time.Time) time.Duration {
 	if l.awaitsEvent(now) {
 		return awaitPollInterval + l.callsPerPoll()*pollIntervalPerCall/2
@@ -142,7 +145,9 @@
 	return now.Sub(l.switchedAt) < settlePollPeriod && l.machine != nil && l.machine.Phase == cutover.Settling
 }
 
-// poll runs one round of leading if this sidecar is the leader.
+// poll runs one round of leading if this sidecar is to lead, and resigns otherwise. If engines do not
+// check fences, it does nothing. The round ends early if the published list lacks this endpoint, a
+// rank other than the former leader does not answer, or a lower rank has started leading.
 func (l *leader) poll(ctx context.Context) {
 	own, ok := l.s.Report()
 	if !l.s.cfg.Fences {
@@ -182,7 +187,8 @@
 	l.driveCutover(ctx, own)
 }
 
-// refreshMembers reads the published list if it is time to. A stale list is sufficient, since ranks
+// refreshMembers reads the published list if listInterval has passed since the last attempt, and
+// keeps what is known of the members that are still listed. A stale list is sufficient, since ranks
 // report their group and rank themselves.
 func (l *leader) refreshMembers(ctx context.Context) {
 	if time.Since(l.listReadAt) < listInterval {
@@ -228,7 +234,9 @@
 	})
 }
 
-// driveCutover advances the cutover machine by one round.
+// driveCutover advances the cutover machine by one round. It makes a new machine if there is none or
+// the absent rank has changed, and resigns if a rank has restarted. Maps are changed only while no
+// rank is absent and the machine is ready; otherwise, the round continues what was begun.
 func (l *leader) driveCutover(ctx context.Context, own rank.Report) {
 	if l.machine != nil && anyRestarted(l.rankStartTimes, l.startTimes()) {
 		l.resign("a rank has restarted")
@@ -289,7 +297,7 @@
 	began := time.Now()
 	m := l.machine
 	if m == nil {
-		return // A higher fence was seen earlier.
+		return // This leader has resigned after a higher fence.
 	}
 	for ctx.Err() == nil && time.Since(began) < limit {
 		switch m.Phase {
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -22,7 +22,8 @@
 	// sendsLoadsPeriod is how long after sending the loads of all ranks a leader announces that it
 	// sends them. A poll of a group with a silent rank takes half of it.
 	sendsLoadsPeriod = 600 * time.Millisecond
-	// leadStagger keeps the next ranks from taking over at the same time.
+	// leadStagger is how much longer each rank waits than the rank below it before it takes over, so
+	// that they do not do so at the same time.
 	leadStagger = 120 * time.Millisecond
 )
 
@@ -58,9 +59,11 @@
 	l.s.setAnnouncement(nil, peers.Lead{})
 }
 
-// shouldLead reports whether this sidecar is to lead: it leads already and no lower rank has
-// announced itself, or no leader has announced itself for long enough and no lower rank is about to
-// lead.
+// shouldLead reports whether this sidecar is to lead. A sidecar that leads continues until a lower
+// rank announces itself. Any other sidecar does not begin while a lower rank, or a rank that has
+// started leading, announces itself. It first waits for leadTimeout after the last such announcement
+// or, unless it is the lowest rank, after the group opened. Then it waits leadStagger for each lower
+// rank.
 func (l *leader) shouldLead(own rank.Report) bool {
 	var lead leadership
 	duty.Locked(&l.s.mu, func() { lead = l.s.lead })
@@ -85,8 +88,9 @@
 	return now.Sub(since) >= time.Duration(own.Rank)*leadStagger
 }
 
-// markSilentLeader marks the rank that led before as silent, so that queries are not relayed
-// through it: the ranks below it in the tree would be missed along with it.
+// markSilentLeader marks the rank that announced itself last as silent if its announcements have
+// stopped and it has not answered a poll since. Queries are then not relayed through it: the ranks
+// below it in the tree would be missed along with it.
 func (l *leader) markSilentLeader(now time.Time) {
 	var lead leadership
 	duty.Locked(&l.s.mu, func() { lead = l.s.lead })
@@ -100,9 +104,9 @@
 	}
 }
 
-// raiseFence raises the fence and drops the cutover machine if a higher rank has led with a higher
-// fence in the meantime: that rank's fence would cause this leader's orders to be rejected, and
-// that rank will resign.
+// raiseFence raises the fence and drops the cutover machine if a higher rank has led with at least
+// this leader's fence in the meantime. Ranks that have seen a higher fence reject this leader's
+// orders. The higher rank will resign, since this rank is lower.
 func (l *leader) raiseFence(own rank.Report) {
 	var announced peers.Lead
 	duty.Locked(&l.s.mu, func() { announced = l.s.lead.announced })
@@ -152,8 +156,9 @@
 	}
 }
 
-// deposed handles a higher fence at a rank. If the first orders meet it, it may come from an
-// earlier leader whose clock was ahead; later, it comes from a new leader.
+// deposed resigns after a rank rejected this leader's fence as too low. If that rank rejects the first
+// orders, the higher fence may come from an earlier leader whose clock was ahead. If it rejects later
+// ones, the higher fence comes from a new leader.
 func (l *leader) deposed() {
 	l.s.log.Warn("fence rejected", zap.Uint64("fence", l.fence), zap.Int("gained", l.machine.Completed))
 	l.fence += fenceIncrement
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// updateLimit returns how many requests a rank of the group may hold on average, or 0 if that is
-// unknown, as right after the group opened.
+// updateLimit updates the limiter and returns how many requests a rank of the group may hold on
+// average, or 0 if that is unknown, as right after the group opened.
 func (l *leader) updateLimit(pass time.Duration, now time.Time) (limit float64) {
 	if l.shape == nil || l.shape.DecodeTimePerRequest <= 0 {
 		return 0
--- a/internal/sidecar/maptext.go
+++ b/internal/sidecar/maptext.go
@@ -78,6 +78,7 @@
 	err error
 }
 
+// next reads one number; 0 after an error.
 func (d *varintReader) next() int {
 	n, size := binary.Uvarint(d.raw)
 	if size <= 0 || n > 1<<31 {
@@ -88,6 +89,7 @@
 	return int(n)
 }
 
+// fail records the first error and drops the rest of the input.
 func (d *varintReader) fail(err error) {
 	if d.err == nil {
 		d.raw, d.err = nil, err
@@ -193,6 +195,7 @@
 	maps []layout // In the order of keys.
 }
 
+// put makes m the newest cached map and drops the oldest if there are too many.
 func (s *mapCache) put(m layout) {
 	key := fingerprint(m)
 	s.mu.Lock()
@@ -241,6 +244,8 @@
 	return m, nil
 }
 
+// applyDelta decodes a delta. Its base is a cached map or the round-robin layout; otherwise the error
+// is errUnknownBase.
 func (s *mapCache) applyDelta(t encodedMap) (m layout, err error) {
 	base := s.get(t.Base)
 	if base == nil {
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -39,8 +39,9 @@
 	}
 }
 
-// partitionOrders returns the ranks that get the same order through their sidecars, and the ranks
-// that get their order individually.
+// partitionOrders returns the ranks that get the same order through the tree, and the ranks that get
+// their order individually: this rank, the holder, and ranks whose order differs from the first
+// shared one. Ranks without an order are in neither list.
 func (l *leader) partitionOrders(orders []rank.Order) (shared, single []int) {
 	for r, o := range orders {
 		switch {
@@ -79,7 +80,7 @@
 			continue
 		}
 		g.Go(func() error {
-			results[r] = rank.Lost // As above.
+			results[r] = rank.Lost // The result is unknown if the call panics.
 			l.s.containPanic(func() { results[r] = l.send(ctx, r, o) })
 			return nil
 		})
@@ -169,9 +170,8 @@
 }
 
 // isHolderPhase reports whether the current phase's order to rank r sets or releases the hold of
-// passes. Such orders go to the engine directly, not through its sidecar: if the instance that
-// sends an order freezes, it must not be the one with the hold, or the group would be stalled until
-// it resumes.
+// passes. Such orders go to the engine directly, not through its sidecar. An instance that sends an
+// order may freeze; if it also had the hold, the group would be stalled until it resumes.
 func (l *leader) isHolderPhase(r int) bool {
 	switch l.machine.Phase {
 	case cutover.Holding, cutover.Going, cutover.Freeing:
@@ -181,7 +181,7 @@
 }
 
 // sendDirectly sends an order to a rank's engine, bypassing its sidecar. An order without an answer
-// is sent again, as sidecars do, because the group may be stalled.
+// is sent again for orderRetryWindow, as sidecars do, because the group may be stalled.
 func (l *leader) sendDirectly(ctx context.Context, r int, o rank.Order) (result rank.Result) {
 	var err error
 	for began := time.Now(); time.Since(began) < orderRetryWindow; {
--- a/internal/sidecar/ownarming.go
+++ b/internal/sidecar/ownarming.go
@@ -27,7 +27,8 @@
 // switchTimeout what is not complete.
 const minCertainUptime = 2 * time.Second
 
-// armLeader arms the leader's own rank, on the leader's behalf.
+// armLeader sends the leader's own rank the order to arm it, on the leader's behalf, and records what
+// is then known of the arming. It sends nothing if the order's fence is too low.
 func (s *Sidecar) armLeader(ctx context.Context, engine string, o rank.Order) (a orderResponse) {
 	arming := rank.Arming{Version: o.Version, Step: o.Step}
 	before, ok := s.recordArming(o, arming)
@@ -64,7 +65,8 @@
 }
 
 // absence returns what is known about the former leader if its rank is the only one that does not
-// answer, and prevents further armings of it.
+// answer; otherwise NoAbsence. Only the former leader's holder knows of its arming. The holder also
+// rejects armings of it with a lower fence from now on.
 func (l *leader) absence(own rank.Report) cutover.Absence {
 	if l.absent == cutover.NoRank {
 		return cutover.NoAbsence
--- a/internal/sidecar/passes.go
+++ b/internal/sidecar/passes.go
@@ -21,7 +21,7 @@
 
 // passTimer measures how long the passes of a group take.
 type passTimer struct {
-	step   uint64
+	step   uint64        // Pass at which the current measurement began.
 	stepAt time.Time     // When step was seen; zero before the first report.
 	mean   time.Duration // Smoothed pass time; 0 if unknown.
 
@@ -29,7 +29,9 @@
 	newestAt time.Time // When it was first seen.
 }
 
-// observe records the newest pass that has begun.
+// observe records the newest pass that has begun. The mean is updated once minPassesMeasured passes
+// have begun since the last measurement. It is dropped if passes are numbered anew or the last
+// measurement is older than passIdleTimeout.
 func (t *passTimer) observe(step uint64, now time.Time) {
 	if step != t.newest || t.newestAt.IsZero() {
 		t.newest, t.newestAt = step, now
--- a/internal/sidecar/readmap.go
+++ b/internal/sidecar/readmap.go
@@ -10,8 +10,9 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/rebalance"
 )
 
-// readMap ensures that the map in force is known. Map 0 is the round-robin layout; any other map
-// was made by this leader or is read from the ranks' engines.
+// readMap ensures that the planner knows the map in force. It returns false if it could not read the
+// map or the map does not fit the group. Map 0 is the round-robin layout. Any other map was made by
+// this leader or is read from the ranks' engines, one after the other.
 func (l *leader) readMap(ctx context.Context) bool {
 	p := &l.planner
 	version := l.byRank[0].report.Map
@@ -42,7 +43,8 @@
 	return l.takeMap(version, bySet)
 }
 
-// takeMap sets the map in force and reports whether it fits the shape of the group.
+// takeMap sets the planner's map in force. It returns false, and sets nothing, if the map does not fit
+// the shape of the group.
 func (l *leader) takeMap(version uint64, m layout) bool {
 	current := make(rebalance.Map, len(m))
 	for k, rows := range m {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -26,11 +26,11 @@
 
 // Config configures a Sidecar.
 type Config struct {
-	Address   string // Of the engine, as IP:port.
-	Domain    string // Failure domain of this instance.
-	PeersPort int    // Port of all sidecars.
-	SkewPrice float64
-	CopyPrice float64
+	Address   string  // Of the engine, as IP:port.
+	Domain    string  // Failure domain of this instance.
+	PeersPort int     // Port of all sidecars.
+	SkewPrice float64 // Value of a saved second of passes, in the unit of CopyPrice.
+	CopyPrice float64 // Cost of copying a gigabyte of experts.
 	Fences    bool    // Whether engines reject orders with a lower fence.
 	LinkRate  float64 // Bandwidth of the instance's link in bytes per second; 0 if unknown.
 }
@@ -60,7 +60,7 @@
 	// is known how long answers take. Some answers never arrive; sending an order again is
 	// harmless, whereas waiting stalls the group.
 	maxOrderTimeout = 40 * time.Millisecond
-	// minOrderTimeout is the lower bound of that timeout, several times the time that an engine on
+	// minOrderTimeout is the lower bound of the timeout of one attempt, several times the time that an engine on
 	// the same instance takes. orderTimeoutFactor is the ratio of the timeout to the time within
 	// which nearly all answers arrive.
 	minOrderTimeout    = 12 * time.Millisecond
@@ -181,7 +181,7 @@
 }
 
 // awaitReportDue waits until the load is to be sent: after the report interval, or as soon as the
-// group has opened or closed, in which case it returns true.
+// group has opened or closed, in which case it returns true. It also returns when ctx ends.
 func (s *Sidecar) awaitReportDue(ctx context.Context) (openChanged bool) {
 	timer := time.NewTimer(s.reportInterval(time.Now()))
 	defer timer.Stop()
@@ -194,8 +194,8 @@
 	return false
 }
 
-// containPanic calls a function that queries or orders other ranks and recovers from a panic in it;
-// a rank whose answer is missing is queried again later.
+// containPanic calls ask, which queries or orders other ranks, and recovers from a panic in it. The
+// answer is then missing, and the rank is queried again later.
 func (s *Sidecar) containPanic(ask func()) { duty.RunRecovered("ask", s.log, s.reg, ask) }
 
 // receive handles a message. A message that causes a panic is dropped.
@@ -211,8 +211,8 @@
 	})
 }
 
-// reportLoad polls the engine and sends its load to gateways, unless the leader sends it and the
-// group's open state has not changed.
+// reportLoad polls the engine and sends its load to gateways. It does not send the load if the leader
+// does, unless the engine did not answer or the group has opened or closed.
 func (s *Sidecar) reportLoad(ctx context.Context, openChanged bool) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
@@ -245,7 +245,7 @@
 }
 
 // load returns the load that gateways are sent for a report of the engine, or for an engine that
-// does not answer if engineLost is set. The caller holds mu.
+// does not answer if engineLost is set. It may update the stall state. The caller holds mu.
 func (s *Sidecar) load(r rank.Report, engineLost bool) *peers.Load {
 	return &peers.Load{
 		Address: s.cfg.Address, StartedAt: r.StartedAt, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown,
@@ -254,8 +254,8 @@
 	}
 }
 
-// updateStalled reports whether the group makes no passes although it has requests, and logs when
-// that changes. The caller holds mu.
+// updateStalled records and returns whether the group makes no passes although it has requests, and
+// logs when that changes. The caller holds mu.
 func (s *Sidecar) updateStalled(r rank.Report) bool {
 	now := time.Now()
 	if r.Running+r.Waiting == 0 {
@@ -269,8 +269,9 @@
 	return isStalled
 }
 
-// recordReport stores a report and logs what it changes. It returns false for a report of an
-// earlier incarnation of the engine, which is ignored.
+// recordReport stores a report, or that the engine did not answer if err is set, and logs what it
+// changes. Some ranks also have the load sent at once when the group opens or closes. It returns
+// false only for a report of an earlier incarnation of the engine, which is ignored.
 func (s *Sidecar) recordReport(r rank.Report, err error) (accepted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -304,10 +305,10 @@
 // an earlier one, whose answer arrived late. The caller holds mu.
 func (s *Sidecar) recordIncarnation(startedAt int64) (accepted bool) {
 	switch fleet.CompareIncarnations(s.engineStartedAt, startedAt) {
-	case -1:
+	case -1: // startedAt is earlier.
 		s.log.Info("answer of an earlier incarnation of the engine ignored", zap.Int64("born", startedAt), zap.Int64("newest", s.engineStartedAt))
 		return false
-	case 1:
+	case 1: // startedAt is later.
 		s.log.Info("engine restarted", zap.Int64("born", startedAt), zap.Int64("before", s.engineStartedAt))
 		s.report, s.reportAt = rank.Report{}, time.Time{}
 		s.counts, s.newestWindow = rank.Counts{}, window{number: s.newestWindow.number}
@@ -317,7 +318,8 @@
 	return true
 }
 
-// Report returns the newest report; ok is false if it is too old.
+// Report returns the newest report; ok is false if it is too old or the engine did not answer the
+// last poll.
 func (s *Sidecar) Report() (r rank.Report, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -340,7 +342,8 @@
 	return max(minPassPollInterval, time.Duration(s.report.Size)*passPollIntervalPerRank)
 }
 
-// pollPass reads the expert counts if a new pass has begun.
+// pollPass polls the engine, records its report, and reads the expert counts if a new pass has begun.
+// It reads none while the group is closed or has a single rank.
 func (s *Sidecar) pollPass(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, engineTimeout)
 	defer cancel()
@@ -355,7 +358,8 @@
 	}
 }
 
-// readCounts stores the difference from the previous counts as a window.
+// readCounts reads the engine's counts and stores them, and their difference from the previous ones
+// as the newest window.
 func (s *Sidecar) readCounts(ctx context.Context) {
 	n, err := s.engine.Counts(ctx)
 	if err != nil {
@@ -371,8 +375,8 @@
 	s.counts = n
 }
 
-// difference returns the window between two counts; it is empty if they are not of the same epoch
-// and incarnation.
+// difference returns the window between two counts, which follows the window last. It has no counts
+// if from and to are not of the same epoch and incarnation, or a count has decreased.
 func difference(last window, from, to rank.Counts) (w window) {
 	w = window{number: last.number + 1, epoch: to.Epoch}
 	if from.Epoch != to.Epoch || fleet.CompareIncarnations(from.StartedAt, to.StartedAt) != 0 || len(from.Flat) != len(to.Flat) {
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -38,7 +38,7 @@
 type subscribers struct {
 	domain   string
 	list     []subscriber // Invariant: ordered by domain, then by address.
-	rotation int
+	rotation int          // Increases with each message sent; selects the relay of each domain.
 }
 
 func newSubscribers(domain string) subscribers { return subscribers{domain: domain} }
@@ -59,7 +59,8 @@
 	}
 }
 
-// getOrAdd returns the gateway at an address and adds it if it was unknown.
+// getOrAdd returns the gateway at an address and adds it if it was unknown. The pointer is valid until
+// the list changes.
 func (s *subscribers) getOrAdd(address netip.AddrPort, domain string) (g *subscriber, known bool) {
 	i, known := slices.BinarySearchFunc(s.list, subscriber{address: address, domain: domain}, func(a, b subscriber) int {
 		return cmp.Or(cmp.Compare(a.domain, b.domain), a.address.Compare(b.address))
@@ -80,7 +81,8 @@
 }
 
 // targets returns the gateways to send a load to now: those that need not forward it, and those
-// that relay it to their domain.
+// that relay it to their domain. Relays change with each call. Gateways without a domain are all
+// sent the load directly.
 func (s *subscribers) targets(now time.Time) (direct, relays []netip.AddrPort) {
 	s.eachDomain(now, func(domain string, members []subscriber) {
 		if domain != "" && (domain != s.domain || len(members) > maxDirectGateways) {
@@ -94,7 +96,8 @@
 	return direct, relays
 }
 
-// onePerDomain returns one gateway of each failure domain, which forwards what it receives.
+// onePerDomain returns one gateway of each failure domain, which forwards what it receives. The next
+// call returns the next gateway of each.
 func (s *subscribers) onePerDomain(now time.Time) (list []netip.AddrPort) {
 	s.eachDomain(now, func(_ string, members []subscriber) {
 		list = append(list, members[s.rotation%len(members)].address)
@@ -102,8 +105,8 @@
 	return list
 }
 
-// eachDomain removes the gateways whose subscription has expired and calls do with the others, by
-// domain.
+// eachDomain removes the gateways whose subscription has expired, advances the rotation, and calls do
+// once for each domain with the remaining ones.
 func (s *subscribers) eachDomain(now time.Time, do func(domain string, members []subscriber)) {
 	s.list = slices.DeleteFunc(s.list, func(g subscriber) bool { return now.Sub(g.lastHello) > subscriptionTTL })
 	s.rotation++
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -30,7 +30,7 @@
 	// takes some kilobytes: with more, the link of the caller is the bottleneck; with fewer, the
 	// tree is deep.
 	heavyFanout = 4
-	// lightFanout is that number if they take some bytes per rank: a call costs about 0.2 ms of a
+	// lightFanout is that number if the answers and the query take some bytes per rank: a call costs about 0.2 ms of a
 	// core, and a level of the tree costs a round trip.
 	lightFanout = 8
 	// flatFanout is the size of groups up to which the leader calls all others itself: as many
@@ -74,7 +74,7 @@
 }
 
 // fanoutFor returns the fanout to reach the given number of ranks if each call takes some
-// kilobytes.
+// kilobytes. Fewer than flatFanout ranks are all called by the leader.
 func fanoutFor(ranks int) int {
 	if ranks < flatFanout {
 		return flatFanout
@@ -144,7 +144,7 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // As above.
+	_ = g.Wait() // No function returns an error; ranks that did not answer are not in the response.
 	firstIndex := 0
 	for i, part := range parts {
 		s.merge(&sum, below[i], firstIndex)
@@ -153,8 +153,9 @@
 	return sum
 }
 
-// queryPart sends a query to the ranks of one part: to the first one, which queries the rest, or to
-// the next one if that does not answer.
+// queryPart sends a query to the ranks of one part through the first of them that answers. A rank that
+// answers queries those after it; a rank that does not is left out. The response is empty if none
+// answers before hopTime remains to the deadline.
 func (s *Sidecar) queryPart(ctx context.Context, q treeQuery, part []string) (a treeResponse) {
 	for first := range part {
 		deadline, ok := ctx.Deadline()
@@ -203,8 +204,8 @@
 	return a
 }
 
-// merge adds a response from below to sum. The ranks of the response start at the given index of
-// the query's list.
+// merge adds a response from below to sum. The ranks of the response start at firstIndex of the
+// query's list. Counts that cannot be added, as those of another epoch, are ignored.
 func (s *Sidecar) merge(sum *treeResponse, from treeResponse, firstIndex int) {
 	for _, r := range from.Ranks {
 		r.Index += firstIndex
