--- a/internal/decide/rebalance/improve.go
+++ b/internal/decide/rebalance/improve.go
@@ -21,19 +21,20 @@
 }
 
 // Improver edits the layers of a map, starting from the active one, until no
-// change gains enough or no rank may load more experts. It works in small steps,
+// change gains or no rank may load more experts. It works in small steps,
 // so that a small processor can do other work between them.
 type Improver struct {
-	bounds  Bounds
-	current Map
-	editors []*editor   // By layer.
-	means   []float64   // Mean load of a rank, by layer.
-	best    []change    // Best change by layer; a gain of 0 means that none is left.
-	loaded  []int       // Copies to be loaded, by rank.
-	result  Improvement // Only Before is set; Result sets the other fields.
+	bounds      Bounds
+	current     Map
+	editors     []*editor   // By layer.
+	meanLoads   []float64   // Mean load of a rank, by layer.
+	bestByLayer []change    // Best change by layer; a gain of 0 means that none is left.
+	loaded      []int       // Copies to be loaded, by rank.
+	result      Improvement // Only Before is set; Result sets the other fields.
 }
 
-// NewImprover returns an improver that starts from the map current.
+// NewImprover returns an improver that starts from the map current, which it does not
+// change. The tokens are by layer and expert, and the speed by rank.
 func NewImprover(s Shape, current Map, tokens [][]float64, speed []float64, b Bounds) *Improver {
 	i := &Improver{bounds: b, current: current, loaded: make([]int, s.Ranks)}
 	for l, layer := range current {
@@ -45,8 +46,8 @@
 			mean += v / float64(s.Ranks)
 		}
 		i.editors = append(i.editors, e)
-		i.means = append(i.means, mean)
-		i.best = append(i.best, change{})
+		i.meanLoads = append(i.meanLoads, mean)
+		i.bestByLayer = append(i.bestByLayer, change{})
 		i.result.Before += i.skew(l) / float64(len(current))
 	}
 	for l := range current {
@@ -59,27 +60,27 @@
 // searches all layers again, since changes may have become possible.
 func (i *Improver) SetPerRank(perRank int) {
 	i.bounds.PerRank = perRank
-	for l := range i.best {
+	for l := range i.bestByLayer {
 		i.findBest(l)
 	}
 }
 
 // skew returns the skew of layer l as edited so far; 1 if the layer has no load.
 func (i *Improver) skew(l int) float64 {
-	if i.means[l] <= 0 {
+	if i.meanLoads[l] <= 0 {
 		return 1
 	}
-	return i.editors[l].slowest() / i.means[l]
+	return i.editors[l].slowest() / i.meanLoads[l]
 }
 
-// findBest finds the best change of layer l and keeps it in best; the zero change if none gains.
+// findBest finds the best change of layer l and keeps it in bestByLayer; the zero change if none gains.
 func (i *Improver) findBest(l int) {
-	i.best[l] = change{}
-	if i.means[l] <= 0 {
+	i.bestByLayer[l] = change{}
+	if i.meanLoads[l] <= 0 {
 		return
 	}
 	if c, ok := i.editors[l].bestChange(); ok {
-		i.best[l] = c
+		i.bestByLayer[l] = c
 	}
 }
 
@@ -88,7 +89,7 @@
 func (i *Improver) Step() bool {
 	for {
 		l := -1
-		for k, c := range i.best {
+		for k, c := range i.bestByLayer {
 			if c.gain > 0 && (l < 0 || i.gainPerCopy(k) > i.gainPerCopy(l)) {
 				l = k
 			}
@@ -96,11 +97,11 @@
 		if l < 0 {
 			return false
 		}
-		if e := i.editors[l]; !e.fits(i.best[l]) {
+		if e := i.editors[l]; !e.fits(i.bestByLayer[l]) {
 			i.findBest(l) // A rank has become full since the change was found.
 			continue
 		}
-		i.editors[l].apply(i.best[l])
+		i.editors[l].apply(i.bestByLayer[l])
 		i.countLoaded()
 		i.findBest(l)
 		return true
@@ -110,8 +111,8 @@
 // gainPerCopy returns the gain per copy of a layer's best change, as a fraction
 // of the layer's mean load.
 func (i *Improver) gainPerCopy(l int) float64 {
-	c := i.best[l]
-	return c.gain / i.means[l] / float64(max(c.cost, 1))
+	c := i.bestByLayer[l]
+	return c.gain / i.meanLoads[l] / float64(max(c.cost, 1))
 }
 
 // countLoaded sums the copies that each rank has to load over all layers.
--- a/internal/decide/rebalance/layer.go
+++ b/internal/decide/rebalance/layer.go
@@ -32,6 +32,7 @@
 	full       func(r int) bool // Reports whether a rank may gain no more experts; nil for never.
 }
 
+// newEditor returns an editor that changes the elements of l, but not the rows that they refer to.
 func newEditor(s Shape, l Layer, tokens, speed []float64) *editor {
 	e := &editor{shape: s, layer: l, tokens: tokens, speed: speed, trialLoads: make([]float64, s.Ranks), inTrial: make([]bool, s.Ranks)}
 	e.loads = l.Loads(tokens, s.Ranks, speed)
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -91,7 +91,7 @@
 // slots, at most 1.
 func (l *leader) slotUtilization() float64 {
 	total := 0
-	for _, n := range l.running() {
+	for _, n := range l.requestsByRank() {
 		total += n
 	}
 	slots := max(l.shape.Slots*len(l.byRank), 1)
@@ -134,8 +134,8 @@
 	return demand.Config{Sets: e.LayerSets, Experts: e.ExpertsPerSet, Ranks: len(l.byRank), SmoothingTime: smoothing}
 }
 
-// group returns the group as a remap.Group.
-func (l *leader) group() remap.Group {
+// remapGroup returns the group as a remap.Group.
+func (l *leader) remapGroup() remap.Group {
 	share := l.shape.ExpertWorkShare
 	if share <= 0 {
 		share = defaultExpertShare
@@ -166,7 +166,7 @@
 		return
 	}
 	price := l.price(l.demandHorizon(time.Now()))
-	plan := l.plan(price)
+	plan := l.makePlan(price)
 	if !plan.IsWorthwhile(l.effort(), price) {
 		return
 	}
@@ -195,9 +195,9 @@
 	}
 }
 
-// plan computes a map for the current demand.
-func (l *leader) plan(price remap.Price) remap.Plan {
-	return remap.Make(l.group(), l.planner.current, l.planner.tracker.Smoothed(), l.effort(), price, yield)
+// makePlan computes a map for the current demand.
+func (l *leader) makePlan(price remap.Price) remap.Plan {
+	return remap.Make(l.remapGroup(), l.planner.current, l.planner.tracker.Smoothed(), l.effort(), price, yield)
 }
 
 // beginChange starts a change: the ranks copy the experts that the plan requires. The change is
@@ -263,9 +263,9 @@
 // reconsider decides, after a shift of demand or of a rank's speed, whether a new plan replaces the
 // one in progress.
 func (l *leader) reconsider(ctx context.Context, now time.Time) {
-	p, g := &l.planner, l.group()
+	p, g := &l.planner, l.remapGroup()
 	price := l.price(l.demandHorizon(now))
-	plan := l.plan(price)
+	plan := l.makePlan(price)
 	pendingPassTime := g.PassTime(p.pending.plan.Map, p.tracker.Smoothed())
 	remaining := max(p.pending.copiesDueAt.Sub(now), 0)
 	if !plan.IsWorthwhile(l.effort(), price) || !plan.Replaces(l.effort(), remaining, plan.Before, pendingPassTime) {
@@ -301,7 +301,7 @@
 		l.s.stats.abandoned.Inc(1)
 	}
 	l.s.log.Info("map switch ended", zap.Bool("in-force", inForce), zap.Uint64("version", change.version), zap.Int("copies", change.plan.Copies), zap.Int("most", change.plan.MaxPerRank),
-		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.passTime), zap.Ints("running", l.running()), zap.Float64s("speed", l.speeds()),
+		zap.Float64("before", change.plan.Before), zap.Float64("after", change.plan.After), zap.Duration("pass", p.passTime), zap.Ints("running", l.requestsByRank()), zap.Float64s("speed", l.speeds()),
 		zap.Duration("copying", copiedAt.Sub(change.startedAt)), zap.Duration("switching", took))
 }
 
@@ -345,8 +345,8 @@
 	return time.Duration(float64(copies) * l.shape.ExpertBytes / l.shape.LinkRate * float64(time.Second))
 }
 
-// running returns the number of requests of each rank, running and waiting.
-func (l *leader) running() []int {
+// requestsByRank returns the number of requests of each rank, running and waiting.
+func (l *leader) requestsByRank() []int {
 	list := make([]int, len(l.byRank))
 	for r, m := range l.byRank {
 		list[r] = m.report.Running + m.report.Waiting
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -244,7 +244,7 @@
 	}
 	if l.machine == nil || l.machine.AbsentRank() != l.absent {
 		l.fence = max(l.fence+1, uint64(time.Now().UnixMilli())*fencesPerMilli)
-		l.machine = cutover.New(own.Size, own.Rank, l.absence(own), own.Epoch, l.fence)
+		l.machine = cutover.New(own.Size, own.Rank, l.fenceAbsent(own), own.Epoch, l.fence)
 		l.planner.pending = nil
 		l.rankStartTimes = l.startTimes()
 		l.s.log.Info("leads", zap.Int("absent", l.absent), zap.String("group", own.Group), zap.Uint64("epoch", own.Epoch), zap.Int("rank", own.Rank), zap.Uint64("fence", l.fence))
@@ -291,8 +291,8 @@
 	awaitPollInterval = 25 * time.Millisecond
 )
 
-// sendUntilSettled sends the cutover machine's orders until its phase needs none or limit has
-// passed.
+// sendUntilSettled sends the cutover machine's orders until its phase is Settling or Ready, which need
+// none, or limit has passed. It resigns if a rank rejected the fence.
 func (l *leader) sendUntilSettled(ctx context.Context, limit time.Duration) {
 	began := time.Now()
 	m := l.machine
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -26,8 +26,8 @@
 const ledReportInterval = 250 * time.Millisecond
 
 // receiveHello handles a gateway's hello. A gateway that was not known has just started or was
-// disconnected, and receives the load immediately: it admits no requests until it has the load of a
-// rank.
+// disconnected. It receives the load and the known ends of processes immediately: it admits no
+// requests until it has the load of a rank.
 func (s *Sidecar) receiveHello(from netip.AddrPort, h peers.Hello) {
 	now := time.Now()
 	isNew, load := s.registerGateway(from, h, now)
@@ -40,19 +40,21 @@
 	}
 }
 
-// registerGateway records a gateway's hello and returns the load to send if the gateway is new.
+// registerGateway records a gateway's hello, and the gateways that it lists. It returns the load to
+// send if the gateway is new; nil if it is not, or while the engine does not answer.
 func (s *Sidecar) registerGateway(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool, load *peers.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	isNew = s.gateways.recordHello(from, h, now)
 	s.addKnownGateways(h.KnownGateways, now)
 	if isNew && !s.reportAt.IsZero() {
-		load = s.load(s.report, false)
+		load = s.makeLoad(s.report, false)
 	}
 	return isNew, load
 }
 
-// addKnownGateways records the gateways that a hello lists. The caller holds mu.
+// addKnownGateways records the gateways that a hello lists, except for those that are leaving or not
+// heard from for subscriptionTTL. The caller holds mu.
 func (s *Sidecar) addKnownGateways(known []peers.DomainGateways, now time.Time) {
 	for _, k := range known {
 		for _, g := range k.Gateways {
@@ -109,7 +111,7 @@
 }
 
 // sendGroupLoads sends gateways the loads of all ranks that answered, if that is more frequent than
-// each rank sending its own.
+// each rank sending its own. One gateway of each failure domain receives them and forwards them.
 func (l *leader) sendGroupLoads(own rank.Report) {
 	now := time.Now()
 	if ownReportInterval(own.Size) <= minReportInterval || now.Sub(l.loadsSentAt) < groupLoadsInterval(len(l.members)) {
@@ -124,7 +126,7 @@
 		loads = peers.Loads{Group: own.Group, Closed: s.groupStalled, PassMs: int(pass.Milliseconds()), Forward: true}
 		loads.Epoch, loads.GatewayCount = own.Epoch, s.gateways.gatewayCount()
 		loads.LimitPerRank = float32(l.updateLimit(pass, now))
-		to = s.gateways.onePerDomain(now)
+		to = s.gateways.nextRelays(now)
 		s.groupLoadsSentAt = now
 	})
 	for part := range slices.Chunk(l.rankLoads(), peers.MaxRankLoads) {
--- a/internal/sidecar/maptext.go
+++ b/internal/sidecar/maptext.go
@@ -230,7 +230,7 @@
 // errUnknownBase means that this sidecar does not have the map that a delta is based on.
 var errUnknownBase = errors.New("the map that is changed is not known")
 
-// decode decodes a map and adds it to the cache.
+// decode decodes a full map or a delta, and adds the resulting map to the cache.
 func (s *mapCache) decode(t encodedMap) (m layout, err error) {
 	if t.Base == 0 {
 		m, err = decodeMap(t.Data)
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -14,7 +14,8 @@
 )
 
 // sendPhaseOrders sends the orders of the current phase and handles the results. An order that most
-// ranks share goes down the tree.
+// ranks share goes down the tree. Once a result changes the phase, the remaining results are
+// dropped.
 func (l *leader) sendPhaseOrders(ctx context.Context) {
 	orders := l.machine.Next()
 	results := make([]rank.Result, len(orders))
@@ -64,7 +65,8 @@
 }
 
 // sendViaTree sends the same order to ranks through the tree. A rank that does not answer there is
-// sent the order individually.
+// sent the order individually. A map goes down the tree as a delta first; ranks that lack its base
+// are then sent the full map.
 func (l *leader) sendViaTree(ctx context.Context, ranks []int, o rank.Order, results []rank.Result) {
 	encoded := &l.mapDelta
 	if o.Op != rank.Prepare {
--- a/internal/sidecar/ownarming.go
+++ b/internal/sidecar/ownarming.go
@@ -23,8 +23,8 @@
 }
 
 // minCertainUptime is how long this process must have run, when the leader was last heard from, to
-// be certain that it knows of every arming under a hold that is still set: a leader reverts within
-// switchTimeout what is not complete.
+// be certain that it knows of every arming under a hold that is still set. The hold of an earlier
+// arming is released by then: a leader reverts within switchTimeout what is not complete.
 const minCertainUptime = 2 * time.Second
 
 // armLeader sends the leader's own rank the order to arm it, on the leader's behalf, and records what
@@ -52,7 +52,7 @@
 }
 
 // recordArming records that the leader's own rank is about to be armed, and returns the state
-// before; ok is false if the order's fence is too low.
+// before. If the order's fence is too low, it records nothing and ok is false.
 func (s *Sidecar) recordArming(o rank.Order, arming rank.Arming) (before armingState, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,10 +64,10 @@
 	return before, true
 }
 
-// absence returns what is known about the former leader if its rank is the only one that does not
+// fenceAbsent returns what is known about the former leader if its rank is the only one that does not
 // answer; otherwise NoAbsence. Only the former leader's holder knows of its arming. The holder also
 // rejects armings of it with a lower fence from now on.
-func (l *leader) absence(own rank.Report) cutover.Absence {
+func (l *leader) fenceAbsent(own rank.Report) cutover.Absence {
 	if l.absent == cutover.NoRank {
 		return cutover.NoAbsence
 	}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -239,14 +239,14 @@
 	if !engineLost && !openChanged && s.leaderSendsLoads(now) {
 		return nil, nil, nil
 	}
-	load = s.load(r, engineLost)
-	direct, relays = s.gateways.targets(now)
+	load = s.makeLoad(r, engineLost)
+	direct, relays = s.gateways.nextTargets(now)
 	return load, direct, relays
 }
 
-// load returns the load that gateways are sent for a report of the engine, or for an engine that
+// makeLoad returns the load that gateways are sent for a report of the engine, or for an engine that
 // does not answer if engineLost is set. It may update the stall state. The caller holds mu.
-func (s *Sidecar) load(r rank.Report, engineLost bool) *peers.Load {
+func (s *Sidecar) makeLoad(r rank.Report, engineLost bool) *peers.Load {
 	return &peers.Load{
 		Address: s.cfg.Address, StartedAt: r.StartedAt, Running: r.Running, Waiting: r.Waiting, Slowdown: r.Slowdown,
 		Group: r.Group, Epoch: r.Epoch, PassMs: int(s.passes.mean.Milliseconds()), GatewayCount: s.gateways.gatewayCount(),
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -80,10 +80,10 @@
 	return n
 }
 
-// targets returns the gateways to send a load to now: those that need not forward it, and those
+// nextTargets returns the gateways to send a load to now: those that need not forward it, and those
 // that relay it to their domain. Relays change with each call. Gateways without a domain are all
 // sent the load directly.
-func (s *subscribers) targets(now time.Time) (direct, relays []netip.AddrPort) {
+func (s *subscribers) nextTargets(now time.Time) (direct, relays []netip.AddrPort) {
 	s.eachDomain(now, func(domain string, members []subscriber) {
 		if domain != "" && (domain != s.domain || len(members) > maxDirectGateways) {
 			relays = append(relays, members[s.rotation%len(members)].address)
@@ -96,9 +96,9 @@
 	return direct, relays
 }
 
-// onePerDomain returns one gateway of each failure domain, which forwards what it receives. The next
+// nextRelays returns one gateway of each failure domain, which forwards what it receives. The next
 // call returns the next gateway of each.
-func (s *subscribers) onePerDomain(now time.Time) (list []netip.AddrPort) {
+func (s *subscribers) nextRelays(now time.Time) (list []netip.AddrPort) {
 	s.eachDomain(now, func(_ string, members []subscriber) {
 		list = append(list, members[s.rotation%len(members)].address)
 	})
--- a/internal/sidecar/subscribers_test.go
+++ b/internal/sidecar/subscribers_test.go
@@ -35,7 +35,7 @@
 	s := threeDomainSubscribers(now)
 	sent := map[netip.AddrPort]int{}
 	for range 6 {
-		direct, relays := s.targets(now)
+		direct, relays := s.nextTargets(now)
 		g.Expect(direct).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(0, 1), gatewayAddress(0, 2)))
 		g.Expect(relays).To(HaveLen(2))
 		for _, a := range relays {
@@ -54,7 +54,7 @@
 	s := threeDomainSubscribers(now)
 	later := now.Add(subscriptionTTL + time.Second)
 	s.recordHello(gatewayAddress(1, 2), peers.Hello{Domain: "b"}, later)
-	direct, relays := s.targets(later)
+	direct, relays := s.nextTargets(later)
 	g.Expect(direct).To(BeEmpty())
 	g.Expect(relays).To(ConsistOf(gatewayAddress(1, 2)))
 }
@@ -65,7 +65,7 @@
 	s := newSubscribers("a")
 	s.recordHello(gatewayAddress(1, 0), peers.Hello{}, now)
 	s.recordHello(gatewayAddress(1, 1), peers.Hello{}, now)
-	direct, relays := s.targets(now)
+	direct, relays := s.nextTargets(now)
 	g.Expect(direct).To(HaveLen(2))
 	g.Expect(relays).To(BeEmpty())
 }
@@ -76,7 +76,7 @@
 	s := threeDomainSubscribers(now)
 	sent := map[netip.AddrPort]int{}
 	for range 3 {
-		list := s.onePerDomain(now)
+		list := s.nextRelays(now)
 		g.Expect(list).To(HaveLen(3))
 		for _, a := range list {
 			sent[a]++
@@ -94,11 +94,11 @@
 	for n := range maxDirectGateways {
 		s.recordHello(gatewayAddress(0, n), peers.Hello{Domain: "a"}, now)
 	}
-	direct, relays := s.targets(now)
+	direct, relays := s.nextTargets(now)
 	g.Expect(direct).To(HaveLen(maxDirectGateways))
 	g.Expect(relays).To(BeEmpty())
 	s.recordHello(gatewayAddress(0, maxDirectGateways), peers.Hello{Domain: "a"}, now)
-	direct, relays = s.targets(now)
+	direct, relays = s.nextTargets(now)
 	g.Expect(direct).To(BeEmpty())
 	g.Expect(relays).To(HaveLen(1))
 }
@@ -110,7 +110,7 @@
 	s.recordHello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1, GatewayCount: 500}, now)
 	s.addKnown(gatewayAddress(1, 0), "b", now.Add(-subscriptionTTL+time.Second))
 	s.addKnown(gatewayAddress(0, 0), "a", now.Add(-subscriptionTTL))
-	g.Expect(s.onePerDomain(now)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 0)))
+	g.Expect(s.nextRelays(now)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 0)))
 	g.Expect(s.gatewayCount()).To(Equal(500))
 	g.Expect(s.recordHello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, now)).To(BeFalse())
 	g.Expect(s.recordHello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1}, now)).To(BeTrue(), "it was known only from another gateway")
@@ -118,7 +118,7 @@
 	s.recordHello(gatewayAddress(0, 0), peers.Hello{Domain: "a", Incarnation: 1}, later)
 	s.addKnown(gatewayAddress(1, 1), "b", later)
 	s.recordHello(gatewayAddress(1, 0), peers.Hello{Domain: "b", Incarnation: 1, GatewayCount: 7}, now.Add(-time.Hour))
-	g.Expect(s.onePerDomain(later)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 1)), "an older report expires")
+	g.Expect(s.nextRelays(later)).To(ConsistOf(gatewayAddress(0, 0), gatewayAddress(1, 1)), "an older report expires")
 }
 
 // A sidecar whose leader sends its load sends nothing itself and therefore removes no expired
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -132,8 +132,8 @@
 	return sum
 }
 
-// fanOut sends a query to all its engines, in parts, each through the first sidecar of the part
-// that answers.
+// fanOut sends a query to the sidecars of all its engines, split into at most q.Fanout parts. Each part
+// is queried through its first sidecar that answers.
 func (s *Sidecar) fanOut(ctx context.Context, q treeQuery) (sum treeResponse) {
 	parts := split(q.Engines, q.Fanout)
 	below := make([]treeResponse, len(parts))
@@ -179,7 +179,9 @@
 	return treeResponse{}
 }
 
-// answerForSelf answers a query for this rank.
+// answerForSelf answers a query for this rank: it executes the query's order, or reads the engine's
+// report if there is none. The response has no rank if the engine does not answer, and counts only if
+// they were requested for this group and belong to its epoch.
 func (s *Sidecar) answerForSelf(ctx context.Context, q treeQuery) (a treeResponse) {
 	if q.Order != nil {
 		a.Ranks = []rankResponse{s.executeWithMap(ctx, *q.Order, q.Map)}
