--- a/internal/decide/passes/told_test.go
+++ b/internal/decide/passes/told_test.go
@@ -47,7 +47,7 @@
 
 var limiterShape = Shape{FixedCost: 4, Slots: 10, EmptyPass: 24 * time.Millisecond, MaxPause: 120 * time.Millisecond}
 
-// runLimiter calls Next ten times per simulated second with unchanged reports.
+// runLimiter calls UpdateLimit ten times per simulated second with unchanged reports.
 func runLimiter(g *WithT, l *Limiter, from time.Time, times, running int, pass time.Duration) (perRank float64, until time.Time) {
 	until = from
 	for range times {
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -40,7 +40,7 @@
 )
 
 // Knowledge is what was known when a request was sent to an endpoint: whether processes had ended
-// while they ran this request before.
+// before while they ran this request.
 type Knowledge int
 
 // The kinds of knowledge, in ascending order of severity.
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -76,9 +76,9 @@
 // passTimeWeight returns the current value of a shorter pass as a fraction of its full value. It rises
 // from 0 to 1 between lowPassRatio and highPassRatio. While passes are short, the weight is
 // proportional to the slots in use, up to minPassTimeWeight: in a fleet whose groups have little
-// load, copies would cost more than the requests served are worth. Without a pause limit the weight is 1. With 3,000 endpoints
-// under the load of 300, copies and all other costs take 0.314 of the value served, instead of
-// 0.499.
+// load, copies would cost more than the requests served are worth. With 3,000 endpoints under the
+// load of 300, copies and all other costs take 0.314 of the value served, instead of 0.499. Without
+// a pause limit, the weight is 1.
 func (l *leader) passTimeWeight() float64 {
 	if l.pauseLimit <= 0 {
 		return 1
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -61,9 +61,9 @@
 
 // shouldLead reports whether this sidecar is to lead. A sidecar that leads continues until a lower
 // rank announces itself. Any other sidecar does not begin while a lower rank, or a rank that has
-// started leading, announces itself. It first waits for leadTimeout after the last such announcement
-// or, unless it is the lowest rank, after the group opened. Then it waits leadStagger for each lower
-// rank.
+// started leading, announces itself. It first waits for leadTimeout after the last announcement of a
+// rank that had started leading or, unless it is the lowest rank, after the group opened. Then it
+// waits leadStagger for each lower rank.
 func (l *leader) shouldLead(own rank.Report) bool {
 	var lead leadership
 	duty.Locked(&l.s.mu, func() { lead = l.s.lead })
