--- a/internal/decide/once/once.go
+++ b/internal/decide/once/once.go
@@ -78,7 +78,7 @@
 // Begin marks name as running if it may start. The time minted is the creation
 // time in the key; digest is a hash of the request, which detects the use of one
 // name for two requests. For a name that has a mark, the verdict follows from the
-// mark alone. The answer is nil unless the verdict is Replay.
+// mark and the digest alone. The answer is nil unless the verdict is Replay.
 func (t *Table) Begin(name string, digest uint64, minted, now time.Time) (v Verdict, a *Answer) {
 	t.expire(now)
 	if m, ok := t.marks[name]; ok {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -60,9 +60,9 @@
 	// is known how long answers take. Some answers never arrive; sending an order again is
 	// harmless, whereas waiting stalls the group.
 	maxOrderTimeout = 40 * time.Millisecond
-	// minOrderTimeout is the lower bound of the timeout of one attempt, several times the time that an engine on
-	// the same instance takes. orderTimeoutFactor is the ratio of the timeout to the time within
-	// which nearly all answers arrive.
+	// minOrderTimeout is the lower bound of the timeout of one attempt, several times the time that
+	// an engine on the same instance takes. orderTimeoutFactor is the ratio of the timeout to the
+	// time within which nearly all answers arrive.
 	minOrderTimeout    = 12 * time.Millisecond
 	orderTimeoutFactor = 3
 	// orderRetryWindow is how long an order without an answer is sent again before it is reported
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -30,8 +30,8 @@
 	// takes some kilobytes: with more, the link of the caller is the bottleneck; with fewer, the
 	// tree is deep.
 	heavyFanout = 4
-	// lightFanout is that number if the answers and the query take some bytes per rank: a call costs about 0.2 ms of a
-	// core, and a level of the tree costs a round trip.
+	// lightFanout is that number if the answers and the query take some bytes per rank: a call costs
+	// about 0.2 ms of a core, and a level of the tree costs a round trip.
 	lightFanout = 8
 	// flatFanout is the size of groups up to which the leader calls all others itself: as many
 	// calls as two levels of heavyFanout would take.
