--- a/internal/decide/rebalance/rebalance_test.go
+++ b/internal/decide/rebalance/rebalance_test.go
@@ -26,7 +26,7 @@
 func converged(s Shape, l Layer, tokens []float64) Layer {
 	e := newEditor(s, slices.Clone(l), tokens, nil)
 	for {
-		c, ok := e.best()
+		c, ok := e.bestChange()
 		if !ok {
 			return e.layer
 		}
@@ -94,7 +94,7 @@
 			tokens := skewedTokens(rnd, s.Experts)
 			e := newEditor(s, RoundRobin(s, 1)[0].clone(), tokens, nil)
 			for {
-				c, ok := e.best()
+				c, ok := e.bestChange()
 				if !ok {
 					break
 				}
@@ -189,7 +189,7 @@
 	e := newEditor(small, RoundRobin(small, 1)[0], tokens, speed)
 	before := e.slowest()
 	for {
-		c, ok := e.best()
+		c, ok := e.bestChange()
 		if !ok {
 			break
 		}
--- a/internal/sidecar/maptext.go
+++ b/internal/sidecar/maptext.go
@@ -78,6 +78,7 @@
 	err error
 }
 
+// next reads one number; 0 after an error.
 func (d *varintReader) next() int {
 	n, size := binary.Uvarint(d.raw)
 	if size <= 0 || n > 1<<31 {
@@ -88,6 +89,7 @@
 	return int(n)
 }
 
+// fail records the first error and drops the rest of the input.
 func (d *varintReader) fail(err error) {
 	if d.err == nil {
 		d.raw, d.err = nil, err
@@ -193,6 +195,7 @@
 	maps []layout // In the order of keys.
 }
 
+// put makes m the newest cached map and drops the oldest if there are too many.
 func (s *mapCache) put(m layout) {
 	key := fingerprint(m)
 	s.mu.Lock()
@@ -227,7 +230,7 @@
 // errUnknownBase means that this sidecar does not have the map that a delta is based on.
 var errUnknownBase = errors.New("the map that is changed is not known")
 
-// decode decodes a map and adds it to the cache.
+// decode decodes a full map or a delta, and adds the resulting map to the cache.
 func (s *mapCache) decode(t encodedMap) (m layout, err error) {
 	if t.Base == 0 {
 		m, err = decodeMap(t.Data)
@@ -241,6 +244,8 @@
 	return m, nil
 }
 
+// applyDelta decodes a delta. Its base is a cached map or the round-robin layout; otherwise the error
+// is errUnknownBase.
 func (s *mapCache) applyDelta(t encodedMap) (m layout, err error) {
 	base := s.get(t.Base)
 	if base == nil {
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -38,14 +38,14 @@
 type subscribers struct {
 	domain   string
 	list     []subscriber // Invariant: ordered by domain, then by address.
-	rotation int
+	rotation int          // Increases with each message sent; selects the relay of each domain.
 }
 
 func newSubscribers(domain string) subscribers { return subscribers{domain: domain} }
 
-// hello records a gateway's hello. It returns true if the gateway's process was unknown or its
+// recordHello records a gateway's hello. It returns true if the gateway's process was unknown or its
 // subscription had expired.
-func (s *subscribers) hello(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool) {
+func (s *subscribers) recordHello(from netip.AddrPort, h peers.Hello, now time.Time) (isNew bool) {
 	g, known := s.getOrAdd(from, h.Domain)
 	isNew = !known || g.incarnation != h.Incarnation || now.Sub(g.lastHello) > subscriptionTTL
 	g.incarnation, g.lastHello, g.gatewaysKnown = h.Incarnation, now, h.GatewayCount
@@ -59,7 +59,8 @@
 	}
 }
 
-// getOrAdd returns the gateway at an address and adds it if it was unknown.
+// getOrAdd returns the gateway at an address and adds it if it was unknown. The pointer is valid until
+// the list changes.
 func (s *subscribers) getOrAdd(address netip.AddrPort, domain string) (g *subscriber, known bool) {
 	i, known := slices.BinarySearchFunc(s.list, subscriber{address: address, domain: domain}, func(a, b subscriber) int {
 		return cmp.Or(cmp.Compare(a.domain, b.domain), a.address.Compare(b.address))
@@ -79,9 +80,10 @@
 	return n
 }
 
-// targets returns the gateways to send a load to now: those that need not forward it, and those
-// that relay it to their domain.
-func (s *subscribers) targets(now time.Time) (direct, relays []netip.AddrPort) {
+// nextTargets returns the gateways to send a load to now: those that need not forward it, and those
+// that relay it to their domain. Relays change with each call. Gateways without a domain are all
+// sent the load directly.
+func (s *subscribers) nextTargets(now time.Time) (direct, relays []netip.AddrPort) {
 	s.eachDomain(now, func(domain string, members []subscriber) {
 		if domain != "" && (domain != s.domain || len(members) > maxDirectGateways) {
 			relays = append(relays, members[s.rotation%len(members)].address)
@@ -94,16 +96,17 @@
 	return direct, relays
 }
 
-// onePerDomain returns one gateway of each failure domain, which forwards what it receives.
-func (s *subscribers) onePerDomain(now time.Time) (list []netip.AddrPort) {
+// nextRelays returns one gateway of each failure domain, which forwards what it receives. The next
+// call returns the next gateway of each.
+func (s *subscribers) nextRelays(now time.Time) (list []netip.AddrPort) {
 	s.eachDomain(now, func(_ string, members []subscriber) {
 		list = append(list, members[s.rotation%len(members)].address)
 	})
 	return list
 }
 
-// eachDomain removes the gateways whose subscription has expired and calls do with the others, by
-// domain.
+// eachDomain removes the gateways whose subscription has expired, advances the rotation, and calls do
+// once for each domain with the remaining ones.
 func (s *subscribers) eachDomain(now time.Time, do func(domain string, members []subscriber)) {
 	s.list = slices.DeleteFunc(s.list, func(g subscriber) bool { return now.Sub(g.lastHello) > subscriptionTTL })
 	s.rotation++
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -30,8 +30,8 @@
 	// takes some kilobytes: with more, the link of the caller is the bottleneck; with fewer, the
 	// tree is deep.
 	heavyFanout = 4
-	// lightFanout is that number if they take some bytes per rank: a call costs about 0.2 ms of a
-	// core, and a level of the tree costs a round trip.
+	// lightFanout is that number if the answers and the query take some bytes per rank: a call costs
+	// about 0.2 ms of a core, and a level of the tree costs a round trip.
 	lightFanout = 8
 	// flatFanout is the size of groups up to which the leader calls all others itself: as many
 	// calls as two levels of heavyFanout would take.
@@ -74,7 +74,7 @@
 }
 
 // fanoutFor returns the fanout to reach the given number of ranks if each call takes some
-// kilobytes.
+// kilobytes. Fewer than flatFanout ranks are all called by the leader.
 func fanoutFor(ranks int) int {
 	if ranks < flatFanout {
 		return flatFanout
@@ -132,8 +132,8 @@
 	return sum
 }
 
-// fanOut sends a query to all its engines, in parts, each through the first sidecar of the part
-// that answers.
+// fanOut sends a query to the sidecars of all its engines, split into at most q.Fanout parts. Each part
+// is queried through its first sidecar that answers.
 func (s *Sidecar) fanOut(ctx context.Context, q treeQuery) (sum treeResponse) {
 	parts := split(q.Engines, q.Fanout)
 	below := make([]treeResponse, len(parts))
@@ -144,22 +144,23 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // As above.
-	place := 0
+	_ = g.Wait() // No function returns an error; ranks that did not answer are not in the response.
+	firstIndex := 0
 	for i, part := range parts {
-		s.merge(&sum, below[i], place)
-		place += len(part)
+		s.merge(&sum, below[i], firstIndex)
+		firstIndex += len(part)
 	}
 	return sum
 }
 
-// queryPart sends a query to the ranks of one part: to the first one, which queries the rest, or to
-// the next one if that does not answer.
+// queryPart sends a query to the ranks of one part through the first of them that answers. A rank that
+// answers queries those after it; a rank that does not is left out. The response is empty if none
+// answers before hopTime remains to the deadline.
 func (s *Sidecar) queryPart(ctx context.Context, q treeQuery, part []string) (a treeResponse) {
 	for first := range part {
 		deadline, ok := ctx.Deadline()
-		if left := time.Until(deadline) - hopTime; ok && left > 0 {
-			q.Timeout = left
+		if remaining := time.Until(deadline) - hopTime; ok && remaining > 0 {
+			q.Timeout = remaining
 		} else {
 			return treeResponse{}
 		}
@@ -178,7 +179,9 @@
 	return treeResponse{}
 }
 
-// answerForSelf answers a query for this rank.
+// answerForSelf answers a query for this rank: it executes the query's order, or reads the engine's
+// report if there is none. The response has no rank if the engine does not answer, and counts only if
+// they were requested for this group and belong to its epoch.
 func (s *Sidecar) answerForSelf(ctx context.Context, q treeQuery) (a treeResponse) {
 	if q.Order != nil {
 		a.Ranks = []rankResponse{s.executeWithMap(ctx, *q.Order, q.Map)}
@@ -203,11 +206,11 @@
 	return a
 }
 
-// merge adds a response from below to sum. The ranks of the response start at the given index of
-// the query's list.
-func (s *Sidecar) merge(sum *treeResponse, from treeResponse, place int) {
+// merge adds a response from below to sum. The ranks of the response start at firstIndex of the
+// query's list. Counts that cannot be added, as those of another epoch, are ignored.
+func (s *Sidecar) merge(sum *treeResponse, from treeResponse, firstIndex int) {
 	for _, r := range from.Ranks {
-		r.Index += place
+		r.Index += firstIndex
 		sum.Ranks = append(sum.Ranks, r)
 	}
 	if from.SummedRanks == 0 {
