--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -132,7 +132,7 @@
 // ends.
 func (q *request) recordSending() {
 	q.sentBoottime = q.g.cfg.Now()
-	q.knowledge = q.g.suspects.SendingState(q.key, q.sentBoottime)
+	q.knowledge = q.g.suspects.KnowledgeAtSend(q.key, q.sentBoottime)
 	if q.onTrial {
 		q.knowledge = quarantine.OnTrial
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -151,9 +151,9 @@
 	s.notifyPending()
 }
 
-// SendingState returns what is known of a request that is sent now. It computes the key only if any
+// KnowledgeAtSend returns what is known of a request that is sent now. It computes the key only if any
 // ends are known, because that hashes the body.
-func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
+func (s *Set) KnowledgeAtSend(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
