--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -101,7 +101,7 @@
 	}
 	m.ensurePlanner(s)
 	m.planner.Observe(load.Sample, load.Tokens)
-	state, ok := m.ownRankState(ctx)
+	state, ok := m.askOwnRank(ctx)
 	if !ok {
 		return
 	}
@@ -162,8 +162,8 @@
 	})
 }
 
-// ownRankState reads the state of the agent's own rank. The order has ballot 0 and raises no fence.
-func (m *mapController) ownRankState(ctx context.Context) (r mapswitch.RankState, ok bool) {
+// askOwnRank reads the state of the agent's own rank. The order has ballot 0 and raises no fence.
+func (m *mapController) askOwnRank(ctx context.Context) (r mapswitch.RankState, ok bool) {
 	reply, err := m.agent.engine.Order(ctx, adapter.MapOrder{Order: mapswitch.Order{Kind: mapswitch.Ask}})
 	if err != nil {
 		return r, false
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -74,7 +74,7 @@
 	out := &headerTracker{ResponseWriter: w}
 	var j *job // Nil until the request is accepted.
 	complete := true
-	returned := a.contain(func() {
+	returned := a.recoverPanics(func() {
 		var refusal *wire.Refusal
 		if j, refusal = a.accept(w, r); refusal != nil {
 			a.refuse(out, refusal)
@@ -83,15 +83,15 @@
 		complete = j.run(out, r)
 	})
 	if !returned {
-		complete = !out.headerSent && a.contain(func() { a.refuse(out, j.internalError()) })
+		complete = !out.headerSent && a.recoverPanics(func() { a.refuse(out, j.endAfterPanic()) })
 	}
 	if !complete {
 		panic(http.ErrAbortHandler) // The entry must see that the answer is truncated.
 	}
 }
 
-// contain calls do, recovers from a panic in it, and reports whether it returned normally.
-func (a *Agent) contain(do func()) (returned bool) {
+// recoverPanics calls do, recovers from a panic in it, and reports whether it returned normally.
+func (a *Agent) recoverPanics(do func()) (returned bool) {
 	return duty.RunRecovered("request", a.node.Log(), a.node.Metrics(), do)
 }
 
@@ -144,9 +144,9 @@
 	return true
 }
 
-// internalError ends a job after a panic in the agent and returns its refusal. The job is nil if the
+// endAfterPanic ends a job after a panic in the agent and returns its refusal. The job is nil if the
 // request was not accepted.
-func (j *job) internalError() *wire.Refusal {
+func (j *job) endAfterPanic() *wire.Refusal {
 	const cause = "fault of the agent"
 	if j == nil {
 		return wire.Refuse(http.StatusInternalServerError, 0, cause)
@@ -293,12 +293,12 @@
 	})
 	j.machine.Apply(eventQueue)
 	select {
-	case t := <-c:
-		if t.refusal == nil {
+	case decided := <-c:
+		if decided.refusal == nil {
 			j.admitted = true
 			j.machine.Apply(eventStart)
 		}
-		return t.refusal
+		return decided.refusal
 	case <-ctx.Done():
 		return j.abandon()
 	}
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -116,7 +116,7 @@
 	mu.Lock()
 	defer mu.Unlock()
 	timer = time.AfterFunc(interval, func() {
-		j.agent.contain(func() {
+		j.agent.recoverPanics(func() {
 			if !j.agent.Load().Stalled {
 				f.writeAlive(interval)
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -50,7 +50,7 @@
 		_ = peers.Close()
 		return nil, nil, err
 	}
-	d.add(peers, d.roleHandler(), peersName, string(adapter.RoleEntry), string(adapter.RoleEndpoint))
+	d.add(peers, d.createRole(), peersName, string(adapter.RoleEntry), string(adapter.RoleEndpoint))
 	for _, one := range []struct {
 		address string
 		handler func() http.Handler
@@ -72,8 +72,8 @@
 	return d, cleanup, nil
 }
 
-// roleHandler creates the entry or the agent and returns the handler of the peer listener.
-func (d *Daemon) roleHandler() http.Handler {
+// createRole creates the entry or the agent and returns the handler of the peer listener.
+func (d *Daemon) createRole() http.Handler {
 	if d.set.Role == adapter.RoleEntry {
 		d.entry = entry.New(d.node)
 		return d.entry.PeerHandler()
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -71,9 +71,9 @@
 	logger.Info("start", append(build.Read().Fields(), zap.String("name", set.Name), zap.String("role", string(set.Role)),
 		zap.String("domain", set.Domain), zap.Int("pid", os.Getpid()), zap.Int64("life", p.startedAt.UnixMilli()))...)
 	if set.Role == settings.Gateway {
-		err = p.gateway(ctx)
+		err = p.runGateway(ctx)
 	} else {
-		err = p.sidecar(ctx)
+		err = p.runSidecar(ctx)
 	}
 	last := []zap.Field{zap.Bool("failed", err != nil), zap.Int64("lines-left-out", lines.Dropped())}
 	if err != nil {
@@ -193,19 +193,19 @@
 	open     func() int
 	log      *zap.Logger
 	loggedAt time.Time // When the full state was last logged; used by the accepting goroutine only.
-	closed   context.Context
-	close    context.CancelFunc // Cancels closed.
+	waitCtx  context.Context
+	endWaits context.CancelFunc // Cancels closed.
 }
 
 func newLimitedListener(l net.Listener, maxOpen int, open func() int, log *zap.Logger) *limitedListener {
 	b := &limitedListener{Listener: l, maxOpen: maxOpen, open: open, log: log}
-	b.closed, b.close = context.WithCancel(context.Background())
+	b.waitCtx, b.endWaits = context.WithCancel(context.Background())
 	return b
 }
 
 // Close closes the listener, and also ends an Accept that waits for capacity.
 func (l *limitedListener) Close() error {
-	l.close()
+	l.endWaits()
 	return l.Listener.Close()
 }
 
@@ -215,8 +215,8 @@
 		l.loggedAt = now
 		l.log.Warn("connection limit reached", zap.Int("open", l.open()))
 	}
-	for l.open() >= l.maxOpen && l.closed.Err() == nil {
-		wait.For(l.closed, limitPollInterval)
+	for l.open() >= l.maxOpen && l.waitCtx.Err() == nil {
+		wait.For(l.waitCtx, limitPollInterval)
 	}
 	return l.Listener.Accept()
 }
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -45,8 +45,8 @@
 // then and waits only for the end.
 const aliveCheckTime = 60 * time.Millisecond
 
-// gateway runs a gateway.
-func (p *fleetProcess) gateway(ctx context.Context) (err error) {
+// runGateway runs a gateway.
+func (p *fleetProcess) runGateway(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	store, closeStore := platform.NewStore(p.set.StoreAddress, p.set.SourceIP)
--- a/internal/daemon/sidecar.go
+++ b/internal/daemon/sidecar.go
@@ -13,8 +13,8 @@
 	"github.com/canvaspulley/canvaspulley/platform"
 )
 
-// sidecar runs a sidecar.
-func (p *fleetProcess) sidecar(ctx context.Context) (err error) {
+// runSidecar runs a sidecar.
+func (p *fleetProcess) runSidecar(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	store, closeStore := platform.NewStore(p.set.StoreAddress, p.set.SourceIP)
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -178,7 +178,7 @@
 		refusal = s.attempt(c)
 		s.entry.recordAttempt(s.req, refusal)
 		if refusal == nil {
-			s.entry.attemptSucceeded(s.req, s.chat.Model)
+			s.entry.creditSuccess(s.req, s.chat.Model)
 			return s.out.finish()
 		}
 		avoid[c.Endpoint] = true
@@ -200,7 +200,7 @@
 // endpoints were tried, those that are still candidates, since they only refused, may be tried again.
 func (s *stream) chooseTarget(avoid map[string]bool) (c candidate, refusal *wire.Refusal) {
 	if s.env.Key != "" {
-		return s.keyOwner()
+		return s.chooseKeyOwner()
 	}
 	list := s.entry.candidates(s.groups, avoid)
 	if len(list) == 0 {
@@ -213,7 +213,7 @@
 	return c, nil
 }
 
-func (s *stream) keyOwner() (c candidate, refusal *wire.Refusal) {
+func (s *stream) chooseKeyOwner() (c candidate, refusal *wire.Refusal) {
 	for _, g := range s.groups {
 		c, refusal = s.entry.chooseTarget(s.req, g, &s.env, nil)
 		if refusal == nil {
@@ -292,7 +292,7 @@
 		}
 		if f.Event == wire.EventEnd { // Its offset is the next one: every token before it was forwarded.
 			if l, ok := wire.ParseLoad(string(f.Data)); ok {
-				s.entry.tracker.report(c.Endpoint, l)
+				s.entry.tracker.recordLoad(c.Endpoint, l)
 			}
 			return nil
 		}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -109,10 +109,10 @@
 	body       []byte // As received.
 	mayHaveRun bool   // At least one attempt may have run at an endpoint.
 
-	cachedKey    quarantine.Key
-	keyComputed  bool                 // cachedKey is valid.
-	sendingState quarantine.Knowledge // What was known of the request when its last attempt was sent.
-	onTrial      bool                 // Sent to find out whether it still ends endpoints' processes.
+	cachedKey       quarantine.Key
+	keyComputed     bool                 // cachedKey is valid.
+	knowledgeAtSend quarantine.Knowledge // What was known of the request when its last attempt was sent.
+	onTrial         bool                 // Sent to find out whether it still ends endpoints' processes.
 }
 
 // serve wraps a handler with what all requests have in common: the request id, admission,
@@ -207,7 +207,7 @@
 	if refusal := req.readHeaders(time.Now()); refusal != nil {
 		return nil, refusal
 	}
-	if retryAfter, ok := e.limits.allow(cfg, cust, clock.Now()); !ok {
+	if retryAfter, ok := e.limits.take(cfg, cust, clock.Now()); !ok {
 		return nil, wire.Refuse(http.StatusTooManyRequests, retryAfter, "the customer's limit is reached")
 	}
 	return req, nil
@@ -241,9 +241,9 @@
 	return b
 }
 
-// mayRetry reports whether the retry policy, the customer's budget and the group's budget all allow
+// takeRetry reports whether the retry policy, the customer's budget and the group's budget all allow
 // another attempt, and after which delay.
-func (e *Entry) mayRetry(req *request, service string, a retry.Attempt) (delay time.Duration, allowed bool) {
+func (e *Entry) takeRetry(req *request, service string, a retry.Attempt) (delay time.Duration, allowed bool) {
 	a.Deadline = req.deadline
 	a.Random = rand.Float64()
 	delay, allowed = retry.Next(a, time.Now())
@@ -262,7 +262,7 @@
 	return delay, true
 }
 
-func (e *Entry) attemptSucceeded(req *request, service string) {
+func (e *Entry) creditSuccess(req *request, service string) {
 	e.recordSuccess(req)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -110,7 +110,7 @@
 		last = e.callOnce(req, s, c, env, body)
 		e.recordAttempt(req, last)
 		if last == nil {
-			e.attemptSucceeded(req, s.Name)
+			e.creditSuccess(req, s.Name)
 			return nil
 		}
 		if !e.waitForRetry(req, s.Name, env, last) {
@@ -158,7 +158,7 @@
 		e.auditPolicyError(req, err)
 		a.PolicyAllows = ok
 	}
-	delay, ok := e.mayRetry(req, service, a)
+	delay, ok := e.takeRetry(req, service, a)
 	return ok && wait.For(req.r.Context(), delay)
 }
 
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -34,13 +34,13 @@
 	verdict, retryAfter := suspects.Judge(req.quarantineKey, now)
 	switch {
 	case verdict == quarantine.Free, verdict == quarantine.Trial && req.onTrial:
-		req.sendingState = suspects.SendingState(req.quarantineKey, now)
+		req.knowledgeAtSend = suspects.KnowledgeOf(req.quarantineKey, now)
 		if req.onTrial {
-			req.sendingState = quarantine.OnTrial
+			req.knowledgeAtSend = quarantine.OnTrial
 		}
 		return nil
 	case verdict == quarantine.Trial && e.ownsTrial(req.quarantineKey()) && suspects.BeginTrial(req.quarantineKey(), now, now.Add(maxTrialTime)):
-		req.onTrial, req.sendingState = true, quarantine.OnTrial
+		req.onTrial, req.knowledgeAtSend = true, quarantine.OnTrial
 		return nil
 	case verdict == quarantine.Trial:
 		retryAfter = trialRetryAfter
@@ -68,7 +68,7 @@
 		return
 	}
 	e.count("endpoints.ended-under-attempt")
-	e.node.Suspects().RecordEnd(req.quarantineKey(), refusal.Ended.Incarnation, req.sendingState, e.now())
+	e.node.Suspects().RecordEnd(req.quarantineKey(), refusal.Ended.Incarnation, req.knowledgeAtSend, e.now())
 	refusal.Ended = nil // Internal: not part of the answer to the caller.
 }
 
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -41,23 +41,23 @@
 	byCustomer map[string]*customerLimit // Customers without a limit have no element.
 }
 
-// allow takes one request from the customer's limit at this entry. When it returns false, the caller may
+// take takes one request from the customer's limit at this entry. When it returns false, the caller may
 // retry after the returned time.
-func (l *limits) allow(cfg *published.Config, c *published.Customer, now time.Time) (retryAfter time.Duration, ok bool) {
+func (l *limits) take(cfg *published.Config, c *published.Customer, now time.Time) (retryAfter time.Duration, ok bool) {
 	if c.Rate == 0 {
 		return 0, true
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	own := l.get(cfg, c, now)
+	own := l.ownLimit(cfg, c, now)
 	own.share.CountRequest()
 	rate := own.share.Rate(now)
 	own.bucket.SetRate(rate, max(1, own.burst*rate/c.Rate), now)
 	return own.bucket.Take(now)
 }
 
-// get returns this entry's share of c's limit, updated to the entitlement that is in effect. l.mu must be held.
-func (l *limits) get(cfg *published.Config, c *published.Customer, now time.Time) *customerLimit {
+// ownLimit returns this entry's share of c's limit, updated to the entitlement that is in effect. l.mu must be held.
+func (l *limits) ownLimit(cfg *published.Config, c *published.Customer, now time.Time) *customerLimit {
 	entitledRate := c.Rate / float64(l.entryCount(cfg))
 	own, found := l.byCustomer[c.Name]
 	if !found {
@@ -150,7 +150,7 @@
 	reply := wire.BorrowReply{}
 	if c, known := cfg.Customer(req.Customer); known && c.Rate > 0 {
 		now := clock.Now()
-		duty.Locked(&l.mu, func() { reply.RatePerSecond = l.get(cfg, c, now).share.Lend(req.RatePerSecond, now) })
+		duty.Locked(&l.mu, func() { reply.RatePerSecond = l.ownLimit(cfg, c, now).share.Lend(req.RatePerSecond, now) })
 	}
 	httpjson.Reply(w, reply)
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -62,7 +62,7 @@
 		return nil, e.refusalAfterSendError(c, env, err)
 	}
 	if l, ok := wire.ParseLoad(resp.Header.Get(wire.HeaderLoad)); ok {
-		e.tracker.report(c.Endpoint, l)
+		e.tracker.recordLoad(c.Endpoint, l)
 	}
 	return resp, nil
 }
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -38,7 +38,7 @@
 
 func newTracker() *tracker { return &tracker{byEndpoint: map[string]*endpointState{}} }
 
-func (t *tracker) get(endpoint string) *endpointState {
+func (t *tracker) stateOf(endpoint string) *endpointState {
 	state, ok := t.byEndpoint[endpoint]
 	if !ok {
 		state = &endpointState{cancels: map[*context.CancelFunc]bool{}}
@@ -53,7 +53,7 @@
 func (t *tracker) beginRequest(endpoint string, cancel context.CancelFunc) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state := t.get(endpoint)
+	state := t.stateOf(endpoint)
 	state.sentSinceReport++
 	state.cancels[&cancel] = true
 	return func() {
@@ -81,12 +81,12 @@
 	}
 }
 
-// report records the load that came with an answer. The load includes the request that was
+// recordLoad records the load that came with an answer. The load includes the request that was
 // answered, so sentSinceReport starts again at zero.
-func (t *tracker) report(endpoint string, l wire.Load) {
+func (t *tracker) recordLoad(endpoint string, l wire.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state := t.get(endpoint)
+	state := t.stateOf(endpoint)
 	state.load = l
 	state.sentSinceReport = 0
 	state.backoffUntil = time.Now().Add(time.Duration(l.BackoffMS) * time.Millisecond)
@@ -99,7 +99,7 @@
 func (t *tracker) block(endpoint string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(endpoint).blockedUntil = time.Now().Add(d)
+	t.stateOf(endpoint).blockedUntil = time.Now().Add(d)
 }
 
 // candidate is an endpoint that requests may be routed to, and the process behind it.
@@ -122,7 +122,7 @@
 			if !ok || m.Leaving || avoid[ep.Name] {
 				continue
 			}
-			state := e.tracker.get(ep.Name)
+			state := e.tracker.stateOf(ep.Name)
 			if state.startedAt != m.StartedAt && m.StartedAt != 0 {
 				state.startedAt, state.load, state.blockedUntil, state.backoffUntil = m.StartedAt, wire.Load{}, time.Time{}, time.Time{} // The state of an earlier process does not apply.
 			}
@@ -154,7 +154,7 @@
 	defer e.tracker.mu.Unlock()
 	for _, s := range services {
 		for _, ep := range s.Endpoints {
-			if left := e.tracker.get(ep.Name).backoffUntil.Sub(now); left > 0 && (earliest == 0 || left < earliest) {
+			if left := e.tracker.stateOf(ep.Name).backoffUntil.Sub(now); left > 0 && (earliest == 0 || left < earliest) {
 				earliest = left
 			}
 		}
--- a/internal/follow/evacuation.go
+++ b/internal/follow/evacuation.go
@@ -39,8 +39,9 @@
 	return next
 }
 
-// endedIn returns the ends of those evacuations that are not in a complete snapshot of a later
-// revision.
+// endedIn compares the evacuations with current, the complete list of those in progress at a
+// revision. It returns an order that ends each evacuation which is older than the revision and not
+// in the list.
 func (e evacuations) endedIn(current []Evacuation, revision uint64) (over []Evacuation) {
 	inSnapshot := make(map[string]bool, len(current))
 	for _, one := range current {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -116,7 +116,8 @@
 // source. It must be called before Run.
 func (f *Follower) UsePeers(p PeerSource) { f.peers = &p }
 
-// usesPeers reports whether a peer is to be followed now.
+// usesPeers reports whether a peer is to be followed now: not while this process reads the source
+// directly for a time, nor while it is one of the few that always do.
 func (f *Follower) usesPeers() bool {
 	now := f.now()
 	if f.peers == nil || now.Before(f.directUntil) {
@@ -125,8 +126,10 @@
 	return !f.peers.ReadsSource(f.lastFailure.IsZero() || now.Sub(f.lastFailure) > ineligibleTime)
 }
 
-// readFromPeer fetches once from a peer; it reports whether the data was recent enough to continue
-// with peers.
+// readFromPeer fetches once from a peer, and reports whether to continue with peers. It does so
+// after data that is recent enough. It also does after stale data while that is tolerated, or until
+// this process's turn to read the source. Otherwise, and after a failed fetch, this process reads
+// the source directly for directReadTime.
 func (f *Follower) readFromPeer(ctx context.Context) bool {
 	call, cancel := f.withTurnDeadline(ctx)
 	err := f.peers.Fetch(call)
@@ -143,7 +146,7 @@
 	if f.staleSince.IsZero() {
 		f.staleSince = now
 	}
-	if err == nil && now.Before(f.readAt()) {
+	if err == nil && now.Before(f.turnTime()) {
 		return true // The reading peers may soon get an answer again.
 	}
 	f.staleSince = time.Time{}
@@ -156,8 +159,9 @@
 	return false
 }
 
-// readAt returns when this process reads the source itself if the data of peers stays too old.
-func (f *Follower) readAt() time.Time {
+// turnTime returns when it is this process's turn to read the source, if the data of peers stays
+// too old until then.
+func (f *Follower) turnTime() time.Time {
 	if f.peers.Turn == nil {
 		return f.staleSince
 	}
@@ -170,7 +174,7 @@
 	if f.staleSince.IsZero() {
 		return ctx, func() {}
 	}
-	return context.WithTimeout(ctx, max(f.readAt().Sub(f.now()), minBackoff))
+	return context.WithTimeout(ctx, max(f.turnTime().Sub(f.now()), minBackoff))
 }
 
 // Run follows until ctx ends. It calls changed after each change of the view.
@@ -182,15 +186,15 @@
 			needSnapshot = true // Data from a peer does not say from which revision to continue at the source.
 			if f.readFromPeer(ctx) {
 				changed()
-				wait.For(ctx, f.batchDelay())
+				wait.For(ctx, f.nextBatchDelay())
 				continue
 			}
 		}
 		var err error
 		if needSnapshot {
-			err = f.snapshot(ctx)
+			err = f.readSnapshot(ctx)
 		} else {
-			err = f.changes(ctx)
+			err = f.readChanges(ctx)
 		}
 		if ctx.Err() != nil {
 			return nil
@@ -199,17 +203,18 @@
 			f.onSuccess()
 			needSnapshot = false
 			changed()
-			wait.For(ctx, f.batchDelay())
+			wait.For(ctx, f.nextBatchDelay())
 			continue
 		}
 		if errors.Is(err, ErrCompacted) {
 			f.log.Info("history compacted", zap.Uint64("after", f.view.revision()))
 			needSnapshot = true
-			wait.For(ctx, f.batchDelayAfter(true)) // There are changes, but not in this answer.
+			wait.For(ctx, f.nextBatchDelayAfter(true)) // There are changes, but not in this answer.
 			continue
 		}
 		f.onFailure(err)
 		if f.peers != nil && !f.peers.ReadsSource(false) {
+			// Most likely no process can read the source: follow a peer again, even with old data.
 			f.directUntil, f.acceptStaleUntil = time.Time{}, f.now().Add(staleTolerance)
 		}
 		wait.For(ctx, min(minBackoff<<min(f.failures, 8), maxBackoff))
@@ -217,16 +222,19 @@
 	return nil
 }
 
-// batchDelay returns how long to collect changes before the next call, after a successful one.
-func (f *Follower) batchDelay() time.Duration {
+// nextBatchDelay returns how long to collect changes after a successful call before the next one. It
+// records the view's version, to detect changes since the previous call.
+func (f *Follower) nextBatchDelay() time.Duration {
 	before := f.lastVersion
 	f.lastVersion = f.view.currentVersion()
-	return f.batchDelayAfter(f.lastVersion != before)
+	return f.nextBatchDelayAfter(f.lastVersion != before)
 }
 
-// batchDelayAfter returns how long to collect changes before the next call: twice as long with each
-// consecutive call that returned some.
-func (f *Follower) batchDelayAfter(changed bool) time.Duration {
+// nextBatchDelayAfter returns how long to collect changes before the next call, and records that
+// delay. It doubles with each consecutive call that returned changes, from minBatchDelay up to
+// maxBatchShare of effectiveWithin. It is minBatchDelay after a call without changes, and
+// startBatchDelay while there is no configuration.
+func (f *Follower) nextBatchDelayAfter(changed bool) time.Duration {
 	switch longest := time.Duration(maxBatchShare * float64(f.effectiveWithin)); {
 	case f.view.State().Config == nil:
 		return startBatchDelay
@@ -239,7 +247,8 @@
 	}
 }
 
-func (f *Follower) snapshot(ctx context.Context) error {
+// readSnapshot reads the whole published state from the source and replaces the view's.
+func (f *Follower) readSnapshot(ctx context.Context) error {
 	requestedAt := f.now()
 	ctx, cancel := context.WithTimeout(ctx, f.callTimeout())
 	defer cancel()
@@ -251,11 +260,13 @@
 	f.recordAnswer()
 	f.view.Replace(snap, requestedAt, f.keepsMissing())
 	s := f.view.State()
-	f.log.Info("view replaced", zap.Uint64("version", s.version()), zap.Uint64("revision", snap.At), zap.Int("endpoints", len(s.Endpoints)))
+	f.log.Info("view replaced", zap.Uint64("version", s.version()), zap.Uint64("revision", snap.Revision), zap.Int("endpoints", len(s.Endpoints)))
 	return nil
 }
 
-func (f *Follower) changes(ctx context.Context) error {
+// readChanges waits for changes from the source and applies them to the view. After a failed call
+// it does not wait.
+func (f *Follower) readChanges(ctx context.Context) error {
 	requestedAt := f.now()
 	wait := longPollTime
 	if f.failures > 0 {
@@ -287,7 +298,7 @@
 		f.log.Info("endpoint listed", zap.String("endpoint", e.ID), zap.String("address", e.Address), zap.Bool("leaving", e.Leaving), zap.Duration("cold-left", e.ColdLeft), zap.Uint64("revision", e.Revision))
 	}
 	for _, id := range removed {
-		f.log.Info("endpoint removed", zap.String("endpoint", id), zap.Uint64("revision", ch.At))
+		f.log.Info("endpoint removed", zap.String("endpoint", id), zap.Uint64("revision", ch.Revision))
 	}
 }
 
@@ -316,8 +327,9 @@
 	return answerTimeout
 }
 
-// recordAnswer records that the source answered, and whether that ended an outage. It is called
-// before the answer is applied.
+// recordAnswer records when the source answered. If the previous answer is so old that entries may
+// have expired, it also records the end of an outage. It must be called before keepsMissing is used
+// for the answer.
 func (f *Follower) recordAnswer() {
 	now := f.now()
 	if now.Sub(f.lastAnswer) > longPollTime+minOutage {
@@ -326,7 +338,8 @@
 	f.lastAnswer = now
 }
 
-// keepsMissing reports whether a missing entry may only have expired during an outage.
+// keepsMissing reports whether a missing entry may only have expired during an outage, which is so
+// for expiryGrace after its end.
 func (f *Follower) keepsMissing() bool {
 	return !f.recoveredAt.IsZero() && f.now().Sub(f.recoveredAt) < expiryGrace
 }
--- a/internal/follow/told.go
+++ b/internal/follow/told.go
@@ -35,9 +35,9 @@
 	number := l.number + 1
 	for id, e := range next.Endpoints {
 		had, ok := old.Endpoints[id]
-		_, missed := old.Missing[id]
-		_, misses := next.Missing[id]
-		if !ok || had != e || missed != misses {
+		_, wasMissing := old.Missing[id]
+		_, isMissing := next.Missing[id]
+		if !ok || had != e || wasMissing != isMissing {
 			l.changed[id] = number
 			l.number = number
 		}
@@ -60,23 +60,24 @@
 
 // Update is what a process sends to another one about its view.
 type Update struct {
-	Number    uint64           `json:"number"` // To be named in the next request.
-	Whole     bool             `json:"whole"`  // Endpoints is the complete list.
-	At        uint64           `json:"at"`     // Revision up to which it is complete.
-	Endpoints []fleet.Endpoint `json:"endpoints,omitempty"`
-	Missing   []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have expired.
-	Removals  []Removal        `json:"gone,omitempty"`
+	Number          uint64           `json:"number"` // To be named in the next request.
+	Whole           bool             `json:"whole"`  // Endpoints is the complete list.
+	ThroughRevision uint64           `json:"at"`     // Revision up to which it is complete.
+	Endpoints       []fleet.Endpoint `json:"endpoints,omitempty"`
+	Missing         []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have expired.
+	Removals        []Removal        `json:"gone,omitempty"`
 	// Evacuations holds the newest order for each domain; nil if none has changed.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 }
 
-// UpdateSince returns what has changed after a number from an earlier Update, or everything for 0
-// or a number that is too old.
+// UpdateSince returns what has changed after a number from an earlier Update. It returns everything
+// for 0, for a number so old that removals since then were discarded, and for a number that this
+// view has not reached, which comes from another view.
 func (v *View) UpdateSince(after uint64) (u Update) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.state.Load()
-	u = Update{Number: v.changes.number, At: v.at, Whole: after == 0 || after < v.changes.discarded || after > v.changes.number}
+	u = Update{Number: v.changes.number, ThroughRevision: v.knownRevision, Whole: after == 0 || after < v.changes.discarded || after > v.changes.number}
 	for id, e := range s.Endpoints {
 		if !u.Whole && v.changes.changed[id] <= after {
 			continue
@@ -121,13 +122,13 @@
 	return v.changes.number != number
 }
 
-// ApplyUpdate applies an update from another process, which is complete or follows its previous
-// one. It neither changes nor removes anything that is known to be newer.
+// ApplyUpdate applies an update from another process. The update must be complete or follow that
+// process's previous one. Nothing that is known to be newer is changed or removed.
 func (v *View) ApplyUpdate(u Update, now time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	// The processes that follow this one use its revision.
-	defer func() { v.at = max(v.at, u.At) }()
+	defer func() { v.knownRevision = max(v.knownRevision, u.ThroughRevision) }()
 	if !u.Whole && len(u.Endpoints)+len(u.Removals)+len(u.Evacuations) == 0 {
 		return
 	}
@@ -153,7 +154,7 @@
 	}
 	if u.Whole {
 		for id, e := range old.Endpoints {
-			if _, there := next.Endpoints[id]; there && !updatedNames[e.Name()] && e.Revision <= u.At {
+			if _, there := next.Endpoints[id]; there && !updatedNames[e.Name()] && e.Revision <= u.ThroughRevision {
 				next.delete(e)
 			}
 		}
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -26,7 +26,7 @@
 	Endpoints      []fleet.Endpoint
 	Evacuations    []Evacuation // Those in progress.
 	Invalid        []InvalidEntry
-	At             uint64 // Revision from which to follow changes.
+	Revision       uint64 // Revision from which to follow changes.
 }
 
 // Removal names an endpoint whose entry was removed.
@@ -52,7 +52,7 @@
 	Removals       []Removal
 	Evacuations    []Evacuation // Begun or ended.
 	Invalid        []InvalidEntry
-	At             uint64
+	Revision       uint64
 }
 
 // State is an immutable state of the view.
@@ -69,14 +69,14 @@
 
 // View is the published state as a process knows it.
 type View struct {
-	mu         sync.Mutex                   // Held by writers.
-	state      atomic.Pointer[State]        // Never nil.
-	at         uint64                       // Revision up to which changes are known.
-	removedAt  map[string]uint64            // Revisions of removals by name, to reject entries that arrive late.
-	leavingIDs map[string]bool              // Ids that are leaving, kept after their entry is gone.
-	confirmed  atomic.Pointer[confirmation] // Never nil.
-	changes    changeLog
-	updated    chan struct{} // Closed at each change or confirmation; never nil.
+	mu            sync.Mutex                   // Held by writers.
+	state         atomic.Pointer[State]        // Never nil.
+	knownRevision uint64                       // Revision up to which changes are known.
+	removedAt     map[string]uint64            // Revisions of removals by name, to reject entries that arrive late.
+	leavingIDs    map[string]bool              // Ids that are leaving, kept after their entry is gone.
+	confirmed     atomic.Pointer[confirmation] // Never nil.
+	changes       changeLog
+	updated       chan struct{} // Closed at each change or confirmation; never nil.
 }
 
 // confirmation holds a time: everything published before it is in the view.
@@ -93,24 +93,24 @@
 // State returns the newest state.
 func (v *View) State() *State { return v.state.Load() }
 
-// never is the age of a view that was never confirmed.
-const never time.Duration = 1 << 62
+// infiniteAge is the age of a view that was never confirmed.
+const infiniteAge time.Duration = 1 << 62
 
-// Age returns the time since the configuration was last known to be the newest. It is very large if
-// it never was, or if there is none.
+// Age returns the time since the configuration was last known to be the newest. It returns
+// infiniteAge if no configuration is known, or if the view was never confirmed.
 func (v *View) Age(now time.Time) time.Duration {
 	if v.state.Load().Config == nil {
-		return never
+		return infiniteAge
 	}
 	return v.ConfirmedAge(now)
 }
 
 // ConfirmedAge returns the time since the view was last known to be complete, even if nothing had
-// been published. It is very large if it never was.
+// been published. It returns infiniteAge if the view was never confirmed.
 func (v *View) ConfirmedAge(now time.Time) time.Duration {
 	at := v.confirmed.Load().at
 	if at.IsZero() {
-		return never
+		return infiniteAge
 	}
 	return now.Sub(at)
 }
@@ -126,7 +126,7 @@
 	v.confirmAt(at)
 }
 
-// set installs the next state and records its changes. The caller holds mu.
+// set installs the next state, records its changes and wakes waiters. The caller holds mu.
 func (v *View) set(next *State) {
 	v.changes.record(v.state.Load(), next)
 	v.state.Store(next)
@@ -146,7 +146,8 @@
 	return v.updated
 }
 
-// confirmAt records that the view was complete at the given time.
+// confirmAt records that the view was complete at the given time, unless it was already confirmed
+// for a later one. The caller holds mu.
 func (v *View) confirmAt(at time.Time) {
 	if at.After(v.confirmed.Load().at) {
 		v.confirmed.Store(&confirmation{at})
@@ -154,7 +155,8 @@
 	}
 }
 
-// Offer adopts a configuration if it is newer, and reports whether it was.
+// Offer adopts a configuration if its version is newer than the view's, and reports whether it did.
+// The revision is that at which the configuration was published.
 func (v *View) Offer(c *fleet.Config, revision uint64) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -174,7 +176,8 @@
 	return s.Config.Version()
 }
 
-// takeConfig adopts a newer configuration into s, which must be a copy. Versions never go back.
+// takeConfig adopts a configuration into s, which must be a copy, and reports whether it did. It
+// ignores nil and a version that is not newer.
 func (s *State) takeConfig(c *fleet.Config, revision uint64) bool {
 	if c == nil || s.Config != nil && c.Version() <= s.Config.Version() {
 		return false
@@ -224,17 +227,19 @@
 	}
 	next.buildIndexes()
 	next.evacuations = next.evacuations.merged(snap.Evacuations)
-	next.evacuations = next.evacuations.merged(next.evacuations.endedIn(snap.Evacuations, snap.At))
-	v.at = max(v.at, snap.At)
+	next.evacuations = next.evacuations.merged(next.evacuations.endedIn(snap.Evacuations, snap.Revision))
+	v.knownRevision = max(v.knownRevision, snap.Revision)
 	v.set(&next)
+	// A snapshot with an older configuration than the view's does not confirm the view.
 	if snap.Config == nil || snap.Config.Version() == next.version() {
 		v.confirmAt(requestedAt)
 	}
 }
 
-// mergeEntry adds an entry to next unless something newer is known of the endpoint: an entry that
-// an earlier incarnation wrote may arrive late, for example when the store is slow. Within an
-// incarnation, leaving is never taken back; a later incarnation starts without it.
+// mergeEntry adds an entry to next. If next, or else old, lists a newer entry under the same name,
+// it adds that one instead: an entry that an earlier incarnation wrote may arrive late, for example
+// when the store is slow. It adds nothing if the name was removed at the entry's revision or later.
+// Within an incarnation, leaving is never taken back; a later incarnation starts without it.
 func (v *View) mergeEntry(next, old *State, e fleet.Endpoint) {
 	name := e.Name()
 	if v.removedAt[name] >= e.Revision {
@@ -268,8 +273,9 @@
 // the endpoints of some hundred days of planned stops.
 const maxLeavingIDs = 4096
 
-// preserveLeaving records that an endpoint is leaving, or marks it as leaving if it was recorded
-// before.
+// preserveLeaving records the id of an endpoint that is leaving, and marks an endpoint as leaving if
+// its id was recorded before. If maxLeavingIDs are recorded, it first forgets those that the view no
+// longer lists.
 func (v *View) preserveLeaving(e *fleet.Endpoint) {
 	if e.Leaving && !v.leavingIDs[e.ID] {
 		if len(v.leavingIDs) >= maxLeavingIDs {
@@ -281,7 +287,8 @@
 	e.Leaving = v.leavingIDs[e.ID]
 }
 
-// dropInvalid removes the endpoint of an entry that was overwritten by an invalid one.
+// dropInvalid removes from next the endpoint whose entry was overwritten by the invalid one b, and
+// reports whether it did. An invalid entry outside the endpoint list has no effect.
 func (v *View) dropInvalid(next *State, b InvalidEntry) (removed bool) {
 	if b.Name == "" {
 		return false
@@ -290,8 +297,9 @@
 	return next.remove(Removal{b.Name, b.Revision}, false, time.Time{})
 }
 
-// Apply applies changes that were requested at the given time. It returns the removed endpoints,
-// for the log.
+// Apply applies changes that were requested at the given time, and confirms the view. With
+// keepMissing, removed entries are recorded as missing. It returns the names of the removed
+// endpoints, for the log.
 func (v *View) Apply(ch Changes, requestedAt time.Time, keepMissing bool) (removed []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -320,7 +328,7 @@
 		next.buildIndexes()
 	}
 	next.evacuations = next.evacuations.merged(ch.Evacuations)
-	v.at = max(v.at, ch.At)
+	v.knownRevision = max(v.knownRevision, ch.Revision)
 	v.set(&next)
 	v.confirmAt(requestedAt)
 	return removed
@@ -342,7 +350,9 @@
 	v.set(&next)
 }
 
-// remove deletes an endpoint, or records it as missing.
+// remove applies a removal to s, which must have its own tables, and reports whether it deleted an
+// endpoint. It ignores a removal that is older than the endpoint's entry. With keepMissing, it
+// records the endpoint as missing since missedAt instead.
 func (s *State) remove(g Removal, keepMissing bool, missedAt time.Time) bool {
 	e, ok := s.byName(g.Name)
 	if !ok || e.Revision > g.Revision {
@@ -364,7 +374,7 @@
 }
 
 // DropMissing removes the endpoints that have been missing since before the given time, and returns
-// them.
+// their ids.
 func (v *View) DropMissing(before time.Time) (removed []string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -411,7 +421,8 @@
 	return s.Config == nil || len(s.Config.Services()) == 0 || s.Config.Service(service) != nil
 }
 
-// startedAfter reports whether the incarnation of e started after that of other.
+// startedAfter reports whether the incarnation of e started after that of other. If their start
+// times are equal or one is unknown, the entry that was created later counts as the later one.
 func startedAfter(e, other fleet.Endpoint) bool {
 	if c := fleet.CompareIncarnations(other.StartedAt, e.StartedAt); c != 0 {
 		return c > 0
@@ -423,5 +434,5 @@
 func (v *View) revision() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.at
+	return v.knownRevision
 }
--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -51,9 +51,9 @@
 
 	currentState   atomic.Int32 // The state; written under mu.
 	reading        atomic.Bool  // A read is in progress.
-	backgroundByte atomic.Bool  // The last read of net/http was its background read of one byte.
-	afterBody      atomic.Bool  // The last read was that one, with or without a byte: the body is complete.
-	drained        atomic.Bool  // Bytes that followed the last read may have been discarded.
+	backgroundByte atomic.Bool  // The last read was net/http's background read of one byte, and returned it.
+	afterBody      atomic.Bool  // The last read was that background read, which begins after the whole body.
+	inputDiscarded atomic.Bool  // Bytes that followed the last read may have been discarded.
 	closeOnce      sync.Once
 
 	mu             sync.Mutex  // Guards the fields below, and the read deadline in stateIdle.
@@ -98,8 +98,9 @@
 }
 
 // SetReadDeadline sets a read deadline on behalf of the server. In stateIdle, Read sets the
-// deadlines, and SetReadDeadline ignores all but one: the deadline that the server sets for a
-// header that it read together with the previous request.
+// deadlines, and SetReadDeadline ignores the server's. There is one exception: on a connection that
+// has carried a request, a deadline other than zero is for a header that the server read together
+// with the previous request, and begins stateReadingHeader.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,12 +114,13 @@
 }
 
 // Read reads from the connection. It ends an idle connection when the idle timeout has expired
-// and no byte has arrived. The server may call Read again after that, because it treats an error
-// within a header line as the end of the line.
+// and no byte has arrived. It also ends a connection on which a header fails to arrive. The server
+// may call Read again after that, because it treats an error within a header line as the end of the
+// line; Read then returns net.ErrClosed.
 func (c *Conn) Read(p []byte) (n int, err error) {
 	c.reading.Store(true)
 	defer c.reading.Store(false)
-	if c.state() == stateIdle && c.backgroundByte.Load() {
+	if c.state() == stateIdle && c.backgroundByte.Load() { // The background read took the first byte of the next header.
 		if err = c.startHeader(); err != nil {
 			return 0, err
 		}
@@ -134,9 +136,9 @@
 	c.afterBody.Store(s == stateActive && len(p) == 1) // The server uses it to detect that the caller closes.
 	c.backgroundByte.Store(c.afterBody.Load() && n == 1)
 	switch {
-	case err == nil && c.drained.Load():
+	case err == nil && c.inputDiscarded.Load():
 		return 0, net.ErrClosed
-	case s != stateReadingHeader || err == nil:
+	case s != stateReadingHeader || err == nil: // The server handles errors within a body itself.
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		c.end(SlowHeader, idleTimeout{})
 	default:
@@ -145,7 +147,8 @@
 	return n, err
 }
 
-// readIdle reads the first bytes of a request, until the idle timeout expires.
+// readIdle reads the first bytes of a request. If the idle timeout expires and none have arrived, it
+// ends the connection and returns the deadline error.
 func (c *Conn) readIdle(p []byte) (n int, err error) {
 	var notBefore time.Time
 	for {
@@ -175,7 +178,7 @@
 	if c.state() != stateIdle {
 		return nil
 	}
-	deadline := c.since.Add(c.tracker.idleTimeout(c.idlePeriod).timeout)
+	deadline := c.since.Add(c.tracker.chooseTimeout(c.idlePeriod).timeout)
 	if deadline.Before(notBefore) {
 		deadline = notBefore
 	}
@@ -196,7 +199,7 @@
 	var limit idleTimeout
 	var expired bool
 	duty.Locked(&c.mu, func() {
-		limit = c.tracker.idleTimeout(c.idlePeriod)
+		limit = c.tracker.chooseTimeout(c.idlePeriod)
 		expired = !time.Now().Before(c.since.Add(limit.timeout))
 	})
 	if expired {
@@ -226,21 +229,21 @@
 	return err == nil && unread
 }
 
-// maxDrain bounds the bytes that drain discards, because a caller may send without end.
-const maxDrain = 256 << 10
+// maxDiscard bounds the bytes that discardUnread discards, because a caller may send without end.
+const maxDiscard = 256 << 10
 
-// drain discards unread bytes, because closing a connection with unread bytes resets it, and an
+// discardUnread discards unread bytes, because closing a connection with unread bytes resets it, and an
 // answer in transit would be lost. It does not wait for more bytes. It returns how many it
 // discarded.
-func (c *Conn) drain() (discarded int) {
+func (c *Conn) discardUnread() (discarded int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
 	}
-	c.drained.Store(true)              // Set first: another goroutine may be reading a body.
-	_ = raw.Control(func(fd uintptr) { // A closed connection needs no drain.
+	c.inputDiscarded.Store(true)       // Set first: another goroutine may be reading a body.
+	_ = raw.Control(func(fd uintptr) { // A closed connection has nothing to discard.
 		var buf [4 << 10]byte
-		for discarded < maxDrain {
+		for discarded < maxDiscard {
 			n, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_DONTWAIT)
 			if err != nil || n <= 0 {
 				return
@@ -251,7 +254,8 @@
 	return discarded
 }
 
-// end records why the connection ends; only the first cause counts.
+// end records why the connection ends; only the first cause counts. Later reads return
+// net.ErrClosed. It does not close the connection.
 func (c *Conn) end(cause Cause, timeout idleTimeout) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,6 +273,10 @@
 	return c.TCPConn.Close()
 }
 
+// recordClose counts the cause of a close. If no cause was recorded, it derives one from the state of
+// the connection. Where an answer may be in transit, it discards unread bytes, so that the close
+// does not reset the connection. It logs nothing for a connection that its caller closed, or that
+// was closed after an answer and not crossed.
 func (c *Conn) recordClose() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -295,7 +303,7 @@
 	case c.cause == CallerClosed:
 		return
 	case c.cause == Answered, c.state() == stateActive: // An answer may be in transit.
-		discarded := c.drain()
+		discarded := c.discardUnread()
 		crossed = c.afterBody.Load() && (discarded > 0 || c.backgroundByte.Load())
 		if c.cause == Answered && !crossed {
 			return
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -75,7 +75,7 @@
 	conns         map[*Conn]struct{}
 	listeners     map[*listener]struct{} // The open ones.
 	accepts       acceptStats            // Since the tracker was created.
-	stopping      time.Time              // When the planned stop began; zero before that.
+	stopBegan     time.Time              // When the planned stop began; zero before that.
 	processEnding bool                   // The process is ending: requests in flight are cut off.
 }
 
@@ -141,11 +141,12 @@
 }
 
 // Stop begins the planned stop: answers ask callers to close their connections. Connections of
-// callers that send no further request are kept for as long as outside a stop.
+// callers that send no further request are kept for as long as the method chooseTimeout says, which
+// applies the fields of Config for a planned stop.
 func (t *Tracker) Stop(now time.Time) {
 	var list []*Conn
 	duty.Locked(&t.mu, func() {
-		t.stopping = now
+		t.stopBegan = now
 		list = make([]*Conn, 0, len(t.conns))
 		for c := range t.conns {
 			list = append(list, c)
@@ -178,15 +179,16 @@
 	return len(t.conns)
 }
 
-// advertised returns the keep-alive timeout to advertise, in whole seconds.
-func (t *Tracker) advertised() (d time.Duration, stopping bool) {
+// timeoutToAdvertise returns the keep-alive timeout to advertise, in whole seconds and at least
+// minAdvertised, and whether a planned stop has begun.
+func (t *Tracker) timeoutToAdvertise() (d time.Duration, stopping bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d = t.limits.Current().Idle
 	if t.cfg.MaxAdvertised > 0 {
 		d = min(d, t.cfg.MaxAdvertised)
 	}
-	return max(d.Truncate(time.Second), minAdvertised), !t.stopping.IsZero()
+	return max(d.Truncate(time.Second), minAdvertised), !t.stopBegan.IsZero()
 }
 
 // Advertise sets the headers of an answer that tell a caller how long it may keep its connection.
@@ -197,7 +199,7 @@
 	if c == nil {
 		return
 	}
-	advertised, stopping := t.advertised()
+	advertised, stopping := t.timeoutToAdvertise()
 	if stopping || w.Header().Get("Connection") == "close" {
 		w.Header().Set("Connection", "close")
 		w.Header().Del("Keep-Alive")
@@ -211,21 +213,24 @@
 type idleTimeout struct {
 	cause   Cause
 	setting string // The rule that determined the timeout, for the log.
-	timeout time.Duration
+	timeout time.Duration // Counted from the time at which the connection became idle.
 	version uint64 // Version of the configuration, if a published limit determined the timeout.
 }
 
-// idleTimeout chooses the timeout of an idle connection.
-func (t *Tracker) idleTimeout(i idlePeriod) idleTimeout {
+// chooseTimeout chooses the timeout of an idle connection. Special rules come first: for a connection
+// that a caller could use after the end of the process, for a planned stop, and for a connection
+// that has carried no request. Otherwise the timeout is the published limit or the advertised
+// timeout, each with a margin, whichever is longer.
+func (t *Tracker) chooseTimeout(i idlePeriod) idleTimeout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	limit := t.limits.Longest(i.since)
-	stopping := !t.stopping.IsZero()
+	stopping := !t.stopBegan.IsZero()
 	switch {
 	case t.usableAfterExit(i):
-		return idleTimeout{cause: Stopped, setting: "end of the planned stop", timeout: t.stopping.Add(t.cfg.GracePeriod).Sub(i.since)}
+		return idleTimeout{cause: Stopped, setting: "end of the planned stop", timeout: t.stopBegan.Add(t.cfg.GracePeriod).Sub(i.since)}
 	case stopping && i.isNew:
-		before := max(t.stopping.Sub(i.since), 0) // A client may connect in advance.
+		before := max(t.stopBegan.Sub(i.since), 0) // A client may connect in advance.
 		return idleTimeout{cause: Stopped, setting: "planned stop, nothing received", timeout: before + cmp.Or(t.cfg.StopNewConnTimeout, stopNewConnTimeout)}
 	case stopping && t.cfg.StopAtAdvertised && i.advertised > 0:
 		return idleTimeout{cause: Stopped, setting: "planned stop, advertised to the caller", timeout: i.advertised + transitMargin}
@@ -247,10 +252,10 @@
 // connection is read until the end of the stop: the answer to a request asks its caller to close
 // the connection.
 func (t *Tracker) usableAfterExit(i idlePeriod) bool {
-	if t.cfg.GracePeriod <= 0 || t.stopping.IsZero() || !i.since.After(t.stopping) || i.advertised <= 0 {
+	if t.cfg.GracePeriod <= 0 || t.stopBegan.IsZero() || !i.since.After(t.stopBegan) || i.advertised <= 0 {
 		return false
 	}
-	return i.since.Add(i.advertised + transitMargin).After(t.stopping.Add(t.cfg.GracePeriod))
+	return i.since.Add(i.advertised + transitMargin).After(t.stopBegan.Add(t.cfg.GracePeriod))
 }
 
 // listener tracks the connections that it accepts.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -45,8 +45,8 @@
 	values func(ctx context.Context, missing []published.Entry) (values [][]byte, err error)
 }
 
-// source returns the source for a peer's address, or that for the configuration service if address is "".
-func (n *Node) source(address string) source {
+// sourceAt returns the source for a peer's address, or that for the configuration service if address is "".
+func (n *Node) sourceAt(address string) source {
 	if address == "" {
 		return source{
 			name:     "configuration service",
@@ -109,7 +109,7 @@
 
 // fetchFrom fetches the generation of a peer or of the configuration service, and adopts it if it is newer and valid.
 func (n *Node) fetchFrom(ctx context.Context, from string) (err error) {
-	src := n.source(from)
+	src := n.sourceAt(from)
 	m, err := src.manifest(ctx)
 	if err != nil {
 		return err
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -46,8 +46,8 @@
 	return h
 }
 
-// outgoing returns the next message to a peer. The name is "" when it is not known.
-func (n *Node) outgoing(name string) message {
+// nextMessageTo returns the next message to a peer. The name is "" when it is not known.
+func (n *Node) nextMessageTo(name string) message {
 	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -131,7 +131,7 @@
 
 // probe exchanges messages with the target, through relays if the target does not answer.
 func (n *Node) probe(ctx context.Context, target member.Member) {
-	if n.exchange(ctx, target.Address, target.Name) == nil {
+	if n.exchangeNamed(ctx, target.Address, target.Name) == nil {
 		var changes []member.Change
 		duty.Locked(&n.mu, func() { changes = n.table.ProbeAnswered(target.Name, clock.Now()) })
 		n.recordChanges(changes)
@@ -151,14 +151,14 @@
 
 // Exchange sends a message to a peer and merges the reply.
 func (n *Node) Exchange(ctx context.Context, address string) (err error) {
-	return n.exchange(ctx, address, "")
+	return n.exchangeNamed(ctx, address, "")
 }
 
-func (n *Node) exchange(ctx context.Context, address, name string) (err error) {
+func (n *Node) exchangeNamed(ctx context.Context, address, name string) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply message
-	if err := n.Call(ctx, address, wire.PathGossip, n.outgoing(name), &reply); err != nil {
+	if err := n.Call(ctx, address, wire.PathGossip, n.nextMessageTo(name), &reply); err != nil {
 		return err
 	}
 	n.receive(reply)
@@ -309,7 +309,7 @@
 	if len(m.Rows) > 0 {
 		from = m.Rows[0].Name
 	}
-	httpjson.Reply(w, n.outgoing(from))
+	httpjson.Reply(w, n.nextMessageTo(from))
 }
 
 func (n *Node) serveProbe(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	return n.handleManifest(ctx, n.source(""), m)
+	return n.handleManifest(ctx, n.sourceAt(""), m)
 }
 
 // bootstrap queries peers for the highest generation before it relies on the configuration service,
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -23,13 +23,13 @@
 	heldGauge metrics.Gauge
 	pending   chan struct{} // Holds a value while an end waits to be sent.
 
-	mu   sync.Mutex // Guards the fields below.
-	book *quarantine.History
+	mu      sync.Mutex // Guards the fields below.
+	history *quarantine.History
 }
 
 // New returns an empty set.
 func New(log *zap.Logger, reg metrics.Registry) *Set {
-	return &Set{log: log, heldGauge: metrics.GetOrRegisterGauge("quarantine.held", reg), pending: make(chan struct{}, 1), book: quarantine.New()}
+	return &Set{log: log, heldGauge: metrics.GetOrRegisterGauge("quarantine.held", reg), pending: make(chan struct{}, 1), history: quarantine.New()}
 }
 
 // Pending returns a channel that holds a value while something waits to be sent.
@@ -43,18 +43,20 @@
 	}
 }
 
-// NextToSend returns the ends to send to all other processes next.
+// NextToSend returns the ends to send to all other processes next, at most peers.MaxEnds, and marks
+// them as sent.
 func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.NextToSend(peers.MaxEnds, now), now)
+	return encode(s.history.NextToSend(peers.MaxEnds, now), now)
 }
 
-// ForNewPeer returns the most severe ends, to send to a process that may know none yet.
+// ForNewPeer returns the most severe ends, at most peers.MaxEnds, to send to a process that may know
+// none yet. It does not mark them as sent.
 func (s *Set) ForNewPeer(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.MostSevere(peers.MaxEnds), now)
+	return encode(s.history.MostSevere(peers.MaxEnds), now)
 }
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
@@ -68,7 +70,7 @@
 func (s *Set) HasUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.HasUnsent()
+	return s.history.HasUnsent()
 }
 
 // MergeEnds adds the ends that another process sent.
@@ -88,7 +90,7 @@
 			At: now.Add(-time.Duration(received.AgeMs) * time.Millisecond),
 		}, now, now)
 	}
-	s.book.Forget(now)
+	s.history.Forget(now)
 }
 
 // Bounds on ends from other processes.
@@ -111,17 +113,18 @@
 	s.notifyPending()
 }
 
-// add adds an end and logs the resulting verdict. The time receivedAt is zero for an end that this
-// process observed itself. The caller holds mu.
+// add adds an end and logs the resulting verdict, as a warning if the verdict has changed. It does
+// nothing for an end that the history does not take. The time receivedAt is zero for an end that
+// this process observed itself. The caller holds mu.
 func (s *Set) add(e quarantine.End, receivedAt, now time.Time) {
-	before, _ := s.book.Judge(e.Key, now)
-	if !s.book.Add(e, receivedAt) {
+	before, _ := s.history.Judge(e.Key, now)
+	if !s.history.Add(e, receivedAt) {
 		return
 	}
-	after, left := s.book.Judge(e.Key, now)
-	s.heldGauge.Update(int64(s.book.Held(now)))
+	after, remaining := s.history.Judge(e.Key, now)
+	s.heldGauge.Update(int64(s.history.Held(now)))
 	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", receivedAt.IsZero()), zap.Stringer("sending", e.Knowledge),
-		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", left)}
+		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", remaining)}
 	if after != before {
 		s.log.Warn("endpoint ended during a request", fields...)
 		return
@@ -129,11 +132,12 @@
 	s.log.Info("endpoint ended during a request", fields...)
 }
 
-// RecordSuccess records that a request ran to completion.
+// RecordSuccess records that a request ran to completion. It calls key only if any ends are known,
+// because computing a key hashes the body.
 func (s *Set) RecordSuccess(key func() quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.RecordCompletion(key()) {
+	if s.history.Empty() || !s.history.RecordCompletion(key()) {
 		return
 	}
 	s.log.Info("request completed although endpoints had ended during it", zap.Stringer("key", key()))
@@ -144,52 +148,54 @@
 func (s *Set) RecordAlive(endpoint string, sentAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() || !s.book.RecordAnswer(endpoint, sentAt) {
+	if s.history.Empty() || !s.history.RecordAnswer(endpoint, sentAt) {
 		return
 	}
 	s.log.Info("endpoint is alive although it was recorded as ended", zap.String("endpoint", endpoint))
 	s.notifyPending()
 }
 
-// SendingState returns what is known of a request that is sent now. It computes the key only if any
-// ends are known, because that hashes the body.
-func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
+// KnowledgeOf returns what is known of a request that is sent now. It calls key only if any ends are
+// known, because computing a key hashes the body.
+func (s *Set) KnowledgeOf(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() {
+	if s.history.Empty() {
 		return quarantine.NoKnownEnd
 	}
-	return s.book.KnowledgeOf(key(), now)
+	return s.history.KnowledgeOf(key(), now)
 }
 
-// Judge returns whether a request may be sent, and for how long it is still held.
-func (s *Set) Judge(key func() quarantine.Key, now time.Time) (v quarantine.Verdict, left time.Duration) {
+// Judge returns the verdict on a request, and for how long the request is still held. It calls key
+// only if any ends are known.
+func (s *Set) Judge(key func() quarantine.Key, now time.Time) (v quarantine.Verdict, remaining time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.book.Empty() {
+	if s.history.Empty() {
 		return quarantine.Free, 0
 	}
-	return s.book.Judge(key(), now)
+	return s.history.Judge(key(), now)
 }
 
-// BeginTrial begins a trial; it reports false while another one is in progress.
+// BeginTrial begins a trial of a request, which expires at the time until. It reports whether it
+// did, which is false while another trial of the request is in progress.
 func (s *Set) BeginTrial(k quarantine.Key, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.book.BeginTrial(k, now, until)
+	return s.history.BeginTrial(k, now, until)
 }
 
 // EndTrial ends a trial without a result.
 func (s *Set) EndTrial(k quarantine.Key) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.EndTrial(k)
+	s.history.EndTrial(k)
 }
 
-// Expire drops expired entries.
+// Expire drops expired entries and updates the metric of held requests.
 func (s *Set) Expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.book.Forget(now)
-	s.heldGauge.Update(int64(s.book.Held(now)))
+	s.history.Forget(now)
+	s.heldGauge.Update(int64(s.history.Held(now)))
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -71,8 +71,9 @@
 	progress    Progress
 }
 
-// Send writes r and returns the exchange. If it returns an error, Progress tells how far the
-// request got. Nothing is written after deadline.
+// Send writes r and returns the exchange, also with an error: then Progress tells how far the request
+// got. A request above largeRequestSize is written in the background and counts as Sent at once;
+// Done checks its result. Nothing is written after deadline.
 func (c *Conn) Send(r *Request, deadline time.Time) (x *Exchange, err error) {
 	defer func() { err = errors.Wrap(err, "sending") }()
 	x = &Exchange{conn: c, deadline: deadline}
@@ -108,16 +109,18 @@
 // Conn returns the connection.
 func (x *Exchange) Conn() *Conn { return x.conn }
 
-// maxForeignAnswers is how many answers to earlier requests are skipped.
+// maxForeignAnswers is how many answers are skipped: interim ones and those to earlier requests.
 const maxForeignAnswers = 2
 
 // maxForeignBody limits the bytes that are read of the body of each skipped answer.
 const maxForeignBody = 1 << 20
 
-// Watch makes reads of the answer fail with ErrSilent when the answer is silent for too long.
+// Watch makes reads of the answer fail with ErrSilent when w abandons it after a silence.
 func (x *Exchange) Watch(w SilenceWatch) { x.conn.raw.watch, x.conn.raw.deadline = &w, x.deadline }
 
-// Head reads the head of the answer. Answers for which isOurs returns false are read and discarded.
+// Head reads the head of the answer. It skips interim answers (1xx), and reads and discards answers
+// for which isOurs returns false. It returns an error after maxForeignAnswers of both together, and
+// for a foreign answer whose end it cannot find.
 func (x *Exchange) Head(r *Request, isOurs func(status int, h http.Header) bool) (resp *http.Response, err error) {
 	defer func() { err = errors.Wrap(err, "answer's head") }()
 	for range maxForeignAnswers + 1 {
@@ -165,9 +168,10 @@
 }
 
 // Done returns the connection to the pool after the body was read to its end. It closes the
-// connection if the endpoint is going to, or if the request was not written completely.
+// connection instead if the request was not written completely, or if the endpoint closes it: it
+// said so, the answer does not indicate its end, or the answer is HTTP/1.0.
 func (x *Exchange) Done(p *Pool) {
-	if !x.writeSucceeded() || x.resp.Close || !isFramed(x.resp) || x.resp.ProtoMinor == 0 {
+	if !x.awaitWrite() || x.resp.Close || !isFramed(x.resp) || x.resp.ProtoMinor == 0 {
 		x.conn.Close()
 		return
 	}
@@ -176,7 +180,9 @@
 	p.Put(x.conn)
 }
 
-func (x *Exchange) writeSucceeded() bool {
+// awaitWrite waits for the end of the writing of a large request, for at most writeEndTimeout. It
+// reports whether the request was written completely.
+func (x *Exchange) awaitWrite() bool {
 	if x.writeResult == nil {
 		return true
 	}
@@ -193,7 +199,8 @@
 // Abort closes the connection, by which the endpoint learns that the caller has gone.
 func (x *Exchange) Abort() { x.conn.Close() }
 
-// advertisedIdleTimeout returns the time after which the endpoint closes an idle connection.
+// advertisedIdleTimeout returns the time after which the endpoint closes an idle connection,
+// defaultIdleTimeout if it does not say.
 func advertisedIdleTimeout(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		if v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -43,7 +43,7 @@
 	longWrites  *longWriteGuard
 	br          *bufio.Reader // Reads from raw.
 	answers     int           // Answers that were read completely.
-	idleTimeout time.Duration // After which the endpoint closes it when idle.
+	idleTimeout time.Duration // Idle time after which the endpoint closes the connection.
 	idleSince   time.Time     // Start of the current idle time, as the endpoint counts it.
 }
 
@@ -57,7 +57,7 @@
 type Pool struct {
 	dialer *net.Dialer
 	mu     sync.Mutex
-	idle   map[string][]*Conn // By endpoint id, the most recently used last.
+	idle   map[string][]*Conn // By endpoint id, the most recently used last; guarded by mu.
 	onOpen func()             // Called for each new connection.
 }
 
@@ -134,8 +134,9 @@
 	return c
 }
 
-// Put returns a connection to the pool. It must have carried nothing since Get, or its answer must
-// have been read to its end.
+// Put returns a connection to the pool. The connection must have carried nothing since Get, or its
+// answer must have been read to its end. Put closes a connection on which more bytes have arrived.
+// If the endpoint has maxIdlePerEndpoint idle connections, it closes the least recently used one.
 func (p *Pool) Put(c *Conn) {
 	if c.br.Buffered() > 0 {
 		c.Close() // The buffered bytes belong to no request.
--- a/internal/upstream/silence.go
+++ b/internal/upstream/silence.go
@@ -15,10 +15,11 @@
 var ErrSilent = errors.New("the answer was silent for too long")
 
 // SilenceWatch limits how long an answer may be silent. Its functions are called during a read, by
-// the goroutine that reads the answer.
+// the goroutine that reads the answer. It ends with the first silence that is not abandoned: from
+// then on only the request's deadline limits the answer.
 type SilenceWatch struct {
 	Timeout func() time.Duration            // Returns how long nothing may arrive from now on.
-	Abandon func(silent time.Duration) bool // Reports whether to abandon the answer; otherwise it is awaited.
+	Abandon func(silent time.Duration) bool // Reports whether to abandon the answer after such a silence.
 }
 
 // input reads from a connection. The watch is applied here, below all buffered readers, because
@@ -26,17 +27,20 @@
 type input struct {
 	nc            net.Conn
 	watch         *SilenceWatch // Nil if silence is not limited.
-	deadline      time.Time
-	closedUnacked atomic.Bool // It was closed because nothing was acknowledged.
+	deadline      time.Time     // Deadline of the request; valid while watch is set.
+	closedUnacked atomic.Bool   // The connection was closed because nothing was acknowledged.
 }
 
-// closeUnacked closes the connection because its peer acknowledges nothing.
+// closeUnacked closes the connection because its peer acknowledges nothing. Reads then return
+// errUnacked.
 func (in *input) closeUnacked() {
 	in.closedUnacked.Store(true)
 	_ = in.nc.Close() // Reads end even if it fails.
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. With a watch, it sets the read deadline to the end of the tolerated
+// silence, and restores the request's deadline afterwards. It reads without the watch if that end is
+// not before the request's deadline.
 func (in *input) Read(p []byte) (n int, err error) {
 	defer func() {
 		if err != nil && in.closedUnacked.Load() {
@@ -48,7 +52,7 @@
 	}
 	began := time.Now()
 	until := began.Add(in.watch.Timeout())
-	if !until.Before(in.deadline) {
+	if !until.Before(in.deadline) { // The request's deadline is already set.
 		return in.nc.Read(p)
 	}
 	if err = in.nc.SetReadDeadline(until); err != nil {
@@ -60,8 +64,8 @@
 	} else if silent {
 		in.watch, n, err = nil, 0, nil
 	}
-	if again := in.nc.SetReadDeadline(in.deadline); again != nil {
-		return n, errors.CombineErrors(err, again)
+	if resetErr := in.nc.SetReadDeadline(in.deadline); resetErr != nil {
+		return n, errors.CombineErrors(err, resetErr)
 	}
 	if in.watch == nil {
 		return in.nc.Read(p)
--- a/internal/upstream/unacked.go
+++ b/internal/upstream/unacked.go
@@ -29,7 +29,7 @@
 
 // readSendState reads the send state of an open connection.
 func readSendState(nc *net.TCPConn) (s sendState, err error) {
-	err = control(nc, func(fd int) error {
+	err = withFD(nc, func(fd int) error {
 		info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 		if err != nil {
 			return err
@@ -47,13 +47,13 @@
 
 // setUnackedLimit sets how long data may be unacknowledged.
 func setUnackedLimit(nc *net.TCPConn, limit time.Duration) error {
-	return control(nc, func(fd int) error {
+	return withFD(nc, func(fd int) error {
 		return unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(limit.Milliseconds()))
 	})
 }
 
-// control calls a function with a connection's file descriptor.
-func control(nc *net.TCPConn, f func(fd int) error) (err error) {
+// withFD calls a function with a connection's file descriptor.
+func withFD(nc *net.TCPConn, f func(fd int) error) (err error) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
 		return err
@@ -68,11 +68,12 @@
 // ackMonitor detects that the peer of a connection no longer acknowledges what is sent.
 type ackMonitor struct {
 	unackedSince time.Time // Start of the time without acknowledgements; zero if nothing is unacknowledged.
-	acked        uint64
+	acked        uint64    // Bytes acknowledged at the last state.
 }
 
-// peerLost evaluates a send state, and reports whether nothing was acknowledged for unackedLimit.
-func (m *ackMonitor) peerLost(s sendState, now time.Time) bool {
+// observe records a send state. It reports whether the peer counts as lost: data or a probe is
+// unacknowledged, and nothing was acknowledged for unackedLimit.
+func (m *ackMonitor) observe(s sendState, now time.Time) bool {
 	switch {
 	case !s.waiting:
 		m.unackedSince = time.Time{}
@@ -93,12 +94,13 @@
 	onLost func() // Closes the connection.
 
 	mu         sync.Mutex
-	writers    int
+	writers    int  // Writes between begin and end.
 	monitoring bool // Invariant: true while the socket's limit is raised.
 }
 
-// begin raises the socket's limit to the deadline of a request that is written from now on. If the
-// send state cannot be read, the limit stays.
+// begin raises the socket's limit to the deadline of a request that is written from now on, and
+// starts the monitor that takes its place. If the send state cannot be read, the limit stays. Each
+// begin needs an end.
 func (l *longWriteGuard) begin(deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,8 +124,8 @@
 	l.writers--
 }
 
-// monitor polls the send state until all that was written is acknowledged, or the connection has
-// ended.
+// monitor polls the send state. It returns when all that was written is acknowledged and the default
+// limit is restored, or when the connection has ended. It calls onLost if the peer counts as lost.
 func (l *longWriteGuard) monitor() {
 	var m ackMonitor
 	for {
@@ -132,7 +134,7 @@
 		if err != nil {
 			return // The connection has ended.
 		}
-		if m.peerLost(s, time.Now()) {
+		if m.observe(s, time.Now()) {
 			l.onLost()
 			return
 		}
@@ -142,8 +144,8 @@
 	}
 }
 
-// restoreLimit sets the default limit again unless something is being written; it reports whether
-// it did.
+// restoreLimit sets the default limit again and ends the monitoring, unless something is being
+// written. It reports whether it did. If the limit cannot be set, it calls onLost.
 func (l *longWriteGuard) restoreLimit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/upstream/unacked_test.go
+++ b/internal/upstream/unacked_test.go
@@ -33,7 +33,7 @@
 			var w ackMonitor
 			lost := 0
 			for i, now := 0, time.Now(); i < 100 && lost == 0; i, now = i+1, now.Add(step) {
-				if w.peerLost(tc.state(i), now) {
+				if w.observe(tc.state(i), now) {
 					lost = i
 				}
 			}
