--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -154,6 +154,7 @@
 	}
 }
 
+// deliver passes a decision to the request that waits for it, if it still does. The caller holds mu.
 func (a *Agent) deliver(id string, d decision) {
 	if c, ok := a.waiting[id]; ok {
 		delete(a.waiting, id)
@@ -179,6 +180,9 @@
 	})
 }
 
+// handleReport evaluates a report of the engine, or the error with which reading it failed. A new step
+// number is passed to the queue. The group counts as stalled if the number has not changed for
+// StallAfter.
 func (a *Agent) handleReport(s adapter.EngineState, err error, now time.Time) {
 	var changed, stalled bool
 	duty.Locked(&a.mu, func() {
@@ -207,6 +211,7 @@
 	return a.load()
 }
 
+// load is Load for a caller that holds mu.
 func (a *Agent) load() wire.Load {
 	return wire.Load{
 		Running:          a.queue.Running(),
--- a/internal/agent/ended.go
+++ b/internal/agent/ended.go
@@ -20,7 +20,9 @@
 	sameEndWindow = time.Second
 )
 
-// detectEnd returns the end of the endpoint's process, or nil if the process is still running.
+// detectEnd returns the end of the endpoint's process. It returns nil if the process is still running, if
+// that cannot be determined, or while this agent admits nothing. The agent does not know when a process
+// started: the incarnation in the result contains the time at which its end was detected.
 func (a *Agent) detectEnd() *wire.Ended {
 	var hasEnded func(ctx context.Context) bool
 	if a.service != nil {
--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -42,8 +42,8 @@
 	planner *rebalance.Planner // Nil before the first sample of the group.
 	shape   rebalance.Shape
 	maps    map[uint64]rebalance.Map // By version; a plan needs the content of the active map.
-	ballot  uint64
-	margin  uint64
+	ballot  uint64                   // Highest ballot or fence seen.
+	margin  uint64                   // Engine steps between the newest reported step and the next switch.
 }
 
 func newMapController(a *Agent) *mapController {
@@ -122,8 +122,9 @@
 	}
 }
 
-// activeMap returns the content of the active map. A map made by another coordinator is read
-// back from the engine, so that a plan starts from the experts that are loaded.
+// activeMap returns the content of the active map, which has the given version. A map that this
+// controller does not know, such as one made by another coordinator, is read back from the engine and
+// kept, so that a plan starts from the experts that are loaded.
 func (m *mapController) activeMap(ctx context.Context, version uint64) (current rebalance.Map, ok bool) {
 	if current, ok = m.maps[version]; ok {
 		return current, true
@@ -144,7 +145,8 @@
 	return current, true
 }
 
-// ensurePlanner creates a planner for a new group or for one whose shape has changed.
+// ensurePlanner creates a planner for a new group or for one whose shape has changed. It then forgets
+// all maps but the initial one, version 0.
 func (m *mapController) ensurePlanner(s *published.Service) {
 	shape := rebalance.Shape{Ranks: len(s.Endpoints), Experts: s.Experts, Slots: s.Slots}
 	if m.planner != nil && shape == m.shape {
@@ -162,7 +164,8 @@
 	})
 }
 
-// askOwnRank reads the state of the agent's own rank. The order has ballot 0 and raises no fence.
+// askOwnRank reads the state of the agent's own rank, and raises the controller's ballot to its fence.
+// The order has ballot 0 and raises no fence.
 func (m *mapController) askOwnRank(ctx context.Context) (r mapswitch.RankState, ok bool) {
 	reply, err := m.agent.engine.Order(ctx, adapter.MapOrder{Order: mapswitch.Order{Kind: mapswitch.Ask}})
 	if err != nil {
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -144,8 +144,8 @@
 	return true
 }
 
-// endAfterPanic ends a job after a panic in the agent and returns its refusal. The job is nil if the
-// request was not accepted.
+// endAfterPanic brings a job into a final state after a panic in the agent, and returns its refusal. The
+// job is nil if the request was not accepted.
 func (j *job) endAfterPanic() *wire.Refusal {
 	const cause = "fault of the agent"
 	if j == nil {
@@ -187,7 +187,8 @@
 	return j, j.register(time.Now())
 }
 
-// register records the attempt and the idempotency key, before anything is sent to the endpoint.
+// register records the attempt and the idempotency key, before anything is sent to the endpoint. A
+// refusal leaves neither recorded by this request.
 func (j *job) register(now time.Time) *wire.Refusal {
 	a := j.agent
 	at, err := attemptTime(j.attemptID)
@@ -276,7 +277,8 @@
 	}
 }
 
-// admit waits for the queue's decision. It returns at once when the caller disconnects.
+// admit puts the request into the queue and waits for the decision. It returns nil if the job may start.
+// It returns at once when the caller disconnects.
 func (j *job) admit(ctx context.Context) *wire.Refusal {
 	a := j.agent
 	req := admit.Request{
@@ -333,6 +335,7 @@
 }
 
 // applyFinal applies the last event and updates the records of the attempt and the key to the final state.
+// An attempt that was done is recorded like one that may have run, because no duplicate of either may run.
 func (j *job) applyFinal(e chart.Event) {
 	j.machine.Apply(e)
 	a := j.agent
@@ -398,6 +401,7 @@
 	_, _ = w.Write(reply.Body) // The entry may have disconnected; the outcome is stored.
 }
 
+// storeAnswer stores the answer under the idempotency key, if the request has one, for replay.
 func (j *job) storeAnswer(answer once.Answer) {
 	a := j.agent
 	a.mu.Lock()
@@ -405,6 +409,7 @@
 	a.keys.Finish(j.keyName, answer)
 }
 
+// timeout returns the published timeout of the endpoint's service, 30 s if it is not published.
 func (j *job) timeout() time.Duration {
 	if c, ok := j.agent.node.Config(); ok {
 		if s, ok := c.ServiceOf(j.env.Endpoint); ok {
--- a/internal/entry/answer.go
+++ b/internal/entry/answer.go
@@ -145,8 +145,9 @@
 	return a.rc.Flush()
 }
 
-// extendWriteDeadline renews the write deadline when a quarter of it has passed. A caller that does
-// not read is disconnected; one that waits long for a token is not.
+// extendWriteDeadline renews the write deadline if at least a quarter of writeTimeout has passed since
+// the last renewal. Thus a caller that does not read is disconnected, and a caller that waits long for
+// a token is not.
 func (a *answerWriter) extendWriteDeadline(now time.Time) {
 	if now.Sub(a.deadlineSetAt) < writeTimeout/4 {
 		return
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// finalRefusal returns the refusal of the request as a whole.
+// finalRefusal turns the refusal of the last attempt into that of the request as a whole, in place.
 func (s *stream) finalRefusal(refusal *wire.Refusal) *wire.Refusal {
 	if s.nextToken > 0 && refusal.Outcome == wire.NotRun {
 		refusal.Outcome = wire.Unknown // Tokens were sent to the caller, so the request did run.
@@ -213,6 +213,8 @@
 	return c, nil
 }
 
+// chooseKeyOwner returns the endpoint that owns the idempotency key, or the refusal for the last group if
+// no group has that endpoint as a candidate.
 func (s *stream) chooseKeyOwner() (c candidate, refusal *wire.Refusal) {
 	for _, g := range s.groups {
 		c, refusal = s.entry.chooseTarget(s.req, g, &s.env, nil)
@@ -223,8 +225,10 @@
 	return c, refusal
 }
 
-// retryOrMove reports whether another attempt may be made, after it has waited for the retry delay.
-// Once tokens have been sent, another attempt moves the stream, which the policy must allow.
+// retryOrMove reports whether another attempt may be made. After an attempt that was interrupted once
+// tokens had been sent, the next attempt moves the stream: the policy must allow it, there is no delay,
+// and maxStreamAttempts bounds it. Any other attempt, and one with an idempotency key, is subject to
+// waitForRetry.
 func (s *stream) retryOrMove(c candidate, refusal *wire.Refusal) bool {
 	interrupted := s.nextToken > 0 && refusal.Outcome == wire.Unknown
 	if !interrupted || s.env.NoRetry {
@@ -259,8 +263,9 @@
 	return s.relay(c, resp, cancel)
 }
 
-// relay forwards tokens to the caller. Only the next token of the current attempt is forwarded; events
-// that are late, duplicated or of another attempt are dropped and audited.
+// relay forwards tokens to the caller, and returns nil at the end event. Only the next token of the
+// current attempt is forwarded; events that are late, duplicated or of another attempt are dropped and
+// audited. It calls cancel, which ends the attempt, if nothing arrives for StallAfter.
 func (s *stream) relay(c candidate, resp *http.Response, cancel context.CancelFunc) *wire.Refusal {
 	stallTimeout := s.entry.node.Settings().StallAfter
 	watchdog := time.AfterFunc(stallTimeout, cancel)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -166,8 +166,9 @@
 	out.writeRefusal(refusal)
 }
 
-// overallRefusal returns the final refusal of a request with the outcome of all its attempts:
-// that the last attempt was not run does not imply that no earlier one ran.
+// overallRefusal returns the final refusal of a request, given that of its last attempt. If the last
+// attempt was not run but an earlier one may have been, the outcome is unknown. The request is nil if
+// it was not admitted.
 func (req *request) overallRefusal(last *wire.Refusal) *wire.Refusal {
 	if req == nil || !req.mayHaveRun || last.Outcome != wire.NotRun {
 		return last
@@ -175,7 +176,8 @@
 	return wire.RefuseUnknown(http.StatusBadGateway, "an attempt may have run; after it: "+last.Reason)
 }
 
-// recordAttempt records how an attempt ended; a nil refusal is a success.
+// recordAttempt records how a failed attempt ended. It does nothing for a nil refusal, which means
+// success.
 func (e *Entry) recordAttempt(req *request, refusal *wire.Refusal) {
 	if refusal == nil {
 		return
@@ -184,7 +186,9 @@
 	e.recordProcessEnd(req, refusal)
 }
 
-// admit authenticates the caller and checks the request's headers and the customer's rate limit.
+// admit authenticates the caller, checks the request's headers and takes the request from the
+// customer's rate limit. While the process does not serve, it also asks the caller to close the
+// connection.
 func (e *Entry) admit(id string, out *answerWriter) (req *request, refusal *wire.Refusal) {
 	if refusal := e.node.Refusal(); refusal != nil {
 		out.w.Header().Set("Connection", "close")
@@ -213,6 +217,7 @@
 	return req, nil
 }
 
+// readHeaders reads the class and the deadline of the request, which are both optional.
 func (req *request) readHeaders(now time.Time) *wire.Refusal {
 	req.class = req.r.Header.Get(wire.HeaderClass)
 	if len(req.class) > maxClassBytes {
@@ -230,7 +235,8 @@
 	return nil
 }
 
-// budget returns the retry budget with the given name, set to the given share. e.mu must be held.
+// budget returns the retry budget with the given name after setting it to the given share. It creates
+// the budget if there is none. e.mu must be held.
 func (e *Entry) budget(name string, share float64) *retry.Budget {
 	b, ok := e.budgets[name]
 	if !ok {
@@ -242,7 +248,7 @@
 }
 
 // takeRetry reports whether the retry policy, the customer's budget and the group's budget all allow
-// another attempt, and after which delay.
+// another attempt, and after which delay. It takes the attempt from both budgets.
 func (e *Entry) takeRetry(req *request, service string, a retry.Attempt) (delay time.Duration, allowed bool) {
 	a.Deadline = req.deadline
 	a.Random = rand.Float64()
@@ -262,6 +268,8 @@
 	return delay, true
 }
 
+// creditSuccess records that an attempt succeeded: for the quarantine, and in the retry budgets of the
+// customer and of the group.
 func (e *Entry) creditSuccess(req *request, service string) {
 	e.recordSuccess(req)
 	e.mu.Lock()
@@ -283,8 +291,8 @@
 	return f
 }
 
-// priority evaluates the policy's priority program; when the program fails, the error is audited and
-// its default used.
+// priority evaluates the policy's priority program. If the program fails, the error is audited and the
+// program's default is returned.
 func (e *Entry) priority(req *request, input policy.Request) int {
 	n, err := req.policy.Programs.Priority(input)
 	e.auditPolicyError(req, err)
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -44,6 +44,7 @@
 		return wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
 	services := req.cfg.Groups(m.Model)
+	// A path takes precedence over a model.
 	if s, ok := req.cfg.ServiceByPath(m.Path); ok && m.Path != "" {
 		services = []*published.Service{s}
 	}
@@ -59,6 +60,7 @@
 	}{ident.NewKey(c.Endpoint).String()})
 }
 
+// readBody reads the body of a request and keeps it in the request, for the quarantine key.
 func readBody(req *request) (raw []byte, refusal *wire.Refusal) {
 	raw, err := io.ReadAll(http.MaxBytesReader(req.out.w, req.r.Body, wire.MaxBodyBytes))
 	switch {
@@ -145,7 +147,9 @@
 	return c, unavailable
 }
 
-// waitForRetry reports whether another attempt may be made, after it has waited for the retry delay.
+// waitForRetry reports whether another attempt may be made. If so, it first waits for the retry delay;
+// it reports false if the caller disconnects during the wait. The policy's retry program is asked only
+// if the failed attempt may have run and the request may be repeated.
 func (e *Entry) waitForRetry(req *request, service string, env *wire.Envelope, refusal *wire.Refusal) bool {
 	if refusal.Status < http.StatusInternalServerError || refusal.Status == http.StatusGatewayTimeout {
 		return false // The request itself is invalid, or its deadline has passed.
@@ -162,7 +166,8 @@
 	return ok && wait.For(req.r.Context(), delay)
 }
 
-// callOnce makes one attempt and sends a complete answer to the caller.
+// callOnce makes one attempt. It sends the endpoint's answer to the caller and returns nil if the answer
+// is complete; otherwise it sends nothing and returns a refusal.
 func (e *Entry) callOnce(req *request, s *published.Service, c candidate, env *wire.Envelope, body []byte) *wire.Refusal {
 	req.nextAttempt(env)
 	env.Endpoint = c.Endpoint
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -28,6 +28,9 @@
 // checkQuarantine refuses a request if endpoints' processes ended while they ran it or an identical
 // request, as seen by this or another entry. Without this check, such a stream was moved to as many
 // endpoints as maxStreamAttempts allows, and each retry of its caller ended as many again.
+//
+// Once such a request may be tried again, the entry that owns its trial lets one through and begins the
+// trial. For a request that is let through, it records what is known of the request.
 func (e *Entry) checkQuarantine(req *request) *wire.Refusal {
 	suspects := e.node.Suspects()
 	now := e.now()
@@ -62,7 +65,8 @@
 	return own.Owner(k.String(), names) == self
 }
 
-// recordProcessEnd records that the endpoint's process ended during a failed attempt, if its refusal says so.
+// recordProcessEnd records that the endpoint's process ended during a failed attempt, if its refusal says
+// so. It removes that statement from the refusal.
 func (e *Entry) recordProcessEnd(req *request, refusal *wire.Refusal) {
 	if refusal.Ended == nil {
 		return
@@ -75,7 +79,7 @@
 // recordSuccess records that an endpoint ran the request and its process is still alive.
 func (e *Entry) recordSuccess(req *request) { e.node.Suspects().RecordSuccess(req.quarantineKey) }
 
-// endTrial ends the trial of a request when it gave no result.
+// endTrial ends the trial of a request, if it is one. The request is nil if it was not admitted.
 func (e *Entry) endTrial(req *request) {
 	if req != nil && req.onTrial {
 		e.node.Suspects().EndTrial(req.quarantineKey())
--- a/internal/entry/limits.go
+++ b/internal/entry/limits.go
@@ -30,7 +30,7 @@
 type customerLimit struct {
 	share  *limit.Share
 	bucket *limit.Bucket
-	burst  float64
+	burst  float64 // Published burst of the customer at all entries together.
 }
 
 // limits holds this entry's shares of all customers' rate limits.
@@ -41,8 +41,8 @@
 	byCustomer map[string]*customerLimit // Customers without a limit have no element.
 }
 
-// take takes one request from the customer's limit at this entry. When it returns false, the caller may
-// retry after the returned time.
+// take takes one request from the customer's limit at this entry, and reports whether the limit allowed
+// it. If not, the caller may retry after the returned time. A customer without a rate has no limit.
 func (l *limits) take(cfg *published.Config, c *published.Customer, now time.Time) (retryAfter time.Duration, ok bool) {
 	if c.Rate == 0 {
 		return 0, true
@@ -56,7 +56,8 @@
 	return own.bucket.Take(now)
 }
 
-// ownLimit returns this entry's share of c's limit, updated to the entitlement that is in effect. l.mu must be held.
+// ownLimit returns this entry's share of c's limit, updated to the entitlement that is in effect. It
+// creates the share if there is none. l.mu must be held.
 func (l *limits) ownLimit(cfg *published.Config, c *published.Customer, now time.Time) *customerLimit {
 	entitledRate := c.Rate / float64(l.entryCount(cfg))
 	own, found := l.byCustomer[c.Name]
@@ -94,7 +95,7 @@
 	return wait.Every(ctx, borrowInterval, func() { l.borrowRound(ctx) })
 }
 
-// borrowRound asks one random peer for each customer whose share is too small.
+// borrowRound borrows for each customer whose share is too small, each time from a random peer.
 func (l *limits) borrowRound(ctx context.Context) {
 	shortfalls := l.shortfalls(clock.Now())
 	if len(shortfalls) == 0 {
@@ -109,6 +110,7 @@
 	}
 }
 
+// shortfalls returns the rates to borrow, in requests per second by customer.
 func (l *limits) shortfalls(now time.Time) map[string]float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,6 +123,8 @@
 	return ratesWanted
 }
 
+// borrow asks a peer to lend up to rate, in requests per second, and adds what it lends to this entry's
+// share. It ignores a reply that lends nothing or more than was asked for.
 func (l *limits) borrow(ctx context.Context, lender member.Member, customer string, rate float64) {
 	ctx, cancel := context.WithTimeout(ctx, borrowInterval)
 	defer cancel()
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -38,6 +38,7 @@
 
 func newTracker() *tracker { return &tracker{byEndpoint: map[string]*endpointState{}} }
 
+// stateOf returns the state of an endpoint, and creates it if there is none. The caller holds mu.
 func (t *tracker) stateOf(endpoint string) *endpointState {
 	state, ok := t.byEndpoint[endpoint]
 	if !ok {
@@ -60,15 +61,16 @@
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		delete(state.cancels, &cancel)
-		// Whether this request was sent before or after the report is not recorded: only the bound on
-		// sentSinceReport is kept, and the reported load is taken to include the request.
+		// It is not recorded whether this request was sent before or after the report. The reported load
+		// is taken to include it. Thus sentSinceReport is not reduced by one, but only bounded by the
+		// number of unfinished requests.
 		state.sentSinceReport = max(0, min(state.sentSinceReport, len(state.cancels)))
 		state.load.Running = max(0, state.load.Running-1)
 	}
 }
 
 // cancelRequests cancels the requests at a process that was declared dead, so that their
-// callers get an answer without delay.
+// callers get an answer without delay. It does nothing if a later process has taken the endpoint over.
 func (t *tracker) cancelRequests(m member.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -82,7 +84,8 @@
 }
 
 // recordLoad records the load that came with an answer. The load includes the request that was
-// answered, so sentSinceReport starts again at zero.
+// answered, so sentSinceReport starts again at zero. The endpoint gets no requests during the backoff
+// that it asks for, nor for blockStalled if it reports a stall.
 func (t *tracker) recordLoad(endpoint string, l wire.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -109,7 +112,8 @@
 }
 
 // candidates lists the endpoints of services that may get new requests: those that are published,
-// alive, not leaving, neither blocked nor in backoff, and not in avoid.
+// alive, not leaving, neither blocked nor in backoff, and not in avoid. If a new process has taken an
+// endpoint over, it first resets the state that the earlier process reported.
 func (e *Entry) candidates(services []*published.Service, avoid map[string]bool) []candidate {
 	alive := e.node.ByEndpoint()
 	now := time.Now()
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -212,9 +212,9 @@
 // idleTimeout is the timeout of an idle connection, and why it was chosen.
 type idleTimeout struct {
 	cause   Cause
-	setting string // The rule that determined the timeout, for the log.
+	setting string        // The rule that determined the timeout, for the log.
 	timeout time.Duration // Counted from the time at which the connection became idle.
-	version uint64 // Version of the configuration, if a published limit determined the timeout.
+	version uint64        // Version of the configuration, if a published limit determined the timeout.
 }
 
 // chooseTimeout chooses the timeout of an idle connection. Special rules come first: for a connection
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -178,7 +178,7 @@
 }
 
 // BeginTrial begins a trial of a request, which expires at the time until. It reports whether it
-// did, which is false while another trial of the request is in progress.
+// did: it does not while another trial of the request is in progress, or if no end is known.
 func (s *Set) BeginTrial(k quarantine.Key, now, until time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -119,8 +119,8 @@
 func (x *Exchange) Watch(w SilenceWatch) { x.conn.raw.watch, x.conn.raw.deadline = &w, x.deadline }
 
 // Head reads the head of the answer. It skips interim answers (1xx), and reads and discards answers
-// for which isOurs returns false. It returns an error after maxForeignAnswers of both together, and
-// for a foreign answer whose end it cannot find.
+// for which isOurs returns false. It returns an error for more than maxForeignAnswers of both
+// together, and for a foreign answer that does not indicate its end or is longer than maxForeignBody.
 func (x *Exchange) Head(r *Request, isOurs func(status int, h http.Header) bool) (resp *http.Response, err error) {
 	defer func() { err = errors.Wrap(err, "answer's head") }()
 	for range maxForeignAnswers + 1 {
