--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -37,7 +37,7 @@
 	verdict, retryAfter := suspects.Judge(req.quarantineKey, now)
 	switch {
 	case verdict == quarantine.Free, verdict == quarantine.Trial && req.onTrial:
-		req.knowledgeAtSend = suspects.KnowledgeOf(req.quarantineKey, now)
+		req.knowledgeAtSend = suspects.KnowledgeAtSend(req.quarantineKey, now)
 		if req.onTrial {
 			req.knowledgeAtSend = quarantine.OnTrial
 		}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -260,7 +260,7 @@
 	f.recordAnswer()
 	f.view.Replace(snap, requestedAt, f.keepsMissing())
 	s := f.view.State()
-	f.log.Info("view replaced", zap.Uint64("version", s.version()), zap.Uint64("revision", snap.Revision), zap.Int("endpoints", len(s.Endpoints)))
+	f.log.Info("view replaced", zap.Uint64("version", s.version()), zap.Uint64("revision", snap.UpTo), zap.Int("endpoints", len(s.Endpoints)))
 	return nil
 }
 
@@ -298,7 +298,7 @@
 		f.log.Info("endpoint listed", zap.String("endpoint", e.ID), zap.String("address", e.Address), zap.Bool("leaving", e.Leaving), zap.Duration("cold-left", e.ColdLeft), zap.Uint64("revision", e.Revision))
 	}
 	for _, id := range removed {
-		f.log.Info("endpoint removed", zap.String("endpoint", id), zap.Uint64("revision", ch.Revision))
+		f.log.Info("endpoint removed", zap.String("endpoint", id), zap.Uint64("revision", ch.UpTo))
 	}
 }
 
--- a/internal/follow/told.go
+++ b/internal/follow/told.go
@@ -60,12 +60,12 @@
 
 // Update is what a process sends to another one about its view.
 type Update struct {
-	Number          uint64           `json:"number"` // To be named in the next request.
-	Whole           bool             `json:"whole"`  // Endpoints is the complete list.
-	ThroughRevision uint64           `json:"at"`     // Revision up to which it is complete.
-	Endpoints       []fleet.Endpoint `json:"endpoints,omitempty"`
-	Missing         []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have expired.
-	Removals        []Removal        `json:"gone,omitempty"`
+	Number    uint64           `json:"number"` // To be named in the next request.
+	Whole     bool             `json:"whole"`  // Endpoints is the complete list.
+	UpTo      uint64           `json:"at"`     // Revision up to which it is complete.
+	Endpoints []fleet.Endpoint `json:"endpoints,omitempty"`
+	Missing   []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have expired.
+	Removals  []Removal        `json:"gone,omitempty"`
 	// Evacuations holds the newest order for each domain; nil if none has changed.
 	Evacuations []Evacuation `json:"evacuations,omitempty"`
 }
@@ -77,7 +77,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.state.Load()
-	u = Update{Number: v.changes.number, ThroughRevision: v.knownRevision, Whole: after == 0 || after < v.changes.discarded || after > v.changes.number}
+	u = Update{Number: v.changes.number, UpTo: v.knownRevision, Whole: after == 0 || after < v.changes.discarded || after > v.changes.number}
 	for id, e := range s.Endpoints {
 		if !u.Whole && v.changes.changed[id] <= after {
 			continue
@@ -128,7 +128,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	// The processes that follow this one use its revision.
-	defer func() { v.knownRevision = max(v.knownRevision, u.ThroughRevision) }()
+	defer func() { v.knownRevision = max(v.knownRevision, u.UpTo) }()
 	if !u.Whole && len(u.Endpoints)+len(u.Removals)+len(u.Evacuations) == 0 {
 		return
 	}
@@ -154,7 +154,7 @@
 	}
 	if u.Whole {
 		for id, e := range old.Endpoints {
-			if _, there := next.Endpoints[id]; there && !updatedNames[e.Name()] && e.Revision <= u.ThroughRevision {
+			if _, there := next.Endpoints[id]; there && !updatedNames[e.Name()] && e.Revision <= u.UpTo {
 				next.delete(e)
 			}
 		}
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -26,7 +26,7 @@
 	Endpoints      []fleet.Endpoint
 	Evacuations    []Evacuation // Those in progress.
 	Invalid        []InvalidEntry
-	Revision       uint64 // Revision from which to follow changes.
+	UpTo           uint64 // Revision from which to follow changes.
 }
 
 // Removal names an endpoint whose entry was removed.
@@ -52,7 +52,7 @@
 	Removals       []Removal
 	Evacuations    []Evacuation // Begun or ended.
 	Invalid        []InvalidEntry
-	Revision       uint64
+	UpTo           uint64
 }
 
 // State is an immutable state of the view.
@@ -227,8 +227,8 @@
 	}
 	next.buildIndexes()
 	next.evacuations = next.evacuations.merged(snap.Evacuations)
-	next.evacuations = next.evacuations.merged(next.evacuations.endedIn(snap.Evacuations, snap.Revision))
-	v.knownRevision = max(v.knownRevision, snap.Revision)
+	next.evacuations = next.evacuations.merged(next.evacuations.endedIn(snap.Evacuations, snap.UpTo))
+	v.knownRevision = max(v.knownRevision, snap.UpTo)
 	v.set(&next)
 	// A snapshot with an older configuration than the view's does not confirm the view.
 	if snap.Config == nil || snap.Config.Version() == next.version() {
@@ -328,7 +328,7 @@
 		next.buildIndexes()
 	}
 	next.evacuations = next.evacuations.merged(ch.Evacuations)
-	v.knownRevision = max(v.knownRevision, ch.Revision)
+	v.knownRevision = max(v.knownRevision, ch.UpTo)
 	v.set(&next)
 	v.confirmAt(requestedAt)
 	return removed
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -46,8 +46,8 @@
 	return h
 }
 
-// nextMessageTo returns the next message to a peer. The name is "" when it is not known.
-func (n *Node) nextMessageTo(name string) message {
+// composeMessage returns the next message to a peer. The name is "" when it is not known.
+func (n *Node) composeMessage(name string) message {
 	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -158,7 +158,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply message
-	if err := n.Call(ctx, address, wire.PathGossip, n.nextMessageTo(name), &reply); err != nil {
+	if err := n.Call(ctx, address, wire.PathGossip, n.composeMessage(name), &reply); err != nil {
 		return err
 	}
 	n.receive(reply)
@@ -309,7 +309,7 @@
 	if len(m.Rows) > 0 {
 		from = m.Rows[0].Name
 	}
-	httpjson.Reply(w, n.nextMessageTo(from))
+	httpjson.Reply(w, n.composeMessage(from))
 }
 
 func (n *Node) serveProbe(w http.ResponseWriter, r *http.Request) {
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -155,9 +155,9 @@
 	s.notifyPending()
 }
 
-// KnowledgeOf returns what is known of a request that is sent now. It calls key only if any ends are
+// KnowledgeAtSend returns what is known of a request that is sent now. It calls key only if any ends are
 // known, because computing a key hashes the body.
-func (s *Set) KnowledgeOf(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
+func (s *Set) KnowledgeAtSend(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.history.Empty() {
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -28,8 +28,8 @@
 // other.
 func setWithTwoEnds() *Set {
 	s := newSet()
-	s.RecordEnd(key, "e-0", s.KnowledgeOf(keyFunc, now.Add(-time.Minute)), now.Add(-time.Minute))
-	s.RecordEnd(key, "e-1", s.KnowledgeOf(keyFunc, now), now)
+	s.RecordEnd(key, "e-0", s.KnowledgeAtSend(keyFunc, now.Add(-time.Minute)), now.Add(-time.Minute))
+	s.RecordEnd(key, "e-1", s.KnowledgeAtSend(keyFunc, now), now)
 	return s
 }
 
