--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -107,7 +107,8 @@
 // Node returns the shared part of the process.
 func (d *Daemon) Node() *node.Node { return d.node }
 
-// Addresses returns the listen addresses: of peers, operators and, for an entry, callers.
+// Addresses returns the listen addresses, in this order: that for peers, and those for operators and for
+// callers if they are configured.
 func (d *Daemon) Addresses() (list []string) {
 	for _, ln := range d.listeners {
 		list = append(list, ln.netListener.Addr().String())
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -147,7 +147,9 @@
 	})
 }
 
-// serveAndEnd serves until ctx ends, then calls end to end the connections, and returns after that.
+// serveAndEnd serves until ctx ends, then calls end to end the connections, and returns after that. If
+// the listener is closed before that, it still waits for ctx. If the server fails in another way, it
+// returns the error at once, without calling end.
 func serveAndEnd(ctx context.Context, srv *http.Server, l net.Listener, end func()) error {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -190,11 +192,11 @@
 type limitedListener struct {
 	net.Listener
 	maxOpen  int
-	open     func() int
+	open     func() int // Returns the number of open connections.
 	log      *zap.Logger
-	loggedAt time.Time // When the full state was last logged; used by the accepting goroutine only.
-	waitCtx  context.Context
-	endWaits context.CancelFunc // Cancels closed.
+	loggedAt time.Time          // When the full state was last logged; used by the accepting goroutine only.
+	waitCtx  context.Context    // Ended by Close; limits the wait of Accept.
+	endWaits context.CancelFunc // Ends waitCtx.
 }
 
 func newLimitedListener(l net.Listener, maxOpen int, open func() int, log *zap.Logger) *limitedListener {
@@ -293,8 +295,8 @@
 	}
 }
 
-// reload reads the settings again. Addresses cannot change while the process runs; other settings
-// take effect at the next start. It logs whether the store's address differs.
+// reload reads the settings again and applies none of them: they take effect at the next start. It logs
+// an error in them, or whether the store's address differs.
 func (p *fleetProcess) reload() {
 	next, err := settings.LoadFleet(p.settingsFile)
 	if err != nil {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -178,9 +178,12 @@
 	return srv
 }
 
-// drain waits for the signal to stop, then for requests in flight and until callers have closed
-// their connections, and then closes the listeners. It checks the connections again after that,
-// because callers may have connected since the last check.
+// drain waits for the signal to stop and then, in this order, until:
+//   - stopAcceptTime has passed, so that new connections may still arrive;
+//   - no request and no connection is left, or only closedTime remains; then it closes the listeners;
+//   - callers is drained: callers may have connected since the last check.
+//
+// In any case it returns when ctx ends, and stopMargin before the end of the grace period.
 func (p *fleetProcess) drain(ctx context.Context, stop <-chan struct{}, remaining func() (requests, connections int), callers *keepalive.Tracker) {
 	select {
 	case <-ctx.Done():
--- a/internal/daemon/listener.go
+++ b/internal/daemon/listener.go
@@ -161,7 +161,9 @@
 }
 
 // drain waits for the planned stop, then for requests in flight, and until no client may send on
-// any connection. New connections are accepted at first; later the listeners are closed.
+// any connection. New connections are accepted until minIdlePolls polls in a row have found no request,
+// and no connection is open or stopReuseTime has passed. Then the listeners are closed, and the
+// remaining connections without a request have stopCloseTimeout. It returns early if ctx ends.
 func (d *Daemon) drain(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -44,7 +44,7 @@
 		return wire.Refuse(http.StatusBadRequest, 0, "body: "+err.Error())
 	}
 	services := req.cfg.Groups(m.Model)
-	// A path takes precedence over a model.
+	// The path of a service takes precedence over a model.
 	if s, ok := req.cfg.ServiceByPath(m.Path); ok && m.Path != "" {
 		services = []*published.Service{s}
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -138,6 +138,7 @@
 	return c
 }
 
+// addRoute inserts a route before the routes of its host with a shorter prefix.
 func (c *Config) addRoute(r *Route) {
 	list := append(c.byHost[r.Host], r)
 	for i := len(list) - 1; i > 0 && len(list[i].PathPrefix) > len(list[i-1].PathPrefix); i-- {
@@ -167,8 +168,8 @@
 // Services returns all services by name; callers must not change the map.
 func (c *Config) Services() map[string]*Service { return c.services }
 
-// MaxPause returns the smallest MaxPause of the routes that send traffic to a service,
-// 0 when none of them configures one.
+// MaxPause returns the longest pause that every route to a service tolerates: the smallest MaxPause of
+// the routes that send traffic to it, 0 when none of them configures one.
 func (c *Config) MaxPause(service string) (shortest time.Duration) {
 	for _, routes := range c.byHost {
 		for _, r := range routes {
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -26,7 +26,7 @@
 	Endpoints      []fleet.Endpoint
 	Evacuations    []Evacuation // Those in progress.
 	Invalid        []InvalidEntry
-	UpTo           uint64 // Revision from which to follow changes.
+	UpTo           uint64 // Revision up to which it is complete; changes are followed from there.
 }
 
 // Removal names an endpoint whose entry was removed.
@@ -52,7 +52,7 @@
 	Removals       []Removal
 	Evacuations    []Evacuation // Begun or ended.
 	Invalid        []InvalidEntry
-	UpTo           uint64
+	UpTo           uint64 // Revision up to which they are complete.
 }
 
 // State is an immutable state of the view.
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -219,8 +219,8 @@
 
 // chooseTimeout chooses the timeout of an idle connection. Special rules come first: for a connection
 // that a caller could use after the end of the process, for a planned stop, and for a connection
-// that has carried no request. Otherwise the timeout is the published limit or the advertised
-// timeout, each with a margin, whichever is longer.
+// that has carried no request while the limit is below ReadHeaderTimeout. Otherwise the timeout is
+// the published limit or the advertised timeout, each with a margin, whichever is longer.
 func (t *Tracker) chooseTimeout(i idlePeriod) idleTimeout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -117,7 +117,9 @@
 	return n.handleManifest(ctx, src, m)
 }
 
-// handleManifest verifies a manifest and adopts its generation if that is newer and valid.
+// handleManifest verifies a manifest, fetches the values that the node lacks from src, and adopts the
+// generation if it is newer and valid. A manifest with an invalid signature is audited; a second
+// manifest of the current generation is recorded as a conflict.
 func (n *Node) handleManifest(ctx context.Context, src source, m published.Manifest) (err error) {
 	v := m.Version()
 	if err := m.Verify(n.cfg.OperatorKey); err != nil {
@@ -148,6 +150,8 @@
 	return fmt.Sprintf("generation %d (%.8s)", v.Generation, v.Hash)
 }
 
+// recordConflict audits a manifest that conflicts with another one of its generation, unless it was the
+// last one audited.
 func (n *Node) recordConflict(v published.Version) {
 	var known bool
 	duty.Locked(&n.mu, func() {
@@ -167,6 +171,8 @@
 	maxReplyBytes      = published.MaxValueBytes / 2
 )
 
+// valuesFromPeer requests missing values from a peer, at most maxRequestedValues. The peer may return
+// fewer.
 func (n *Node) valuesFromPeer(ctx context.Context, address string, missing []published.Entry) (values [][]byte, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*callTimeout)
 	defer cancel()
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -46,7 +46,8 @@
 	return h
 }
 
-// composeMessage returns the next message to a peer. The name is "" when it is not known.
+// composeMessage returns the next message to the peer with a name, which is "" when it is not known. It
+// marks the process ends in the message as sent.
 func (n *Node) composeMessage(name string) message {
 	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
@@ -97,8 +98,8 @@
 	}
 }
 
-// CheckPause checks for a pause immediately, before an action that must not be based on an
-// outdated view.
+// CheckPause takes the node out of service if the process was paused, without waiting for the next
+// tick. It is called before an action that must not be based on an outdated view.
 func (n *Node) CheckPause(now time.Time) {
 	var paused bool
 	duty.Locked(&n.mu, func() { paused = n.table.TickOverdue(now) })
@@ -107,7 +108,8 @@
 	}
 }
 
-// recordContact records that a peer has just received a message of the node, or that there is no peer.
+// recordContact records that a peer has just received a message of the node, or that there is no peer. A
+// node that was paused serves again after that.
 func (n *Node) recordContact() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,7 +131,8 @@
 	return valid && now.Sub(n.lastContact) < n.Lease() && now.Sub(n.startedAt) >= n.Lease()
 }
 
-// probe exchanges messages with the target, through relays if the target does not answer.
+// probe exchanges messages with the target. If the target does not answer, relays are asked one after the
+// other to exchange messages with it. The probe counts as unanswered if none of them succeeds either.
 func (n *Node) probe(ctx context.Context, target member.Member) {
 	if n.exchangeNamed(ctx, target.Address, target.Name) == nil {
 		var changes []member.Change
@@ -149,11 +152,12 @@
 	n.recordChanges(changes)
 }
 
-// Exchange sends a message to a peer and merges the reply.
+// Exchange sends a message to a peer whose name is not known, and merges the reply.
 func (n *Node) Exchange(ctx context.Context, address string) (err error) {
 	return n.exchangeNamed(ctx, address, "")
 }
 
+// exchangeNamed is Exchange with the name of the peer, "" if it is not known.
 func (n *Node) exchangeNamed(ctx context.Context, address, name string) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -166,6 +170,7 @@
 	return nil
 }
 
+// probeVia asks a relay to exchange messages with the process at the address target.
 func (n *Node) probeVia(ctx context.Context, relay, target string) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
@@ -215,7 +220,9 @@
 	metrics.GetOrRegisterCounter(name, n.reg).Inc(by)
 }
 
-// receive merges a message from a peer.
+// receive merges a message from a peer and acts on what it says: it begins the planned stop if this
+// process is leaving or replaced, informs peers after refuting a suspicion, and queues a hint unless
+// the peer's generation is to be ignored.
 func (n *Node) receive(m message) {
 	n.suspects.MergeEnds(m.Ends, clock.Now())
 	if len(m.Rows) == 0 {
@@ -243,7 +250,7 @@
 	if replaced {
 		n.Leave("a later process has the same name or slot")
 	}
-	if decision != 0 {
+	if decision != 0 { // Anything but spread.Ignore.
 		n.hints.Offer(hint{from: m.Rows[0].Address, version: m.Version})
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -194,8 +194,9 @@
 	return n.table.Members(keep)
 }
 
-// ByEndpoint returns the members that hold slots and are not dead, by slot. If two members claim a
-// slot, the process that started later holds it. The map is shared and must not be modified.
+// ByEndpoint returns the members that hold slots and are not dead, by slot, which is the name of an
+// endpoint. If two members claim a slot, the process that started later holds it. The map is cached
+// until a member changes; it is shared and must not be modified.
 func (n *Node) ByEndpoint() map[string]member.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -258,7 +259,8 @@
 	n.pushToPeers()
 }
 
-// MarkIdle records that no requests are in flight. It reports whether the planned stop is complete.
+// MarkIdle records that no requests are in flight, which completes a planned stop that has begun. It
+// reports whether the planned stop is complete.
 func (n *Node) MarkIdle() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -280,7 +282,8 @@
 	}
 }
 
-// Refusal returns the reason why the node admits no new requests, or nil if it does.
+// Refusal returns the refusal of new requests by this node, or nil if it admits them. A node that serves
+// still refuses until keys that it mints cannot be mistaken for keys of an earlier process.
 func (n *Node) Refusal() *wire.Refusal {
 	switch n.State() {
 	case Serving:
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -62,7 +62,8 @@
 }
 
 // bootstrap queries peers for the highest generation before it relies on the configuration service,
-// which may be stale.
+// which may be stale. It returns once the node has a configuration or has tried to read the service.
+// The first readers query peers for one round only.
 func (n *Node) bootstrap(ctx context.Context) {
 	for _, address := range n.cfg.Seeds {
 		if address != n.cfg.AdvertisedAddress {
@@ -135,6 +136,7 @@
 	return len(ahead) < count
 }
 
+// manifestHash returns the hash of the manifest in effect, "" if there is none.
 func (n *Node) manifestHash() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -160,7 +162,8 @@
 // per row it limits the reads to 4 KB per second.
 const listIntervalPerRow = 40 * time.Millisecond
 
-// readListOnce reads the list, merges it into the members, and returns its length.
+// readListOnce reads the list, merges it into the members, and returns its length, 0 if it could not be
+// read. If the list says that this process is leaving, the planned stop begins.
 func (n *Node) readListOnce(ctx context.Context) (length int) {
 	list, err := n.instances.List(ctx)
 	if err != nil {
