--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -79,7 +79,8 @@
 // recordSuccess records that an endpoint ran the request and its process is still alive.
 func (e *Entry) recordSuccess(req *request) { e.node.Suspects().RecordSuccess(req.quarantineKey) }
 
-// endTrial ends the trial of a request, if it is one. The request is nil if it was not admitted.
+// endTrial ends the trial of a request, if it is one: a trial that gave no result would otherwise last
+// until it expires. The request is nil if it was not admitted.
 func (e *Entry) endTrial(req *request) {
 	if req != nil && req.onTrial {
 		e.node.Suspects().EndTrial(req.quarantineKey())
