--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -49,9 +49,9 @@
 	defer stop()
 	broken := 0
 	for i := range v.Runs {
-		cfg := soak.Usual(v.Seed + uint64(i))
+		cfg := soak.DefaultConfig(v.Seed + uint64(i))
 		cfg.Daemon, cfg.Dir, cfg.Length, cfg.Log = daemon, v.Dir, time.Duration(v.Seconds*float64(time.Second)), v.app.out
-		cfg.Gateways, cfg.Ranks, cfg.Plain, cfg.Callers = v.Sizes.Gateways, v.Sizes.Ranks, v.Sizes.Plain, v.Sizes.Callers
+		cfg.Gateways, cfg.Ranks, cfg.PlainEndpoints, cfg.Callers = v.Sizes.Gateways, v.Sizes.Ranks, v.Sizes.Plain, v.Sizes.Callers
 		if v.Quiet {
 			cfg.Log = io.Discard
 		}
@@ -60,11 +60,11 @@
 			return errors.Wrapf(err, "seed %d", cfg.Seed)
 		}
 		fmt.Fprintf(v.app.out, "seed %d: %d requests, %d served, %d on rested connections, %d faults, %d gateways killed, %d maps, %d promises broken; logs in %s\n%v\n",
-			cfg.Seed, r.Requests, r.Served, r.Rested, r.Faults, r.Killed, r.Maps, len(r.Broken), r.Dir, r.Ends)
-		for _, b := range r.Broken {
+			cfg.Seed, r.Requests, r.Served, r.IdleRequests, r.Faults, r.KilledGateways, r.MapSwitches, len(r.Violations), r.Dir, r.Outcomes)
+		for _, b := range r.Violations {
 			fmt.Fprintln(v.app.out, "  broken:", b)
 		}
-		broken += len(r.Broken)
+		broken += len(r.Violations)
 	}
 	if broken > 0 {
 		return markFailed(errors.Newf("%d promises broken", broken))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -274,8 +274,8 @@
 	e.recordSuccess(req)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.budget(req.customer.Name, req.policy.RetryShare).Success()
-	e.budget(req.customer.Name+"/"+service, req.policy.RetryShare).Success()
+	e.budget(req.customer.Name, req.policy.RetryShare).RecordSuccess()
+	e.budget(req.customer.Name+"/"+service, req.policy.RetryShare).RecordSuccess()
 }
 
 // policyInput returns the request's attributes that policy programs can read.
--- a/internal/soak/ends.go
+++ b/internal/soak/ends.go
@@ -195,14 +195,14 @@
 	return lines.Err()
 }
 
-// Ends is how the requests of a run ended, and why gateways closed connections.
-type Ends struct {
+// Outcomes is how the requests of a run ended, and why gateways closed connections.
+type Outcomes struct {
 	counts [endings]int
 	closed map[string]int
 }
 
 // String lists all counts of requests that were cut, zeros among them, and the others that are there.
-func (e Ends) String() string {
+func (e Outcomes) String() string {
 	var ended, closed []string
 	for i, n := range e.counts {
 		if n > 0 || ending(i) >= endCutKilled {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -344,7 +344,7 @@
 func (s *site) succeed(f fault) (old *endpointAt, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	i := s.cfg.Ranks + f.which%s.cfg.Plain
+	i := s.cfg.Ranks + f.which%s.cfg.PlainEndpoints
 	old = s.endpoints[i]
 	next, err := s.addEndpoint(old.service, old.domain, plainIP+s.births%plainIPs, nil)
 	if err != nil {
@@ -379,7 +379,7 @@
 // and address. Half of them said before that they leave: the new life does not.
 func (s *site) startAgain(f fault) (err error) {
 	s.mu.Lock()
-	e := s.endpoints[s.cfg.Ranks+f.which%s.cfg.Plain]
+	e := s.endpoints[s.cfg.Ranks+f.which%s.cfg.PlainEndpoints]
 	old, busy := e.srv, e.restarts
 	e.restarts = true
 	if !busy && f.how%2 == 0 {
--- a/internal/soak/site.go
+++ b/internal/soak/site.go
@@ -273,7 +273,7 @@
 			return err
 		}
 	}
-	for i := range s.cfg.Plain {
+	for i := range s.cfg.PlainEndpoints {
 		if _, err = s.addEndpoint(plainNames[i%len(plainNames)], s.domain(i/len(plainNames)), plainIP+i, nil); err != nil {
 			return err
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -19,22 +19,22 @@
 
 // Config is the setting of a run.
 type Config struct {
-	Seed     uint64
-	Length   time.Duration // Of the whole run; the last calmTail of it is without trouble.
-	Daemon   string        // Path of the daemon's program.
-	Dir      string        // For settings and logs; "" for the system's.
-	Gateways int
-	Ranks    int
-	Plain    int   // Endpoints of the plain services.
-	Callers  int   // At each gateway.
-	Kinds    Kinds // Of trouble and of callers.
-	Timed    bool  // Check bounds in time, too; not on a machine that may be overloaded.
-	Log      io.Writer
+	Seed           uint64
+	Length         time.Duration // Of the whole run; the last calmTail of it is without trouble.
+	Daemon         string        // Path of the daemon's program.
+	Dir            string        // For settings and logs; "" for the system's.
+	Gateways       int
+	Ranks          int
+	PlainEndpoints int   // Endpoints of the plain services.
+	Callers        int   // At each gateway.
+	Kinds          Kinds // Of trouble and of callers.
+	CheckTiming    bool  // Check bounds in time, too; not on a machine that may be overloaded.
+	Log            io.Writer
 }
 
-// Usual returns the usual size of a run with a seed.
-func Usual(seed uint64) Config {
-	return Config{Seed: seed, Length: 24 * time.Second, Gateways: 4, Ranks: 3, Plain: 6, Callers: 3, Kinds: AllKinds, Timed: true}
+// DefaultConfig returns the usual size of a run with a seed.
+func DefaultConfig(seed uint64) Config {
+	return Config{Seed: seed, Length: 24 * time.Second, Gateways: 4, Ranks: 3, PlainEndpoints: 6, Callers: 3, Kinds: AllKinds, CheckTiming: true}
 }
 
 // Check names everything that is wrong with the sizes of a run: the site's
@@ -47,7 +47,7 @@
 	}{
 		{"gateways", c.Gateways, 1, engineIP - gatewayIP},
 		{"ranks", c.Ranks, 2, plainIP - engineIP},
-		{"endpoints of plain services", c.Plain, len(plainNames), plainIPs},
+		{"endpoints of plain services", c.PlainEndpoints, len(plainNames), plainIPs},
 		{"callers", c.Callers, 1, 100},
 	} {
 		if one.n < one.min || one.n > one.max {
@@ -65,15 +65,15 @@
 
 // Report is what became of a run.
 type Report struct {
-	Dir      string // Of settings and logs.
-	Requests int
-	Served   int
-	Faults   int
-	Maps     int // Expert maps that came into force.
-	Rested   int // Requests on rested connections, but for those that came late on purpose.
-	Killed   int // Processes of gateways that the soak killed.
-	Ends     Ends
-	Broken   []string
+	Dir            string // Of settings and logs.
+	Requests       int
+	Served         int
+	Faults         int
+	MapSwitches    int // Expert maps that came into force.
+	IdleRequests   int // Requests on rested connections, but for those that came late on purpose.
+	KilledGateways int // Processes of gateways that the soak killed.
+	Outcomes       Outcomes
+	Violations     []string
 }
 
 // servedAtEnd is the part of the requests that must be served once the trouble
@@ -105,7 +105,7 @@
 	if err := s.ready(startup); err != nil {
 		return r, err
 	}
-	s.say("seed %d: %d gateways, %d ranks, %d plain endpoints, logs in %s", cfg.Seed, cfg.Gateways, cfg.Ranks, cfg.Plain, s.dir)
+	s.say("seed %d: %d gateways, %d ranks, %d plain endpoints, logs in %s", cfg.Seed, cfg.Gateways, cfg.Ranks, cfg.PlainEndpoints, s.dir)
 	began := time.Now()
 	running, stop := context.WithDeadline(ctx, began.Add(cfg.Length))
 	defer stop()
@@ -133,7 +133,7 @@
 	}
 	r = s.report(began, max(last, time.Since(began)-cfg.Length))
 	r.Faults = len(list)
-	r.Ends.closed, err = s.closedByGateways()
+	r.Outcomes.closed, err = s.closedByGateways()
 	return r, err
 }
 
@@ -155,29 +155,29 @@
 func (s *site) report(began time.Time, last time.Duration) (r Report) {
 	r.Dir = s.dir
 	r.Requests, r.Served = s.ledger.served(began, time.Now())
-	r.Broken = s.ledger.judge(s.cfg.Timed)
+	r.Violations = s.ledger.judge(s.cfg.CheckTiming)
 	once, twice, cutThenFailed := s.ledger.met()
 	s.say("%d requests met bad answers, %d of them two or more; %d streams were cut off and failed then", once, twice, cutThenFailed)
 	rested, atEnd, inStop, late, lateLost := s.ledger.rested()
 	s.say("%d requests came on rested connections, %d at the end of their time, %d in a planned stop; %d more came late, %d of them got no answer", rested-late, atEnd, inStop, late, lateLost)
-	r.Rested, r.Killed = rested-late, s.ledger.killed()
+	r.IdleRequests, r.KilledGateways = rested-late, s.ledger.killed()
 	var givenUp []string
-	r.Ends.counts, givenUp = s.ledger.ended()
+	r.Outcomes.counts, givenUp = s.ledger.ended()
 	for _, one := range givenUp {
 		s.say("given up by its caller, whose time was over: %s", one)
 	}
-	r.Maps = s.group.MapChanges()
+	r.MapSwitches = s.group.MapChanges()
 	if _, _, broken := s.group.State(); broken != "" {
-		r.Broken = append(r.Broken, broken)
+		r.Violations = append(r.Violations, broken)
 	}
-	if s.cfg.Timed {
+	if s.cfg.CheckTiming {
 		from := began.Add(last + settleTime)
 		if end := s.ledger.lastEvacuation(); end.After(from) {
 			from = end // Until then callers of the domain's ranks are refused as they should be.
 		}
 		sent, served := s.ledger.served(from, began.Add(s.cfg.Length-patience/2))
 		if sent > 0 && float64(served) < servedAtEnd*float64(sent) {
-			r.Broken = append(r.Broken, fmt.Sprintf("after the trouble was over, %d of %d requests were served", served, sent))
+			r.Violations = append(r.Violations, fmt.Sprintf("after the trouble was over, %d of %d requests were served", served, sent))
 		}
 	}
 	return r
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -52,12 +52,12 @@
 // short is a run for CI: no bound in time is checked, since the machine may be
 // busy. Callers is how many there are at each gateway, 0 for the usual number.
 func short(t *testing.T, seed uint64, set Kinds, callers int, daemon string) Config {
-	cfg := Usual(seed)
+	cfg := DefaultConfig(seed)
 	cfg.Kinds = set
 	if callers > 0 {
 		cfg.Callers = callers
 	}
-	cfg.Length, cfg.Daemon, cfg.Dir, cfg.Timed, cfg.Log = 16*time.Second, daemon, t.TempDir(), false, t.Output()
+	cfg.Length, cfg.Daemon, cfg.Dir, cfg.CheckTiming, cfg.Log = 16*time.Second, daemon, t.TempDir(), false, t.Output()
 	return cfg
 }
 
@@ -91,7 +91,7 @@
 			g := NewWithT(t)
 			r, err := Run(context.Background(), short(t, tc.seed, tc.kinds, tc.callers, daemon))
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(r.Broken).To(BeEmpty())
+			g.Expect(r.Violations).To(BeEmpty())
 			g.Expect(r.Served).To(BeNumerically(">", 0))
 		})
 	}
@@ -206,10 +206,10 @@
 			t.Parallel()
 			g := NewWithT(t)
 			cfg := short(t, tc.seed, tc.kinds, tc.callers, build(t, tc.edits...))
-			cfg.Timed = true
+			cfg.CheckTiming = true
 			r, err := Run(context.Background(), cfg)
 			g.Expect(err).NotTo(HaveOccurred())
-			g.Expect(strings.Join(r.Broken, "\n")).To(MatchRegexp(tc.finds))
+			g.Expect(strings.Join(r.Violations, "\n")).To(MatchRegexp(tc.finds))
 		})
 	}
 }
@@ -275,8 +275,8 @@
 
 func TestSizesAreChecked(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(Usual(1).Check()).To(Succeed())
-	faulty := Usual(1)
+	g.Expect(DefaultConfig(1).Check()).To(Succeed())
+	faulty := DefaultConfig(1)
 	faulty.Gateways, faulty.Ranks, faulty.Length = 0, 500, time.Second
 	err := faulty.Check()
 	g.Expect(err).To(MatchError(ContainSubstring("0 gateways")))
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -48,7 +48,7 @@
 func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.history.NextToSend(peers.MaxEnds, now), now)
+	return encode(s.history.TakeNextToSend(peers.MaxEnds, now), now)
 }
 
 // ForNewPeer returns the most severe ends, at most peers.MaxEnds, to send to a process that may know
@@ -61,7 +61,7 @@
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
 	for _, e := range ends {
-		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Knowledge), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
+		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, KnownBefore: int(e.Knowledge), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
 	}
 	return list
 }
@@ -82,11 +82,11 @@
 	defer s.mu.Unlock()
 	for _, received := range list {
 		if !valid(received) {
-			s.log.Warn("invalid endpoint end ignored", zap.Binary("key", received.Key), zap.Int64("age-ms", received.AgeMs), zap.Int("sending", received.Sending))
+			s.log.Warn("invalid endpoint end ignored", zap.Binary("key", received.Key), zap.Int64("age-ms", received.AgeMs), zap.Int("sending", received.KnownBefore))
 			continue
 		}
 		s.add(quarantine.End{
-			Key: quarantine.Key(received.Key), Endpoint: received.Endpoint, Knowledge: quarantine.Knowledge(received.Sending), Void: received.Void,
+			Key: quarantine.Key(received.Key), Endpoint: received.Endpoint, Knowledge: quarantine.Knowledge(received.KnownBefore), Void: received.Void,
 			At: now.Add(-time.Duration(received.AgeMs) * time.Millisecond),
 		}, now, now)
 	}
@@ -102,7 +102,7 @@
 // valid reports whether an end from another process is well-formed.
 func valid(e peers.End) bool {
 	return len(e.Key) == len(quarantine.Key{}) && e.Endpoint != "" && len(e.Endpoint) <= maxEndpointIDLen &&
-		e.AgeMs >= 0 && e.AgeMs <= maxAge.Milliseconds() && quarantine.Knowledge(e.Sending).Valid()
+		e.AgeMs >= 0 && e.AgeMs <= maxAge.Milliseconds() && quarantine.Knowledge(e.KnownBefore).Valid()
 }
 
 // RecordEnd records that an endpoint ended during a request of this process.
@@ -122,7 +122,7 @@
 		return
 	}
 	after, remaining := s.history.Judge(e.Key, now)
-	s.heldGauge.Update(int64(s.history.Held(now)))
+	s.heldGauge.Update(int64(s.history.HeldCount(now)))
 	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", receivedAt.IsZero()), zap.Stringer("sending", e.Knowledge),
 		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", remaining)}
 	if after != before {
@@ -197,5 +197,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history.Forget(now)
-	s.heldGauge.Update(int64(s.history.Held(now)))
+	s.heldGauge.Update(int64(s.history.HeldCount(now)))
 }
