--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -71,9 +71,9 @@
 	logger.Info("start", append(build.Read().Fields(), zap.String("name", set.Name), zap.String("role", string(set.Role)),
 		zap.String("domain", set.Domain), zap.Int("pid", os.Getpid()), zap.Int64("life", p.startedAt.UnixMilli()))...)
 	if set.Role == settings.Gateway {
-		err = p.gateway(ctx)
+		err = p.runGateway(ctx)
 	} else {
-		err = p.sidecar(ctx)
+		err = p.runSidecar(ctx)
 	}
 	last := []zap.Field{zap.Bool("failed", err != nil), zap.Int64("lines-left-out", lines.Dropped())}
 	if err != nil {
@@ -147,7 +147,9 @@
 	})
 }
 
-// serveAndEnd serves until ctx ends, then calls end to end the connections, and returns after that.
+// serveAndEnd serves until ctx ends, then calls end to end the connections, and returns after that. If
+// the listener is closed before that, it still waits for ctx. If the server fails in another way, it
+// returns the error at once, without calling end.
 func serveAndEnd(ctx context.Context, srv *http.Server, l net.Listener, end func()) error {
 	ended := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
@@ -190,22 +192,22 @@
 type limitedListener struct {
 	net.Listener
 	maxOpen  int
-	open     func() int
+	open     func() int // Returns the number of open connections.
 	log      *zap.Logger
-	loggedAt time.Time // When the full state was last logged; used by the accepting goroutine only.
-	closed   context.Context
-	close    context.CancelFunc // Cancels closed.
+	loggedAt time.Time          // When the full state was last logged; used by the accepting goroutine only.
+	waitCtx  context.Context    // Ended by Close; limits the wait of Accept.
+	endWaits context.CancelFunc // Ends waitCtx.
 }
 
 func newLimitedListener(l net.Listener, maxOpen int, open func() int, log *zap.Logger) *limitedListener {
 	b := &limitedListener{Listener: l, maxOpen: maxOpen, open: open, log: log}
-	b.closed, b.close = context.WithCancel(context.Background())
+	b.waitCtx, b.endWaits = context.WithCancel(context.Background())
 	return b
 }
 
 // Close closes the listener, and also ends an Accept that waits for capacity.
 func (l *limitedListener) Close() error {
-	l.close()
+	l.endWaits()
 	return l.Listener.Close()
 }
 
@@ -215,8 +217,8 @@
 		l.loggedAt = now
 		l.log.Warn("connection limit reached", zap.Int("open", l.open()))
 	}
-	for l.open() >= l.maxOpen && l.closed.Err() == nil {
-		wait.For(l.closed, limitPollInterval)
+	for l.open() >= l.maxOpen && l.waitCtx.Err() == nil {
+		wait.For(l.waitCtx, limitPollInterval)
 	}
 	return l.Listener.Accept()
 }
@@ -293,8 +295,8 @@
 	}
 }
 
-// reload reads the settings again. Addresses cannot change while the process runs; other settings
-// take effect at the next start. It logs whether the store's address differs.
+// reload reads the settings again and applies none of them: they take effect at the next start. It logs
+// an error in them, or whether the store's address differs.
 func (p *fleetProcess) reload() {
 	next, err := settings.LoadFleet(p.settingsFile)
 	if err != nil {
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -28,19 +28,22 @@
 // checkQuarantine refuses a request if endpoints' processes ended while they ran it or an identical
 // request, as seen by this or another entry. Without this check, such a stream was moved to as many
 // endpoints as maxStreamAttempts allows, and each retry of its caller ended as many again.
+//
+// Once such a request may be tried again, the entry that owns its trial lets one through and begins the
+// trial. For a request that is let through, it records what is known of the request.
 func (e *Entry) checkQuarantine(req *request) *wire.Refusal {
 	suspects := e.node.Suspects()
 	now := e.now()
 	verdict, retryAfter := suspects.Judge(req.quarantineKey, now)
 	switch {
 	case verdict == quarantine.Free, verdict == quarantine.Trial && req.onTrial:
-		req.sendingState = suspects.KnowledgeAtSend(req.quarantineKey, now)
+		req.knowledgeAtSend = suspects.KnowledgeAtSend(req.quarantineKey, now)
 		if req.onTrial {
-			req.sendingState = quarantine.OnTrial
+			req.knowledgeAtSend = quarantine.OnTrial
 		}
 		return nil
 	case verdict == quarantine.Trial && e.ownsTrial(req.quarantineKey()) && suspects.BeginTrial(req.quarantineKey(), now, now.Add(maxTrialTime)):
-		req.onTrial, req.sendingState = true, quarantine.OnTrial
+		req.onTrial, req.knowledgeAtSend = true, quarantine.OnTrial
 		return nil
 	case verdict == quarantine.Trial:
 		retryAfter = trialRetryAfter
@@ -62,20 +65,22 @@
 	return own.Owner(k.String(), names) == self
 }
 
-// recordProcessEnd records that the endpoint's process ended during a failed attempt, if its refusal says so.
+// recordProcessEnd records that the endpoint's process ended during a failed attempt, if its refusal says
+// so. It removes that statement from the refusal.
 func (e *Entry) recordProcessEnd(req *request, refusal *wire.Refusal) {
 	if refusal.Ended == nil {
 		return
 	}
 	e.count("endpoints.ended-under-attempt")
-	e.node.Suspects().RecordEnd(req.quarantineKey(), refusal.Ended.Incarnation, req.sendingState, e.now())
+	e.node.Suspects().RecordEnd(req.quarantineKey(), refusal.Ended.Incarnation, req.knowledgeAtSend, e.now())
 	refusal.Ended = nil // Internal: not part of the answer to the caller.
 }
 
 // recordSuccess records that an endpoint ran the request and its process is still alive.
 func (e *Entry) recordSuccess(req *request) { e.node.Suspects().RecordSuccess(req.quarantineKey) }
 
-// endTrial ends the trial of a request when it gave no result.
+// endTrial ends the trial of a request, if it is one: a trial that gave no result would otherwise last
+// until it expires. The request is nil if it was not admitted.
 func (e *Entry) endTrial(req *request) {
 	if req != nil && req.onTrial {
 		e.node.Suspects().EndTrial(req.quarantineKey())
--- a/internal/entry/tracker.go
+++ b/internal/entry/tracker.go
@@ -38,7 +38,8 @@
 
 func newTracker() *tracker { return &tracker{byEndpoint: map[string]*endpointState{}} }
 
-func (t *tracker) get(endpoint string) *endpointState {
+// stateOf returns the state of an endpoint, and creates it if there is none. The caller holds mu.
+func (t *tracker) stateOf(endpoint string) *endpointState {
 	state, ok := t.byEndpoint[endpoint]
 	if !ok {
 		state = &endpointState{cancels: map[*context.CancelFunc]bool{}}
@@ -53,22 +54,23 @@
 func (t *tracker) beginRequest(endpoint string, cancel context.CancelFunc) (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state := t.get(endpoint)
+	state := t.stateOf(endpoint)
 	state.sentSinceReport++
 	state.cancels[&cancel] = true
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		delete(state.cancels, &cancel)
-		// Whether this request was sent before or after the report is not recorded: only the bound on
-		// sentSinceReport is kept, and the reported load is taken to include the request.
+		// It is not recorded whether this request was sent before or after the report. The reported load
+		// is taken to include it. Thus sentSinceReport is not reduced by one, but only bounded by the
+		// number of unfinished requests.
 		state.sentSinceReport = max(0, min(state.sentSinceReport, len(state.cancels)))
 		state.load.Running = max(0, state.load.Running-1)
 	}
 }
 
 // cancelRequests cancels the requests at a process that was declared dead, so that their
-// callers get an answer without delay.
+// callers get an answer without delay. It does nothing if a later process has taken the endpoint over.
 func (t *tracker) cancelRequests(m member.Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,12 +83,13 @@
 	}
 }
 
-// report records the load that came with an answer. The load includes the request that was
-// answered, so sentSinceReport starts again at zero.
-func (t *tracker) report(endpoint string, l wire.Load) {
+// recordLoad records the load that came with an answer. The load includes the request that was
+// answered, so sentSinceReport starts again at zero. The endpoint gets no requests during the backoff
+// that it asks for, nor for blockStalled if it reports a stall.
+func (t *tracker) recordLoad(endpoint string, l wire.Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	state := t.get(endpoint)
+	state := t.stateOf(endpoint)
 	state.load = l
 	state.sentSinceReport = 0
 	state.backoffUntil = time.Now().Add(time.Duration(l.BackoffMS) * time.Millisecond)
@@ -99,7 +102,7 @@
 func (t *tracker) block(endpoint string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(endpoint).blockedUntil = time.Now().Add(d)
+	t.stateOf(endpoint).blockedUntil = time.Now().Add(d)
 }
 
 // candidate is an endpoint that requests may be routed to, and the process behind it.
@@ -109,7 +112,8 @@
 }
 
 // candidates lists the endpoints of services that may get new requests: those that are published,
-// alive, not leaving, neither blocked nor in backoff, and not in avoid.
+// alive, not leaving, neither blocked nor in backoff, and not in avoid. If a new process has taken an
+// endpoint over, it first resets the state that the earlier process reported.
 func (e *Entry) candidates(services []*published.Service, avoid map[string]bool) []candidate {
 	alive := e.node.ByEndpoint()
 	now := time.Now()
@@ -122,7 +126,7 @@
 			if !ok || m.Leaving || avoid[ep.Name] {
 				continue
 			}
-			state := e.tracker.get(ep.Name)
+			state := e.tracker.stateOf(ep.Name)
 			if state.startedAt != m.StartedAt && m.StartedAt != 0 {
 				state.startedAt, state.load, state.blockedUntil, state.backoffUntil = m.StartedAt, wire.Load{}, time.Time{}, time.Time{} // The state of an earlier process does not apply.
 			}
@@ -154,7 +158,7 @@
 	defer e.tracker.mu.Unlock()
 	for _, s := range services {
 		for _, ep := range s.Endpoints {
-			if left := e.tracker.get(ep.Name).backoffUntil.Sub(now); left > 0 && (earliest == 0 || left < earliest) {
+			if left := e.tracker.stateOf(ep.Name).backoffUntil.Sub(now); left > 0 && (earliest == 0 || left < earliest) {
 				earliest = left
 			}
 		}
--- a/internal/follow/view_test.go
+++ b/internal/follow/view_test.go
@@ -237,21 +237,21 @@
 	const inForce = 3200 * time.Millisecond
 	v := NewView()
 	f := NewFollower(v, Source{}, inForce, zap.NewNop())
-	g.Expect(f.batchDelay()).To(Equal(startBatchDelay), "there is no configuration yet")
+	g.Expect(f.nextBatchDelay()).To(Equal(startBatchDelay), "there is no configuration yet")
 	revision := uint64(1)
 	list := func() {
 		revision++
 		v.Apply(Changes{Endpoints: []fleet.Endpoint{{ID: fmt.Sprint("e", revision), Service: "s", Address: fmt.Sprint("a:", revision), Revision: revision}}, UpTo: revision}, time.Now(), false)
 	}
 	v.Offer(fleet.NewConfig(1, nil, nil, nil, fleet.Limits{}), 1)
-	g.Expect(f.batchDelay()).To(Equal(minBatchDelay))
+	g.Expect(f.nextBatchDelay()).To(Equal(minBatchDelay))
 	for _, want := range []time.Duration{2 * minBatchDelay, 4 * minBatchDelay, inForce / 16, inForce / 16} {
 		list()
-		g.Expect(f.batchDelay()).To(Equal(want))
+		g.Expect(f.nextBatchDelay()).To(Equal(want))
 	}
-	g.Expect(f.batchDelay()).To(Equal(minBatchDelay), "a call without changes")
+	g.Expect(f.nextBatchDelay()).To(Equal(minBatchDelay), "a call without changes")
 	list()
-	g.Expect(f.batchDelay()).To(Equal(minBatchDelay), "a single change is reported soon")
+	g.Expect(f.nextBatchDelay()).To(Equal(minBatchDelay), "a single change is reported soon")
 }
 
 // The history of the source is shorter than what changes in between, so that each call for changes
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -46,8 +46,9 @@
 	return h
 }
 
-// outgoing returns the next message to a peer. The name is "" when it is not known.
-func (n *Node) outgoing(name string) message {
+// composeMessage returns the next message to the peer with a name, which is "" when it is not known. It
+// marks the process ends in the message as sent.
+func (n *Node) composeMessage(name string) message {
 	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,8 +98,8 @@
 	}
 }
 
-// CheckPause checks for a pause immediately, before an action that must not be based on an
-// outdated view.
+// CheckPause takes the node out of service if the process was paused, without waiting for the next
+// tick. It is called before an action that must not be based on an outdated view.
 func (n *Node) CheckPause(now time.Time) {
 	var paused bool
 	duty.Locked(&n.mu, func() { paused = n.table.TickOverdue(now) })
@@ -107,7 +108,8 @@
 	}
 }
 
-// recordContact records that a peer has just received a message of the node, or that there is no peer.
+// recordContact records that a peer has just received a message of the node, or that there is no peer. A
+// node that was paused serves again after that.
 func (n *Node) recordContact() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,9 +131,10 @@
 	return valid && now.Sub(n.lastContact) < n.Lease() && now.Sub(n.startedAt) >= n.Lease()
 }
 
-// probe exchanges messages with the target, through relays if the target does not answer.
+// probe exchanges messages with the target. If the target does not answer, relays are asked one after the
+// other to exchange messages with it. The probe counts as unanswered if none of them succeeds either.
 func (n *Node) probe(ctx context.Context, target member.Member) {
-	if n.exchange(ctx, target.Address, target.Name) == nil {
+	if n.exchangeNamed(ctx, target.Address, target.Name) == nil {
 		var changes []member.Change
 		duty.Locked(&n.mu, func() { changes = n.table.ProbeAnswered(target.Name, clock.Now()) })
 		n.recordChanges(changes)
@@ -149,16 +152,17 @@
 	n.recordChanges(changes)
 }
 
-// Exchange sends a message to a peer and merges the reply.
+// Exchange sends a message to a peer whose name is not known, and merges the reply.
 func (n *Node) Exchange(ctx context.Context, address string) (err error) {
-	return n.exchange(ctx, address, "")
+	return n.exchangeNamed(ctx, address, "")
 }
 
-func (n *Node) exchange(ctx context.Context, address, name string) (err error) {
+// exchangeNamed is Exchange with the name of the peer, "" if it is not known.
+func (n *Node) exchangeNamed(ctx context.Context, address, name string) (err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply message
-	if err := n.Call(ctx, address, wire.PathGossip, n.outgoing(name), &reply); err != nil {
+	if err := n.Call(ctx, address, wire.PathGossip, n.composeMessage(name), &reply); err != nil {
 		return err
 	}
 	n.receive(reply)
@@ -166,6 +170,7 @@
 	return nil
 }
 
+// probeVia asks a relay to exchange messages with the process at the address target.
 func (n *Node) probeVia(ctx context.Context, relay, target string) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
@@ -215,7 +220,9 @@
 	metrics.GetOrRegisterCounter(name, n.reg).Inc(by)
 }
 
-// receive merges a message from a peer.
+// receive merges a message from a peer and acts on what it says: it begins the planned stop if this
+// process is leaving or replaced, informs peers after refuting a suspicion, and queues a hint unless
+// the peer's generation is to be ignored.
 func (n *Node) receive(m message) {
 	n.suspects.MergeEnds(m.Ends, clock.Now())
 	if len(m.Rows) == 0 {
@@ -243,7 +250,7 @@
 	if replaced {
 		n.Leave("a later process has the same name or slot")
 	}
-	if decision != 0 {
+	if decision != 0 { // Anything but spread.Ignore.
 		n.hints.Offer(hint{from: m.Rows[0].Address, version: m.Version})
 	}
 }
@@ -309,7 +316,7 @@
 	if len(m.Rows) > 0 {
 		from = m.Rows[0].Name
 	}
-	httpjson.Reply(w, n.outgoing(from))
+	httpjson.Reply(w, n.composeMessage(from))
 }
 
 func (n *Node) serveProbe(w http.ResponseWriter, r *http.Request) {
