--- a/internal/cli/plays.go
+++ b/internal/cli/plays.go
@@ -14,7 +14,8 @@
 	"github.com/canvaspulley/canvaspulley/platform/plays"
 )
 
-// playsCommand reads the users' reports on their simulated days.
+// playsCommand summarizes the users' reports on days that they simulate on their test bench. A play is
+// one simulation of a day.
 type playsCommand struct {
 	app     *app
 	in      io.Reader
@@ -25,8 +26,9 @@
 	} `positional-args:"yes"`
 }
 
-// Execute prints how attempts ended, from all reports that can be read; it fails when a connection
-// was cut before an answer or a rule was broken.
+// Execute prints how attempts ended, from all reports that can be read; it fails when a report cannot be
+// read or names a violated rule, or when a connection was cut before an answer on a day without faults that
+// kill gateways or close their connections.
 func (v *playsCommand) Execute([]string) (err error) {
 	var list []*plays.Play
 	var readErrs error
@@ -63,8 +65,8 @@
 	return plays.Read(name, r, plays.NewJournal(v.Journal))
 }
 
-// print prints each play, the totals and the problems; it returns the number of plays with a problem for
-// which the command fails.
+// print prints the outcomes of each play that reports them, the totals and the problems; it returns the
+// number of plays with a problem for which the command fails.
 func (v *playsCommand) print(list []*plays.Play) (failing int) {
 	out := v.app.out
 	ends, probes := plays.Outcomes{}, plays.Outcomes{}
@@ -118,7 +120,8 @@
 	return strings.Join(list, "; "), fails
 }
 
-// withoutOutcomes returns the plays of those days of which no play reports how attempts ended.
+// withoutOutcomes returns the plays of those days for which no play in the list reports how attempts
+// ended.
 func withoutOutcomes(list []*plays.Play) (missing []*plays.Play) {
 	for _, p := range list {
 		if !slices.ContainsFunc(list, func(q *plays.Play) bool {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -17,7 +17,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/soak"
 )
 
-// soakCommand runs gateways and sidecars as processes while faults are injected.
+// soakCommand runs gateways and sidecars as separate processes, injects faults by schedules that are
+// derived from seeds, and checks the guarantees.
 type soakCommand struct {
 	app     *app
 	Seed    uint64  `long:"seed" default:"1" description:"first seed; the schedule of the trouble follows from it"`
--- a/internal/soak/asks.go
+++ b/internal/soak/asks.go
@@ -21,7 +21,7 @@
 	limitSlackRequests   = 5 // Number of requests.
 	backoffDuration      = 3 * time.Second
 	maxRequestsInBackoff = 2 // Requests of one gateway within a requested backoff.
-	// signalDelay is how long after an answer its gateway has to follow the signals in it.
+	// signalDelay is the time after an answer from which on its gateway must follow the signals in it.
 	signalDelay = 500 * time.Millisecond
 )
 
@@ -111,7 +111,8 @@
 	return violations
 }
 
-// checkBackoff checks one gateway's requests to an endpoint against the backoff that it requested.
+// checkBackoff checks one gateway's requests to an endpoint against the backoff that the endpoint
+// requested.
 func (l *ledger) checkBackoff(endpoint string, g int, list []standin.Arrival) []string {
 	for i, request := range list {
 		if request.Signals.Backoff == 0 {
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -63,8 +63,9 @@
 	AllKinds
 )
 
-// faultsPerFailAtRandom is the number of other kinds of SecondKinds for each entry of failAtRandom:
-// a request must be hit by two of its draws, which takes many.
+// faultsPerFailAtRandom is the number of other kinds of SecondKinds for each entry of failAtRandom.
+// failAtRandom must be frequent, because it takes many requests until two attempts of one request
+// draw a failure.
 const faultsPerFailAtRandom = 4
 
 // faultsPerChangeIdle is the number of other kinds for each entry of changeIdle.
--- a/internal/soak/ledger.go
+++ b/internal/soak/ledger.go
@@ -50,7 +50,7 @@
 	mode        connMode
 	answer      answer
 	runs        []standin.Run
-	idle        *idlePeriod   // Idle period of the connection before the request; nil unless sent by an idleCaller.
+	idle        *idlePeriod   // Idle period of the connection before the request; nil for other callers, and for the first request on a connection.
 	conn        *trackedConn  // Connection that the request was last sent on; nil for none.
 	idleTime    time.Duration // How long conn had received nothing before the request; 0 for a new connection.
 	refusedDial span          // Time of the connection attempt that was refused; zero for none.
--- a/internal/soak/rest.go
+++ b/internal/soak/rest.go
@@ -55,8 +55,9 @@
 	err        error         // Error instead of an answer; nil for none.
 }
 
-// usableUntil returns until when a caller may send, as far as is known now: for the advertised idle
-// timeout, and for usableIdleShare of any timeout that may be in effect, whichever ends first.
+// usableUntil returns until when a caller may send, as far as is known now: for usableIdleShare of the
+// longest timeout that may be in effect, but at most for the advertised one. A replaced timeout may be in
+// effect until configurationBound after the acknowledgement of the next.
 func (r *idlePeriod) usableUntil(idles []idleSetting) (until time.Time) {
 	for _, i := range idles {
 		end := r.since.Add(time.Duration(usableIdleShare * float64(i.limit)))
--- a/internal/soak/rester.go
+++ b/internal/soak/rester.go
@@ -25,7 +25,8 @@
 	idlePollInterval = 30 * time.Millisecond
 	// reconnectDelay is the mean time between the end of a caller's connection and its next one.
 	reconnectDelay = 300 * time.Millisecond
-	// sendMargin is the longest time before the end of the time allowed at which callers send.
+	// sendMargin is how long before the end of the time allowed idle callers send at most, if they
+	// use all of it.
 	sendMargin = 25 * time.Millisecond
 	// idleAnswerTimeout is how long an idle caller waits for an answer: longer than callerTimeout,
 	// at which the gateway has to refuse the request.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -75,8 +75,8 @@
 	Violations     []string
 }
 
-// minServedShare is the share of the requests that must be served from settleTime after the last
-// fault on.
+// minServedShare is the share of the requests that must be served from settleTime after the start of
+// the last fault on, but not before all gateways know of the end of the last evacuation.
 const (
 	minServedShare = 0.9
 	settleTime     = 5 * time.Second
