--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -153,7 +153,7 @@
 	c, _ := m.agent.node.Config()
 	p := c.Policy(s.Policy)
 	m.shape = shape
-	m.maps = map[uint64]rebalance.Map{0: rebalance.Even(shape, s.Layers)}
+	m.maps = map[uint64]rebalance.Map{0: rebalance.RoundRobin(shape, s.Layers)}
 	m.planner = rebalance.New(rebalance.Config{
 		Shape: shape, Layers: s.Layers, ExpertBytes: s.ExpertBytes,
 		StoreRate: s.StoreRate, HourlyBytes: s.HourlyBytes,
--- a/internal/daemon/grace_test.go
+++ b/internal/daemon/grace_test.go
@@ -39,7 +39,7 @@
 		Config: fleet.NewConfig(1, []fleet.Route{{
 			Name: "r", Host: "h", PathPrefix: "/", MaxAttempts: 1, Timeout: time.Minute, Split: []fleet.Share{{Service: "s", Weight: 1}},
 		}}, []fleet.Service{{Name: "s"}}, nil, fleet.Limits{HeaderBytes: 1 << 16, BodyBytes: 1 << 16}),
-		At:        1,
+		UpTo:      1,
 		Endpoints: []fleet.Endpoint{{ID: "e", Service: "s", Address: endpoint, Slots: slots, Revision: 1, CreatedRevision: 1}},
 	}, time.Now(), false)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/decide/limit/limit_test.go
+++ b/internal/decide/limit/limit_test.go
@@ -76,7 +76,7 @@
 	granted := lender.Lend(30, now)
 	receivedAt := now.Add(2 * time.Second) // The answer arrived late.
 	borrower.Borrow(granted, receivedAt)   // The mutation: the time of receipt instead of the time of the request.
-	end := now.Add(Lease)
+	end := now.Add(LeaseTime)
 	g.Expect(lender.Rate(end)+borrower.Rate(end)).To(gomega.BeNumerically(">", 100), "the rule is needed")
 }
 
@@ -95,7 +95,7 @@
 	}
 	g.Expect(busy.Rate(now)).To(gomega.BeNumerically(">", 85))
 	g.Expect(busy.Rate(now) + quiet.Rate(now)).To(gomega.BeNumerically("<=", 100.000001))
-	later := now.Add(Lease + time.Millisecond)
+	later := now.Add(LeaseTime + time.Millisecond)
 	g.Expect(busy.Rate(later)).To(gomega.Equal(50.0), "a cut-off entry falls back to its entitlement")
 }
 
--- a/internal/decide/limit/share.go
+++ b/internal/decide/limit/share.go
@@ -9,8 +9,8 @@
 
 // Durations and thresholds of lending.
 const (
-	// Lease is the duration for which a lent rate belongs to the borrower.
-	Lease = 3 * time.Second
+	// LeaseTime is the duration for which a lent rate belongs to the borrower.
+	LeaseTime = 3 * time.Second
 	// demandSmoothingTime is the time constant over which demand is averaged.
 	demandSmoothingTime = time.Second
 	// demandHeadroom is the rate that an entry asks for, or keeps when it lends, as a multiple of its
@@ -93,7 +93,7 @@
 	s.refresh(now)
 	lasting := 0.0
 	for _, l := range s.borrowed {
-		if l.expiresAt.Sub(now) > Lease/2 {
+		if l.expiresAt.Sub(now) > LeaseTime/2 {
 			lasting += l.rate
 		}
 	}
@@ -112,7 +112,7 @@
 	if granted < minTransferShare*s.entitlement {
 		return 0
 	}
-	s.lent = append(s.lent, lease{granted, now.Add(Lease)})
+	s.lent = append(s.lent, lease{granted, now.Add(LeaseTime)})
 	return granted
 }
 
@@ -120,6 +120,6 @@
 // borrower's lease expires before the lender's.
 func (s *Share) Borrow(granted float64, requestedAt time.Time) {
 	if granted > 0 {
-		s.borrowed = append(s.borrowed, lease{granted, requestedAt.Add(Lease)})
+		s.borrowed = append(s.borrowed, lease{granted, requestedAt.Add(LeaseTime)})
 	}
 }
--- a/internal/decide/passes/told.go
+++ b/internal/decide/passes/told.go
@@ -60,9 +60,9 @@
 	at       time.Time // Time of the last call of Next.
 }
 
-// Next processes the newest reports of all ranks and returns how many requests each may hold on
+// UpdateLimit processes the newest reports of all ranks and returns how many requests each may hold on
 // average; ok is false if no pass time is known, as when the group has just opened.
-func (l *Limiter) Next(s Shape, ranks []RankReport, now time.Time) (perRank float64, ok bool) {
+func (l *Limiter) UpdateLimit(s Shape, ranks []RankReport, now time.Time) (perRank float64, ok bool) {
 	g := group{shape: s, ranks: make(map[string]RankReport, len(ranks))}
 	for i, r := range ranks {
 		g.ranks[strconv.Itoa(i)] = r
--- a/internal/decide/passes/told_test.go
+++ b/internal/decide/passes/told_test.go
@@ -53,7 +53,7 @@
 	for range times {
 		until = until.Add(100 * time.Millisecond)
 		var ok bool
-		perRank, ok = l.Next(limiterShape, ranksAt(running, pass, until), until)
+		perRank, ok = l.UpdateLimit(limiterShape, ranksAt(running, pass, until), until)
 		g.Expect(ok).To(BeTrue())
 	}
 	return perRank, until
@@ -81,6 +81,6 @@
 
 func TestThereIsNoLimitWithoutAKnownPassTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	_, ok := new(Limiter).Next(limiterShape, ranksAt(3, 0, now), now)
+	_, ok := new(Limiter).UpdateLimit(limiterShape, ranksAt(3, 0, now), now)
 	NewWithT(t).Expect(ok).To(BeFalse())
 }
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -233,8 +233,8 @@
 	}
 }
 
-// Held returns the number of requests that are held.
-func (b *History) Held(now time.Time) (n int) {
+// HeldCount returns the number of requests that are held.
+func (b *History) HeldCount(now time.Time) (n int) {
 	for k := range b.entries {
 		if v, _ := b.Judge(k, now); v == Held {
 			n++
@@ -243,9 +243,9 @@
 	return n
 }
 
-// NextToSend returns up to limit ends to send to all other processes, and marks them as sent: those
+// TakeNextToSend returns up to limit ends to send to all other processes, and marks them as sent: those
 // first that were sent least recently.
-func (b *History) NextToSend(limit int, now time.Time) (list []End) {
+func (b *History) TakeNextToSend(limit int, now time.Time) (list []End) {
 	all := b.all()
 	slices.SortFunc(all, func(x, y *record) int { return cmp.Or(x.lastSent.Compare(y.lastSent), x.compareNewest(y)) })
 	for _, r := range all[:min(limit, len(all))] {
--- a/internal/decide/quarantine/quarantine_test.go
+++ b/internal/decide/quarantine/quarantine_test.go
@@ -138,7 +138,7 @@
 	for round := range 4 {
 		sent := map[string]bool{}
 		for half := range 2 {
-			for _, e := range b.NextToSend(2, now.Add(time.Duration(2*round+half)*time.Second)) {
+			for _, e := range b.TakeNextToSend(2, now.Add(time.Duration(2*round+half)*time.Second)) {
 				sent[e.Endpoint] = true
 			}
 			g.Expect(b.HasUnsent()).To(Equal(round+half == 0))
--- a/internal/decide/rebalance/improve_test.go
+++ b/internal/decide/rebalance/improve_test.go
@@ -100,7 +100,7 @@
 func TestRowsAndBack(t *testing.T) {
 	g := NewWithT(t)
 	s := Shape{Ranks: 12, Experts: 72, Slots: 8}
-	l := Even(s, 1)[0]
+	l := RoundRobin(s, 1)[0]
 	back, ok := FromRows(l.Rows(s.Ranks), s.Experts)
 	g.Expect(ok).To(BeTrue())
 	g.Expect(back).To(Equal(l))
--- a/internal/decide/rebalance/map.go
+++ b/internal/decide/rebalance/map.go
@@ -36,9 +36,9 @@
 	Slots   int // Experts that a rank can hold per layer; Ranks*Slots >= Experts.
 }
 
-// Even returns the map that a group starts with: experts are placed round-robin
+// RoundRobin returns the map that a group starts with: experts are placed round-robin
 // over the ranks, and further replicas round-robin in the remaining slots.
-func Even(s Shape, layers int) Map {
+func RoundRobin(s Shape, layers int) Map {
 	m := make(Map, layers)
 	for l := range m {
 		m[l] = make(Layer, s.Experts)
--- a/internal/decide/rebalance/rebalance_test.go
+++ b/internal/decide/rebalance/rebalance_test.go
@@ -75,7 +75,7 @@
 	for _, s := range []Shape{{2, 4, 3}, {3, 4, 2}, {3, 5, 2}, {3, 5, 3}} {
 		for range 25 {
 			tokens := skewedTokens(rnd, s.Experts)
-			l := converged(s, Even(s, 1)[0], tokens)
+			l := converged(s, RoundRobin(s, 1)[0], tokens)
 			g.Expect(Map{l}.Valid(s)).To(gomega.BeTrue())
 			ratio := slices.Max(l.Loads(tokens, s.Ranks, nil)) / optimum(s, tokens)
 			worst, sum, n = max(worst, ratio), sum+ratio, n+1
@@ -92,7 +92,7 @@
 	for _, s := range []Shape{{4, 16, 5}, {8, 8, 2}, {3, 9, 4}} {
 		for range 30 {
 			tokens := skewedTokens(rnd, s.Experts)
-			e := newEditor(s, Even(s, 1)[0].clone(), tokens, nil)
+			e := newEditor(s, RoundRobin(s, 1)[0].clone(), tokens, nil)
 			for {
 				c, ok := e.best()
 				if !ok {
@@ -112,7 +112,7 @@
 func TestEvenMapIsValid(t *testing.T) {
 	for _, s := range []Shape{{4, 64, 20}, {4, 64, 16}, {256, 64, 1}, {256, 64, 2}, {32, 64, 3}, {3, 5, 2}} {
 		t.Run(fmt.Sprint(s), func(t *testing.T) {
-			gomega.NewWithT(t).Expect(Even(s, 2).Valid(s)).To(gomega.BeTrue())
+			gomega.NewWithT(t).Expect(RoundRobin(s, 2).Valid(s)).To(gomega.BeTrue())
 		})
 	}
 }
@@ -130,7 +130,7 @@
 }
 
 func TestDecide(t *testing.T) {
-	m := Even(small, 1)
+	m := RoundRobin(small, 1)
 	check := func(name string, prices Prices, samples, now int, want bool) {
 		t.Run(name, func(t *testing.T) {
 			p, _ := planner(prices, samples)
@@ -149,7 +149,7 @@
 	last := math.MaxInt
 	for _, price := range []float64{0.1, 10, 100, 1000} {
 		p, _ := planner(Prices{Skew: 1, Move: price}, 30)
-		plan, _ := p.Decide(30, Even(small, 1))
+		plan, _ := p.Decide(30, RoundRobin(small, 1))
 		g.Expect(plan.Transfers).To(gomega.BeNumerically("<=", last))
 		last = plan.Transfers
 	}
@@ -159,10 +159,10 @@
 func TestNothingIsPlannedFromReportsBeforeASwitch(t *testing.T) {
 	g := gomega.NewWithT(t)
 	p, _ := planner(Prices{Skew: 10, Move: 1}, 30)
-	_, ok := p.Decide(30, Even(small, 1))
+	_, ok := p.Decide(30, RoundRobin(small, 1))
 	g.Expect(ok).To(gomega.BeTrue())
 	p.MapSwitched()
-	_, ok = p.Decide(31, Even(small, 1))
+	_, ok = p.Decide(31, RoundRobin(small, 1))
 	g.Expect(ok).To(gomega.BeFalse())
 }
 
@@ -174,7 +174,7 @@
 		for i := range 30 {
 			p.Observe(i, tokens)
 		}
-		_, ok := p.Decide(30, Even(small, 1))
+		_, ok := p.Decide(30, RoundRobin(small, 1))
 		return ok
 	}
 	g := gomega.NewWithT(t)
@@ -186,7 +186,7 @@
 	g := gomega.NewWithT(t)
 	tokens := skewedTokens(rand.New(rand.NewPCG(4, 4)), small.Experts)
 	speed := []float64{1, 1, 1, 0.5}
-	e := newEditor(small, Even(small, 1)[0], tokens, speed)
+	e := newEditor(small, RoundRobin(small, 1)[0], tokens, speed)
 	before := e.slowest()
 	for {
 		c, ok := e.best()
@@ -205,7 +205,7 @@
 	p := New(Config{Shape: small, Layers: 1, Prices: Prices{Skew: 100, Move: 0.001}, ExpertBytes: 50e6,
 		HourlyBytes: 100e6, SampleTime: 60, MaxAge: 5})
 	rnd := rand.New(rand.NewPCG(5, 5))
-	m, moved := Even(small, 1), 0.0
+	m, moved := RoundRobin(small, 1), 0.0
 	for i := range 240 {
 		p.Observe(i, [][]float64{skewedTokens(rnd, small.Experts)})
 		if plan, ok := p.Decide(i, m); ok {
@@ -227,7 +227,7 @@
 		s := Shape{one.ranks, one.experts, one.slots}
 		b.Run(fmt.Sprintf("ranks=%d/experts=%d/slots=%d/layers=%d", one.ranks, one.experts, one.slots, one.layers), func(b *testing.B) {
 			rnd := rand.New(rand.NewPCG(6, 6))
-			m := Even(s, one.layers)
+			m := RoundRobin(s, one.layers)
 			before, now := make([][]float64, one.layers), make([][]float64, one.layers)
 			for l := range before {
 				before[l] = skewedTokens(rnd, one.experts)
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -20,8 +20,8 @@
 	return &Budget{share: share, max: limit, tokens: limit}
 }
 
-// Success adds the share of a retry that one success earns.
-func (b *Budget) Success() { b.tokens = min(b.max, b.tokens+b.share) }
+// RecordSuccess adds the share of a retry that one success earns.
+func (b *Budget) RecordSuccess() { b.tokens = min(b.max, b.tokens+b.share) }
 
 // SetShare changes the share, when a new policy takes effect.
 func (b *Budget) SetShare(share float64) { b.share = share }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -266,8 +266,8 @@
 	e.recordSuccess(req)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.budget(req.customer.Name, req.policy.RetryShare).Success()
-	e.budget(req.customer.Name+"/"+service, req.policy.RetryShare).Success()
+	e.budget(req.customer.Name, req.policy.RetryShare).RecordSuccess()
+	e.budget(req.customer.Name+"/"+service, req.policy.RetryShare).RecordSuccess()
 }
 
 // policyInput returns the request's attributes that policy programs can read.
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -34,7 +34,7 @@
 	verdict, retryAfter := suspects.Judge(req.quarantineKey, now)
 	switch {
 	case verdict == quarantine.Free, verdict == quarantine.Trial && req.onTrial:
-		req.sendingState = suspects.SendingState(req.quarantineKey, now)
+		req.sendingState = suspects.KnowledgeAtSend(req.quarantineKey, now)
 		if req.onTrial {
 			req.sendingState = quarantine.OnTrial
 		}
--- a/internal/experiment/rebalance.go
+++ b/internal/experiment/rebalance.go
@@ -108,7 +108,7 @@
 func (cfg RebalanceConfig) simulate(s rebalance.Shape, m method) (r Run) {
 	r.Name = m.name
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 5))
-	current := rebalance.Even(s, cfg.Trace.Layers())
+	current := rebalance.RoundRobin(s, cfg.Trace.Layers())
 	var pending rebalance.Map
 	switchSample := 0
 	var plans []float64
--- a/internal/experiment/retries.go
+++ b/internal/experiment/retries.go
@@ -21,7 +21,7 @@
 	}{
 		{"no retry", func(int) bool { return false }, func() {}},
 		{"three retries", func(attempt int) bool { return attempt <= 3 }, func() {}},
-		{"canvaspulley", func(attempt int) bool { return attempt < retry.MaxAttempts && budget.Take() }, budget.Success},
+		{"canvaspulley", func(attempt int) bool { return attempt < retry.MaxAttempts && budget.Take() }, budget.RecordSuccess},
 	} {
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		var sent, answered [3]int
--- a/internal/follow/evacuation_test.go
+++ b/internal/follow/evacuation_test.go
@@ -26,29 +26,29 @@
 		want   bool
 	}{
 		{"no order", func(*View) {}, false},
-		{"a snapshot names it", func(v *View) { v.Replace(Snapshot{Evacuations: []Evacuation{begun(5)}, At: 6}, testTime, false) }, true},
-		{"a change asks for it", func(v *View) { v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false) }, true},
+		{"a snapshot names it", func(v *View) { v.Replace(Snapshot{Evacuations: []Evacuation{begun(5)}, UpTo: 6}, testTime, false) }, true},
+		{"a change asks for it", func(v *View) { v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, UpTo: 5}, testTime, false) }, true},
 		{"it is ended", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{begun(5), ended(7)}, At: 7}, testTime, false)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5), ended(7)}, UpTo: 7}, testTime, false)
 		}, false},
 		{"orders arrive in another sequence", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{ended(7)}, At: 7}, testTime, false)
+			v.Apply(Changes{Evacuations: []Evacuation{ended(7)}, UpTo: 7}, testTime, false)
 			v.Merge(Changes{Evacuations: []Evacuation{begun(5)}})
 		}, false},
 		{"it is asked for again", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{begun(5), ended(7), begun(9)}, At: 9}, testTime, false)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5), ended(7), begun(9)}, UpTo: 9}, testTime, false)
 		}, true},
 		{"a later snapshot does not name it", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
-			v.Replace(Snapshot{At: 8}, testTime, false)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, UpTo: 5}, testTime, false)
+			v.Replace(Snapshot{UpTo: 8}, testTime, false)
 		}, false},
 		{"an earlier snapshot does not name it", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
-			v.Replace(Snapshot{At: 4}, testTime, false)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, UpTo: 5}, testTime, false)
+			v.Replace(Snapshot{UpTo: 4}, testTime, false)
 		}, true},
 		{"after an outage of the store a snapshot does not name it", func(v *View) {
-			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
-			v.Replace(Snapshot{At: 8}, testTime, true)
+			v.Apply(Changes{Evacuations: []Evacuation{begun(5)}, UpTo: 5}, testTime, false)
+			v.Replace(Snapshot{UpTo: 8}, testTime, true)
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -69,11 +69,11 @@
 func TestEvacuationsAreSentToPeers(t *testing.T) {
 	g := NewWithT(t)
 	reader, receiver := NewView(), NewView()
-	reader.Replace(Snapshot{Endpoints: []fleet.Endpoint{{ID: "e", Service: "s", Address: "a:1", Domain: "a", Revision: 1}}, At: 1}, testTime, false)
+	reader.Replace(Snapshot{Endpoints: []fleet.Endpoint{{ID: "e", Service: "s", Address: "a:1", Domain: "a", Revision: 1}}, UpTo: 1}, testTime, false)
 	number := syncViews(receiver, reader, 0)
 	g.Expect(receiver.State().Evacuated("a")).To(BeFalse())
 
-	reader.Apply(Changes{Evacuations: []Evacuation{begun(5)}, At: 5}, testTime, false)
+	reader.Apply(Changes{Evacuations: []Evacuation{begun(5)}, UpTo: 5}, testTime, false)
 	g.Expect(reader.ChangedSince(number)).To(BeTrue(), "the evacuation is a change")
 	number = syncViews(receiver, reader, number)
 	g.Expect(receiver.State().Evacuated("a")).To(BeTrue())
@@ -83,7 +83,7 @@
 	syncViews(starter, reader, 0)
 	g.Expect(starter.State().Evacuated("a")).To(BeTrue(), "a process that starts during an evacuation")
 
-	reader.Apply(Changes{Evacuations: []Evacuation{ended(9)}, At: 9}, testTime, false)
+	reader.Apply(Changes{Evacuations: []Evacuation{ended(9)}, UpTo: 9}, testTime, false)
 	syncViews(receiver, reader, number)
 	g.Expect(receiver.State().Evacuated("a")).To(BeFalse())
 	syncViews(receiver, starter, 0)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -251,7 +251,7 @@
 	f.recordAnswer()
 	f.view.Replace(snap, requestedAt, f.keepsMissing())
 	s := f.view.State()
-	f.log.Info("view replaced", zap.Uint64("version", s.version()), zap.Uint64("revision", snap.At), zap.Int("endpoints", len(s.Endpoints)))
+	f.log.Info("view replaced", zap.Uint64("version", s.version()), zap.Uint64("revision", snap.UpTo), zap.Int("endpoints", len(s.Endpoints)))
 	return nil
 }
 
@@ -287,7 +287,7 @@
 		f.log.Info("endpoint listed", zap.String("endpoint", e.ID), zap.String("address", e.Address), zap.Bool("leaving", e.Leaving), zap.Duration("cold-left", e.ColdLeft), zap.Uint64("revision", e.Revision))
 	}
 	for _, id := range removed {
-		f.log.Info("endpoint removed", zap.String("endpoint", id), zap.Uint64("revision", ch.At))
+		f.log.Info("endpoint removed", zap.String("endpoint", id), zap.Uint64("revision", ch.UpTo))
 	}
 }
 
--- a/internal/follow/life_test.go
+++ b/internal/follow/life_test.go
@@ -37,16 +37,16 @@
 	apply func(v *View, e fleet.Endpoint)
 }{
 	{"change", func(v *View, e fleet.Endpoint) {
-		v.Apply(Changes{Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1), false)
+		v.Apply(Changes{Endpoints: []fleet.Endpoint{e}, UpTo: e.Revision}, at(1), false)
 	}},
 	{"snapshot", func(v *View, e fleet.Endpoint) {
-		v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1), false)
+		v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{e}, UpTo: e.Revision}, at(1), false)
 	}},
 	{"peer's changes", func(v *View, e fleet.Endpoint) {
-		v.ApplyUpdate(Update{Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1))
+		v.ApplyUpdate(Update{Endpoints: []fleet.Endpoint{e}, UpTo: e.Revision}, at(1))
 	}},
 	{"peer's complete view", func(v *View, e fleet.Endpoint) {
-		v.ApplyUpdate(Update{Whole: true, Endpoints: []fleet.Endpoint{e}, At: e.Revision}, at(1))
+		v.ApplyUpdate(Update{Whole: true, Endpoints: []fleet.Endpoint{e}, UpTo: e.Revision}, at(1))
 	}},
 	{"loan", func(v *View, e fleet.Endpoint) { v.Merge(Changes{Endpoints: []fleet.Endpoint{e}}) }},
 }
@@ -58,7 +58,7 @@
 		t.Run(way.name, func(t *testing.T) {
 			g := NewWithT(t)
 			v := NewView()
-			v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{known}, At: known.Revision}, at(0), false)
+			v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{known}, UpTo: known.Revision}, at(0), false)
 			meanwhile(g, v)
 			way.apply(v, received)
 			expectOnlyEndpoint(g, v, want)
@@ -78,7 +78,7 @@
 
 func TestLeavingSurvivesTheExpiryOfAnEntry(t *testing.T) {
 	checkPaths(t, incarnation(5, 2, true), incarnation(5, 4, false), incarnation(5, 4, true), func(g *WithT, v *View) {
-		v.Apply(Changes{Removals: []Removal{{"a", 3}}, At: 3}, at(0), false)
+		v.Apply(Changes{Removals: []Removal{{"a", 3}}, UpTo: 3}, at(0), false)
 		g.Expect(v.State().Endpoints).To(BeEmpty())
 	})
 }
@@ -90,8 +90,8 @@
 	} {
 		g := NewWithT(t)
 		v := NewView()
-		v.Replace(Snapshot{Config: version(1), At: 1}, at(0), false)
-		v.Apply(Changes{Endpoints: list, At: 4}, at(1), false)
+		v.Replace(Snapshot{Config: version(1), UpTo: 1}, at(0), false)
+		v.Apply(Changes{Endpoints: list, UpTo: 4}, at(1), false)
 		expectOnlyEndpoint(g, v, incarnation(7, 3, false))
 	}
 }
@@ -100,11 +100,11 @@
 func TestALaterIncarnationIsSentToPeers(t *testing.T) {
 	g := NewWithT(t)
 	sender, receiver := NewView(), NewView()
-	sender.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{incarnation(5, 2, true)}, At: 2}, at(0), false)
+	sender.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{incarnation(5, 2, true)}, UpTo: 2}, at(0), false)
 	first := sender.UpdateSince(0)
 	receiver.Offer(version(1), 1)
 	receiver.ApplyUpdate(first, at(0))
-	sender.Apply(Changes{Endpoints: []fleet.Endpoint{incarnation(7, 3, false)}, At: 3}, at(1), false)
+	sender.Apply(Changes{Endpoints: []fleet.Endpoint{incarnation(7, 3, false)}, UpTo: 3}, at(1), false)
 	receiver.ApplyUpdate(sender.UpdateSince(first.Number), at(1))
 	expectOnlyEndpoint(g, receiver, incarnation(7, 3, false))
 }
@@ -117,22 +117,22 @@
 		name  string
 		apply func(v *View)
 	}{
-		{"change", func(v *View) { v.Apply(Changes{Invalid: []InvalidEntry{bad}, At: 3}, at(1), false) }},
+		{"change", func(v *View) { v.Apply(Changes{Invalid: []InvalidEntry{bad}, UpTo: 3}, at(1), false) }},
 		{"snapshot", func(v *View) {
-			v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("b", 2)}, Invalid: []InvalidEntry{bad}, At: 3}, at(1), false)
+			v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("b", 2)}, Invalid: []InvalidEntry{bad}, UpTo: 3}, at(1), false)
 		}},
 	} {
 		for _, leaving := range []bool{false, true} {
 			t.Run(tc.name, func(t *testing.T) {
 				g := NewWithT(t)
 				v := NewView()
-				v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{incarnation(5, 2, leaving), endpoint("b", 2)}, At: 2}, at(0), false)
+				v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{incarnation(5, 2, leaving), endpoint("b", 2)}, UpTo: 2}, at(0), false)
 				tc.apply(v)
 				g.Expect(v.State().Endpoints).To(HaveLen(1), "other entries stay")
 				g.Expect(v.State().Endpoints).To(HaveKey("b"))
 				v.Merge(Changes{Endpoints: []fleet.Endpoint{incarnation(5, 2, false)}})
 				g.Expect(v.State().Endpoints).To(HaveLen(1), "the entry's previous content is no longer valid")
-				v.Apply(Changes{Endpoints: []fleet.Endpoint{incarnation(5, 4, false)}, At: 4}, at(2), false)
+				v.Apply(Changes{Endpoints: []fleet.Endpoint{incarnation(5, 4, false)}, UpTo: 4}, at(2), false)
 				g.Expect(v.State().Endpoints).To(HaveKeyWithValue(incarnation(5, 4, false).ID, incarnation(5, 4, leaving)))
 			})
 		}
@@ -145,7 +145,7 @@
 	v := NewView()
 	right, wrong := endpoint("a", 2), endpoint("b", 9)
 	wrong.Address, wrong.Service = "a", "other"
-	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{right, wrong}, At: 9}, at(0), false)
+	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{right, wrong}, UpTo: 9}, at(0), false)
 	g.Expect(v.State().ByAddress["a"].ID).To(Equal("b"), "no services are known yet")
 	v.Offer(fleet.NewConfig(2, nil, []fleet.Service{{Name: "s"}}, nil, fleet.Limits{}), 10)
 	g.Expect(v.State().ByAddress["a"]).To(Equal(right))
--- a/internal/follow/told.go
+++ b/internal/follow/told.go
@@ -62,7 +62,7 @@
 type Update struct {
 	Number    uint64           `json:"number"` // To be named in the next request.
 	Whole     bool             `json:"whole"`  // Endpoints is the complete list.
-	At        uint64           `json:"at"`     // Revision up to which it is complete.
+	UpTo      uint64           `json:"at"`     // Revision up to which it is complete.
 	Endpoints []fleet.Endpoint `json:"endpoints,omitempty"`
 	Missing   []string         `json:"missing,omitempty"` // Those of Endpoints whose entry may only have expired.
 	Removals  []Removal        `json:"gone,omitempty"`
@@ -76,7 +76,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s := v.state.Load()
-	u = Update{Number: v.changes.number, At: v.at, Whole: after == 0 || after < v.changes.discarded || after > v.changes.number}
+	u = Update{Number: v.changes.number, UpTo: v.at, Whole: after == 0 || after < v.changes.discarded || after > v.changes.number}
 	for id, e := range s.Endpoints {
 		if !u.Whole && v.changes.changed[id] <= after {
 			continue
@@ -127,7 +127,7 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	// The processes that follow this one use its revision.
-	defer func() { v.at = max(v.at, u.At) }()
+	defer func() { v.at = max(v.at, u.UpTo) }()
 	if !u.Whole && len(u.Endpoints)+len(u.Removals)+len(u.Evacuations) == 0 {
 		return
 	}
@@ -153,7 +153,7 @@
 	}
 	if u.Whole {
 		for id, e := range old.Endpoints {
-			if _, there := next.Endpoints[id]; there && !updatedNames[e.Name()] && e.Revision <= u.At {
+			if _, there := next.Endpoints[id]; there && !updatedNames[e.Name()] && e.Revision <= u.UpTo {
 				next.delete(e)
 			}
 		}
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -26,7 +26,7 @@
 	Endpoints      []fleet.Endpoint
 	Evacuations    []Evacuation // Those in progress.
 	Invalid        []InvalidEntry
-	At             uint64 // Revision from which to follow changes.
+	UpTo           uint64 // Revision from which to follow changes.
 }
 
 // Removal names an endpoint whose entry was removed.
@@ -52,7 +52,7 @@
 	Removals       []Removal
 	Evacuations    []Evacuation // Begun or ended.
 	Invalid        []InvalidEntry
-	At             uint64
+	UpTo           uint64
 }
 
 // State is an immutable state of the view.
@@ -224,8 +224,8 @@
 	}
 	next.buildIndexes()
 	next.evacuations = next.evacuations.merged(snap.Evacuations)
-	next.evacuations = next.evacuations.merged(next.evacuations.endedIn(snap.Evacuations, snap.At))
-	v.at = max(v.at, snap.At)
+	next.evacuations = next.evacuations.merged(next.evacuations.endedIn(snap.Evacuations, snap.UpTo))
+	v.at = max(v.at, snap.UpTo)
 	v.set(&next)
 	if snap.Config == nil || snap.Config.Version() == next.version() {
 		v.confirmAt(requestedAt)
@@ -320,7 +320,7 @@
 		next.buildIndexes()
 	}
 	next.evacuations = next.evacuations.merged(ch.Evacuations)
-	v.at = max(v.at, ch.At)
+	v.at = max(v.at, ch.UpTo)
 	v.set(&next)
 	v.confirmAt(requestedAt)
 	return removed
--- a/internal/follow/view_test.go
+++ b/internal/follow/view_test.go
@@ -31,13 +31,13 @@
 func TestConfigurationVersionNeverDecreases(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
-	v.Replace(Snapshot{Config: version(5), At: 10}, at(0), false)
-	v.Replace(Snapshot{Config: version(4), At: 9}, at(time.Second), false)
+	v.Replace(Snapshot{Config: version(5), UpTo: 10}, at(0), false)
+	v.Replace(Snapshot{Config: version(4), UpTo: 9}, at(time.Second), false)
 	g.Expect(v.State().Config.Version()).To(Equal(uint64(5)))
 	g.Expect(v.Age(at(time.Second))).To(Equal(time.Second), "an old answer does not confirm the view")
 	g.Expect(v.Offer(version(5), 10)).To(BeFalse())
 	g.Expect(v.Offer(version(7), 12)).To(BeTrue())
-	v.Apply(Changes{Config: version(6), At: 11}, at(2*time.Second), false)
+	v.Apply(Changes{Config: version(6), UpTo: 11}, at(2*time.Second), false)
 	g.Expect(v.State().Config.Version()).To(Equal(uint64(7)))
 }
 
@@ -45,8 +45,8 @@
 	g := NewWithT(t)
 	v := NewView()
 	g.Expect(v.Age(at(0))).To(BeNumerically(">", time.Hour), "the view is empty")
-	v.Replace(Snapshot{Config: version(1), At: 1}, at(0), false)
-	v.Apply(Changes{At: 1}, at(time.Second), false)
+	v.Replace(Snapshot{Config: version(1), UpTo: 1}, at(0), false)
+	v.Apply(Changes{UpTo: 1}, at(time.Second), false)
 	g.Expect(v.Age(at(3 * time.Second))).To(Equal(2 * time.Second))
 	v.Confirm(2, at(2*time.Second))
 	g.Expect(v.Age(at(3*time.Second))).To(Equal(2*time.Second), "another version was confirmed")
@@ -59,18 +59,18 @@
 	v := NewView()
 	leaving := endpoint("a", 2)
 	leaving.Leaving = true
-	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{leaving}, At: 2}, at(0), false)
+	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{leaving}, UpTo: 2}, at(0), false)
 	v.Merge(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 1)}})
 	g.Expect(v.State().Endpoints["a"].Leaving).To(BeTrue())
-	v.Apply(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 3)}, At: 3}, at(1), false)
+	v.Apply(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 3)}, UpTo: 3}, at(1), false)
 	g.Expect(v.State().Endpoints["a"].Leaving).To(BeTrue())
 }
 
 func TestLateEntriesDoNotRestoreRemovedEndpoints(t *testing.T) {
 	g := NewWithT(t)
 	v := NewView()
-	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("a", 1)}, At: 1}, at(0), false)
-	g.Expect(v.Apply(Changes{Removals: []Removal{{Name: "a", Revision: 5}}, At: 5}, at(1), false)).To(Equal([]string{"a"}))
+	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{endpoint("a", 1)}, UpTo: 1}, at(0), false)
+	g.Expect(v.Apply(Changes{Removals: []Removal{{Name: "a", Revision: 5}}, UpTo: 5}, at(1), false)).To(Equal([]string{"a"}))
 	v.Merge(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 4)}})
 	g.Expect(v.State().Endpoints).To(BeEmpty())
 }
@@ -81,11 +81,11 @@
 	g := NewWithT(t)
 	v := NewView()
 	both := []fleet.Endpoint{endpoint("a", 1), endpoint("b", 1)}
-	v.Replace(Snapshot{Config: version(1), Endpoints: both, At: 1}, at(0), false)
-	v.Replace(Snapshot{Config: version(1), At: 9}, at(time.Second), true)
+	v.Replace(Snapshot{Config: version(1), Endpoints: both, UpTo: 1}, at(0), false)
+	v.Replace(Snapshot{Config: version(1), UpTo: 9}, at(time.Second), true)
 	g.Expect(v.State().Endpoints).To(HaveLen(2))
 	g.Expect(v.State().Missing).To(HaveLen(2))
-	v.Apply(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 10)}, At: 10}, at(2*time.Second), true)
+	v.Apply(Changes{Endpoints: []fleet.Endpoint{endpoint("a", 10)}, UpTo: 10}, at(2*time.Second), true)
 	g.Expect(v.State().Missing).To(HaveLen(1))
 	g.Expect(v.DropMissing(at(1500 * time.Millisecond))).To(Equal([]string{"b"}))
 	g.Expect(v.State().Endpoints).To(HaveKey("a"))
@@ -97,7 +97,7 @@
 	old, young := endpoint("old", 9), endpoint("young", 8)
 	old.CreatedRevision, young.CreatedRevision = 3, 8 // The older incarnation's entry was renewed last.
 	young.Address = old.Address
-	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{old, young}, At: 9}, at(0), false)
+	v.Replace(Snapshot{Config: version(1), Endpoints: []fleet.Endpoint{old, young}, UpTo: 9}, at(0), false)
 	g.Expect(v.State().ByService["s"]).To(ConsistOf(young))
 }
 
@@ -120,11 +120,11 @@
 	return Source{
 		Snapshot: func(context.Context, bool) (Snapshot, error) {
 			s.calls = append(s.calls, "snapshot")
-			return Snapshot{Config: version(1), At: 7}, next(&s.snapshots)
+			return Snapshot{Config: version(1), UpTo: 7}, next(&s.snapshots)
 		},
 		Changes: func(_ context.Context, after uint64, _ time.Duration) (Changes, error) {
 			s.calls = append(s.calls, "changes")
-			return Changes{At: after + 1}, next(&s.changes)
+			return Changes{UpTo: after + 1}, next(&s.changes)
 		},
 	}
 }
@@ -155,7 +155,7 @@
 			if calls == 3 {
 				cancel()
 			}
-			return Snapshot{Config: fleet.NewConfig(uint64(calls), nil, nil, nil, fleet.Limits{}), At: 1}, nil
+			return Snapshot{Config: fleet.NewConfig(uint64(calls), nil, nil, nil, fleet.Limits{}), UpTo: 1}, nil
 		},
 		Changes: func(context.Context, uint64, time.Duration) (Changes, error) {
 			t.Error("a process that follows peers asked the source for changes")
@@ -201,7 +201,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			v := NewView()
-			v.Replace(Snapshot{Config: version(1), At: 1}, at(0), false)
+			v.Replace(Snapshot{Config: version(1), UpTo: 1}, at(0), false)
 			f := NewFollower(v, Source{}, time.Second, zap.NewNop())
 			now := at(maxPeerAge)
 			f.now = func() time.Time { return now }
@@ -241,7 +241,7 @@
 	revision := uint64(1)
 	list := func() {
 		revision++
-		v.Apply(Changes{Endpoints: []fleet.Endpoint{{ID: fmt.Sprint("e", revision), Service: "s", Address: fmt.Sprint("a:", revision), Revision: revision}}, At: revision}, time.Now(), false)
+		v.Apply(Changes{Endpoints: []fleet.Endpoint{{ID: fmt.Sprint("e", revision), Service: "s", Address: fmt.Sprint("a:", revision), Revision: revision}}, UpTo: revision}, time.Now(), false)
 	}
 	v.Offer(fleet.NewConfig(1, nil, nil, nil, fleet.Limits{}), 1)
 	g.Expect(f.batchDelay()).To(Equal(minBatchDelay))
@@ -266,7 +266,7 @@
 				calls++
 				revision++
 				return Snapshot{
-					Config: fleet.NewConfig(1, nil, nil, nil, fleet.Limits{}), At: revision,
+					Config: fleet.NewConfig(1, nil, nil, nil, fleet.Limits{}), UpTo: revision,
 					Endpoints: []fleet.Endpoint{{ID: "e", Service: "s", Address: "a:1", Revision: revision}},
 				}, nil
 			},
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -40,7 +40,7 @@
 
 // evacuate publishes the start or end of the evacuation of a failure domain.
 func evacuate(s site, view *follow.View, domain string, revision uint64, over bool) {
-	view.Apply(follow.Changes{Evacuations: []follow.Evacuation{{Domain: domain, Revision: revision, Over: over}}, At: revision}, time.Now(), false)
+	view.Apply(follow.Changes{Evacuations: []follow.Evacuation{{Domain: domain, Revision: revision, Over: over}}, UpTo: revision}, time.Now(), false)
 	s.ViewChanged()
 }
 
@@ -129,7 +129,7 @@
 	s := newTestPeer(t, 1)
 	s.withSocket(t)
 	s.sidecarPort = sidecar.LocalAddr().(*net.UDPAddr).Port
-	snap := follow.Snapshot{Config: fleet.NewConfig(1, nil, []fleet.Service{{Name: "s", Engine: &fleet.Engine{}}}, nil, fleet.Limits{}), At: 1}
+	snap := follow.Snapshot{Config: fleet.NewConfig(1, nil, []fleet.Service{{Name: "s", Engine: &fleet.Engine{}}}, nil, fleet.Limits{}), UpTo: 1}
 	for i := range 3 * unheardHelloFanout {
 		snap.Endpoints = append(snap.Endpoints, fleet.Endpoint{ID: fmt.Sprint(i), Service: "s", Address: fmt.Sprint("127.0.0.1:", i+1), Revision: 1})
 	}
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -126,7 +126,7 @@
 // recordSending records the quarantine state of the request as it is sent.
 func (q *request) recordSending() {
 	q.sentBoottime = q.g.cfg.Now()
-	q.knowledge = q.g.suspects.SendingState(q.key, q.sentBoottime)
+	q.knowledge = q.g.suspects.KnowledgeAtSend(q.key, q.sentBoottime)
 	if q.onTrial {
 		q.knowledge = quarantine.OnTrial
 	}
--- a/internal/gateway/listen.go
+++ b/internal/gateway/listen.go
@@ -122,6 +122,6 @@
 	if len(p.Config)+len(p.Endpoints)+len(p.Removals) == 0 {
 		return
 	}
-	n.log.Info("received changes", zap.String("from", from), zap.Uint64("version", p.Version), zap.Uint64("revision", p.At),
+	n.log.Info("received changes", zap.String("from", from), zap.Uint64("version", p.Version), zap.Uint64("revision", p.UpTo),
 		zap.Duration("age", p.Age), zap.Bool("whole", p.Whole), zap.Int("endpoints", len(p.Endpoints)), zap.Int("gone", len(p.Removals)))
 }
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -57,7 +57,7 @@
 
 // publish sets the version and endpoints that the gateway knows, all up to a revision.
 func (s testPeer) publish(version, at uint64, endpoints ...fleet.Endpoint) {
-	s.view.Replace(follow.Snapshot{Config: configOf(version), Endpoints: endpoints, At: at}, time.Now(), false)
+	s.view.Replace(follow.Snapshot{Config: configOf(version), Endpoints: endpoints, UpTo: at}, time.Now(), false)
 }
 
 // setAddress sets the address of the gateway and clears its knowledge of others.
@@ -100,7 +100,7 @@
 	// The call is held until something changes, and only the change is sent.
 	var held errgroup.Group
 	held.Go(func() error { return follower.FollowPeers(ctx) })
-	reader.view.Apply(follow.Changes{Config: configOf(4), Removals: []follow.Removal{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, At: 8}, time.Now(), false)
+	reader.view.Apply(follow.Changes{Config: configOf(4), Removals: []follow.Removal{{Name: "one", Revision: 8}}, Endpoints: []fleet.Endpoint{endpointAt("three", 7)}, UpTo: 8}, time.Now(), false)
 	g.Expect(held.Wait()).To(Succeed())
 	g.Expect(follower.view.State().Config.Version()).To(BeEquivalentTo(4))
 	g.Expect(ids()).To(ConsistOf("two", "three"))
@@ -118,7 +118,7 @@
 	ctx := context.Background()
 	behind, follower := newTestPeer(t, 7), newTestPeer(t, 9)
 	follower.receiveHello(hello(behind, "a", false))
-	behind.view.Replace(follow.Snapshot{Config: configOf(3), Endpoints: []fleet.Endpoint{endpointAt("old", 2)}, At: 2}, time.Now().Add(-time.Minute), false)
+	behind.view.Replace(follow.Snapshot{Config: configOf(3), Endpoints: []fleet.Endpoint{endpointAt("old", 2)}, UpTo: 2}, time.Now().Add(-time.Minute), false)
 	follower.publish(5, 9, endpointAt("new", 9))
 	g.Expect(follower.FollowPeers(ctx)).To(Succeed())
 	g.Expect(follower.view.State().Config.Version()).To(BeEquivalentTo(5))
@@ -174,7 +174,7 @@
 	g.Expect(seed.ReadsStore(true)).To(BeTrue())
 	g.Expect(starter.ReadsStore(true)).To(BeFalse())
 
-	seed.view.Replace(follow.Snapshot{At: 1}, time.Now(), false)
+	seed.view.Replace(follow.Snapshot{UpTo: 1}, time.Now(), false)
 	g.Expect(starter.FollowPeers(ctx)).To(Succeed())
 	g.Expect(starter.view.ConfirmedAge(time.Now())).To(BeNumerically("<", 30*time.Second), "nothing is published yet, which is an update, too")
 	g.Expect(starter.view.Age(time.Now())).To(BeNumerically(">", time.Hour), "there is no configuration")
@@ -210,7 +210,7 @@
 	ctx := context.Background()
 	lender, borrower := newTestPeer(t, 7), newTestPeer(t, 9)
 	lender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
-	lender.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "missed", Revision: 7}}, At: 7}, time.Now(), true)
+	lender.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "missed", Revision: 7}}, UpTo: 7}, time.Now(), true)
 	p, err := borrower.fetchAll(ctx, lender.self)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(borrower.mergePublished(p, time.Now())).To(Succeed())
@@ -310,7 +310,7 @@
 		g.Expect(s.pollPeer(ctx, reader.self)).To(Succeed())
 		g.Expect(s.view.State().Endpoints).To(HaveLen(2))
 	}
-	reader.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "one", Revision: 8}}, At: 8}, time.Now(), false)
+	reader.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "one", Revision: 8}}, UpTo: 8}, time.Now(), false)
 	g.Expect(middle.pollPeer(ctx, reader.self)).To(Succeed())
 	g.Expect(leaf.pollPeer(ctx, middle.self)).To(Succeed())
 	g.Expect(leaf.view.State().Endpoints).To(HaveLen(1))
--- a/internal/gateway/serve_test.go
+++ b/internal/gateway/serve_test.go
@@ -126,7 +126,7 @@
 	change(&route)
 	snap = follow.Snapshot{Config: fleet.NewConfig(1, []fleet.Route{route},
 		[]fleet.Service{{Name: "s", Engine: &fleet.Engine{Slots: slots, BaseStepTime: 5 * time.Millisecond, DecodeTimePerRequest: time.Millisecond, StepsPerPass: 4, MeanAnswerTokens: 4 * streamEvents}}},
-		nil, fleet.Limits{HeaderBytes: 1 << 16, BodyBytes: 1 << 16}), At: 1}
+		nil, fleet.Limits{HeaderBytes: 1 << 16, BodyBytes: 1 << 16}), UpTo: 1}
 	for i, h := range endpoints {
 		srv := httptest.NewServer(h)
 		t.Cleanup(srv.Close)
--- a/internal/gateway/vacate_test.go
+++ b/internal/gateway/vacate_test.go
@@ -149,7 +149,7 @@
 				wait := s.startStream(g, "one", "")
 				at := haltedRank(g, ranks)
 				next := snap
-				next.Config, next.At = fleet.NewConfig(2, routes, []fleet.Service{*snap.Config.Service("s"), {Name: "other"}}, nil, snap.Config.Limits()), 2
+				next.Config, next.UpTo = fleet.NewConfig(2, routes, []fleet.Service{*snap.Config.Service("s"), {Name: "other"}}, nil, snap.Config.Limits()), 2
 				view.Replace(next, time.Now(), false)
 				if slow {
 					s.reportLoad(at, 1, 12)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -158,12 +158,12 @@
 
 // End reports that an endpoint's process ended while it ran a request.
 type End struct {
-	_        struct{} `cbor:",toarray"`
-	Key      []byte   // Identifies all requests that are equal.
-	Endpoint string   // One incarnation of it.
-	Sending  int      // What was known when the request was sent, as a quarantine.Knowledge.
-	Void     bool     // The end no longer counts.
-	AgeMs    int64    // Since the process ended.
+	_           struct{} `cbor:",toarray"`
+	Key         []byte   // Identifies all requests that are equal.
+	Endpoint    string   // One incarnation of it.
+	KnownBefore int      // What was known when the request was sent, as a quarantine.Knowledge.
+	Void        bool     // The end no longer counts.
+	AgeMs       int64    // Since the process ended.
 }
 
 // MaxEnds is how many ends one message contains at most, so that it fits into a packet of 1,400
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -145,7 +145,7 @@
 			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Slowdown, At: now})
 		}
 	}
-	limit, ok := l.limiter.Next(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
+	limit, ok := l.limiter.UpdateLimit(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
 	if !ok {
 		return 0
 	}
--- a/internal/suspects/suspects.go
+++ b/internal/suspects/suspects.go
@@ -47,7 +47,7 @@
 func (s *Set) NextToSend(now time.Time) []peers.End {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return encode(s.book.NextToSend(peers.MaxEnds, now), now)
+	return encode(s.book.TakeNextToSend(peers.MaxEnds, now), now)
 }
 
 // ForNewPeer returns the most severe ends, to send to a process that may know none yet.
@@ -59,7 +59,7 @@
 
 func encode(ends []quarantine.End, now time.Time) (list []peers.End) {
 	for _, e := range ends {
-		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, Sending: int(e.Knowledge), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
+		list = append(list, peers.End{Key: e.Key[:], Endpoint: e.Endpoint, KnownBefore: int(e.Knowledge), Void: e.Void, AgeMs: now.Sub(e.At).Milliseconds()})
 	}
 	return list
 }
@@ -80,11 +80,11 @@
 	defer s.mu.Unlock()
 	for _, received := range list {
 		if !valid(received) {
-			s.log.Warn("invalid endpoint end ignored", zap.Binary("key", received.Key), zap.Int64("age-ms", received.AgeMs), zap.Int("sending", received.Sending))
+			s.log.Warn("invalid endpoint end ignored", zap.Binary("key", received.Key), zap.Int64("age-ms", received.AgeMs), zap.Int("sending", received.KnownBefore))
 			continue
 		}
 		s.add(quarantine.End{
-			Key: quarantine.Key(received.Key), Endpoint: received.Endpoint, Knowledge: quarantine.Knowledge(received.Sending), Void: received.Void,
+			Key: quarantine.Key(received.Key), Endpoint: received.Endpoint, Knowledge: quarantine.Knowledge(received.KnownBefore), Void: received.Void,
 			At: now.Add(-time.Duration(received.AgeMs) * time.Millisecond),
 		}, now, now)
 	}
@@ -100,7 +100,7 @@
 // valid reports whether an end from another process is well-formed.
 func valid(e peers.End) bool {
 	return len(e.Key) == len(quarantine.Key{}) && e.Endpoint != "" && len(e.Endpoint) <= maxEndpointIDLen &&
-		e.AgeMs >= 0 && e.AgeMs <= maxAge.Milliseconds() && quarantine.Knowledge(e.Sending).Valid()
+		e.AgeMs >= 0 && e.AgeMs <= maxAge.Milliseconds() && quarantine.Knowledge(e.KnownBefore).Valid()
 }
 
 // RecordEnd records that an endpoint ended during a request of this process.
@@ -119,7 +119,7 @@
 		return
 	}
 	after, left := s.book.Judge(e.Key, now)
-	s.heldGauge.Update(int64(s.book.Held(now)))
+	s.heldGauge.Update(int64(s.book.HeldCount(now)))
 	fields := []zap.Field{zap.Stringer("key", e.Key), zap.String("endpoint", e.Endpoint), zap.Bool("seen-here", receivedAt.IsZero()), zap.Stringer("sending", e.Knowledge),
 		zap.Bool("void", e.Void), zap.Stringer("verdict", after), zap.Duration("held-for", left)}
 	if after != before {
@@ -151,9 +151,9 @@
 	s.notifyPending()
 }
 
-// SendingState returns what is known of a request that is sent now. It computes the key only if any
+// KnowledgeAtSend returns what is known of a request that is sent now. It computes the key only if any
 // ends are known, because that hashes the body.
-func (s *Set) SendingState(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
+func (s *Set) KnowledgeAtSend(key func() quarantine.Key, now time.Time) quarantine.Knowledge {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.book.Empty() {
@@ -191,5 +191,5 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.book.Forget(now)
-	s.heldGauge.Update(int64(s.book.Held(now)))
+	s.heldGauge.Update(int64(s.book.HeldCount(now)))
 }
--- a/internal/suspects/suspects_test.go
+++ b/internal/suspects/suspects_test.go
@@ -28,8 +28,8 @@
 // other.
 func setWithTwoEnds() *Set {
 	s := newSet()
-	s.RecordEnd(key, "e-0", s.SendingState(keyFunc, now.Add(-time.Minute)), now.Add(-time.Minute))
-	s.RecordEnd(key, "e-1", s.SendingState(keyFunc, now), now)
+	s.RecordEnd(key, "e-0", s.KnowledgeAtSend(keyFunc, now.Add(-time.Minute)), now.Add(-time.Minute))
+	s.RecordEnd(key, "e-1", s.KnowledgeAtSend(keyFunc, now), now)
 	return s
 }
 
@@ -85,10 +85,10 @@
 	for name, bad := range map[string]peers.End{
 		"short key":                {Key: key[:4], Endpoint: "e"},
 		"from the future":          {Key: key[:], Endpoint: "e", AgeMs: -1},
-		"unknown sending":          {Key: key[:], Endpoint: "e", Sending: 9},
+		"unknown sending":          {Key: key[:], Endpoint: "e", KnownBefore: 9},
 		"no endpoint":              {Key: key[:]},
 		"long name":                {Key: key[:], Endpoint: strings.Repeat("e", 256)},
-		"below the smallest value": {Key: key[:], Endpoint: "e", Sending: -1},
+		"below the smallest value": {Key: key[:], Endpoint: "e", KnownBefore: -1},
 		"older than the bound":     {Key: key[:], Endpoint: "e", AgeMs: 1 << 62},
 	} {
 		t.Run(name, func(t *testing.T) {
