--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -20,7 +20,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/clock"
 	"github.com/canvaspulley/canvaspulley/internal/decide/admit"
 	"github.com/canvaspulley/canvaspulley/internal/decide/backoff"
-	"github.com/canvaspulley/canvaspulley/internal/decide/once"
+	"github.com/canvaspulley/canvaspulley/internal/decide/dedup"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/node"
 	"github.com/canvaspulley/canvaspulley/internal/wait"
@@ -50,8 +50,8 @@
 
 	mu            sync.Mutex
 	queue         *admit.Queue
-	attempts      *once.Table              // Attempts of requests; allows the answer "not run".
-	keys          *once.Table              // Idempotency keys.
+	attempts      *dedup.Table             // Attempts of requests; allows the answer "not run".
+	keys          *dedup.Table             // Idempotency keys.
 	waiting       map[string]chan decision // By attempt id; exactly the requests in queue's waiting list.
 	step          uint64                   // Engine's step number in its last report.
 	stepChangedAt time.Time                // When step last changed; initially the start of the process.
@@ -79,11 +79,11 @@
 			Capacity: set.QueueCapacity, MinLimit: set.MinLimit, MaxLimit: set.MaxLimit,
 			StepTarget: target, AgingInterval: waitPerPriority,
 		}),
-		attempts: once.New(once.Config{
+		attempts: dedup.New(dedup.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: attemptWindow, Capacity: attemptCapacity,
 			NeverResent: true,
 		}),
-		keys: once.New(once.Config{
+		keys: dedup.New(dedup.Config{
 			Started: n.Started(), Skew: set.ClockSkew, Window: set.KeyRetention,
 			Capacity: set.MaxKeys, MaxAnswerBytes: maxStoredAnswerBytes,
 		}),
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -24,8 +24,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/example"
-	"github.com/canvaspulley/canvaspulley/internal/ident"
 	"github.com/canvaspulley/canvaspulley/internal/node"
+	"github.com/canvaspulley/canvaspulley/internal/requestid"
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 	"github.com/canvaspulley/canvaspulley/internal/wire"
@@ -96,7 +96,7 @@
 func (b *harness) send(env wire.Envelope, body string) answer {
 	env.Endpoint, env.Weight = b.endpoint, 1
 	if env.ID == "" {
-		env.ID = ident.New() + "~1"
+		env.ID = requestid.New() + "~1"
 	}
 	text, _ := json.Marshal(env)
 	req, _ := http.NewRequest(http.MethodPost, b.url+wire.PathRun, strings.NewReader(body))
@@ -147,7 +147,7 @@
 	c := &countingService{block: make(chan struct{})}
 	b := newHarness(t, nil, nil, c.service())
 	env := call("")
-	env.ID = ident.New() + "~1"
+	env.ID = requestid.New() + "~1"
 	first := make(chan answer, 1)
 	var wg sync.WaitGroup
 	wg.Go(func() { first <- b.send(env, "") })
@@ -164,7 +164,7 @@
 	g := gomega.NewWithT(t)
 	c := &countingService{}
 	b := newHarness(t, nil, nil, c.service())
-	key := ident.NewKey(b.endpoint).String()
+	key := requestid.NewKey(b.endpoint).String()
 	g.Expect(b.send(call(key), "x").outcome).To(gomega.Equal(wire.Done))
 	g.Expect(b.send(call(key), "x").body).To(gomega.Equal("paid"))
 	g.Expect(c.count()).To(gomega.Equal(1))
@@ -181,7 +181,7 @@
 			g := gomega.NewWithT(t)
 			c := &countingService{err: err}
 			b := newHarness(t, nil, nil, c.service())
-			env := call(ident.NewKey(b.endpoint).String())
+			env := call(requestid.NewKey(b.endpoint).String())
 			g.Expect(b.send(env, "").outcome).To(gomega.Equal(want))
 			g.Expect(b.send(env, "").outcome).To(gomega.Equal(again))
 		})
@@ -197,7 +197,7 @@
 	for deadline := time.Now().Add(20 * time.Second); n.Refusal() != nil && time.Now().Before(deadline); {
 		time.Sleep(10 * time.Microsecond) // Keys have a resolution of a millisecond; the key is minted within it.
 	}
-	env := call(ident.NewKey(b.endpoint).String())
+	env := call(requestid.NewKey(b.endpoint).String())
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.Done))
 }
 
@@ -205,7 +205,7 @@
 	g := gomega.NewWithT(t)
 	unreachable := adapter.NewService("http://"+closedPort(t), http.DefaultClient, &http.Client{Transport: adapter.NewSingleUseTransport("")})
 	b := newHarness(t, nil, nil, unreachable)
-	env := call(ident.NewKey(b.endpoint).String())
+	env := call(requestid.NewKey(b.endpoint).String())
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "no listener, so nothing was sent")
 	g.Expect(b.send(env, "").outcome).To(gomega.Equal(wire.NotRun), "the key can be used again")
 
@@ -237,14 +237,14 @@
 	var wg sync.WaitGroup
 	answers := make(chan answer, 2)
 	for i := range 2 {
-		wg.Go(func() { answers <- b.send(call(ident.NewKey(b.endpoint).String()), fmt.Sprint(i)) })
+		wg.Go(func() { answers <- b.send(call(requestid.NewKey(b.endpoint).String()), fmt.Sprint(i)) })
 	}
 	g.Eventually(b.agent.InFlight, "20s").Should(gomega.Equal(2))
 	refused := b.send(call(""), "")
 	g.Expect(refused.outcome).To(gomega.Equal(wire.NotRun))
 	g.Expect(refused.body).To(gomega.ContainSubstring("queue full"))
 	g.Expect(refused.body).To(gomega.ContainSubstring("retry_after_ms"))
-	keyed := b.send(call(ident.NewKey(b.endpoint).String()), "")
+	keyed := b.send(call(requestid.NewKey(b.endpoint).String()), "")
 	g.Expect(keyed.outcome).To(gomega.Equal(wire.NotRun))
 	g.Expect(keyed.body).To(gomega.ContainSubstring("no room to remember the key"))
 	close(c.block)
@@ -260,7 +260,7 @@
 	c := &countingService{}
 	b := newHarness(t, nil, nil, c.service())
 	env := call("")
-	env.ID = ident.New() + "~1"
+	env.ID = requestid.New() + "~1"
 	raw, _ := json.Marshal(wire.OutcomeRequest{ID: env.ID})
 	resp, err := http.Post(b.url+wire.PathOutcome, "application/json", bytes.NewReader(raw))
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -18,11 +18,11 @@
 	"github.com/canvaspulley/canvaspulley/internal/chart"
 	"github.com/canvaspulley/canvaspulley/internal/clock"
 	"github.com/canvaspulley/canvaspulley/internal/decide/admit"
-	"github.com/canvaspulley/canvaspulley/internal/decide/once"
+	"github.com/canvaspulley/canvaspulley/internal/decide/dedup"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/httpjson"
-	"github.com/canvaspulley/canvaspulley/internal/ident"
 	"github.com/canvaspulley/canvaspulley/internal/node"
+	"github.com/canvaspulley/canvaspulley/internal/requestid"
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
@@ -195,9 +195,9 @@
 	if err != nil {
 		return wire.Refuse(http.StatusBadRequest, 0, err.Error())
 	}
-	var key ident.Key
+	var key requestid.Key
 	if j.env.Key != "" {
-		if key, err = ident.ParseKey(j.env.Key); err != nil {
+		if key, err = requestid.ParseKey(j.env.Key); err != nil {
 			return wire.Refuse(http.StatusBadRequest, 0, err.Error())
 		}
 	}
@@ -209,7 +209,7 @@
 	if refusal := a.backoffRefusal(); refusal != nil {
 		return refusal
 	}
-	if v, _ := a.attempts.Begin(j.attemptID, 0, at, now); v != once.Run {
+	if v, _ := a.attempts.Begin(j.attemptID, 0, at, now); v != dedup.Run {
 		return attemptRefusal(v)
 	}
 	if j.env.Key == "" {
@@ -221,7 +221,7 @@
 	}
 	name := j.env.Customer + "/" + key.String() // Each customer has a key namespace of its own.
 	v, answer := a.keys.Begin(name, j.digest(), key.Minted(), now)
-	if v != once.Run {
+	if v != dedup.Run {
 		a.attempts.Release(j.attemptID)
 		return keyRefusal(v, answer)
 	}
@@ -242,13 +242,13 @@
 
 // attemptRefusal returns the refusal of a duplicate attempt, or of one too old to be recognized
 // as new. The entry sends each attempt once, so that a duplicate is a late or doubled message.
-func attemptRefusal(v once.Verdict) *wire.Refusal {
+func attemptRefusal(v dedup.Verdict) *wire.Refusal {
 	switch v {
-	case once.Refused:
+	case dedup.Refused:
 		return wire.Refuse(http.StatusConflict, 0, "attempt was given up before")
-	case once.Full:
+	case dedup.Full:
 		return wire.Refuse(http.StatusServiceUnavailable, time.Second, "no room to remember the request")
-	case once.FromFuture:
+	case dedup.FromFuture:
 		return wire.Refuse(http.StatusBadRequest, 0, "request id is from the future")
 	default:
 		return wire.RefuseUnknown(http.StatusConflict, "attempt was seen before, or may have been")
@@ -257,20 +257,20 @@
 
 // keyRefusal returns the refusal of a request whose idempotency key does not allow it to start.
 // A stored answer is replayed unchanged.
-func keyRefusal(v once.Verdict, answer *once.Answer) *wire.Refusal {
+func keyRefusal(v dedup.Verdict, answer *dedup.Answer) *wire.Refusal {
 	switch v {
-	case once.Replay:
+	case dedup.Replay:
 		return &wire.Refusal{Outcome: wire.Done, Status: answer.Status, Reason: "answer of the first run",
 			Replay: &wire.Replay{ContentType: answer.Type, Body: answer.Body}}
-	case once.InProgress:
+	case dedup.InProgress:
 		r := wire.RefuseUnknown(http.StatusConflict, "a request with this key is running")
 		r.RetryAfterMS = time.Second.Milliseconds()
 		return r
-	case once.Full:
+	case dedup.Full:
 		return wire.Refuse(http.StatusServiceUnavailable, time.Second, "no room to remember the key")
-	case once.FromFuture:
+	case dedup.FromFuture:
 		return wire.Refuse(http.StatusBadRequest, 0, "idempotency key is from the future")
-	case once.Mismatch:
+	case dedup.Mismatch:
 		return wire.Refuse(http.StatusUnprocessableEntity, 0, "idempotency key was used for another request")
 	default:
 		return wire.RefuseUnknown(http.StatusConflict, "a request with this key may have run before")
@@ -388,7 +388,7 @@
 		return
 	}
 	a.recordBackoff(reply.Backoff)
-	j.storeAnswer(once.Answer{Status: reply.Status, Type: reply.MediaType, Body: reply.Body})
+	j.storeAnswer(dedup.Answer{Status: reply.Status, Type: reply.MediaType, Body: reply.Body})
 	j.applyFinal(eventFinish)
 	a.count("calls.done")
 	h := w.Header()
@@ -402,7 +402,7 @@
 }
 
 // storeAnswer stores the answer under the idempotency key, if the request has one, for replay.
-func (j *job) storeAnswer(answer once.Answer) {
+func (j *job) storeAnswer(answer dedup.Answer) {
 	a := j.agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -431,10 +431,10 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	var s once.State
+	var s dedup.State
 	duty.Locked(&a.mu, func() { s = a.attempts.Tombstone(q.ID, at, time.Now()) })
 	reply := wire.OutcomeReply{Outcome: wire.Unknown}
-	if s == once.Tombstoned {
+	if s == dedup.Tombstoned {
 		reply.Outcome = wire.NotRun
 	}
 	httpjson.Reply(w, reply)
--- a/internal/oplog/oplog.go
+++ b/internal/asynclog/asynclog.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package oplog writes the structured log of a process to one stream. Logging never blocks the
+// Package asynclog writes the structured log of a process to one stream. Logging never blocks the
 // caller, and the volume is bounded. Each class of lines has a queue capacity and a rate limit
 // of its own, so that no class crowds out another; dropped lines are counted.
-package oplog
+package asynclog
 
 import (
 	"bytes"
--- a/internal/daemon/closed_under_request_test.go
+++ b/internal/daemon/closed_under_request_test.go
@@ -27,7 +27,7 @@
 
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/example"
-	"github.com/canvaspulley/canvaspulley/internal/ident"
+	"github.com/canvaspulley/canvaspulley/internal/requestid"
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 	"github.com/canvaspulley/canvaspulley/internal/standin"
 	"github.com/canvaspulley/canvaspulley/internal/trust"
@@ -332,7 +332,7 @@
 		tls:       s.client(t, trust.Holder{Role: string(adapter.RoleEntry), Domain: s.set.Domain, Name: "some-entry"}),
 		request: func(id string) string {
 			env, _ := json.Marshal(wire.Envelope{
-				ID: ident.New() + "~1", Kind: wire.KindCall, Endpoint: s.set.Endpoint,
+				ID: requestid.New() + "~1", Kind: wire.KindCall, Endpoint: s.set.Endpoint,
 				Customer: "c", Weight: 1, Method: http.MethodGet, Path: s.path(id),
 			})
 			return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%s: %s\r\nContent-Length: 0\r\n\r\n", wire.PathRun, wire.HeaderEnvelope, env)
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -20,10 +20,10 @@
 	"github.com/rcrowley/go-metrics"
 	"go.uber.org/zap"
 
+	"github.com/canvaspulley/canvaspulley/internal/asynclog"
 	"github.com/canvaspulley/canvaspulley/internal/build"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/gateway"
-	"github.com/canvaspulley/canvaspulley/internal/oplog"
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 	"github.com/canvaspulley/canvaspulley/internal/wait"
@@ -53,7 +53,7 @@
 
 // runFleet runs a gateway or a sidecar until a planned stop is complete.
 func runFleet(file string, set *settings.Fleet, signalCh <-chan os.Signal, out io.Writer) (err error) {
-	logger, lines, err := oplog.New(out, set.LogLevel, set.ServedLinesPerSecond)
+	logger, lines, err := asynclog.New(out, set.LogLevel, set.ServedLinesPerSecond)
 	if err != nil {
 		return errors.Wrap(err, "log level")
 	}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -16,9 +16,9 @@
 	"go.uber.org/zap/zapcore"
 	"golang.org/x/sync/errgroup"
 
+	"github.com/canvaspulley/canvaspulley/internal/asynclog"
 	"github.com/canvaspulley/canvaspulley/internal/build"
 	"github.com/canvaspulley/canvaspulley/internal/inifile"
-	"github.com/canvaspulley/canvaspulley/internal/oplog"
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 )
 
@@ -102,7 +102,7 @@
 // startLogWriter writes log lines in the background until the returned function is called. That
 // function writes the lines that are still queued, unless the reader takes longer than
 // logFlushTimeout.
-func startLogWriter(lines *oplog.Log) (cleanup func()) {
+func startLogWriter(lines *asynclog.Log) (cleanup func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	written := make(chan struct{})
 	var writing errgroup.Group
@@ -120,9 +120,9 @@
 }
 
 // newLog returns the log of an entry or an agent, and the writer of its lines to out.
-func newLog(out io.Writer, level string) (*zap.Logger, *oplog.Log, error) {
+func newLog(out io.Writer, level string) (*zap.Logger, *asynclog.Log, error) {
 	enc := zapcore.NewJSONEncoder(zap.NewProductionEncoderConfig())
-	log, lines, err := oplog.NewWithEncoder(out, level, requestLogPerSecond, enc)
+	log, lines, err := asynclog.NewWithEncoder(out, level, requestLogPerSecond, enc)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/decide/cold/cold.go
+++ b/internal/decide/coldstart/coldstart.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package cold limits the rate at which one gateway sends requests to cold endpoints. For some seconds
+// Package coldstart limits the rate at which one gateway sends requests to cold endpoints. For some seconds
 // after a start under load, an endpoint can take only a few requests per second and fails well above
 // that; if it is a rank, it takes its whole group down with it, which then starts cold again. This
 // matters in the first seconds after an outage, when the callers of all gateways return at once.
@@ -9,7 +9,7 @@
 // random point in time, so that gateways that start together do not send at the same times. The
 // package is a pure state machine: time and randomness are passed in as arguments, and the caller
 // serialises access. Package balance picks the endpoint of a request.
-package cold
+package coldstart
 
 import "time"
 
--- a/internal/decide/spread/spread.go
+++ b/internal/decide/configadopt/configadopt.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package spread decides which published generation of the configuration a process
+// Package configadopt decides which published generation of the configuration a process
 // adopts. It is a pure state machine: the caller fetches, verifies and parses a
 // generation, and passes the result.
-package spread
+package configadopt
 
 import "github.com/canvaspulley/canvaspulley/internal/published"
 
--- a/internal/decide/once/once.go
+++ b/internal/decide/dedup/dedup.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package once decides whether a request may start, so that no request that must
+// Package dedup decides whether a request may start, so that no request that must
 // not be repeated runs twice. A Table belongs to one agent process; it holds
 // marks for request ids and idempotency keys. It is a pure state machine: time
 // is passed as an argument, and the caller serialises access.
-package once
+package dedup
 
 import "time"
 
--- a/internal/decide/silence/silence.go
+++ b/internal/decide/eventtimeout/eventtimeout.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package silence computes how long to wait for the next event of an answer before its
+// Package eventtimeout computes how long to wait for the next event of an answer before its
 // request is better sent to another endpoint: nothing arrives on a partitioned connection,
 // or from an endpoint that lost the answer. It is pure. The caller decides whether the
 // request may be retried, and whether the retry budget allows it.
-package silence
+package eventtimeout
 
 import "time"
 
--- a/internal/decide/passes/passes.go
+++ b/internal/decide/grouplimit/grouplimit.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package passes limits the number of requests that a group of ranks may hold so that
+// Package grouplimit limits the number of requests that a group of ranks may hold so that
 // its passes through the model stay within the pause that callers allow between two
 // events of a stream. All ranks of a group make each pass together, so the limit
 // applies to a group as a whole; package balance chooses the rank for a request. It
 // is a pure state machine: time and randomness are passed as arguments, and the
 // caller serialises access.
-package passes
+package grouplimit
 
 import (
 	"slices"
--- a/internal/decide/passes/told.go
+++ b/internal/decide/grouplimit/told.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-package passes
+package grouplimit
 
 import (
 	"math"
--- a/internal/decide/idle/idle.go
+++ b/internal/decide/idletimeout/idletimeout.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package idle decides how long a server keeps a connection that is idle between two requests. A
+// Package idletimeout decides how long a server keeps a connection that is idle between two requests. A
 // caller may go by the timeout that its last answer advertised, or by the limit of any version of the
 // configuration that may be in effect. The connection is kept for the longest of these.
-package idle
+package idletimeout
 
 import "time"
 
--- a/internal/decide/own/own.go
+++ b/internal/decide/rendezvous/rendezvous.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package own computes which endpoint owns an idempotency key, by rendezvous
+// Package rendezvous computes which endpoint owns an idempotency key, by rendezvous
 // hashing over the published endpoints of a service. It does not consider which
 // endpoints are alive, because all entries must agree even if their views differ.
 //
 // The method is Option A of "[RFC] Stable Multi-Disk Placement and Stale KV
 // Cache GC for fs_native"; docs/MEASUREMENTS.md compares it with modulo.
-package own
+package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
--- a/internal/decide/route/route.go
+++ b/internal/decide/route/route.go
@@ -11,7 +11,7 @@
 	"math"
 	"slices"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/own"
+	"github.com/canvaspulley/canvaspulley/internal/decide/rendezvous"
 )
 
 // Candidate is an endpoint to which a request may be sent.
@@ -91,7 +91,7 @@
 	first := make([]int, 0, prefixEndpoints) // Candidates with the highest scores, highest first.
 	scores := make([]uint64, 0, prefixEndpoints)
 	for _, i := range usable {
-		s := own.Score(prefix, list[i].Endpoint)
+		s := rendezvous.Score(prefix, list[i].Endpoint)
 		at := len(first)
 		for at > 0 && scores[at-1] < s {
 			at--
--- a/internal/decide/room/room.go
+++ b/internal/decide/slotshare/slotshare.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package room shares the free slots of a group of ranks among processes that all see
+// Package slotshare shares the free slots of a group of ranks among processes that all see
 // the same number of free slots and do not know of each other's requests. Each process
 // admits a request with a probability such that all processes together fill the slots
 // once: the ratio of free slots to the demand of all processes, which it estimates from
@@ -8,7 +8,7 @@
 // slots that they typically need is reserved for them. It is a pure state machine: time
 // and randomness are passed as arguments, and the caller serialises access. Package
 // passes determines the number of slots.
-package room
+package slotshare
 
 import "time"
 
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/canvaspulley/canvaspulley/internal/decide/limit"
-	"github.com/canvaspulley/canvaspulley/internal/decide/own"
+	"github.com/canvaspulley/canvaspulley/internal/decide/rendezvous"
 )
 
 // Timing of the lending of shares.
@@ -166,7 +166,7 @@
 	n := min(len(all), int(math.Floor(min(limit, float64(len(all)))))+1)
 	best := make([]scored, 0, n+1) // The highest scores so far; all is sorted, so ties go to the smaller name.
 	for _, name := range all {
-		next := scored{name, own.Score(key, name)}
+		next := scored{name, rendezvous.Score(key, name)}
 		at := len(best)
 		for at > 0 && next.score > best[at-1].score {
 			at--
--- a/internal/decide/throttle/share.go
+++ b/internal/decide/throttle/share.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/own"
+	"github.com/canvaspulley/canvaspulley/internal/decide/rendezvous"
 )
 
 const (
@@ -63,9 +63,9 @@
 // period, by rendezvous hashing: gateways that know the same set agree on it without communication.
 func positionOf(id string, period int64, self string, all []string) (position int) {
 	key := periodKey(id, period)
-	mine := own.Score(key, self)
+	mine := rendezvous.Score(key, self)
 	for _, name := range all {
-		if s := own.Score(key, name); name != self && (s > mine || s == mine && name < self) {
+		if s := rendezvous.Score(key, name); name != self && (s > mine || s == mine && name < self) {
 			position++
 		}
 	}
--- a/internal/decide/line/line.go
+++ b/internal/decide/waitqueue/waitqueue.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package line queues the requests of one process that wait for capacity at a service, for a short
+// Package waitqueue queues the requests of one process that wait for capacity at a service, for a short
 // time and only if they are expected to be served in time. It is a pure state machine: time is passed
-// in as an argument, and the caller serialises access. Package passes decides whether there is
+// in as an argument, and the caller serialises access. Package grouplimit decides whether there is
 // capacity.
-package line
+package waitqueue
 
 import (
 	"math"
--- a/internal/entry/chat.go
+++ b/internal/entry/chat.go
@@ -14,8 +14,8 @@
 
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/audit"
-	"github.com/canvaspulley/canvaspulley/internal/ident"
 	"github.com/canvaspulley/canvaspulley/internal/published"
+	"github.com/canvaspulley/canvaspulley/internal/requestid"
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
@@ -132,7 +132,7 @@
 func (s *stream) prepare() *wire.Refusal {
 	key := s.req.r.Header.Get(wire.HeaderKey)
 	if key != "" {
-		if _, err := ident.ParseKey(key); err != nil {
+		if _, err := requestid.ParseKey(key); err != nil {
 			return wire.Refuse(http.StatusBadRequest, 0, err.Error())
 		}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -26,10 +26,10 @@
 	"github.com/canvaspulley/canvaspulley/internal/decide/quarantine"
 	"github.com/canvaspulley/canvaspulley/internal/decide/retry"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
-	"github.com/canvaspulley/canvaspulley/internal/ident"
 	"github.com/canvaspulley/canvaspulley/internal/node"
 	"github.com/canvaspulley/canvaspulley/internal/policy"
 	"github.com/canvaspulley/canvaspulley/internal/published"
+	"github.com/canvaspulley/canvaspulley/internal/requestid"
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
@@ -121,7 +121,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.inFlight.Add(1)
 		defer e.inFlight.Add(-1)
-		id := ident.New()
+		id := requestid.New()
 		w.Header().Set(wire.HeaderRequest, id)
 		out := newAnswerWriter(w, r)
 		var req *request // Nil until the request is admitted.
--- a/internal/entry/forward.go
+++ b/internal/entry/forward.go
@@ -16,8 +16,8 @@
 
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/decide/retry"
-	"github.com/canvaspulley/canvaspulley/internal/ident"
 	"github.com/canvaspulley/canvaspulley/internal/published"
+	"github.com/canvaspulley/canvaspulley/internal/requestid"
 	"github.com/canvaspulley/canvaspulley/internal/wait"
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
@@ -57,7 +57,7 @@
 	}
 	return req.out.writeJSON(struct {
 		Key string `json:"key"`
-	}{ident.NewKey(c.Endpoint).String()})
+	}{requestid.NewKey(c.Endpoint).String()})
 }
 
 // readBody reads the body of a request and keeps it in the request, for the quarantine key.
@@ -132,7 +132,7 @@
 		}
 		return c, nil
 	}
-	k, err := ident.ParseKey(env.Key)
+	k, err := requestid.ParseKey(env.Key)
 	if err != nil {
 		return c, wire.Refuse(http.StatusBadRequest, 0, err.Error())
 	}
--- a/internal/entry/held.go
+++ b/internal/entry/held.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/canvaspulley/canvaspulley/internal/decide/member"
-	"github.com/canvaspulley/canvaspulley/internal/decide/own"
 	"github.com/canvaspulley/canvaspulley/internal/decide/quarantine"
+	"github.com/canvaspulley/canvaspulley/internal/decide/rendezvous"
 	"github.com/canvaspulley/canvaspulley/internal/wire"
 )
 
@@ -62,7 +62,7 @@
 	for _, m := range e.node.Members(func(m member.Member) bool { return isOtherEntry(m, self) }) {
 		names = append(names, m.Name)
 	}
-	return own.Owner(k.String(), names) == self
+	return rendezvous.Owner(k.String(), names) == self
 }
 
 // recordProcessEnd records that the endpoint's process ended during a failed attempt, if its refusal says
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"time"
 
+	"github.com/canvaspulley/canvaspulley/internal/decide/configadopt"
 	"github.com/canvaspulley/canvaspulley/internal/decide/member"
-	"github.com/canvaspulley/canvaspulley/internal/decide/spread"
 	"github.com/canvaspulley/canvaspulley/internal/published"
 )
 
@@ -37,7 +37,7 @@
 // peer is one simulated process.
 type peer struct {
 	table       *member.Table
-	config      *spread.State
+	config      *configadopt.State
 	phase       time.Duration // Offset of its probes within gossipInterval.
 	domain      int
 	down        bool
@@ -77,7 +77,7 @@
 		p := &peer{
 			table: member.New(member.Config{ProbeInterval: gossipInterval, SuspicionTimeout: 3 * time.Second,
 				ForgetAfter: time.Hour, MaxUpdates: maxUpdates, IndirectProbes: 2}, rows[i]),
-			config: spread.New(), domain: i % cfg.Domains,
+			config: configadopt.New(), domain: i % cfg.Domains,
 			phase: time.Duration(r.rnd.IntN(int(gossipInterval/gossipTick))) * gossipTick,
 		}
 		p.table.MergePlatformList(rows, origin)
@@ -112,7 +112,7 @@
 	r.countMessage(pb, reply)
 	r.merge(a, reply, now)
 	for _, pair := range [][2]int{{a, b}, {b, a}} {
-		if r.peers[pair[1]].config.Decide(r.peers[pair[0]].config.Current()) == spread.Fetch {
+		if r.peers[pair[1]].config.Decide(r.peers[pair[0]].config.Current()) == configadopt.Fetch {
 			r.fetches = append(r.fetches, pair)
 		}
 	}
--- a/internal/experiment/ownership.go
+++ b/internal/experiment/ownership.go
@@ -5,7 +5,7 @@
 import (
 	"fmt"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/own"
+	"github.com/canvaspulley/canvaspulley/internal/decide/rendezvous"
 )
 
 // Ownership compares rendezvous hashing with modulo when one owner is added: the share
@@ -20,7 +20,7 @@
 	for _, m := range []struct {
 		name  string
 		owner func(string, []string) string
-	}{{"modulo", own.Modulo}, {"rendezvous", own.Owner}} {
+	}{{"modulo", rendezvous.Modulo}, {"rendezvous", rendezvous.Owner}} {
 		moved := 0
 		load := map[string]int{}
 		for k := range keys {
--- a/internal/gateway/asks_test.go
+++ b/internal/gateway/asks_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"github.com/canvaspulley/canvaspulley/internal/decide/backoff"
-	"github.com/canvaspulley/canvaspulley/internal/decide/passes"
+	"github.com/canvaspulley/canvaspulley/internal/decide/grouplimit"
 	"github.com/canvaspulley/canvaspulley/internal/decide/throttle"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
@@ -110,9 +110,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := NewWithT(t)
 			gw := newTestPeer(t, 1).g
-			tell := func(at time.Time) { gw.passes.Report("a", "g", passes.Shape{}, passes.RankReport{At: at}) }
+			tell := func(at time.Time) { gw.passes.Report("a", "g", grouplimit.Shape{}, grouplimit.RankReport{At: at}) }
 			tell(time.Unix(1000, 0))
-			free, full := passes.Option{Ranks: 1, Limit: 4}, passes.Option{Ranks: 1, Limit: 4, Requests: 4}
+			free, full := grouplimit.Option{Ranks: 1, Limit: 4}, grouplimit.Option{Ranks: 1, Limit: 4, Requests: 4}
 			q := &request{g: gw, route: &fleet.Route{}}
 			g.Expect(q.takeCapacity(tc.group, full)).To(BeFalse(), "no capacity is free")
 			g.Expect(q.takeCapacity(tc.group, free)).To(BeFalse(), "no new report has arrived")
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/canvaspulley/canvaspulley/internal/decide/balance"
-	"github.com/canvaspulley/canvaspulley/internal/decide/passes"
-	"github.com/canvaspulley/canvaspulley/internal/decide/room"
+	"github.com/canvaspulley/canvaspulley/internal/decide/grouplimit"
+	"github.com/canvaspulley/canvaspulley/internal/decide/slotshare"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 	"github.com/canvaspulley/canvaspulley/internal/follow"
 )
@@ -140,10 +140,10 @@
 // The caller holds mu.
 func (q *request) chooseGroup(list []balance.Candidate, now time.Time) (chosen []balance.Candidate, ok bool) {
 	names, members := q.ranksByGroup(list)
-	options := make([]passes.Option, 0, len(names))
+	options := make([]grouplimit.Option, 0, len(names))
 	optionNames := make([]string, 0, len(names))
 	anyLimitKnown := false // The limit of at least one group is known from its passes.
-	q.turnover = passes.Turnover{}
+	q.turnover = grouplimit.Turnover{}
 	for _, name := range names {
 		ranks := members[name]
 		if q.g.table.AllClosed(ranks, now) {
@@ -157,8 +157,8 @@
 		o.LastReport = q.g.table.LastReport(ranks)
 		options, optionNames = append(options, o), append(optionNames, name)
 	}
-	passes.MarkSilent(options, now)
-	i, ok := passes.Choose(options, random)
+	grouplimit.MarkSilent(options, now)
+	i, ok := grouplimit.Choose(options, random)
 	switch {
 	case ok && q.takeCapacity(optionNames[i], options[i]):
 		return members[optionNames[i]], true
@@ -176,7 +176,7 @@
 
 // nonSilentRanks returns the ranks of the groups that are not silent, or list if there are none.
 // Names[i] is the group of options[i].
-func nonSilentRanks(options []passes.Option, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
+func nonSilentRanks(options []grouplimit.Option, names []string, members map[string][]balance.Candidate, list []balance.Candidate) (ranks []balance.Candidate) {
 	for i, o := range options {
 		if !o.Silent {
 			ranks = append(ranks, members[names[i]]...)
@@ -191,10 +191,10 @@
 // takeCapacity asks for a part of the free capacity of a group, for which other gateways compete,
 // and reports whether the request gets it. A request asks the same group again only after a newer
 // report of the group's load. The caller holds mu.
-func (q *request) takeCapacity(group string, o passes.Option) bool {
+func (q *request) takeCapacity(group string, o grouplimit.Option) bool {
 	s := q.g.capacityShares[group]
 	if s == nil {
-		s = &room.Share{}
+		s = &slotshare.Share{}
 		q.g.capacityShares[group] = s
 	}
 	s.RecordReport(q.g.passes.LastRound(group))
@@ -249,7 +249,7 @@
 // Each rank may then hold as many requests as cost as much as a pass without any request, but no
 // more than its slots. The limit is lower for a caller that was refused before. The caller holds
 // mu.
-func (q *request) groupOption(name string, ranks []balance.Candidate, now time.Time) (o passes.Option, known bool) {
+func (q *request) groupOption(name string, ranks []balance.Candidate, now time.Time) (o grouplimit.Option, known bool) {
 	o.Ranks = len(ranks)
 	if o.Limit, known = q.g.passes.Limit(name, now); !known {
 		o.Limit = min(float64(ranks[0].Slots), float64(ranks[0].FixedCost))
@@ -273,7 +273,7 @@
 // shape returns how the passes of a service's engines are modeled. Ok is false for a service
 // without engines, or whose configuration states no decode time. The shapes of the last used
 // configuration are cached.
-func (g *Gateway) shape(c *fleet.Config, service string) (s passes.Shape, ok bool) {
+func (g *Gateway) shape(c *fleet.Config, service string) (s grouplimit.Shape, ok bool) {
 	svc := c.Service(service)
 	if svc == nil || svc.Engine == nil || svc.Engine.DecodeTimePerRequest <= 0 {
 		return s, false
@@ -281,10 +281,10 @@
 	g.shapesMu.Lock()
 	defer g.shapesMu.Unlock()
 	if g.shapesConfig != c {
-		g.shapesConfig, g.shapes = c, map[string]passes.Shape{}
+		g.shapesConfig, g.shapes = c, map[string]grouplimit.Shape{}
 	}
 	if s, ok = g.shapes[service]; !ok {
-		s = passes.NewShape(svc.Engine, c.MaxPause(service))
+		s = grouplimit.NewShape(svc.Engine, c.MaxPause(service))
 		g.shapes[service] = s
 	}
 	return s, true
--- a/internal/gateway/cold.go
+++ b/internal/gateway/cold.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"github.com/canvaspulley/canvaspulley/internal/decide/balance"
-	"github.com/canvaspulley/canvaspulley/internal/decide/cold"
+	"github.com/canvaspulley/canvaspulley/internal/decide/coldstart"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 	"github.com/canvaspulley/canvaspulley/internal/follow"
 )
@@ -23,9 +23,9 @@
 const gatewayCountTTL = 2 * time.Second
 
 // coldTerms returns the published limits for cold endpoints of a service.
-func coldTerms(c *fleet.Config, service string) (t cold.Params) {
+func coldTerms(c *fleet.Config, service string) (t coldstart.Params) {
 	if svc := c.Service(service); svc != nil {
-		t = cold.Params{Period: svc.ColdDuration, Rate: svc.ColdRate}
+		t = coldstart.Params{Period: svc.ColdDuration, Rate: svc.ColdRate}
 	}
 	return t
 }
@@ -124,7 +124,7 @@
 // markCold marks the candidates that are cold, and those among them to which this gateway has sent
 // all that it may for now. It marks none if the service has no rate limit for cold endpoints. The
 // caller holds mu.
-func (q *request) markCold(list []balance.Candidate, t cold.Params, now time.Time) {
+func (q *request) markCold(list []balance.Candidate, t coldstart.Params, now time.Time) {
 	if t.Rate <= 0 {
 		return
 	}
@@ -149,7 +149,7 @@
 // endpoints: the rate at which all gateways together may send to them. Each gateway has its own
 // share of that rate, but the queue expects the rate of capacity that all gateways share. The
 // caller holds mu.
-func (q *request) setColdTurnover(endpoints int, t cold.Params) {
+func (q *request) setColdTurnover(endpoints int, t coldstart.Params) {
 	q.turnover.Rate = q.g.cold.Rate(t) * float64(endpoints*(q.g.competitors()+1))
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -21,14 +21,14 @@
 	"github.com/canvaspulley/canvaspulley/internal/clock"
 	"github.com/canvaspulley/canvaspulley/internal/decide/backoff"
 	"github.com/canvaspulley/canvaspulley/internal/decide/balance"
-	"github.com/canvaspulley/canvaspulley/internal/decide/cold"
+	"github.com/canvaspulley/canvaspulley/internal/decide/coldstart"
 	"github.com/canvaspulley/canvaspulley/internal/decide/estimate"
-	"github.com/canvaspulley/canvaspulley/internal/decide/line"
-	"github.com/canvaspulley/canvaspulley/internal/decide/passes"
+	"github.com/canvaspulley/canvaspulley/internal/decide/grouplimit"
 	"github.com/canvaspulley/canvaspulley/internal/decide/quarantine"
 	"github.com/canvaspulley/canvaspulley/internal/decide/retry"
-	"github.com/canvaspulley/canvaspulley/internal/decide/room"
+	"github.com/canvaspulley/canvaspulley/internal/decide/slotshare"
 	"github.com/canvaspulley/canvaspulley/internal/decide/throttle"
+	"github.com/canvaspulley/canvaspulley/internal/decide/waitqueue"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 	"github.com/canvaspulley/canvaspulley/internal/follow"
 	"github.com/canvaspulley/canvaspulley/internal/keepalive"
@@ -86,17 +86,17 @@
 
 	mu             sync.Mutex // Guards the fields below.
 	table          *balance.Table
-	passes         *passes.Tracker
+	passes         *grouplimit.Tracker
 	retryWindows   map[string]*retry.Window               // Retry budgets, by service.
-	queues         map[string]*line.Queue                 // Requests waiting for capacity, by service.
-	capacityShares map[string]*room.Share                 // This gateway's share of a group's free capacity, by group.
+	queues         map[string]*waitqueue.Queue            // Requests waiting for capacity, by service.
+	capacityShares map[string]*slotshare.Share            // This gateway's share of a group's free capacity, by group.
 	responseTimes  map[string]*estimate.Estimator         // Of answers that are not streams, by service.
 	movable        map[string]map[*request]movableRequest // Requests that may be moved to another endpoint, by endpoint.
 	otherGateways  int                                    // Known gateways besides this one.
 	lastHelloAt    time.Time                              // When the last hello of another gateway was received.
 
 	started              time.Time
-	cold                 *cold.Pacer
+	cold                 *coldstart.Pacer
 	backoffs             *backoff.Set
 	limits               *throttle.Limits
 	limitsChanged        chan struct{}                // Holds a value while a change of limits waits to be announced.
@@ -109,9 +109,9 @@
 	evacuated            evacuatedDomains
 	ownsTrialKey         func(k quarantine.Key) bool // Whether trials of a key run here; nil without peers.
 
-	shapesMu     sync.Mutex              // Guards the fields below.
-	shapesConfig *fleet.Config           // Configuration from which shapes were computed.
-	shapes       map[string]passes.Shape // By service; filled on first use.
+	shapesMu     sync.Mutex                  // Guards the fields below.
+	shapesConfig *fleet.Config               // Configuration from which shapes were computed.
+	shapes       map[string]grouplimit.Shape // By service; filled on first use.
 
 	endChecks        errgroup.Group // Delayed checks whether endpoints have ended; each returns by itself.
 	lastWaiterID     atomic.Uint64
@@ -147,15 +147,15 @@
 		callerTimeouts: newCallerTimeouts(),
 		bufferedTotal:  newBufferedBytes(cfg.MemoryBytes, reg),
 		table:          balance.New(),
-		passes:         passes.New(),
+		passes:         grouplimit.New(),
 		retryWindows:   map[string]*retry.Window{},
-		queues:         map[string]*line.Queue{},
-		capacityShares: map[string]*room.Share{},
+		queues:         map[string]*waitqueue.Queue{},
+		capacityShares: map[string]*slotshare.Share{},
 		responseTimes:  map[string]*estimate.Estimator{},
 		movable:        map[string]map[*request]movableRequest{},
 
 		started:       time.Now(),
-		cold:          cold.New(),
+		cold:          coldstart.New(),
 		backoffs:      backoff.New(),
 		limits:        throttle.New(),
 		limitsChanged: make(chan struct{}, 1),
@@ -244,14 +244,14 @@
 // applyLoad records an endpoint's load and reports whether its requests should be moved away. The
 // argument ranked says whether the endpoint is a rank whose passes are modeled by shape; the passes
 // of others are not tracked. A load of an earlier process than the known one is ignored.
-func (g *Gateway) applyLoad(e fleet.Endpoint, l balance.Load, cfg *fleet.Config, shape passes.Shape, ranked bool) (moveAway bool) {
+func (g *Gateway) applyLoad(e fleet.Endpoint, l balance.Load, cfg *fleet.Config, shape grouplimit.Shape, ranked bool) (moveAway bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ranked = g.table.Report(e.ID, l) && ranked; ranked {
 		if !l.Closed {
 			g.cold.RecordGroupOpen(l.Group, l.Epoch, coldTerms(cfg, e.Service), l.At)
 		}
-		g.passes.Report(e.ID, l.Group, shape, passes.RankReport{Running: l.Running, PassTime: l.PassTime, Slowdown: l.Slowdown, Closed: l.Closed, At: l.At})
+		g.passes.Report(e.ID, l.Group, shape, grouplimit.RankReport{Running: l.Running, PassTime: l.PassTime, Slowdown: l.Slowdown, Closed: l.Closed, At: l.At})
 	}
 	return ranked && g.passes.ShouldMoveRequests(e.ID, l.At)
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 	"go.uber.org/zap"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/passes"
+	"github.com/canvaspulley/canvaspulley/internal/decide/grouplimit"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 )
@@ -34,28 +34,28 @@
 	configAge       time.Duration // Age of the configuration when the request arrived.
 	deadline        time.Time     // Time by which the final answer is due.
 
-	attempted       []string        // Endpoints to which it was sent.
-	unreachable     []string        // Endpoints that could not be reached, or were found unusable right before sending.
-	closedReused    string          // Endpoint that only closed a reused connection under the last attempt; "" for none.
-	notes           []string        // Result of each attempt, for the log.
-	mayHaveRun      bool            // An endpoint may have run it.
-	fallback        *fallbackAnswer // Newest error answer that was held back to try another endpoint; nil if none.
-	groupRejected   bool            // A whole group of ranks rejected it.
-	allGroupsDown   bool            // All groups of ranks are closed, or no rank has reported yet.
-	groupOpensAt    time.Time       // When the first group is expected to open, or ranks to report; zero if not known.
-	rejectingGroup  string          // Group that last rejected the request; "" for none.
-	groupRejectedAt time.Time       // When rejectingGroup did so.
-	configTooOld    bool            // The configuration is too old to verify the request's key.
-	buffered        int64           // Bytes buffered for it.
-	chosenCold      bool            // The endpoint chosen last is cold.
-	noCapacity      bool            // The last choice that looked for capacity found none.
-	exclusion       exclusion       // Backoffs and rate limits that leave no endpoint to choose; empty if they do not.
-	permitEndpoint  string          // Endpoint whose limit was charged for a request not sent yet; "" for none.
-	turnover        passes.Turnover // Of all groups, as of the last choice.
-	waited          time.Duration   // From its arrival to the last check for capacity or an open group; 0 if it did not wait.
-	inQueue         bool            // It waits in the queue of its service.
-	lastAsk         *capacityAsk    // Last time it asked for capacity; nil before.
-	sentAt          time.Time       // When it was last sent to an endpoint.
+	attempted       []string            // Endpoints to which it was sent.
+	unreachable     []string            // Endpoints that could not be reached, or were found unusable right before sending.
+	closedReused    string              // Endpoint that only closed a reused connection under the last attempt; "" for none.
+	notes           []string            // Result of each attempt, for the log.
+	mayHaveRun      bool                // An endpoint may have run it.
+	fallback        *fallbackAnswer     // Newest error answer that was held back to try another endpoint; nil if none.
+	groupRejected   bool                // A whole group of ranks rejected it.
+	allGroupsDown   bool                // All groups of ranks are closed, or no rank has reported yet.
+	groupOpensAt    time.Time           // When the first group is expected to open, or ranks to report; zero if not known.
+	rejectingGroup  string              // Group that last rejected the request; "" for none.
+	groupRejectedAt time.Time           // When rejectingGroup did so.
+	configTooOld    bool                // The configuration is too old to verify the request's key.
+	buffered        int64               // Bytes buffered for it.
+	chosenCold      bool                // The endpoint chosen last is cold.
+	noCapacity      bool                // The last choice that looked for capacity found none.
+	exclusion       exclusion           // Backoffs and rate limits that leave no endpoint to choose; empty if they do not.
+	permitEndpoint  string              // Endpoint whose limit was charged for a request not sent yet; "" for none.
+	turnover        grouplimit.Turnover // Of all groups, as of the last choice.
+	waited          time.Duration       // From its arrival to the last check for capacity or an open group; 0 if it did not wait.
+	inQueue         bool                // It waits in the queue of its service.
+	lastAsk         *capacityAsk        // Last time it asked for capacity; nil before.
+	sentAt          time.Time           // When it was last sent to an endpoint.
 	// detachConn stops the attempt's connection from being closed when the caller leaves or the
 	// process terminates. It returns false if the connection is being closed already.
 	detachConn        func() bool
--- a/internal/gateway/silence.go
+++ b/internal/gateway/silence.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/silence"
+	"github.com/canvaspulley/canvaspulley/internal/decide/eventtimeout"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 	"github.com/canvaspulley/canvaspulley/internal/upstream"
 )
@@ -48,8 +48,8 @@
 }
 
 // answerTiming returns what is known of the timing of the current attempt's answer.
-func (q *request) answerTiming(e fleet.Endpoint) silence.Answer {
-	a := silence.Answer{Target: q.route.TargetLatency, CallerTimeout: q.callerLeavesAfter()}
+func (q *request) answerTiming(e fleet.Endpoint) eventtimeout.Answer {
+	a := eventtimeout.Answer{Target: q.route.TargetLatency, CallerTimeout: q.callerLeavesAfter()}
 	q.g.mu.Lock()
 	defer q.g.mu.Unlock()
 	a.FirstEvent, a.PassTime = q.g.passes.TypicalTimes(e.ID)
--- a/internal/gateway/tell_ends.go
+++ b/internal/gateway/tell_ends.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/own"
 	"github.com/canvaspulley/canvaspulley/internal/decide/quarantine"
+	"github.com/canvaspulley/canvaspulley/internal/decide/rendezvous"
 	"github.com/canvaspulley/canvaspulley/internal/decide/roster"
 	"github.com/canvaspulley/canvaspulley/internal/decide/throttle"
 	"github.com/canvaspulley/canvaspulley/internal/peers"
@@ -82,7 +82,7 @@
 // ownsKey reports whether this gateway is the one that runs trials of requests with a key, among
 // the gateways that it knows.
 func (n *PeerExchange) ownsKey(k quarantine.Key) bool {
-	return own.Owner(k.String(), append(n.liveGateways(), n.self)) == n.self
+	return rendezvous.Owner(k.String(), append(n.liveGateways(), n.self)) == n.self
 }
 
 // addresses returns the valid addresses of a list.
--- a/internal/gateway/wait.go
+++ b/internal/gateway/wait.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/line"
-	"github.com/canvaspulley/canvaspulley/internal/decide/room"
+	"github.com/canvaspulley/canvaspulley/internal/decide/slotshare"
+	"github.com/canvaspulley/canvaspulley/internal/decide/waitqueue"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 	"github.com/canvaspulley/canvaspulley/internal/wait"
@@ -31,7 +31,7 @@
 	if until.After(q.deadline) {
 		until = q.deadline
 	}
-	w := line.Waiter{ID: g.lastWaiterID.Add(1), Class: int(q.class()), Deadline: until}
+	w := waitqueue.Waiter{ID: g.lastWaiterID.Add(1), Class: int(q.class()), Deadline: until}
 	if q.customer != nil {
 		w.Customer = q.customer.Name
 	}
@@ -66,13 +66,13 @@
 
 // class returns the request's class in the order of admission. A caller that would not retry counts
 // as late: the answer to one that was refused before is late anyway.
-func (q *request) class() room.Class { return room.ClassOf(q.priority(), q.wontReturn()) }
+func (q *request) class() slotshare.Class { return slotshare.ClassOf(q.priority(), q.wontReturn()) }
 
 // queue returns the queue of a service. The caller holds mu.
-func (g *Gateway) queue(service string) *line.Queue {
+func (g *Gateway) queue(service string) *waitqueue.Queue {
 	l, ok := g.queues[service]
 	if !ok {
-		l = &line.Queue{}
+		l = &waitqueue.Queue{}
 		g.queues[service] = l
 	}
 	return l
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -4,7 +4,7 @@
 // requests. Only the goroutine that reads a connection ends it as idle, and only after a read
 // that returned no byte: so a request that was read is always served, and a request that was not
 // read is never passed to the handler. Each answer advertises a keep-alive timeout to its caller.
-// Package idle chooses the limit. Connections that this process opens are out of scope.
+// Package idletimeout chooses the limit. Connections that this process opens are out of scope.
 package keepalive
 
 import (
@@ -22,11 +22,11 @@
 	"go.uber.org/zap"
 	"golang.org/x/sys/unix"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/idle"
+	"github.com/canvaspulley/canvaspulley/internal/decide/idletimeout"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 )
 
-const transitMargin = idle.TransitMargin
+const transitMargin = idletimeout.TransitMargin
 
 // stopNewConnTimeout is the default of Config.StopNewConnTimeout. It can be short because a caller
 // usually sends its request as soon as it is connected.
@@ -71,7 +71,7 @@
 	closedInUse metrics.Counter // Listeners that closed while callers were connecting.
 
 	mu            sync.Mutex // Guards the fields below; taken after the mutex of a Conn.
-	limits        *idle.Limits
+	limits        *idletimeout.Limits
 	conns         map[*Conn]struct{}
 	listeners     map[*listener]struct{} // The open ones.
 	accepts       acceptStats            // Since the tracker was created.
@@ -87,7 +87,7 @@
 		counts:      map[Cause]metrics.Counter{},
 		openConns:   metrics.GetOrRegisterGauge(cfg.Name+".connections-open", reg),
 		closedInUse: metrics.GetOrRegisterCounter(cfg.Name+".listeners-closed-in-use", reg),
-		limits:      idle.New(cfg.IdleTimeout, cfg.PropagationDelay),
+		limits:      idletimeout.New(cfg.IdleTimeout, cfg.PropagationDelay),
 		conns:       map[*Conn]struct{}{},
 		listeners:   map[*listener]struct{}{},
 	}
@@ -137,7 +137,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.limits.Publish(idle.Limit{Version: version, Idle: limit}, now)
+	t.limits.Publish(idletimeout.Limit{Version: version, Idle: limit}, now)
 }
 
 // Stop begins the planned stop: answers ask callers to close their connections. Connections of
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,7 +11,7 @@
 
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/audit"
-	"github.com/canvaspulley/canvaspulley/internal/decide/spread"
+	"github.com/canvaspulley/canvaspulley/internal/decide/configadopt"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/httpjson"
 	"github.com/canvaspulley/canvaspulley/internal/published"
@@ -26,7 +26,7 @@
 			return nil
 		case h := <-n.hints.Out():
 			var wanted bool
-			duty.Locked(&n.mu, func() { wanted = n.spread.Decide(h.version) == spread.Fetch })
+			duty.Locked(&n.mu, func() { wanted = n.spread.Decide(h.version) == configadopt.Fetch })
 			if !wanted {
 				continue
 			}
@@ -126,14 +126,14 @@
 		n.trail.Add(audit.ConfigRejected, generationName(v), err.Error()+", from "+src.name)
 		return err
 	}
-	var decision spread.Decision
+	var decision configadopt.Decision
 	var conflict bool
 	duty.Locked(&n.mu, func() {
 		decision = n.spread.Decide(v)
 		n.spread.RecordValid(v)
 		_, conflict = n.spread.Conflict()
 	})
-	if decision == spread.Ignore {
+	if decision == configadopt.Ignore {
 		if conflict {
 			n.recordConflict(v)
 		}
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -18,8 +18,8 @@
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/audit"
 	"github.com/canvaspulley/canvaspulley/internal/clock"
+	"github.com/canvaspulley/canvaspulley/internal/decide/configadopt"
 	"github.com/canvaspulley/canvaspulley/internal/decide/member"
-	"github.com/canvaspulley/canvaspulley/internal/decide/spread"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/httpjson"
 	"github.com/canvaspulley/canvaspulley/internal/peers"
@@ -230,7 +230,7 @@
 	}
 	var changes []member.Change
 	var leaving, refuted, replaced bool
-	var decision spread.Decision
+	var decision configadopt.Decision
 	duty.Locked(&n.mu, func() {
 		before := n.table.Self()
 		changes = n.table.Merge(m.Rows, clock.Now())
@@ -250,7 +250,7 @@
 	if replaced {
 		n.Leave("a later process has the same name or slot")
 	}
-	if decision != 0 { // Anything but spread.Ignore.
+	if decision != 0 { // Anything but configadopt.Ignore.
 		n.hints.Offer(hint{from: m.Rows[0].Address, version: m.Version})
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -22,11 +22,11 @@
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/audit"
 	"github.com/canvaspulley/canvaspulley/internal/chart"
+	"github.com/canvaspulley/canvaspulley/internal/decide/configadopt"
 	"github.com/canvaspulley/canvaspulley/internal/decide/member"
-	"github.com/canvaspulley/canvaspulley/internal/decide/spread"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
-	"github.com/canvaspulley/canvaspulley/internal/ident"
 	"github.com/canvaspulley/canvaspulley/internal/published"
+	"github.com/canvaspulley/canvaspulley/internal/requestid"
 	"github.com/canvaspulley/canvaspulley/internal/ring"
 	"github.com/canvaspulley/canvaspulley/internal/settings"
 	"github.com/canvaspulley/canvaspulley/internal/suspects"
@@ -92,7 +92,7 @@
 
 	mu             sync.Mutex
 	table          *member.Table
-	spread         *spread.State
+	spread         *configadopt.State
 	manifest       published.Manifest
 	olderManifests []olderManifest   // Those in effect before manifest, newest first.
 	values         map[string][]byte // By hash; exactly the values of manifest.
@@ -130,7 +130,7 @@
 		pushes:        ring.NewQueue[member.Member](pushCapacity),
 		leaving:       make(chan struct{}),
 		onDead:        func(member.Member) {},
-		spread:        spread.New(),
+		spread:        configadopt.New(),
 		values:        map[string][]byte{},
 
 		suspects: suspects.New(log, reg),
@@ -287,7 +287,7 @@
 func (n *Node) Refusal() *wire.Refusal {
 	switch n.State() {
 	case Serving:
-		if early := n.cfg.ClockSkew + ident.KeyTimeResolution - time.Since(n.startedAt); early > 0 {
+		if early := n.cfg.ClockSkew + requestid.KeyTimeResolution - time.Since(n.startedAt); early > 0 {
 			// Keys minted now may be indistinguishable from keys of an earlier process.
 			return wire.Refuse(http.StatusServiceUnavailable, early, "process has just started")
 		}
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -10,7 +10,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/adapter"
 	"github.com/canvaspulley/canvaspulley/internal/clock"
 	"github.com/canvaspulley/canvaspulley/internal/decide/member"
-	"github.com/canvaspulley/canvaspulley/internal/decide/own"
+	"github.com/canvaspulley/canvaspulley/internal/decide/rendezvous"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/published"
 	"github.com/canvaspulley/canvaspulley/internal/wait"
@@ -128,10 +128,10 @@
 // isFirst reports whether the node is among the first count members, in rendezvous hash order, of those
 // that satisfy eligible.
 func (n *Node) isFirst(count int, eligible func(member.Member) bool) bool {
-	ownScore := own.Score("watch", n.cfg.Name)
+	ownScore := rendezvous.Score("watch", n.cfg.Name)
 	ahead := n.Members(func(m member.Member) bool {
 		return m.State != member.Dead && !m.Leaving && m.Name != n.cfg.Name && eligible(m) &&
-			own.Score("watch", m.Name) > ownScore
+			rendezvous.Score("watch", m.Name) > ownScore
 	})
 	return len(ahead) < count
 }
--- a/internal/ident/ident.go
+++ b/internal/requestid/requestid.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The canvaspulley Authors. SPDX-License-Identifier: MIT
 
-// Package ident creates and parses request ids and idempotency keys. Both are
+// Package requestid creates and parses request ids and idempotency keys. Both are
 // UUIDv7 and thus contain the time of their creation. A key also names the
 // endpoint that owns it, after an '@': the owner never changes, whatever is
 // published later and whatever a partitioned process believes.
-package ident
+package requestid
 
 import (
 	"strings"
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -12,7 +12,7 @@
 
 	"github.com/canvaspulley/canvaspulley/internal/decide/cutover"
 	"github.com/canvaspulley/canvaspulley/internal/decide/estimate"
-	"github.com/canvaspulley/canvaspulley/internal/decide/passes"
+	"github.com/canvaspulley/canvaspulley/internal/decide/grouplimit"
 	"github.com/canvaspulley/canvaspulley/internal/fleet"
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 	"github.com/canvaspulley/canvaspulley/internal/rank"
@@ -82,7 +82,7 @@
 	switchTime     estimate.Estimator // How long the orders of a switch take.
 	copyOverrun    time.Duration      // Smoothed time by which changes exceed their copy time: distributing the map and detecting that the copies are complete.
 	switchedAt     time.Time          // When the last switch ended.
-	limiter        passes.Limiter
+	limiter        grouplimit.Limiter
 	loadsSentAt    time.Time    // When the loads of all ranks were last sent to gateways.
 	fullMap        encodedMap   // Map of the change in progress.
 	mapDelta       encodedMap   // The same map as a delta to the map in force.
--- a/internal/sidecar/loads.go
+++ b/internal/sidecar/loads.go
@@ -9,7 +9,7 @@
 
 	"go.uber.org/zap"
 
-	"github.com/canvaspulley/canvaspulley/internal/decide/passes"
+	"github.com/canvaspulley/canvaspulley/internal/decide/grouplimit"
 	"github.com/canvaspulley/canvaspulley/internal/duty"
 	"github.com/canvaspulley/canvaspulley/internal/peers"
 	"github.com/canvaspulley/canvaspulley/internal/rank"
@@ -141,13 +141,13 @@
 	if l.shape == nil || l.shape.DecodeTimePerRequest <= 0 {
 		return 0
 	}
-	ranks := make([]passes.RankReport, 0, len(l.byRank))
+	ranks := make([]grouplimit.RankReport, 0, len(l.byRank))
 	for _, m := range l.byRank {
 		if m != nil {
-			ranks = append(ranks, passes.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Slowdown, At: now})
+			ranks = append(ranks, grouplimit.RankReport{Running: m.report.Running, PassTime: pass, Slowdown: m.report.Slowdown, At: now})
 		}
 	}
-	limit, ok := l.limiter.UpdateLimit(passes.NewShape(l.shape, l.pauseLimit), ranks, now)
+	limit, ok := l.limiter.UpdateLimit(grouplimit.NewShape(l.shape, l.pauseLimit), ranks, now)
 	if !ok {
 		return 0
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -170,8 +170,8 @@
 		},
 		{
 			name: "a shorter idle timeout ends connections that callers may still use",
-			edits: []edit{{"../keepalive/keepalive.go", "t.limits.Publish(idle.Limit{Version: version, Idle: limit}, now)\n",
-				"t.limits.Publish(idle.Limit{Version: version, Idle: limit}, now)\n" +
+			edits: []edit{{"../keepalive/keepalive.go", "t.limits.Publish(idletimeout.Limit{Version: version, Idle: limit}, now)\n",
+				"t.limits.Publish(idletimeout.Limit{Version: version, Idle: limit}, now)\n" +
 					"for c := range t.conns { if c.state() == stateIdle && now.Sub(c.since) > limit+transitMargin { _ = c.TCPConn.Close() } }\n"}},
 			wantViolation: `its kept connection was closed with no answer \(`, seed: 9001, kinds: SeventhKinds,
 		},
