--- a/internal/decide/passes/passes.go
+++ b/internal/decide/passes/passes.go
@@ -257,8 +257,8 @@
 }
 
 // Estimate returns how many requests a rank of a group may hold on average, as estimated by this
-// process without the leader's limit. The result ok is false if the group has no known MaxPause,
-// slots or pass time.
+// process without the leader's limit. The result ok is false if the group is not known, if its
+// MaxPause is 0 (streams have no limit), if it has no slots, or if its pass time is not known.
 func (t *Tracker) Estimate(name string, now time.Time) (perRank float64, ok bool) {
 	g := t.groups[name]
 	if g == nil || g.shape.MaxPause <= 0 || g.shape.Slots <= 0 {
--- a/internal/decide/rebalance/improve.go
+++ b/internal/decide/rebalance/improve.go
@@ -129,7 +129,7 @@
 func (i *Improver) Result() Improvement {
 	r := i.result
 	for l, e := range i.editors {
-		r.Map = append(r.Map, slices.Clone(e.layer)) // Later steps do not change the clone: they replace rows.
+		r.Map = append(r.Map, slices.Clone(e.layer)) // A shallow clone is enough: steps replace the list of an expert's holders and never modify it.
 		r.After += i.skew(l) / float64(len(i.editors))
 	}
 	r.Copies = Transfers(i.current, r.Map)
--- a/internal/decide/room/room.go
+++ b/internal/decide/room/room.go
@@ -23,8 +23,8 @@
 
 // ClassOf returns the class of a request by its urgency, 0 being the most urgent. A request
 // that would be late even if it were admitted now comes after all that can be in time.
-// Otherwise, callers that had been rejected before and waited for two seconds asked for a slot
-// at each report, new callers asked once or twice and were rejected, and all were late.
+// Without this rule, callers that had been rejected before and waited for two seconds asked for
+// a slot at each report, new callers asked once or twice and were rejected, and all were late.
 func ClassOf(urgency int, late bool) Class {
 	c := Class(min(max(urgency, 0), urgencyLevels-1))
 	if late {
--- a/internal/example/example.go
+++ b/internal/example/example.go
@@ -87,8 +87,9 @@
 // MinimalSize is the smallest site with a process of each kind.
 var MinimalSize = Size{Domains: 1, EntriesPerDomain: 1, RanksPerDomain: 1, ServicesPerDomain: 1, Customers: 2}
 
-// New returns a site that listens on free ports of this host. The seed determines
-// the signing key.
+// New returns the description of a site; it starts no process. The addresses have ports
+// that were free on this host: New reserves them and releases them before it returns. The
+// seed determines the signing key, one of only 26.
 func New(user User, size Size, seed byte) (s *Site, err error) {
 	defer func() { err = errors.Wrap(err, "create example site") }()
 	s = &Site{User: user, Groups: map[string][]Process{}, DirectoryAddresses: map[string]string{}, SourceIPs: map[string]string{}}
--- a/internal/experiment/gossip.go
+++ b/internal/experiment/gossip.go
@@ -124,7 +124,7 @@
 func (r *gossipSim) merge(i int, rows []member.Member, now time.Time) {
 	p := r.peers[i]
 	before := p.table.Self().Incarnation
-	r.countChanges(i, p.table.Merge(rows, now))
+	r.recordDeaths(i, p.table.Merge(rows, now))
 	if p.table.Self().Incarnation != before {
 		r.refuted = append(r.refuted, i)
 	}
@@ -140,15 +140,19 @@
 	p.sent++
 }
 
-// countChanges records the detections of the killed process and counts false deaths.
-func (r *gossipSim) countChanges(by int, changes []member.Change) {
+// recordDeaths records the processes that one process, the argument by, has newly declared dead.
+// For the killed process, it records the time of the first such declaration by each process. For
+// any other process, it counts a false death, unless that process is paused at the time. If a
+// partition is configured, no false deaths are counted in the whole run, since processes on the two
+// sides of it rightly declare each other dead.
+func (r *gossipSim) recordDeaths(by int, changes []member.Change) {
 	for _, c := range changes {
 		i := r.index[c.Member.Name]
 		if c.Member.State != member.Dead || c.Was == member.Dead {
 			continue
 		}
 		if i == r.killed {
-			if _, old := r.detectedAt[by]; !old {
+			if _, detected := r.detectedAt[by]; !detected {
 				r.detectedAt[by] = r.elapsed
 			}
 		} else if r.cfg.PartitionTime == 0 && r.elapsed >= r.peers[i].pausedUntil {
@@ -178,7 +182,7 @@
 		}
 		p.table.DetectPause(now)
 		probe, changes, ok := p.table.Tick(now, r.rnd.Uint64())
-		r.countChanges(i, changes)
+		r.recordDeaths(i, changes)
 		if ok {
 			r.probe(i, r.index[probe.Target.Name], now)
 		}
@@ -191,7 +195,7 @@
 	p := r.peers[i]
 	name := r.peers[target].table.Self().Name
 	if r.exchange(i, target) {
-		r.countChanges(i, p.table.ProbeAnswered(name, now))
+		r.recordDeaths(i, p.table.ProbeAnswered(name, now))
 		return
 	}
 	for _, relay := range p.table.PickRandom(name, r.rnd.Uint64()) {
@@ -200,7 +204,7 @@
 			return
 		}
 	}
-	r.countChanges(i, p.table.ProbeUnanswered(name, now))
+	r.recordDeaths(i, p.table.ProbeUnanswered(name, now))
 }
 
 // fetch adopts a newer generation from a peer and sends it on to a few other peers.
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -67,10 +67,14 @@
 	return true
 }
 
-// checkEndedLater schedules a check, after EndCheckDelay, whether an endpoint has ended at which an
-// attempt did not come to its end. An earlier check could miss the end: the endpoint may have
-// dropped the answer before it closed its listener, or the gateway may have aborted the attempt
-// before that. One check covers all attempts within the delay.
+// checkEndedLater is called after an attempt at an endpoint remained unfinished. It schedules a
+// check, after EndCheckDelay, whether the endpoint's process has ended. An immediate check could
+// miss that: the endpoint may have dropped the answer before it closed its listener, or the gateway
+// may have aborted the attempt before the endpoint closed its listener. One check covers all
+// attempts within the delay.
+//
+// A healthy pooled connection that has been idle for up to maxIdleRepeatable counts as a sign that the
+// process still runs; only without one is a new connection opened.
 func (g *Gateway) checkEndedLater(e fleet.Endpoint) {
 	if !g.unfinished.beginCheck(e.ID) {
 		return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,9 +63,10 @@
 	// EndCheckDelay is how long after an unframed stream its endpoint must still accept
 	// connections, so that the end of the connection counts as the end of the stream.
 	EndCheckDelay time.Duration
-	// Now returns the time by which the age of the configuration is measured. The clock must count
-	// suspensions of the machine; otherwise a revoked key stays valid for the length of the
-	// suspension. Nil selects clock.Now.
+	// Now returns the time by which the age of the configuration is measured, as well as
+	// quarantines, backoffs, rate limits and retry windows. The clock must count suspensions of the
+	// machine; otherwise a revoked key stays valid for the length of the suspension. Nil selects
+	// clock.Now.
 	Now func() time.Time
 }
 
@@ -186,6 +187,8 @@
 
 // sweep applies the view as ViewChanged does, and removes the state of endpoints that are no longer
 // listed and other state that has expired. It also updates the gauges of backoffs and rate limits.
+// Each part of the state is passed the time of the clock by which its entries were recorded: Now of
+// the Config, which counts suspensions of the machine, or time.Now.
 func (g *Gateway) sweep() {
 	s := g.view.State()
 	g.ViewChanged()
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -218,7 +218,7 @@
 }
 
 // chooseTimeout chooses the timeout of an idle connection. Special rules come first: for a connection
-// that a caller could use after the end of the process, for a planned stop, and for a connection
+// that its caller may believe usable after the end of the process, for a planned stop, and for a connection
 // that has carried no request while the limit is below ReadHeaderTimeout. Otherwise the timeout is
 // the published limit or the advertised timeout, each with a margin, whichever is longer.
 func (t *Tracker) chooseTimeout(i idlePeriod) idleTimeout {
@@ -247,10 +247,11 @@
 	return idleTimeout{cause: Idle, setting: "published idle time", timeout: limit.Idle + margin, version: limit.Version}
 }
 
-// usableAfterExit reports whether a caller could use its connection after the end of the process,
-// because the answer ended in a planned stop and its head advertised too long a timeout. Such a
-// connection is read until the end of the stop: the answer to a request asks its caller to close
-// the connection.
+// usableAfterExit reports whether a caller may believe its connection usable after the process has
+// ended. That is so if the last answer was completed during a planned stop, but its head had
+// advertised a timeout that lasts beyond the end of the stop. Such a connection is read until the
+// end of the stop. If another request arrives by then, its answer asks the caller to close the
+// connection.
 func (t *Tracker) usableAfterExit(i idlePeriod) bool {
 	if t.cfg.GracePeriod <= 0 || t.stopBegan.IsZero() || !i.since.After(t.stopBegan) || i.advertised <= 0 {
 		return false
--- a/internal/load/requests.go
+++ b/internal/load/requests.go
@@ -40,29 +40,33 @@
 	return req, nil
 }
 
-// sendStream requests a stream from the model and checks it; an interrupted stream
-// is resumed at the next entry, after the last event received.
+// sendStream requests a stream from the model and checks it. It makes up to MaxAttempts
+// attempts, each at the next entry, until one is done or wrong; a refusal is retried like
+// an interrupted stream. An attempt resumes the stream after the last event received, or
+// starts afresh if none has been received yet. The result is the outcome of the last
+// attempt: "" if it had none or its request could not be created, wrong if it is done but
+// the number of tokens is not TokensPerAnswer.
 func (r *runner) sendStream(ctx context.Context, j job) wire.Outcome {
 	content := topics[j.index%len(topics)] + j.nonce
 	prompt := "user: " + content + "\n"
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
 		r.cfg.Model, r.cfg.TokensPerAnswer, content)
-	f := &streamChecker{runner: r, prompt: prompt, start: time.Now()}
+	checker := &streamChecker{runner: r, prompt: prompt, start: time.Now()}
 	var o wire.Outcome
 	for attempt := range r.cfg.MaxAttempts {
 		req, err := r.newRequest(ctx, j, attempt, http.MethodPost, "/v1/chat/completions", body)
 		if err != nil {
 			return ""
 		}
-		if f.lastID != "" {
-			req.Header.Set(wire.HeaderResume, f.lastID)
+		if checker.lastID != "" {
+			req.Header.Set(wire.HeaderResume, checker.lastID)
 		}
-		o = f.readAttempt(req)
+		o = checker.readAttempt(req)
 		if o == wire.Done || o == wrong {
 			break
 		}
 	}
-	if o == wire.Done && f.next != r.cfg.TokensPerAnswer {
+	if o == wire.Done && checker.nextToken != r.cfg.TokensPerAnswer {
 		return wrong
 	}
 	return o
@@ -70,12 +74,12 @@
 
 // streamChecker checks one streamed answer over all its attempts.
 type streamChecker struct {
-	runner *runner
-	prompt string
-	start  time.Time
-	next   int    // Index of the token that is expected next.
-	lastID string // ID of the last event.
-	lastAt time.Time
+	runner    *runner
+	prompt    string
+	start     time.Time
+	nextToken int    // Index of the token that is expected next.
+	lastID    string // ID of the last event.
+	lastAt    time.Time
 }
 
 type chunk struct {
@@ -86,8 +90,8 @@
 	} `json:"choices"`
 }
 
-func (f *streamChecker) readAttempt(req *http.Request) wire.Outcome {
-	resp, err := f.runner.client.Do(req)
+func (s *streamChecker) readAttempt(req *http.Request) wire.Outcome {
+	resp, err := s.runner.client.Do(req)
 	if err != nil {
 		return ""
 	}
@@ -116,7 +120,7 @@
 			return wrong // Only [DONE] may follow an outcome.
 		case fr.Event == "outcome":
 			_ = json.Unmarshal(fr.Data, &last) // An invalid outcome counts as none.
-		case !f.checkToken(fr):
+		case !s.checkToken(fr):
 			return wrong
 		}
 	}
@@ -145,25 +149,25 @@
 
 // checkToken reports whether an event is the expected token, with its text and its
 // offset, and records its latency.
-func (f *streamChecker) checkToken(fr wire.Frame) bool {
+func (s *streamChecker) checkToken(fr wire.Frame) bool {
 	var c chunk
 	id, err := wire.ParseEventID(fr.ID)
 	if err != nil || json.Unmarshal(fr.Data, &c) != nil || len(c.Choices) != 1 {
 		return false
 	}
-	if id.Offset != f.next || c.Choices[0].Delta.Content != standin.Token(f.prompt, f.next) {
+	if id.Offset != s.nextToken || c.Choices[0].Delta.Content != standin.Token(s.prompt, s.nextToken) {
 		return false
 	}
 	now := time.Now()
-	f.runner.record(func(res *Result) {
-		if f.next == 0 {
-			_ = res.FirstToken.RecordValue(now.Sub(f.start).Microseconds())
+	s.runner.record(func(res *Result) {
+		if s.nextToken == 0 {
+			_ = res.FirstToken.RecordValue(now.Sub(s.start).Microseconds())
 		} else {
-			_ = res.BetweenTokens.RecordValue(now.Sub(f.lastAt).Microseconds())
+			_ = res.BetweenTokens.RecordValue(now.Sub(s.lastAt).Microseconds())
 		}
 	})
-	f.lastAt, f.lastID = now, fr.ID
-	f.next++
+	s.lastAt, s.lastID = now, fr.ID
+	s.nextToken++
 	return true
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,7 +57,7 @@
 const (
 	updatesPerMessage = 12
 	probeRelays       = 2
-	pushFanout        = 3 // Peers to which a new generation or a planned stop is sent immediately.
+	pushFanout        = 3 // Determines to how many peers a new generation or a planned stop is sent immediately; see pushToPeers.
 	hintCapacity      = 64
 	pushCapacity      = 64
 	forgetAfter       = time.Hour
@@ -268,7 +268,9 @@
 	return n.machine.State() == Stopped
 }
 
-// pushToPeers queues a few random peers for the task push, which exchanges messages with them.
+// pushToPeers queues a few random peers for the task push, which exchanges messages with them. It
+// picks up to probeRelays peers, and as many again pushFanout - probeRelays times: up to four in all.
+// Each time picks from all peers, so that a peer may be queued twice.
 func (n *Node) pushToPeers() {
 	var targets []member.Member
 	duty.Locked(&n.mu, func() {
--- a/internal/rank/ranktest/group.go
+++ b/internal/rank/ranktest/group.go
@@ -177,17 +177,18 @@
 	}
 }
 
-// State returns the map in force, a description of a rank's hold if there is one, and a description
-// of a pass that ran with two different maps if there was one.
-func (g *Group) State() (version uint64, hold, violation string) {
+// Status returns the version of the map in force at rank 0, a description of the pass that a rank is
+// held from beginning, and a description of a pass that ran with two different maps. A description
+// is "" if there is nothing to describe. If several ranks are held, heldPass describes the last one.
+func (g *Group) Status() (version uint64, heldPass, violation string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for r := range g.engines {
 		if g.engines[r].HeldPass != 0 {
-			hold = fmt.Sprintf("rank %d holds %d", r, g.engines[r].HeldPass)
+			heldPass = fmt.Sprintf("rank %d holds %d", r, g.engines[r].HeldPass)
 		}
 	}
-	return g.engines[0].Map, hold, g.violation
+	return g.engines[0].Map, heldPass, g.violation
 }
 
 // MapChanges returns how many maps came into force.
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -122,7 +122,7 @@
 			g := NewWithT(t)
 			engines := ranktest.New(ranktest.Shape{Ranks: ranks, Sets: sets, Experts: experts}, tc.lose)
 			run := startSidecars(t, engines)
-			version := func() uint64 { v, _, _ := engines.State(); return v }
+			version := func() uint64 { v, _, _ := engines.Status(); return v }
 			g.Eventually(version, eventually).Should(BeNumerically(">", 0))
 			first := version()
 			run.stop[0]()
@@ -132,9 +132,9 @@
 				engines.SetHold(r, 0)
 			}
 			engines.SetHold(0, engines.Step()+50)
-			g.Eventually(func() string { _, held, _ := engines.State(); return held }, eventually).Should(BeEmpty())
+			g.Eventually(func() string { _, held, _ := engines.Status(); return held }, eventually).Should(BeEmpty())
 			g.Expect(version()).To(BeNumerically(">=", first))
-			_, _, broken := engines.State()
+			_, _, broken := engines.Status()
 			g.Expect(broken).To(BeEmpty())
 		})
 	}
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -153,9 +153,13 @@
 	return sum
 }
 
-// queryPart sends a query to the ranks of one part through the first of them that answers. A rank that
-// answers queries those after it; a rank that does not is left out. The response is empty if none
-// answers before hopTime remains to the deadline.
+// queryPart sends a query to the ranks of one part through the first of them that answers. That rank
+// passes the query on to the ranks after it. Ranks before it, which did not answer, are left out. The
+// response is empty if no rank answers, or if at most hopTime remains to the deadline of ctx before
+// one does.
+//
+// The called sidecar has until hopTime before the deadline. The call itself may last half a hopTime
+// longer, for the way of the query and of the response; the other half remains to the deadline.
 func (s *Sidecar) queryPart(ctx context.Context, q treeQuery, part []string) (a treeResponse) {
 	for first := range part {
 		deadline, ok := ctx.Deadline()
@@ -165,8 +169,8 @@
 			return treeResponse{}
 		}
 		q.Engines = part[first:]
-		call, cancel := context.WithTimeout(ctx, q.Timeout+hopTime/2)
-		a, err := s.querySidecar(call, q)
+		attemptCtx, cancel := context.WithTimeout(ctx, q.Timeout+hopTime/2)
+		a, err := s.querySidecar(attemptCtx, q)
 		cancel()
 		if err == nil {
 			for i := range a.Ranks {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -167,7 +167,7 @@
 		s.logf("given up by its caller, whose time was over: %s", one)
 	}
 	r.MapSwitches = s.group.MapChanges()
-	if _, _, violation := s.group.State(); violation != "" {
+	if _, _, violation := s.group.Status(); violation != "" {
 		r.Violations = append(r.Violations, violation)
 	}
 	if s.cfg.CheckTiming {
