--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -204,7 +204,7 @@
 	// ID identifies this incarnation only (see IncarnationID), so that state kept under it ends with
 	// the incarnation: a back end that restarts has none of its earlier requests or data.
 	ID              string
-	StartedAt       int64 // Start of the process, Unix ms; 0 when unknown.
+	StartedAt       int64 `json:"Born"` // Start of the process, Unix ms; 0 when unknown.
 	Service         string
 	Address         string // IP:PORT.
 	Domain          string
@@ -212,5 +212,5 @@
 	Leaving         bool          // It will stop soon and gets no new requests.
 	ColdLeft        time.Duration // Remaining time for which it is slow after its start.
 	Revision        uint64        // Store revision of the list entry that this was read from.
-	CreatedRevision uint64        // Store revision at which the entry first appeared.
+	CreatedRevision uint64        `json:"Made"` // Store revision at which the entry first appeared.
 }
