--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -199,7 +199,8 @@
 // Customer returns the owner of an API key, or nil.
 func (c *Config) Customer(key string) *Customer { return c.byKey[key] }
 
-// Endpoint is one incarnation of a back end, as listed by the platform.
+// Endpoint is one incarnation of a back end, as listed by the platform. Gateways send it to each other as
+// JSON; fields whose names differ there have a tag.
 type Endpoint struct {
 	// ID identifies this incarnation only (see IncarnationID), so that state kept under it ends with
 	// the incarnation: a back end that restarts has none of its earlier requests or data.
