--- a/internal/follow/evacuation.go
+++ b/internal/follow/evacuation.go
@@ -40,8 +40,8 @@
 }
 
 // endedIn compares the evacuations with current, the complete list of those in progress at a
-// revision. It returns an order that ends each evacuation which is older than the revision and not
-// in the list.
+// revision. For each evacuation in progress that is older than the revision and not in the list, it
+// returns an order that ends it.
 func (e evacuations) endedIn(current []Evacuation, revision uint64) (over []Evacuation) {
 	inSnapshot := make(map[string]bool, len(current))
 	for _, one := range current {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -306,8 +306,8 @@
 // of one only once.
 const maxLoggedInvalid = 1024
 
-func (f *Follower) logInvalid(bad []InvalidEntry) {
-	for _, b := range bad {
+func (f *Follower) logInvalid(invalid []InvalidEntry) {
+	for _, b := range invalid {
 		if revision, ok := f.loggedInvalid[b.Name]; ok && revision == b.Revision {
 			continue
 		}
--- a/internal/follow/view.go
+++ b/internal/follow/view.go
@@ -93,7 +93,7 @@
 // State returns the newest state.
 func (v *View) State() *State { return v.state.Load() }
 
-// infiniteAge is the age of a view that was never confirmed.
+// infiniteAge is the age of a view that was never confirmed, and of a configuration if none is known.
 const infiniteAge time.Duration = 1 << 62
 
 // Age returns the time since the configuration was last known to be the newest. It returns
--- a/internal/keepalive/conn.go
+++ b/internal/keepalive/conn.go
@@ -52,7 +52,7 @@
 	currentState   atomic.Int32 // The state; written under mu.
 	reading        atomic.Bool  // A read is in progress.
 	backgroundByte atomic.Bool  // The last read was net/http's background read of one byte, and returned it.
-	afterBody      atomic.Bool  // The last read was that background read, which begins after the whole body.
+	afterBody      atomic.Bool  // The last read was that background read, with or without a byte: the body has been read to its end.
 	inputDiscarded atomic.Bool  // Bytes that followed the last read may have been discarded.
 	closeOnce      sync.Once
 
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -141,8 +141,8 @@
 }
 
 // Stop begins the planned stop: answers ask callers to close their connections. Connections of
-// callers that send no further request are kept for as long as the method chooseTimeout says, which
-// applies the fields of Config for a planned stop.
+// callers that send no further request are kept for as long as outside a stop, with two exceptions:
+// some fields of Config apply only in a planned stop, and PropagationDelay no longer counts.
 func (t *Tracker) Stop(now time.Time) {
 	var list []*Conn
 	duty.Locked(&t.mu, func() {
@@ -217,10 +217,11 @@
 	version uint64        // Version of the configuration, if a published limit determined the timeout.
 }
 
-// chooseTimeout chooses the timeout of an idle connection. Special rules come first: for a connection
-// that its caller may believe usable after the end of the process, for a planned stop, and for a connection
-// that has carried no request while the limit is below ReadHeaderTimeout. Otherwise the timeout is
-// the published limit or the advertised timeout, each with a margin, whichever is longer.
+// chooseTimeout chooses the timeout of an idle connection. Special rules come first: for a
+// connection that its caller may believe usable after the end of the process, for a planned stop,
+// and for a connection that has carried no request while the limit is below ReadHeaderTimeout.
+// Otherwise the timeout is the published limit or the advertised timeout, each with a margin,
+// whichever is longer.
 func (t *Tracker) chooseTimeout(i idlePeriod) idleTimeout {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/sidecar/calls.go
+++ b/internal/sidecar/calls.go
@@ -65,8 +65,8 @@
 	httpjson.Reply(w, s.armLeader(r.Context(), o.Engine, o.Order))
 }
 
-// executeWithMap sends an order to this sidecar's engine, with the decoded map if it is a Prepare. If
-// the map cannot be decoded, nothing is sent and the result is Lost.
+// executeWithMap sends an order to this sidecar's engine, with the decoded map if it is a Prepare.
+// If the map cannot be decoded, nothing is sent and the result is Lost.
 func (s *Sidecar) executeWithMap(ctx context.Context, o rank.Order, encoded *encodedMap) (done rankResponse) {
 	if o.Op == rank.Prepare && encoded != nil {
 		m, err := s.maps.decode(*encoded)
@@ -84,11 +84,11 @@
 // orderRetryWindow: that is harmless, whereas waiting for the answer would stall the group.
 func (s *Sidecar) executeOrder(ctx context.Context, o rank.Order) (a orderResponse) {
 	for began := time.Now(); ; {
-		tried := time.Now()
+		attemptBegan := time.Now()
 		if a = s.tryOrder(ctx, o); a.Result != rank.Lost || ctx.Err() != nil || time.Since(began) >= orderRetryWindow {
 			return a
 		}
-		wait.For(ctx, minOrderTimeout-time.Since(tried)) // The port of an engine that has exited refuses connections immediately.
+		wait.For(ctx, minOrderTimeout-time.Since(attemptBegan)) // The port of an engine that has exited refuses connections immediately.
 	}
 }
 
--- a/internal/sidecar/change.go
+++ b/internal/sidecar/change.go
@@ -73,12 +73,12 @@
 	minPassTimeWeight = 0.05
 )
 
-// passTimeWeight returns the current value of a shorter pass as a fraction of its full value. It rises
-// from 0 to 1 between lowPassRatio and highPassRatio. While passes are short, the weight is
-// proportional to the slots in use, up to minPassTimeWeight: in a fleet whose groups have little
-// load, copies would cost more than the requests served are worth. With 3,000 endpoints under the
-// load of 300, copies and all other costs take 0.314 of the value served, instead of 0.499. Without
-// a pause limit, the weight is 1.
+// passTimeWeight returns the current value of a shorter pass as a fraction of its full value. While
+// passes are short, this is proportional to the slots in use, up to minPassTimeWeight: in a fleet
+// whose groups have little load, copies would cost more than the requests served are worth. With
+// 3,000 endpoints under the load of 300, copies and all other costs take 0.314 of the value served,
+// instead of 0.499. For passes longer than lowPassRatio of the pause limit, the weight rises to 1 at
+// highPassRatio. Without a pause limit, it is 1.
 func (l *leader) passTimeWeight() float64 {
 	if l.pauseLimit <= 0 {
 		return 1
@@ -210,7 +210,7 @@
 	p.pending = &pending{plan: plan, version: version, startedAt: now, copiesDueAt: now.Add(l.copyTime(plan.MaxPerRank)), shiftsSeen: p.tracker.Shifts(), speeds: l.speeds()}
 	m.StartPreparing(version, layout)
 	l.encodeMaps(layout)
-	l.sendUntilSettled(ctx, maxPrepareTries*l.orderDeadline(&l.fullMap, len(l.byRank)-1))
+	l.sendUntilSettled(ctx, maxPrepareAttempts*l.orderDeadline(&l.fullMap, len(l.byRank)-1))
 	l.countsPolledAt = time.Now() // Delays the next counts: polls check for the copies first.
 	if m.Phase == cutover.Preparing {
 		l.abandon("no answer to orders")
--- a/internal/sidecar/leader.go
+++ b/internal/sidecar/leader.go
@@ -116,8 +116,8 @@
 	return minPollInterval + l.callsPerPoll()*pollIntervalPerCall
 }
 
-// callsPerPoll returns how many calls this sidecar makes for a poll. The number is a Duration only so
-// that it can be multiplied by one.
+// callsPerPoll returns how many calls this sidecar makes for a poll. It returns a Duration only
+// because the callers multiply the number by the time that each call adds.
 func (l *leader) callsPerPoll() time.Duration {
 	others := max(len(l.byRank)-1, 0)
 	return time.Duration(min(others, fanoutFor(others)))
@@ -145,9 +145,10 @@
 	return now.Sub(l.switchedAt) < settlePollPeriod && l.machine != nil && l.machine.Phase == cutover.Settling
 }
 
-// poll runs one round of leading if this sidecar is to lead, and resigns otherwise. If engines do not
-// check fences, it does nothing. The round ends early if the published list lacks this endpoint, a
-// rank other than the former leader does not answer, or a lower rank has started leading.
+// poll runs one round of leading if this sidecar is to lead, and resigns otherwise. If engines do
+// not check fences, it does nothing. The round ends early if the published list lacks this endpoint
+// or has not been read yet, if a rank other than the former leader does not answer, or if another
+// rank is to lead by the end of the poll.
 func (l *leader) poll(ctx context.Context) {
 	own, ok := l.s.Report()
 	if !l.s.cfg.Fences {
@@ -240,7 +241,7 @@
 func (l *leader) driveCutover(ctx context.Context, own rank.Report) {
 	if l.machine != nil && anyRestarted(l.rankStartTimes, l.startTimes()) {
 		l.resign("a rank has restarted")
-		return // The next poll asks all ranks again.
+		return // The next poll covers all ranks again.
 	}
 	if l.machine == nil || l.machine.AbsentRank() != l.absent {
 		l.fence = max(l.fence+1, uint64(time.Now().UnixMilli())*fencesPerMilli)
@@ -275,9 +276,9 @@
 const (
 	// recoveryTimeout bounds one round of recovery; the next poll continues it.
 	recoveryTimeout = 400 * time.Millisecond
-	// maxPrepareTries is how often the orders to copy experts are sent at most. In a few cases all
-	// orders of one try are lost.
-	maxPrepareTries = 2
+	// maxPrepareAttempts is how often the orders to copy experts are sent at most. In a few cases
+	// all orders of one attempt are lost.
+	maxPrepareAttempts = 2
 	// copyGracePeriod is how much longer than twice the expected time copying may take: as long as
 	// the polls that detect its end may take.
 	copyGracePeriod = 2 * sidecarTimeout
--- a/internal/sidecar/leadership.go
+++ b/internal/sidecar/leadership.go
@@ -22,8 +22,8 @@
 	// sendsLoadsPeriod is how long after sending the loads of all ranks a leader announces that it
 	// sends them. A poll of a group with a silent rank takes half of it.
 	sendsLoadsPeriod = 600 * time.Millisecond
-	// leadStagger is how much longer each rank waits than the rank below it before it takes over, so
-	// that they do not do so at the same time.
+	// leadStagger is how much longer each rank waits than the next lower one before it takes over,
+	// so that they do not do so at the same time.
 	leadStagger = 120 * time.Millisecond
 )
 
@@ -61,9 +61,10 @@
 
 // shouldLead reports whether this sidecar is to lead. A sidecar that leads continues until a lower
 // rank announces itself. Any other sidecar does not begin while a lower rank, or a rank that has
-// started leading, announces itself. It first waits for leadTimeout after the last announcement of a
-// rank that had started leading or, unless it is the lowest rank, after the group opened. Then it
-// waits leadStagger for each lower rank.
+// started leading, announces itself. It waits until the group has opened and leadTimeout has passed
+// since the last announcement of a rank that had started leading; unless it is the lowest rank,
+// leadTimeout must have passed since the group opened, too. Then it waits leadStagger for each lower
+// rank.
 func (l *leader) shouldLead(own rank.Report) bool {
 	var lead leadership
 	duty.Locked(&l.s.mu, func() { lead = l.s.lead })
--- a/internal/sidecar/orders.go
+++ b/internal/sidecar/orders.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// partitionOrders returns the ranks that get the same order through the tree, and the ranks that get
-// their order individually: this rank, the holder, and ranks whose order differs from the first
-// shared one. Ranks without an order are in neither list.
+// partitionOrders returns the ranks that get the same order through the tree, and the ranks that
+// get their order individually: this rank, a rank whose order sets or releases the hold, and ranks
+// whose order differs from the first shared one. Ranks without an order are in neither list.
 func (l *leader) partitionOrders(orders []rank.Order) (shared, single []int) {
 	for r, o := range orders {
 		switch {
@@ -121,10 +121,10 @@
 // encoded map if it is not nil.
 func (l *leader) orderDeadline(encoded *encodedMap, ranks int) time.Duration {
 	limit := orderRetryWindow + maxOrderTimeout + sidecarTimeout
-	fan := fanoutFor(ranks)
-	hops := time.Duration(depth(ranks, fan))
+	fanout := fanoutFor(ranks)
+	hops := time.Duration(depth(ranks, fanout))
 	if encoded != nil && l.s.cfg.LinkRate > 0 {
-		sent := float64(min(fan, ranks)*len(encoded.Data)) / l.s.cfg.LinkRate
+		sent := float64(min(fanout, ranks)*len(encoded.Data)) / l.s.cfg.LinkRate
 		limit += hops * time.Duration(sent*float64(time.Second))
 	}
 	return limit + hops*hopTime
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -194,9 +194,9 @@
 	return false
 }
 
-// containPanic calls ask, which queries or orders other ranks, and recovers from a panic in it. The
+// containPanic calls do, which queries or orders other ranks, and recovers from a panic in it. The
 // answer is then missing, and the rank is queried again later.
-func (s *Sidecar) containPanic(ask func()) { duty.RunRecovered("ask", s.log, s.reg, ask) }
+func (s *Sidecar) containPanic(do func()) { duty.RunRecovered("ask", s.log, s.reg, do) }
 
 // receive handles a message. A message that causes a panic is dropped.
 func (s *Sidecar) receive(from netip.AddrPort, m peers.Message) {
--- a/internal/sidecar/subscribers.go
+++ b/internal/sidecar/subscribers.go
@@ -38,7 +38,7 @@
 type subscribers struct {
 	domain   string
 	list     []subscriber // Invariant: ordered by domain, then by address.
-	rotation int          // Increases with each message sent; selects the relay of each domain.
+	rotation int          // Increases with each call of eachDomain; selects the relay of each domain.
 }
 
 func newSubscribers(domain string) subscribers { return subscribers{domain: domain} }
@@ -96,8 +96,8 @@
 	return direct, relays
 }
 
-// nextRelays returns one gateway of each failure domain, which forwards what it receives. The next
-// call returns the next gateway of each.
+// nextRelays returns one gateway of each failure domain, which forwards what it receives. Relays
+// change with each call.
 func (s *subscribers) nextRelays(now time.Time) (list []netip.AddrPort) {
 	s.eachDomain(now, func(_ string, members []subscriber) {
 		list = append(list, members[s.rotation%len(members)].address)
--- a/internal/sidecar/tree.go
+++ b/internal/sidecar/tree.go
@@ -26,17 +26,17 @@
 // Responses are encoded in CBOR and carry the counts of experts as sums: the counts are most of the
 // bytes, and the links of sidecars are narrow.
 const (
-	// heavyFanout is the number of sidecars that one sidecar calls if each answer, or the query,
+	// heavyFanout is the number of sidecars that one sidecar calls if each response, or the query,
 	// takes some kilobytes: with more, the link of the caller is the bottleneck; with fewer, the
 	// tree is deep.
 	heavyFanout = 4
-	// lightFanout is that number if the answers and the query take some bytes per rank: a call costs
-	// about 0.2 ms of a core, and a level of the tree costs a round trip.
+	// lightFanout is that number if the responses and the query take some bytes per rank: a call
+	// costs about 0.2 ms of a core, and a level of the tree costs a round trip.
 	lightFanout = 8
 	// flatFanout is the size of groups up to which the leader calls all others itself: as many
 	// calls as two levels of heavyFanout would take.
 	flatFanout = heavyFanout + heavyFanout*heavyFanout
-	// hopTime is what one level of the tree adds to the time that an answer may take: a round trip
+	// hopTime is what one level of the tree adds to the time that a response may take: a round trip
 	// between failure domains, plus delays from a small CPU share.
 	hopTime  = 40 * time.Millisecond
 	pathTree = "/v1/tree"
@@ -47,7 +47,7 @@
 	_       struct{}      `cbor:",toarray"`
 	Engines []string      // Engines whose sidecars are queried; the receiver's own engine is the first.
 	Fanout  int           // Maximum number of sidecars that one sidecar calls.
-	Timeout time.Duration // Time within which the answer must arrive.
+	Timeout time.Duration // Time within which the response must arrive.
 	Group   string        // Group whose counts are requested; "" for none.
 	Order   *rank.Order   // Order for each rank, without its map; nil to request reports only.
 	Map     *encodedMap   // Map of a Prepare order.
@@ -153,13 +153,14 @@
 	return sum
 }
 
-// queryPart sends a query to the ranks of one part through the first of them that answers. That rank
-// passes the query on to the ranks after it. Ranks before it, which did not answer, are left out. The
-// response is empty if no rank answers, or if at most hopTime remains to the deadline of ctx before
-// one does.
+// queryPart sends a query to the ranks of one part through the first of them that answers. That
+// rank passes the query on to the ranks after it. Ranks before it, which did not answer, are left
+// out. The response is empty if no rank answers, or if at most hopTime remains to the deadline of
+// ctx before one does.
 //
-// The called sidecar has until hopTime before the deadline. The call itself may last half a hopTime
-// longer, for the way of the query and of the response; the other half remains to the deadline.
+// The called sidecar has the remaining time to the deadline, less hopTime. The call itself may last
+// half a hopTime longer, for the time in which the query and the response are in transit. The other
+// half is left before the deadline.
 func (s *Sidecar) queryPart(ctx context.Context, q treeQuery, part []string) (a treeResponse) {
 	for first := range part {
 		deadline, ok := ctx.Deadline()
@@ -184,8 +185,8 @@
 }
 
 // answerForSelf answers a query for this rank: it executes the query's order, or reads the engine's
-// report if there is none. The response has no rank if the engine does not answer, and counts only if
-// they were requested for this group and belong to its epoch.
+// report if there is none. If it cannot read the report, the response has no rank. The response has
+// counts only if they were requested for this group and belong to its epoch.
 func (s *Sidecar) answerForSelf(ctx context.Context, q treeQuery) (a treeResponse) {
 	if q.Order != nil {
 		a.Ranks = []rankResponse{s.executeWithMap(ctx, *q.Order, q.Map)}
@@ -234,10 +235,10 @@
 }
 
 // depth returns how many levels a tree with the given number of ranks below its root has.
-func depth(ranks, fan int) (hops int) {
+func depth(ranks, fanout int) (hops int) {
 	for ranks > 0 {
 		hops++
-		ranks = (ranks+fan-1)/fan - 1
+		ranks = (ranks+fanout-1)/fanout - 1
 	}
 	return hops
 }
--- a/internal/sidecar/tree_test.go
+++ b/internal/sidecar/tree_test.go
@@ -73,10 +73,10 @@
 	return list
 }
 
-func (t *fakeTree) ask(fan int, order *rank.Order) treeResponse {
+func (t *fakeTree) query(fanout int, order *rank.Order) treeResponse {
 	ctx, cancel := context.WithTimeout(context.Background(), eventually)
 	defer cancel()
-	return t.sidecars[0].queryTree(ctx, treeQuery{Engines: engineAddresses(len(t.sidecars)), Fanout: fan, Timeout: eventually, Group: "g", Order: order})
+	return t.sidecars[0].queryTree(ctx, treeQuery{Engines: engineAddresses(len(t.sidecars)), Fanout: fanout, Timeout: eventually, Group: "g", Order: order})
 }
 
 func TestTreeQueryReachesEachRankOnce(t *testing.T) {
@@ -85,7 +85,7 @@
 			t.Run(fmt.Sprintf("%d ranks by %d", ranks, fan), func(t *testing.T) {
 				g := NewWithT(t)
 				all := newFakeTree(ranks)
-				a := all.ask(fan, nil)
+				a := all.query(fan, nil)
 				g.Expect(a.Ranks).To(HaveLen(ranks))
 				for _, r := range a.Ranks {
 					g.Expect(r.Report.Rank).To(Equal(r.Index))
@@ -122,7 +122,7 @@
 	const ranks = 129
 	dead := []int{1, 2, 33, 34, 65, 97, 128}
 	all := newFakeTree(ranks, dead...)
-	a := all.ask(heavyFanout, nil)
+	a := all.query(heavyFanout, nil)
 	answered := map[int]bool{}
 	for _, r := range a.Ranks {
 		g.Expect(r.Report.Rank).To(Equal(r.Index))
@@ -137,7 +137,7 @@
 
 func TestOrderIsSentDownTheTree(t *testing.T) {
 	g := NewWithT(t)
-	a := newFakeTree(129, 5).ask(lightFanout, &rank.Order{Op: rank.Arm, Version: 3, Step: 9})
+	a := newFakeTree(129, 5).query(lightFanout, &rank.Order{Op: rank.Arm, Version: 3, Step: 9})
 	g.Expect(a.Ranks).To(HaveLen(128))
 	for _, r := range a.Ranks {
 		g.Expect(r.Result).To(Equal(rank.Done))
@@ -153,7 +153,7 @@
 	all.sidecars[5].engine.Report = func(context.Context) (rank.Report, error) {
 		return rank.Report{Group: "other", Epoch: 1}, nil
 	}
-	a := all.ask(flatFanout, nil)
+	a := all.query(flatFanout, nil)
 	g.Expect(a.Ranks).To(HaveLen(12))
 	g.Expect(a.SummedRanks).To(Equal(9))
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -109,7 +109,8 @@
 // Conn returns the connection.
 func (x *Exchange) Conn() *Conn { return x.conn }
 
-// maxForeignAnswers is how many answers are skipped: interim ones and those to earlier requests.
+// maxForeignAnswers is how many answers are skipped at most: interim ones and those to earlier
+// requests.
 const maxForeignAnswers = 2
 
 // maxForeignBody limits the bytes that are read of the body of each skipped answer.
@@ -120,7 +121,8 @@
 
 // Head reads the head of the answer. It skips interim answers (1xx), and reads and discards answers
 // for which isOurs returns false. It returns an error for more than maxForeignAnswers of both
-// together, and for a foreign answer that does not indicate its end or is longer than maxForeignBody.
+// together, and for a foreign answer that does not indicate its end or whose body is longer than
+// maxForeignBody.
 func (x *Exchange) Head(r *Request, isOurs func(status int, h http.Header) bool) (resp *http.Response, err error) {
 	defer func() { err = errors.Wrap(err, "answer's head") }()
 	for range maxForeignAnswers + 1 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -136,7 +136,8 @@
 
 // Put returns a connection to the pool. The connection must have carried nothing since Get, or its
 // answer must have been read to its end. Put closes a connection if bytes after the answer are
-// buffered. If the endpoint has maxIdlePerEndpoint idle connections, it closes the least recently used one.
+// buffered. If the endpoint already has maxIdlePerEndpoint idle connections, it closes the least
+// recently used of them.
 func (p *Pool) Put(c *Conn) {
 	if c.br.Buffered() > 0 {
 		c.Close() // The buffered bytes belong to no request.
--- a/internal/upstream/unacked.go
+++ b/internal/upstream/unacked.go
@@ -99,8 +99,8 @@
 }
 
 // begin raises the socket's limit to the deadline of a request that is written from now on, and
-// starts the monitor that takes its place. If the send state cannot be read, the limit stays. Each
-// begin needs an end.
+// starts the monitor, which detects a lost peer instead of the socket. If the send state cannot be
+// read, the limit stays. Each begin needs an end.
 func (l *longWriteGuard) begin(deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
