--- a/internal/agent/mapper.go
+++ b/internal/agent/mapper.go
@@ -303,12 +303,12 @@
 }
 
 // mayForwardOrders reports whether orders may be sent to the engine. An engine that does not
-// check fences receives orders only while this process holds the lease on its slot.
+// check fences receives orders only while this process holds the lease on its endpoint.
 func (a *Agent) mayForwardOrders(now time.Time) bool {
 	return a.node.Settings().EngineChecksFences || a.node.HoldsLease(now)
 }
 
-// errNoLease is returned for an order when this process does not hold the lease on its slot.
+// errNoLease is returned for an order when this process does not hold the lease on its endpoint.
 var errNoLease = errors.New("no lease on the slot: the engine checks no fences")
 
 // forwardOrder forwards an order to the engine unless its ballot is below one forwarded before.
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -382,9 +382,9 @@
 		return
 	case err != nil:
 		j.applyFinal(eventBreak)
-		doubt := wire.RefuseUnknown(http.StatusBadGateway, "service gave no whole answer")
-		doubt.Ended = a.detectEnd()
-		a.refuse(w, doubt)
+		refusal := wire.RefuseUnknown(http.StatusBadGateway, "service gave no whole answer")
+		refusal.Ended = a.detectEnd()
+		a.refuse(w, refusal)
 		return
 	}
 	a.recordBackoff(reply.Backoff)
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -40,9 +40,9 @@
 		return true
 	case err != nil:
 		j.applyFinal(eventBreak)
-		doubt := wire.RefuseUnknown(http.StatusBadGateway, "engine gave no answer")
-		doubt.Ended = a.detectEnd()
-		a.refuse(w, doubt)
+		refusal := wire.RefuseUnknown(http.StatusBadGateway, "engine gave no answer")
+		refusal.Ended = a.detectEnd()
+		a.refuse(w, refusal)
 		return true
 	}
 	defer func() { _ = in.Close() }()
