--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -46,8 +46,8 @@
 	return h
 }
 
-// composeMessage returns the next message to the peer with a name, which is "" when it is not known. It
-// marks the process ends in the message as sent.
+// composeMessage returns the next message to the peer with the given name, "" if the name is not known.
+// It marks the process ends in the message as sent.
 func (n *Node) composeMessage(name string) message {
 	ends := n.suspects.NextToSend(clock.Now())
 	n.mu.Lock()
@@ -118,12 +118,12 @@
 }
 
 // Lease returns how long after its last contact with a peer a process may still act as the holder of
-// its slot. A process that starts waits for the same time.
+// its endpoint. A process that starts waits for the same time.
 func (n *Node) Lease() time.Duration { return 3 * n.cfg.GossipInterval }
 
-// HoldsLease reports whether the process may give orders for its slot: it has exchanged messages with a
-// peer, or had no peer to contact, within the lease, it is not superseded, and the lease of an earlier
-// process in its slot has expired.
+// HoldsLease reports whether the process may give orders for its endpoint: it has exchanged messages
+// with a peer, or had no peer to contact, within the lease, it is not superseded, and the lease of an
+// earlier process of its endpoint has expired.
 func (n *Node) HoldsLease(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -99,7 +99,7 @@
 	machine        *chart.Machine
 	lastConflict   published.Version // Manifest of the newest conflict on the audit trail.
 	lastContact    time.Time         // When messages were last exchanged with a peer, or no peer was known.
-	superseded     bool              // A later process has the same name or slot.
+	superseded     bool              // A later process has the same name or endpoint.
 
 	byEndpoint        map[string]member.Member // Result of ByEndpoint for the view byEndpointVersion.
 	byEndpointVersion uint64
@@ -194,9 +194,9 @@
 	return n.table.Members(keep)
 }
 
-// ByEndpoint returns the members that hold slots and are not dead, by slot, which is the name of an
-// endpoint. If two members claim a slot, the process that started later holds it. The map is cached
-// until a member changes; it is shared and must not be modified.
+// ByEndpoint returns the members that hold endpoints and are not dead, by the name of the endpoint. If
+// two members claim an endpoint, the process that started later holds it. The map is cached until a
+// member changes; it is shared and must not be modified.
 func (n *Node) ByEndpoint() map[string]member.Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
