--- a/internal/daemon/body.go
+++ b/internal/daemon/body.go
@@ -13,7 +13,7 @@
 func limitBodyTime(h http.Handler, limit time.Duration) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Body != http.NoBody {
-			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(limit)) // Fails only if the connection is closed.
+			_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(limit)) // Fails only if the connection is closed, which needs no limit.
 		}
 		h.ServeHTTP(w, r)
 	})
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -78,12 +78,12 @@
 		d.entry = entry.New(d.node)
 		return d.entry.PeerHandler()
 	}
-	kept := &http.Client{Transport: adapter.NewTransport(d.set.SourceIP)}
-	single := &http.Client{Transport: adapter.NewSingleUseTransport(d.set.SourceIP)}
+	pooled := &http.Client{Transport: adapter.NewTransport(d.set.SourceIP)}
+	singleUse := &http.Client{Transport: adapter.NewSingleUseTransport(d.set.SourceIP)}
 	if d.set.EngineURL != "" {
-		d.agent = agent.New(d.node, adapter.NewEngine(d.set.EngineURL, kept), nil)
+		d.agent = agent.New(d.node, adapter.NewEngine(d.set.EngineURL, pooled), nil)
 	} else {
-		d.agent = agent.New(d.node, nil, adapter.NewService(d.set.ServiceURL, kept, single))
+		d.agent = agent.New(d.node, nil, adapter.NewService(d.set.ServiceURL, pooled, singleUse))
 	}
 	return d.agent.Handler()
 }
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -112,7 +112,7 @@
 )
 
 // httpServer returns a server for other processes. The server's own messages, such as one about a
-// second head that a handler wrote, go to the process's log: they are the only sign of a fault in a
+// second head that a handler wrote, go to the process's log: they are the only sign of a bug in a
 // handler. Disconnecting callers cause no such messages.
 func (p *fleetProcess) httpServer(h http.Handler) *http.Server {
 	return &http.Server{
@@ -295,8 +295,9 @@
 	}
 }
 
-// reload reads the settings again and applies none of them: they take effect at the next start. It logs
-// an error in them, or whether the store's address differs.
+// reload reads the settings again but applies none of them: addresses cannot change while the process
+// runs, and the other settings also take effect only at the next start. It logs an error in them, or
+// whether the store's address differs.
 func (p *fleetProcess) reload() {
 	next, err := settings.LoadFleet(p.settingsFile)
 	if err != nil {
--- a/internal/daemon/gateway.go
+++ b/internal/daemon/gateway.go
@@ -180,7 +180,8 @@
 
 // drain waits for the signal to stop and then, in this order, until:
 //   - stopAcceptTime has passed, so that new connections may still arrive;
-//   - no request and no connection is left, or only closedTime remains; then it closes the listeners;
+//   - no request and no connection is left, or the stop has only closedTime left; then it closes the
+//     listeners, so that no new connections are accepted;
 //   - callers is drained: callers may have connected since the last check.
 //
 // In any case it returns when ctx ends, and stopMargin before the end of the grace period.
