--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -43,12 +43,12 @@
 	} else {
 		demo.Print(v.app.out, reports)
 	}
-	var broken []string
+	var violations []string
 	for _, r := range reports {
-		broken = append(broken, r.Violations()...)
+		violations = append(violations, r.Violations()...)
 	}
-	if len(broken) > 0 {
-		return markFailed(errors.Newf("promises broken:\n  %s", strings.Join(broken, "\n  ")))
+	if len(violations) > 0 {
+		return markFailed(errors.Newf("promises broken:\n  %s", strings.Join(violations, "\n  ")))
 	}
 	fmt.Fprintln(events, "every promise held")
 	return nil
--- a/internal/cli/plays.go
+++ b/internal/cli/plays.go
@@ -69,7 +69,7 @@
 // number of plays with a problem for which the command fails.
 func (v *playsCommand) print(list []*plays.Play) (failing int) {
 	out := v.app.out
-	ends, probes := plays.Outcomes{}, plays.Outcomes{}
+	totals, probes := plays.Outcomes{}, plays.Outcomes{}
 	reported := 0
 	for _, p := range list {
 		outcomes, ok := p.Outcomes()
@@ -77,11 +77,11 @@
 			continue
 		}
 		reported++
-		ends.Add(outcomes)
+		totals.Add(outcomes)
 		probes.Add(p.Probes())
 		fmt.Fprintf(out, "%s: %s: %s\n", p.Location(), p.Day(), outcomes)
 	}
-	fmt.Fprintf(out, "\n%d plays, %d tell how tries ended: %s\nprobes of the configuration: %s\n", len(list), reported, ends, probes)
+	fmt.Fprintf(out, "\n%d plays, %d tell how tries ended: %s\nprobes of the configuration: %s\n", len(list), reported, totals, probes)
 	for _, p := range list {
 		summary, fails := findings(p)
 		if summary != "" {
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -48,7 +48,7 @@
 	// An interrupted run ends the processes that it started.
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	defer stop()
-	broken := 0
+	violations := 0
 	for i := range v.Runs {
 		cfg := soak.DefaultConfig(v.Seed + uint64(i))
 		cfg.Daemon, cfg.Dir, cfg.Length, cfg.Log = daemon, v.Dir, time.Duration(v.Seconds*float64(time.Second)), v.app.out
@@ -65,10 +65,10 @@
 		for _, b := range r.Violations {
 			fmt.Fprintln(v.app.out, "  broken:", b)
 		}
-		broken += len(r.Violations)
+		violations += len(r.Violations)
 	}
-	if broken > 0 {
-		return markFailed(errors.Newf("%d promises broken", broken))
+	if violations > 0 {
+		return markFailed(errors.Newf("%d promises broken", violations))
 	}
 	return nil
 }
