--- a/internal/published/build.go
+++ b/internal/published/build.go
@@ -8,7 +8,7 @@
 	"github.com/canvaspulley/canvaspulley/internal/inifile"
 )
 
-// New parses and checks one generation. The error lists all faults.
+// New parses and checks one generation. The error lists all problems.
 func New(v Version, values map[string][]byte) (c *Config, err error) {
 	return Next(nil, v, values)
 }
@@ -24,16 +24,16 @@
 		endpoints: map[string]*Service{},
 		parsed:    make(map[string]*parsed, len(values)),
 	}
-	var faults inifile.Problems
+	var problems inifile.Problems
 	for _, key := range sortedKeys(values) {
 		p := reuse(old, key, values[key])
 		c.parsed[key] = p
-		faults = append(faults, p.faults...)
-		faults = append(faults, c.add(key, p)...)
+		problems = append(problems, p.problems...)
+		problems = append(problems, c.add(key, p)...)
 	}
 	sort.Slice(c.services, func(i, j int) bool { return c.services[i].Name < c.services[j].Name })
-	faults = append(faults, c.crossCheck()...)
-	return c, faults.Err()
+	problems = append(problems, c.crossCheck()...)
+	return c, problems.Err()
 }
 
 func sortedKeys(values map[string][]byte) []string {
@@ -57,9 +57,9 @@
 }
 
 // add adds one parsed value to c and returns its conflicts with values added before.
-func (c *Config) add(key string, p *parsed) (faults inifile.Problems) {
+func (c *Config) add(key string, p *parsed) (problems inifile.Problems) {
 	addFault := func(section, item, text string) {
-		faults = append(faults, inifile.Problem{File: key, Section: section, Key: item, Text: text})
+		problems = append(problems, inifile.Problem{File: key, Section: section, Key: item, Text: text})
 	}
 	switch {
 	case p.customer != nil:
@@ -83,25 +83,25 @@
 	case p.maxEntries > 0:
 		c.maxEntries = p.maxEntries
 	}
-	return faults
+	return problems
 }
 
-// crossCheck checks references and paths across all values and returns the faults.
-func (c *Config) crossCheck() (faults inifile.Problems) {
+// crossCheck checks references and paths across all values and returns the problems.
+func (c *Config) crossCheck() (problems inifile.Problems) {
 	known := map[string]bool{}
 	paths := map[string]string{}
 	for _, s := range c.services {
 		known[s.Name] = true
 		known[s.Model] = true
 		if _, ok := c.policies[s.Policy]; !ok && s.Policy != "" {
-			faults = append(faults, inifile.Problem{File: kindGroup + "/" + s.Name + ".ini", Section: kindGroup, Key: "policy",
+			problems = append(problems, inifile.Problem{File: kindGroup + "/" + s.Name + ".ini", Section: kindGroup, Key: "policy",
 				Text: "no policy " + s.Policy + " is published"})
 		}
 		if s.Path == "" {
 			continue
 		}
 		if other, dup := paths[s.Path]; dup {
-			faults = append(faults, inifile.Problem{File: kindService + "/" + s.Name + ".ini",
+			problems = append(problems, inifile.Problem{File: kindService + "/" + s.Name + ".ini",
 				Text: "has the same path as " + other})
 		}
 		paths[s.Path] = s.Name
@@ -109,15 +109,15 @@
 	for _, cust := range c.Customers() {
 		file := kindCustomer + "/" + cust.Name + ".ini"
 		if _, ok := c.policies[cust.Policy]; !ok && cust.Policy != "" {
-			faults = append(faults, inifile.Problem{File: file, Section: kindCustomer, Key: "policy",
+			problems = append(problems, inifile.Problem{File: file, Section: kindCustomer, Key: "policy",
 				Text: "no policy " + cust.Policy + " is published"})
 		}
 		for _, name := range cust.Services {
 			if !known[name] {
-				faults = append(faults, inifile.Problem{File: file, Section: kindCustomer, Key: "services",
+				problems = append(problems, inifile.Problem{File: file, Section: kindCustomer, Key: "services",
 					Text: "no model or service " + name + " is published"})
 			}
 		}
 	}
-	return faults
+	return problems
 }
--- a/internal/published/parse.go
+++ b/internal/published/parse.go
@@ -21,27 +21,27 @@
 	policy     *Policy
 	service    *Service
 	maxEntries int
-	faults     inifile.Problems
+	problems   inifile.Problems
 }
 
-// parse parses one value and collects all its faults.
+// parse parses one value and collects all its problems.
 func parse(key, hash string, value []byte) *parsed {
 	p := &parsed{hash: hash}
 	f, err := inifile.Parse(key, value)
 	if err != nil {
-		p.faults = inifile.AsProblems(key, err)
+		p.problems = inifile.AsProblems(key, err)
 		return p
 	}
 	kind, name, ok := strings.Cut(strings.TrimSuffix(key, ".ini"), "/")
 	if !ok || name == "" {
-		p.faults = inifile.Problems{{File: key, Text: "a key is KIND/NAME.ini"}}
+		p.problems = inifile.Problems{{File: key, Text: "a key is KIND/NAME.ini"}}
 		return p
 	}
 	if len(value) > MaxValueBytes {
 		f.AddProblem("", "", "larger than %d bytes", MaxValueBytes)
 	}
 	p.read(kind, name, f)
-	p.faults = f.Problems()
+	p.problems = f.Problems()
 	return p
 }
 
@@ -121,11 +121,11 @@
 		}
 	}
 	for _, section := range f.Sections() {
-		slot, ok := strings.CutPrefix(section, "endpoint ")
+		endpoint, ok := strings.CutPrefix(section, "endpoint ")
 		if !ok {
 			continue
 		}
-		readEndpoint(s, strings.TrimSpace(slot), section, f)
+		readEndpoint(s, strings.TrimSpace(endpoint), section, f)
 	}
 	if len(s.Endpoints) == 0 {
 		f.AddProblem(kind, "", "has no [endpoint NAME] section")
@@ -145,9 +145,9 @@
 	p.service = s
 }
 
-func readEndpoint(s *Service, slot, section string, f *inifile.File) {
+func readEndpoint(s *Service, name, section string, f *inifile.File) {
 	e := Endpoint{
-		Name:   slot,
+		Name:   name,
 		Domain: f.Required(section, "domain"),
 		Rank:   f.Int(section, "rank", 0, 0, 1<<16),
 	}
