--- a/internal/gateway/asks.go
+++ b/internal/gateway/asks.go
@@ -93,14 +93,14 @@
 // off or at its rate limit.
 type exclusion struct {
 	rate      float64       // Requests per second that the limits allow all gateways; 0 if none is limited.
-	localRate float64       // Requests per second that the parts of these limits held here allow.
+	localRate float64       // Requests per second that the shares of these limits held here allow.
 	backoff   time.Duration // Until the first backoff ends; 0 if none is backing off.
 }
 
 func (b exclusion) nonEmpty() bool { return b.rate > 0 || b.backoff > 0 }
 
 // addIfExcluded reports whether an endpoint is excluded now by its backoff or rate limit, and adds
-// the cause to total. For a rate limit it also signals that parts of limits are wanted from other
+// the cause to total. For a rate limit it also signals that shares of limits are wanted from other
 // gateways. The caller holds mu.
 func (g *Gateway) addIfExcluded(total *exclusion, e fleet.Endpoint, now time.Time) bool {
 	if remaining, backingOff := g.backoffs.BackingOff(incarnationOf(e), now); backingOff {
@@ -115,7 +115,7 @@
 	perSecond, _, _ := g.limits.Limited(e.ID)
 	total.rate += throttle.TotalRate(perSecond)
 	total.localRate += g.limits.AvailableRate(e.ID, now)
-	g.signalPartsWanted()
+	g.signalSharesWanted()
 	return true
 }
 
--- a/internal/gateway/borrow.go
+++ b/internal/gateway/borrow.go
@@ -32,15 +32,15 @@
 	follow.Update
 }
 
-// borrow fetches the published state from another gateway if the store has not confirmed it for a
-// while.
-func (n *PeerExchange) borrow(ctx context.Context) {
+// fetchIfStale fetches the published state from another gateway if the store has not confirmed it
+// for a while.
+func (n *PeerExchange) fetchIfStale(ctx context.Context) {
 	age := n.g.view.ConfirmedAge(n.g.cfg.Now())
-	if age < borrowAge {
-		n.borrowing = false
+	if age < fetchAge {
+		n.fetching = false
 		return
 	}
-	from, ok := n.chooseLender()
+	from, ok := n.chooseFetchPeer()
 	if !ok {
 		return
 	}
@@ -54,21 +54,21 @@
 		n.log.Warn("fetching published state from another gateway failed", zap.String("from", from), zap.String("error", err.Error()))
 		return
 	}
-	if !n.borrowing {
-		n.borrowing = true
+	if !n.fetching {
+		n.fetching = true
 		n.log.Info("fetching published state from another gateway", zap.String("from", from), zap.Uint64("version", p.Version), zap.Duration("its-age", p.Age), zap.Duration("own-age", age))
 	}
 }
 
-// chooseLender returns the gateway to fetch from. Every other call draws from the gateways of the
-// own failure domain that can read the store, since traffic between domains is expensive. The
+// chooseFetchPeer returns the gateway to fetch from. Every other call draws from the gateways of
+// the own failure domain that can read the store, since traffic between domains is expensive. The
 // remaining calls draw from all live gateways, since the state of all gateways of a domain may be
 // equally old; so does a call that finds none in the domain. If no gateway is known to be alive, it
 // draws from the seeds.
-func (n *PeerExchange) chooseLender() (address string, ok bool) {
-	n.lendersChosen++
+func (n *PeerExchange) chooseFetchPeer() (address string, ok bool) {
+	n.fetchPeersChosen++
 	list := n.neighboursWithStore()
-	if len(list) == 0 || n.lendersChosen%2 == 0 {
+	if len(list) == 0 || n.fetchPeersChosen%2 == 0 {
 		list = n.liveGateways()
 	}
 	if len(list) == 0 {
@@ -82,7 +82,7 @@
 
 // fetchAll fetches all published state from another gateway.
 func (n *PeerExchange) fetchAll(ctx context.Context, from string) (p published, err error) {
-	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	return n.fetch(ctx, from, "")
 }
@@ -106,10 +106,11 @@
 	return p, json.Unmarshal(raw, &p)
 }
 
-// mergePublished merges another gateway's state into the own view. The other gateway determined the
-// age no earlier than Held after requestedAt, when the call was sent, so the state is taken to be
-// no newer than it is. Nothing is removed, since the other gateway may be behind this one.
-// Endpoints that may have expired are not added.
+// mergePublished merges another gateway's state into the own view. Its age is taken to be as of
+// requestedAt, before the call was sent, plus the time for which the call was held. The other
+// gateway determined it no earlier, so the state never counts as newer than it is. Nothing is
+// removed, since the other gateway may be behind this one. Endpoints that may have expired are not
+// added.
 func (n *PeerExchange) mergePublished(p published, requestedAt time.Time) error {
 	if err := n.offerConfig(p); err != nil {
 		return err
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -94,7 +94,7 @@
 
 // candidates returns the endpoints of the service that may be tried, and the backoffs and rate
 // limits that exclude others for now. An endpoint that was sent the request already is no
-// candidate. The only exception is the one that closed a reused connection under the last attempt:
+// candidate. The only exception is the one that closed a reused connection during the last attempt:
 // it may be tried once more if there is no other candidate. The caller holds mu.
 func (q *request) candidates() (list []fleet.Endpoint, exclusions exclusion) {
 	var retryable []fleet.Endpoint
@@ -188,9 +188,9 @@
 	return ranks
 }
 
-// takeCapacity asks for a part of the free capacity of a group, for which other gateways compete,
-// and reports whether the request gets it. A request asks the same group again only after a newer
-// report of the group's load. The caller holds mu.
+// takeCapacity asks for capacity for the request in a group, for whose free capacity other gateways
+// compete, and reports whether the request gets it. A request asks the same group again only after
+// a newer report of the group's load. The caller holds mu.
 func (q *request) takeCapacity(group string, o grouplimit.Option) bool {
 	s := q.g.capacityShares[group]
 	if s == nil {
--- a/internal/gateway/cold_test.go
+++ b/internal/gateway/cold_test.go
@@ -130,13 +130,13 @@
 	s.withSocket(t)
 	s.sidecarPort = sidecar.LocalAddr().(*net.UDPAddr).Port
 	snap := follow.Snapshot{Config: fleet.NewConfig(1, nil, []fleet.Service{{Name: "s", Engine: &fleet.Engine{}}}, nil, fleet.Limits{}), UpTo: 1}
-	for i := range 3 * unheardHelloFanout {
+	for i := range 3 * noReportsHelloFanout {
 		snap.Endpoints = append(snap.Endpoints, fleet.Endpoint{ID: fmt.Sprint(i), Service: "s", Address: fmt.Sprint("127.0.0.1:", i+1), Revision: 1})
 	}
 	s.view.Replace(snap, time.Now(), false)
-	s.helloUnheardSidecars()
-	g.Expect(received(g, sidecar)).To(Equal(unheardHelloFanout), "the report of one is enough for all")
+	s.helloSidecarsIfNoReports()
+	g.Expect(received(g, sidecar)).To(Equal(noReportsHelloFanout), "the report of one is enough for all")
 	s.g.ReportLoad("127.0.0.1:1", balance.Load{Group: "g", At: time.Now()})
-	s.helloUnheardSidecars()
+	s.helloSidecarsIfNoReports()
 	g.Expect(received(g, sidecar)).To(BeZero())
 }
--- a/internal/gateway/ended.go
+++ b/internal/gateway/ended.go
@@ -73,8 +73,8 @@
 // may have aborted the attempt before the endpoint closed its listener. One check covers all
 // attempts within the delay.
 //
-// A healthy pooled connection that has been idle for up to maxIdleRepeatable counts as a sign that the
-// process still runs; only without one is a new connection opened.
+// A healthy pooled connection that has been idle for up to maxIdleRepeatable counts as a sign that
+// the process still runs; only without one is a new connection opened.
 func (g *Gateway) checkEndedLater(e fleet.Endpoint) {
 	if !g.unfinished.beginCheck(e.ID) {
 		return
@@ -113,8 +113,8 @@
 // is due that runs at this gateway, it begins the trial and the request may be sent.
 //
 // Without quarantine, each attempt, each gateway and each retry by the caller cost one more
-// endpoint, and its group about five seconds. On one day, three endpoints ended within five
-// seconds.
+// endpoint, and its group about five seconds. On one simulated day, a group was down for three
+// of every five seconds.
 func (q *request) checkQuarantined() bool {
 	now := q.g.cfg.Now()
 	v, left := q.g.suspects.Judge(q.key, now)
--- a/internal/gateway/figures.go
+++ b/internal/gateway/figures.go
@@ -27,10 +27,10 @@
 	limited               metrics.Gauge        // Endpoints that have announced a rate limit.
 	sentToLimited         metrics.Counter      // Requests sent to endpoints that have announced a rate limit.
 	throttled             metrics.Counter      // Requests refused because all endpoints were at their rate limits.
-	partsAsked            metrics.Counter      // Requests to other gateways for their parts of rate limits.
-	partsBorrowed         metrics.Counter      // Grants of such parts that were received.
-	partsLent             metrics.Counter      // Grants of such parts that were sent.
-	partsInvalid          metrics.Counter      // Messages about parts that were ignored as invalid.
+	sharesAsked           metrics.Counter      // Requests to other gateways for their shares of rate limits; metric names call shares parts.
+	sharesBorrowed        metrics.Counter      // Grants of such shares that were received.
+	sharesLent            metrics.Counter      // Grants of such shares that were sent.
+	sharesInvalid         metrics.Counter      // Messages about shares that were ignored as invalid.
 	invalidHeaders        metrics.Counter      // Invalid headers of answers that were ignored.
 	evacuatedDomains      metrics.Gauge        // Failure domains that are evacuated.
 	continuationsRejected metrics.Counter      // Answers and events that did not continue a cut stream at its position.
@@ -61,10 +61,10 @@
 		limited:               metrics.GetOrRegisterGauge("gateway.limited-endpoints", reg),
 		sentToLimited:         metrics.GetOrRegisterCounter("gateway.to-limited", reg),
 		throttled:             metrics.GetOrRegisterCounter("gateway.throttled", reg),
-		partsAsked:            metrics.GetOrRegisterCounter("gateway.parts-asked", reg),
-		partsBorrowed:         metrics.GetOrRegisterCounter("gateway.parts-borrowed", reg),
-		partsLent:             metrics.GetOrRegisterCounter("gateway.parts-lent", reg),
-		partsInvalid:          metrics.GetOrRegisterCounter("gateway.parts-invalid", reg),
+		sharesAsked:           metrics.GetOrRegisterCounter("gateway.parts-asked", reg),
+		sharesBorrowed:        metrics.GetOrRegisterCounter("gateway.parts-borrowed", reg),
+		sharesLent:            metrics.GetOrRegisterCounter("gateway.parts-lent", reg),
+		sharesInvalid:         metrics.GetOrRegisterCounter("gateway.parts-invalid", reg),
 		invalidHeaders:        metrics.GetOrRegisterCounter("gateway.invalid-headers", reg),
 		evacuatedDomains:      metrics.GetOrRegisterGauge("gateway.evacuated-domains", reg),
 		continuationsRejected: metrics.GetOrRegisterCounter("gateway.not-joined", reg),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -96,19 +96,19 @@
 	otherGateways  int                                    // Known gateways besides this one.
 	lastHelloAt    time.Time                              // When the last hello of another gateway was received.
 
-	started              time.Time
-	cold                 *coldstart.Pacer
-	backoffs             *backoff.Set
-	limits               *throttle.Limits
-	limitsChanged        chan struct{}                // Holds a value while a change of limits waits to be announced.
-	partsWanted          chan struct{}                // Holds a value from when a request finds no token of a rate limit until lend receives it.
-	invalidPartsLoggedAt time.Time                    // When an invalid message about parts was last logged.
-	backlogs             map[string]*throttle.Backlog // Callers refused by rate limits, by service.
-	coldRevisions        map[string]uint64            // Revision of the entry whose cold time was applied, by endpoint.
-	reportedGateways     int                          // Most gateways that a sidecar lately reported to know.
-	reportedGatewaysAt   time.Time                    // When reportedGateways was reported.
-	evacuated            evacuatedDomains
-	ownsTrialKey         func(k quarantine.Key) bool // Whether trials of a key run here; nil without peers.
+	started               time.Time
+	cold                  *coldstart.Pacer
+	backoffs              *backoff.Set
+	limits                *throttle.Limits
+	limitsChanged         chan struct{}                // Holds a value while a change of limits waits to be announced.
+	sharesWanted          chan struct{}                // Holds a value from when a request finds no token of a rate limit until lend receives it.
+	invalidSharesLoggedAt time.Time                    // When an invalid message about shares was last logged.
+	backlogs              map[string]*throttle.Backlog // Callers refused by rate limits, by service.
+	coldRevisions         map[string]uint64            // Revision of the entry whose cold time was applied, by endpoint.
+	reportedGateways      int                          // Most gateways that a sidecar lately reported to know.
+	reportedGatewaysAt    time.Time                    // When reportedGateways was reported.
+	evacuated             evacuatedDomains
+	ownsTrialKey          func(k quarantine.Key) bool // Whether trials of a key run here; nil without peers.
 
 	shapesMu     sync.Mutex                  // Guards the fields below.
 	shapesConfig *fleet.Config               // Configuration from which shapes were computed.
@@ -160,7 +160,7 @@
 		backoffs:      backoff.New(),
 		limits:        throttle.New(),
 		limitsChanged: make(chan struct{}, 1),
-		partsWanted:   make(chan struct{}, 1),
+		sharesWanted:  make(chan struct{}, 1),
 		backlogs:      map[string]*throttle.Backlog{},
 		coldRevisions: map[string]uint64{},
 		evacuated:     evacuatedDomains{},
@@ -187,8 +187,8 @@
 
 // sweep applies the view as ViewChanged does, and removes the state of endpoints that are no longer
 // listed and other state that has expired. It also updates the gauges of backoffs and rate limits.
-// Each part of the state is passed the time of the clock by which its entries were recorded: Now of
-// the Config, which counts suspensions of the machine, or time.Now.
+// Each kind of state is compared with the clock by which its entries were recorded: Now of the
+// Config, which counts suspensions of the machine, or time.Now.
 func (g *Gateway) sweep() {
 	s := g.view.State()
 	g.ViewChanged()
@@ -212,7 +212,7 @@
 
 // ViewChanged must be called after each change of the view. It publishes the idle timeout of
 // callers' connections and applies the changes of cold endpoints and evacuated failure domains. It
-// also closes the idle connections to endpoints that are leaving or no longer listed.
+// also closes at once the idle connections to endpoints that are leaving or no longer listed.
 func (g *Gateway) ViewChanged() {
 	s := g.view.State()
 	if s.Config != nil {
--- a/internal/gateway/lend.go
+++ b/internal/gateway/lend.go
@@ -18,42 +18,41 @@
 )
 
 const (
-	// lendInterval is the time between two checks for parts to request or to return, while there
+	// lendInterval is the time between two checks for shares to request or to return, while there
 	// may be any.
 	lendInterval = 25 * time.Millisecond
-	// invalidPartsLogInterval is the least time between two log lines about ignored messages.
-	invalidPartsLogInterval = 10 * time.Second
-	// maxPartLifetime is the longest lifetime accepted for a part; leases are far shorter.
-	maxPartLifetime = time.Hour
+	// invalidSharesLogInterval is the least time between two log lines about ignored messages.
+	invalidSharesLogInterval = 10 * time.Second
+	// maxShareLifetime is the longest lifetime accepted for a share; leases are far shorter.
+	maxShareLifetime = time.Hour
 )
 
-// signalPartsWanted signals that a request found no token of a rate limit.
-func (g *Gateway) signalPartsWanted() {
+// signalSharesWanted signals that a request found no token of a rate limit.
+func (g *Gateway) signalSharesWanted() {
 	select {
-	case g.partsWanted <- struct{}{}:
+	case g.sharesWanted <- struct{}{}:
 	default: // The signal is pending already.
 	}
 }
 
-// lend borrows parts of rate limits from other gateways and gives them back, until ctx is done. A
-// part is another gateway's share of an endpoint's rate limit, with its tokens, lent for a limited
-// time.
+// lend borrows shares of rate limits from other gateways and gives them back, until ctx is done.
+// Another gateway lends its share of an endpoint's rate limit, with its tokens, for a limited time.
 func (n *PeerExchange) lend(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-n.g.partsWanted:
+		case <-n.g.sharesWanted:
 		}
-		for n.sendDueParts() && ctx.Err() == nil {
+		for n.sendDueShares() && ctx.Err() == nil {
 			wait.For(ctx, lendInterval)
 		}
 	}
 }
 
-// sendDueParts sends the messages about parts that are due: requests to borrow and returns. It
-// reports whether more may become due without another signal of partsWanted.
-func (n *PeerExchange) sendDueParts() (more bool) {
+// sendDueShares sends the messages about shares that are due: requests to borrow and returns. It
+// reports whether more may become due without another signal of sharesWanted.
+func (n *PeerExchange) sendDueShares() (more bool) {
 	now := n.g.cfg.Now()
 	var messages []throttle.Outgoing
 	duty.Locked(&n.g.mu, func() {
@@ -63,48 +62,48 @@
 	byGateway := map[string][]peers.ShareMessage{}
 	for _, l := range messages {
 		if l.Kind == throttle.Borrow {
-			n.g.stats.partsAsked.Inc(1)
+			n.g.stats.sharesAsked.Inc(1)
 		}
 		byGateway[l.To] = append(byGateway[l.To], toShareMessage(l.ShareMessage))
 	}
-	for to, parts := range byGateway {
-		n.sendPartsTo(to, parts)
+	for to, shares := range byGateway {
+		n.sendSharesTo(to, shares)
 	}
 	return more
 }
 
-func (n *PeerExchange) sendPartsTo(to string, parts []peers.ShareMessage) {
-	for list := range slices.Chunk(parts, peers.MaxShares) {
+func (n *PeerExchange) sendSharesTo(to string, shares []peers.ShareMessage) {
+	for list := range slices.Chunk(shares, peers.MaxShares) {
 		n.socket.SendAll(addresses([]string{to}), peers.Message{Lending: &peers.Lending{Address: n.self, Shares: list}})
 	}
 }
 
-// receiveParts handles another gateway's message about parts, and answers it.
-func (n *PeerExchange) receiveParts(from netip.AddrPort, m peers.Lending) {
+// receiveShares handles another gateway's message about shares, and answers it.
+func (n *PeerExchange) receiveShares(from netip.AddrPort, m peers.Lending) {
 	if cause := n.g.invalidCause(m); cause != "" {
-		n.g.recordInvalidParts(from, cause)
+		n.g.recordInvalidShares(from, cause)
 		return
 	}
-	n.sendPartsTo(m.Address, n.g.applyParts(m))
+	n.sendSharesTo(m.Address, n.g.applyShares(m))
 }
 
-// applyParts applies the received messages about parts, and returns the answers to those that have
-// one.
-func (g *Gateway) applyParts(m peers.Lending) (answers []peers.ShareMessage) {
+// applyShares applies the received messages about shares, and returns the answers to those that
+// have one.
+func (g *Gateway) applyShares(m peers.Lending) (answers []peers.ShareMessage) {
 	now := g.cfg.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, p := range m.Shares {
-		part := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseTime: p.LeaseTime()}
-		answer, ok := g.limits.ReceiveMessage(m.Address, part, now)
+		share := throttle.ShareMessage{Kind: throttle.Kind(p.Kind), Endpoint: p.Endpoint, RequestNumber: p.RequestNumber, Tokens: p.Tokens, LeaseTime: p.LeaseTime()}
+		answer, ok := g.limits.ReceiveMessage(m.Address, share, now)
 		if ok {
 			answers = append(answers, toShareMessage(answer))
 		}
 		if answer.Kind == throttle.Grant {
-			g.stats.partsLent.Inc(1)
+			g.stats.sharesLent.Inc(1)
 		}
-		if part.Kind == throttle.Grant {
-			g.stats.partsBorrowed.Inc(1)
+		if share.Kind == throttle.Grant {
+			g.stats.sharesBorrowed.Inc(1)
 		}
 	}
 	return answers
@@ -125,30 +124,30 @@
 		return "from a gateway that is not known"
 	}
 	for _, p := range m.Shares {
-		if !validPart(p) {
+		if !validShare(p) {
 			return "a part with an invalid value"
 		}
 	}
 	return ""
 }
 
-func validPart(p peers.ShareMessage) bool {
+func validShare(p peers.ShareMessage) bool {
 	return p.Kind >= int(throttle.Borrow) && p.Kind <= int(throttle.Return) &&
 		p.Endpoint != "" && len(p.Endpoint) <= maxEndpointIDBytes && p.RequestNumber > 0 &&
 		p.Tokens >= 0 && !math.IsInf(p.Tokens, 0) && // False for NaN, too.
-		p.LeaseMs >= 0 && p.LeaseMs <= maxPartLifetime.Milliseconds()
+		p.LeaseMs >= 0 && p.LeaseMs <= maxShareLifetime.Milliseconds()
 }
 
-// recordInvalidParts counts an ignored message and logs it, at most once per
-// invalidPartsLogInterval.
-func (g *Gateway) recordInvalidParts(from netip.AddrPort, cause string) {
-	g.stats.partsInvalid.Inc(1)
+// recordInvalidShares counts an ignored message and logs it, at most once per
+// invalidSharesLogInterval.
+func (g *Gateway) recordInvalidShares(from netip.AddrPort, cause string) {
+	g.stats.sharesInvalid.Inc(1)
 	now := g.cfg.Now()
 	var loggedLately bool
 	duty.Locked(&g.mu, func() {
-		loggedLately = now.Sub(g.invalidPartsLoggedAt) < invalidPartsLogInterval
+		loggedLately = now.Sub(g.invalidSharesLoggedAt) < invalidSharesLogInterval
 		if !loggedLately {
-			g.invalidPartsLoggedAt = now
+			g.invalidSharesLoggedAt = now
 		}
 	})
 	if !loggedLately {
--- a/internal/gateway/lend_test.go
+++ b/internal/gateway/lend_test.go
@@ -29,7 +29,7 @@
 	return n
 }
 
-func TestInvalidMessagesAboutPartsAreIgnored(t *testing.T) {
+func TestInvalidMessagesAboutSharesAreIgnored(t *testing.T) {
 	valid := peers.ShareMessage{Kind: int(throttle.Borrow), Endpoint: "i", RequestNumber: 1}
 	change := func(f func(p *peers.ShareMessage)) peers.Lending {
 		p := valid
@@ -41,8 +41,8 @@
 		g := NewWithT(t)
 		n := newLender(t)
 		n.Receive(netip.AddrPort{}, peers.Message{Lending: &m})
-		g.Expect(n.g.stats.partsLent.Count()).To(Equal(lent))
-		g.Expect(n.g.stats.partsInvalid.Count()).To(Equal(bad))
+		g.Expect(n.g.stats.sharesLent.Count()).To(Equal(lent))
+		g.Expect(n.g.stats.sharesInvalid.Count()).To(Equal(bad))
 	}
 	t.Run("valid", func(t *testing.T) { assertLeft(t, change(func(*peers.ShareMessage) {}), 1, 0) })
 	for name, m := range map[string]peers.Lending{
@@ -66,11 +66,11 @@
 	t.Run("its own address", func(t *testing.T) {
 		n := newLender(t)
 		n.Receive(netip.AddrPort{}, peers.Message{Lending: &peers.Lending{Address: n.self, Shares: []peers.ShareMessage{valid}}})
-		NewWithT(t).Expect(n.g.stats.partsLent.Count()).To(BeZero())
+		NewWithT(t).Expect(n.g.stats.sharesLent.Count()).To(BeZero())
 	})
 }
 
-func TestMessageAboutPartsFitsAPacket(t *testing.T) {
+func TestMessageAboutSharesFitsAPacket(t *testing.T) {
 	g := NewWithT(t)
 	m := peers.Message{Lending: &peers.Lending{Address: "100.100.100.100:10000"}}
 	for i := range peers.MaxShares {
@@ -79,8 +79,8 @@
 	expectFitsPacket(g, m)
 }
 
-// Callers are asked to retry when the borrowed parts have capacity.
-func TestRetryAfterAccountsForBorrowedParts(t *testing.T) {
+// Callers are asked to retry when the borrowed shares have capacity.
+func TestRetryAfterAccountsForBorrowedShares(t *testing.T) {
 	g := NewWithT(t)
 	s := newSite(t, newStreamingEndpoint(0))
 	q := &request{g: s.Gateway, service: "s", exclusion: exclusion{rate: 4}}
--- a/internal/gateway/listen_test.go
+++ b/internal/gateway/listen_test.go
@@ -205,17 +205,17 @@
 	g.Expect(follower.FollowPeers(ctx)).NotTo(Succeed())
 }
 
-func TestPossiblyExpiredEndpointsAreNotBorrowed(t *testing.T) {
+func TestPossiblyExpiredEndpointsAreNotMerged(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	lender, borrower := newTestPeer(t, 7), newTestPeer(t, 9)
-	lender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
-	lender.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "missed", Revision: 7}}, UpTo: 7}, time.Now(), true)
-	p, err := borrower.fetchAll(ctx, lender.self)
+	sender, receiver := newTestPeer(t, 7), newTestPeer(t, 9)
+	sender.publish(3, 6, endpointAt("there", 5), endpointAt("missed", 6))
+	sender.view.Apply(follow.Changes{Removals: []follow.Removal{{Name: "missed", Revision: 7}}, UpTo: 7}, time.Now(), true)
+	p, err := receiver.fetchAll(ctx, sender.self)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(borrower.mergePublished(p, time.Now())).To(Succeed())
-	g.Expect(borrower.view.State().Endpoints).To(HaveKey("there"))
-	g.Expect(borrower.view.State().Endpoints).NotTo(HaveKey("missed"))
+	g.Expect(receiver.mergePublished(p, time.Now())).To(Succeed())
+	g.Expect(receiver.view.State().Endpoints).To(HaveKey("there"))
+	g.Expect(receiver.view.State().Endpoints).NotTo(HaveKey("missed"))
 }
 
 // Guards against many gateways that poll the same reader. With 100 gateways polling two readers, a
@@ -276,13 +276,13 @@
 	g.Expect(s.followOrder(time.Now())[0]).To(Equal(at(4)), "the seeds would have too many followers")
 }
 
-func TestBorrowingAlternatesBetweenOwnDomainAndAny(t *testing.T) {
+func TestFetchingAlternatesBetweenOwnDomainAndAny(t *testing.T) {
 	g := NewWithT(t)
 	s := newTestPeer(t, 1)
-	_, ok := s.chooseLender()
+	_, ok := s.chooseFetchPeer()
 	g.Expect(ok).To(BeFalse())
 	s.seeds = []string{s.self, "10.9.0.1:80"}
-	from, ok := s.chooseLender()
+	from, ok := s.chooseFetchPeer()
 	g.Expect(ok).To(BeTrue())
 	g.Expect(from).To(Equal("10.9.0.1:80"))
 	s.receiveHello(peers.Hello{Incarnation: 1, Address: "10.0.0.1:80", Domain: "a"})
@@ -291,7 +291,7 @@
 	}
 	near := 0
 	for range 100 {
-		if from, _ = s.chooseLender(); from == "10.0.0.1:80" {
+		if from, _ = s.chooseFetchPeer(); from == "10.0.0.1:80" {
 			near++
 		}
 	}
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -72,18 +72,18 @@
 	t.Cleanup(func() { g.Expect(asker.Close()).To(Succeed()) })
 	known := gatewaysIn(1, 2*peers.MaxKnownGateways)
 	n.roster.MergeMembers(known, time.Now())
-	greet := func(h peers.Hello) {
+	sendHello := func(h peers.Hello) {
 		h.Incarnation, h.Address, h.Domain = 1, asker.LocalAddr().String(), "a"
 		n.Receive(netip.MustParseAddrPort(h.Address), peers.Message{Hello: &h})
 	}
 
-	greet(peers.Hello{})
+	sendHello(peers.Hello{})
 	h := readHello(g, asker)
 	g.Expect(h.IsAnswer).To(BeTrue())
 	g.Expect(h.KnownGateways).To(BeEmpty())
 
-	greet(peers.Hello{IsAnswer: true}) // An answer is not answered.
-	greet(peers.Hello{QueriedDomain: known[0].Domain})
+	sendHello(peers.Hello{IsAnswer: true}) // An answer is not answered.
+	sendHello(peers.Hello{QueriedDomain: known[0].Domain})
 	listed := 0
 	for listed < len(known) {
 		h = readHello(g, asker)
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -24,14 +24,14 @@
 	helloInterval = roster.HelloInterval
 	// gatewayTTL is how long a gateway counts as live after its last hello.
 	gatewayTTL = roster.ExpireAfter
-	// unheardHelloInterval is the time between two hellos to sidecars while none of them reports.
+	// noReportsHelloInterval is the time between two hellos to sidecars while none of them reports.
 	// Gateways and sidecars that lost power together were up within a second of each other, and
 	// each missed hello keeps the callers of a gateway waiting.
-	unheardHelloInterval = 200 * time.Millisecond
-	// unheardHelloFanout is the number of sidecars, drawn at random each time, to which such a
+	noReportsHelloInterval = 200 * time.Millisecond
+	// noReportsHelloFanout is the number of sidecars, drawn at random each time, to which such a
 	// hello is sent. The report of one rank is valid for its whole group, and hellos of all
 	// gateways to all sidecars would be most of the traffic on their links after an outage.
-	unheardHelloFanout = 16
+	noReportsHelloFanout = 16
 	// sidecarHelloRounds is the number of hello rounds per hello to sidecars: a sidecar keeps a
 	// gateway as a subscriber for longer than one round.
 	sidecarHelloRounds = 2
@@ -39,12 +39,12 @@
 	// gateway sends hellos in addition to those of its failure domain, which receive them from
 	// hubs. Sidecars thus know gateways even if all those of their own domain have ended.
 	sidecarHelloFanout = 2
-	// borrowAge is the configuration age from which the published state is fetched from another
+	// fetchAge is the configuration age from which the published state is fetched from another
 	// gateway. While the store is reachable, its answers keep the age below this.
-	borrowAge = 2200 * time.Millisecond
-	// borrowInterval is the time between two such fetches, and borrowTimeout limits each of them.
-	borrowInterval = 400 * time.Millisecond
-	borrowTimeout  = 350 * time.Millisecond
+	fetchAge = 2200 * time.Millisecond
+	// fetchInterval is the time between two such fetches, and fetchTimeout limits each of them.
+	fetchInterval = 400 * time.Millisecond
+	fetchTimeout  = 350 * time.Millisecond
 	// maxPublishedBytes limits the size of another gateway's answer.
 	maxPublishedBytes = 16 << 20
 )
@@ -68,10 +68,10 @@
 	domain           string
 	mu               sync.Mutex
 	roster           *roster.Roster
-	borrowing        bool                 // State was fetched by borrow since the age of the view was last below borrowAge.
-	lendersChosen    int                  // Number of lenders chosen; used by the hello-and-borrow duty only.
-	sidecarsGreeted  bool                 // The first hello to listed sidecars was sent; used by that duty only.
-	helloRounds      int                  // Number of hello rounds; used by that duty only.
+	fetching         bool                 // State was fetched by fetchIfStale since the age of the view was last below fetchAge.
+	fetchPeersChosen int                  // Number of calls of chooseFetchPeer; used by helloAndFetch only.
+	sidecarHelloSent bool                 // The first hello to listed sidecars was sent; used by helloAndFetch only.
+	helloRounds      int                  // Number of hello rounds; used by helloAndFetch only.
 	storeUnreachable bool                 // As the follower last reported; other gateways do not follow this one then.
 	positions        peerPositions        // Positions of the last answers to long polls.
 	unresponsive     map[string]time.Time // When a gateway last failed to answer a long poll, by address.
@@ -93,7 +93,7 @@
 // connections.
 func NewPeerExchange(cfg PeerExchangeConfig, g *Gateway, socket *peers.Socket, log *zap.Logger) (n *PeerExchange, cleanup func()) {
 	t := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: borrowTimeout}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: fetchTimeout}).DialContext,
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     peers.ClientIdleTimeout,
 	}
@@ -123,7 +123,7 @@
 	n.g.suspects.MergeEnds(m.Ends, n.g.cfg.Now())
 	n.g.receiveLimits(from, m.Limits)
 	if m.Lending != nil {
-		n.receiveParts(from, *m.Lending)
+		n.receiveShares(from, *m.Lending)
 	}
 	switch {
 	case m.Hello != nil:
@@ -213,7 +213,7 @@
 }
 
 // liveGateways returns the addresses of the other gateways that are alive and not stopping, in
-// their order.
+// ascending order.
 func (n *PeerExchange) liveGateways() (list []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -228,40 +228,40 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	duties := duty.New(ctx, n.log, n.g.stats.reg, func(string) { cancel() })
-	duties.Go("greet", n.helloAndBorrow)
+	duties.Go("greet", n.helloAndFetch)
 	duties.Go("tell-news", n.announceChanges)
 	duties.Go("lend", n.lend)
 	return duties.Wait()
 }
 
-func (n *PeerExchange) helloAndBorrow(ctx context.Context) error {
+func (n *PeerExchange) helloAndFetch(ctx context.Context) error {
 	hello := time.NewTicker(helloInterval)
 	defer hello.Stop()
-	borrow := time.NewTicker(borrowInterval)
-	defer borrow.Stop()
-	unheard := time.NewTicker(unheardHelloInterval)
-	defer unheard.Stop()
+	fetch := time.NewTicker(fetchInterval)
+	defer fetch.Stop()
+	noReports := time.NewTicker(noReportsHelloInterval)
+	defer noReports.Stop()
 	n.sendHellos()
 	for {
 		select {
-		case <-n.viewUpdatesUntilGreeted():
+		case <-n.viewUpdatesUntilHello():
 			n.helloListedSidecars()
 		case <-ctx.Done():
 			return nil
 		case <-hello.C:
 			n.sendHellos()
-		case <-borrow.C:
-			n.borrow(ctx)
-		case <-unheard.C:
-			n.helloUnheardSidecars()
+		case <-fetch.C:
+			n.fetchIfStale(ctx)
+		case <-noReports.C:
+			n.helloSidecarsIfNoReports()
 		}
 	}
 }
 
-// viewUpdatesUntilGreeted returns a channel that is closed at the next change or confirmation of
+// viewUpdatesUntilHello returns a channel that is closed at the next change or confirmation of
 // the view. After the first hello to listed sidecars it returns nil, a channel that is never ready.
-func (n *PeerExchange) viewUpdatesUntilGreeted() <-chan struct{} {
-	if n.sidecarsGreeted {
+func (n *PeerExchange) viewUpdatesUntilHello() <-chan struct{} {
+	if n.sidecarHelloSent {
 		return nil
 	}
 	return n.g.view.Updated()
@@ -274,18 +274,18 @@
 	if len(to) == 0 {
 		return
 	}
-	n.sidecarsGreeted = true
+	n.sidecarHelloSent = true
 	n.helloSidecars(to)
 }
 
-// helloUnheardSidecars sends hellos to some sidecars while none of them reports and no planned stop
-// has begun. After an outage of both sides, sidecars that were not up yet have missed the last
+// helloSidecarsIfNoReports sends hellos to some sidecars while none of them reports and no planned
+// stop has begun. After an outage of both sides, sidecars that were not up yet have missed the last
 // hello, and requests wait for their reports.
-func (n *PeerExchange) helloUnheardSidecars() {
+func (n *PeerExchange) helloSidecarsIfNoReports() {
 	if leaving, _ := n.g.stopState(time.Now()); leaving || n.g.hasRecentRankReports(time.Now()) {
 		return
 	}
-	n.socket.SendAll(addressesOf(roster.RandomSubset(n.sidecars(), unheardHelloFanout, random)), peers.Message{Hello: n.sidecarHello()})
+	n.socket.SendAll(addressesOf(roster.RandomSubset(n.sidecars(), noReportsHelloFanout, random)), peers.Message{Hello: n.sidecarHello()})
 }
 
 // ownHello returns the hello that describes this gateway.
@@ -308,12 +308,12 @@
 	return h
 }
 
-// sendHellos sends a round of hellos to gateways, and hellos and ends to sidecars every
-// sidecarHelloRounds rounds, beginning with the first; during a planned stop in every round. It
-// also updates what depends on the number of gateways, and announces changed rate limits.
+// sendHellos sends a round of hellos to gateways. Once in sidecarHelloRounds rounds, beginning
+// with the first, and in every round during a planned stop, it also sends hellos and ends to
+// sidecars. It updates what depends on the number of gateways, and announces changed rate limits.
 func (n *PeerExchange) sendHellos() {
 	now := time.Now()
-	expired, greetings, others, lastHello := n.beginRound(now)
+	expired, hellos, others, lastHello := n.beginRound(now)
 	n.g.SetOtherGateways(others, lastHello)
 	n.g.setLimitGateways(n.self, n.liveGateways())
 	n.announceLimits()
@@ -322,9 +322,9 @@
 	}
 	ends := n.g.suspects.NextToSend(n.g.cfg.Now()) // All gateways are sent the same ends.
 	h := n.ownHello(now)
-	for _, greeting := range greetings {
-		h.QueriedDomain = greeting.QueryDomain
-		n.socket.SendAll(addresses([]string{greeting.Address}), peers.Message{Hello: h, Ends: ends})
+	for _, hello := range hellos {
+		h.QueriedDomain = hello.QueryDomain
+		n.socket.SendAll(addresses([]string{hello.Address}), peers.Message{Hello: h, Ends: ends})
 	}
 	n.helloRounds++
 	if leaving, _ := n.g.stopState(now); !leaving && n.helloRounds%sidecarHelloRounds != 1 {
@@ -337,12 +337,12 @@
 
 // beginRound begins a round of hellos. It returns the addresses of the gateways that have expired,
 // the hellos to send, the number of other live gateways, and when the last hello was received.
-func (n *PeerExchange) beginRound(now time.Time) (expired []string, greetings []roster.Hello, others int, lastHello time.Time) {
+func (n *PeerExchange) beginRound(now time.Time) (expired []string, hellos []roster.Hello, others int, lastHello time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	expired = n.roster.Expire(now)
-	greetings = n.roster.NextHellos(now, random)
-	return expired, greetings, len(n.roster.Alive(now)), n.roster.LastReceived()
+	hellos = n.roster.NextHellos(now, random)
+	return expired, hellos, len(n.roster.Alive(now)), n.roster.LastReceived()
 }
 
 // helloSidecars sends hellos to some of the sidecars and, if this gateway is a hub, to all sidecars
--- a/internal/gateway/ratelimit.go
+++ b/internal/gateway/ratelimit.go
@@ -126,9 +126,9 @@
 
 // assignThrottledRetry assigns a retry time to one more of the callers refused here, and returns
 // the time until then, when the rate limits by which it was excluded have capacity for it. Callers
-// return to any gateway, as do those refused by the others, so an equal part of the rate of all
-// gateways counts. If this gateway borrows parts, most callers come here, and the rate of its own
-// parts counts if it is higher. The caller holds mu.
+// return to any gateway, as do those refused by the others, so the rate of all gateways counts,
+// divided by their number. If this gateway borrows shares, most callers come here, and the rate of
+// the shares that it holds counts if it is higher. The caller holds mu.
 func (q *request) assignThrottledRetry(by exclusion) time.Duration {
 	g := q.g
 	b := g.backlogs[q.service]
--- a/internal/gateway/readers.go
+++ b/internal/gateway/readers.go
@@ -68,7 +68,8 @@
 
 // readerCandidates returns the other gateways of the domain that can read the store, in the order
 // of their addresses. If there are none and this one cannot read it either, by storeReachable, it
-// returns those that cannot. AnyReachable reports whether any other gateway can read the store.
+// returns those that cannot, the first of which keep trying. AnyReachable reports whether any other
+// gateway can read the store.
 func (n *PeerExchange) readerCandidates(storeReachable bool) (list []string, anyReachable bool) {
 	var unreachable []string
 	var near []roster.Gateway
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -36,7 +36,7 @@
 
 	attempted       []string            // Endpoints to which it was sent.
 	unreachable     []string            // Endpoints that could not be reached, or were found unusable right before sending.
-	closedReused    string              // Endpoint that only closed a reused connection under the last attempt; "" for none.
+	closedReused    string              // Endpoint that only closed a reused connection during the last attempt; "" for none.
 	notes           []string            // Result of each attempt, for the log.
 	mayHaveRun      bool                // An endpoint may have run it.
 	fallback        *fallbackAnswer     // Newest error answer that was held back to try another endpoint; nil if none.
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -185,9 +185,9 @@
 	return done
 }
 
-// streamFailed handles a stream that was cut. If the caller has left, the request ends.
-// Otherwise the failure counts against the endpoint, unless its silence has been recorded already
-// or the request is being moved.
+// streamFailed handles a stream that was cut. If the caller has left, the request ends. Otherwise
+// the failure counts against the endpoint, unless its silence has been recorded already or the
+// request is being moved.
 func (q *request) streamFailed(e fleet.Endpoint, err error) result {
 	if q.ctx.Err() != nil {
 		q.noteCallerLeft(e, "stream not ended", q.sentAt)
