--- a/internal/decide/admit/admit.go
+++ b/internal/decide/admit/admit.go
@@ -219,8 +219,8 @@
 	atLimit := len(q.running) >= int(q.limit)
 	switch {
 	case q.meanStepTime > q.cfg.StepTarget:
-		// A limit that is not used up falls from the number of running requests, since otherwise the
-		// change would have no effect on them.
+		// A limit that is not used up falls from the number of running requests: the lowered limit
+		// could otherwise still exceed that number, and would then have no effect.
 		base := min(q.limit, float64(max(len(q.running), q.cfg.MinLimit)))
 		q.limit = max(float64(q.cfg.MinLimit), base*limitDecrease)
 		q.adaptedAt = now
--- a/internal/decide/backoff/backoff.go
+++ b/internal/decide/backoff/backoff.go
@@ -10,8 +10,8 @@
 import "time"
 
 const (
-	// maxBackoff is the longest time for which an endpoint gets no request at all. If it asked for a
-	// longer backoff, trial requests then check whether it still does.
+	// maxBackoff is the longest time for which an endpoint gets no request at all because it asked for
+	// backoff. If it asked for a longer one, trial requests then check whether it still does.
 	maxBackoff = 5 * time.Minute
 	// trialInterval is the time between two trial requests while none is answered.
 	trialInterval = 10 * time.Second
--- a/internal/decide/coldstart/coldstart.go
+++ b/internal/decide/coldstart/coldstart.go
@@ -90,7 +90,7 @@
 
 // targetRateShare is the share of a cold endpoint's rate that all gateways together send. The budgets
 // of the gateways refill at random times: of 150 gateways that all send as much as they may, up to
-// twice the mean number send within one second.
+// twice as many as on average send within the same second.
 const targetRateShare = 0.8
 
 // Rate returns the requests per second that this gateway may send to a cold endpoint.
--- a/internal/decide/configadopt/configadopt.go
+++ b/internal/decide/configadopt/configadopt.go
@@ -59,8 +59,8 @@
 	return true
 }
 
-// recordConflict records a conflict if v is another manifest of the current generation: the
-// manifest of the two that is not newer, which is not adopted.
+// recordConflict records a conflict if v, a valid manifest, is another one of the current
+// generation. It remembers the one of the two that is not newer, and so is not adopted.
 func (s *State) recordConflict(v published.Version) {
 	if v.Generation != s.current.Generation || v.Hash == s.current.Hash {
 		return
--- a/internal/decide/estimate/estimate.go
+++ b/internal/decide/estimate/estimate.go
@@ -18,7 +18,7 @@
 	deviation time.Duration
 }
 
-// New returns an estimate without samples, in which the newest duration has the given weight, above 0
+// New returns an estimator without samples, in which the newest duration has the given weight, above 0
 // and at most 1.
 func New(weight float64) Estimator { return Estimator{weight: weight} }
 
--- a/internal/decide/eventtimeout/eventtimeout.go
+++ b/internal/decide/eventtimeout/eventtimeout.go
@@ -31,7 +31,8 @@
 }
 
 // BeforeFirst returns how long to wait for the first event after the request was sent:
-// targetFraction of the target, or firstEventFactor times FirstEvent if that is longer.
+// targetFraction of the target, or firstEventFactor times FirstEvent if that is longer. The
+// caller's timeout limits the wait, see limited.
 func (a Answer) BeforeFirst() time.Duration {
 	wait := max(time.Duration(targetFraction*float64(a.Target)), time.Duration(firstEventFactor*float64(a.FirstEvent)))
 	return a.limited(wait)
@@ -39,7 +40,7 @@
 
 // MidStream returns how long to wait for the next event after an event: missedPasses
 // passes, but at least the target, since a failing rank stalls its group for some time
-// and the stream then ends by itself.
+// and the stream then ends by itself. The caller's timeout limits the wait, see limited.
 func (a Answer) MidStream() time.Duration {
 	return a.limited(max(a.Target, missedPasses*a.PassTime))
 }
--- a/internal/decide/grouplimit/grouplimit.go
+++ b/internal/decide/grouplimit/grouplimit.go
@@ -75,7 +75,7 @@
 	minEstimate = 4
 	// moveThreshold is the fraction of MaxPause that the empty pass of a slow rank must exceed for
 	// its requests to be moved to other ranks: a single request makes a pass of the whole group
-	// last so long that the answers of the group are late until this rank holds no request.
+	// last so long that no answer of the group is in time until this rank holds no request.
 	moveThreshold = 0.5
 	// moveFill is the maximum fraction of the slots of the other ranks in use for the requests of
 	// slow ranks to be moved to them.
--- a/internal/decide/limit/share.go
+++ b/internal/decide/limit/share.go
@@ -27,13 +27,13 @@
 }
 
 // Share is the part of one customer's limit that one entry may admit. Every entry is entitled to an
-// equal part, which it always has, even when it is cut off. An entry that needs more borrows from
-// others what they do not use.
+// equal part, which it always has, even when it is partitioned off. An entry that needs more borrows
+// from others what they do not use.
 //
 // A lender forgoes what it lent until the lease expires. The lease expires later at the lender than at
 // the borrower, since the borrower counts it from before its request was sent; each uses its own
 // clock. The parts therefore never add up to more than the limit, whatever messages are lost or late
-// and whichever entries are cut off.
+// and whichever entries are partitioned off.
 type Share struct {
 	entitlement float64 // Requests per second.
 	lent        []lease
--- a/internal/decide/mapswitch/coordinator.go
+++ b/internal/decide/mapswitch/coordinator.go
@@ -85,9 +85,9 @@
 	return c, c.UnconfirmedOrders()
 }
 
-// Handle takes in a reply. It returns the coordinator after the reply and the orders to send. Replies
-// to another ballot or phase, refusals, and repeated confirmations change nothing. A reply that shows
-// a higher fence ends the coordinator as Beaten, a late reply to Arm as TooLate.
+// Handle takes in a reply. It returns the coordinator after the reply and the orders to send. Any
+// reply that shows a higher fence ends the coordinator as Beaten, a late reply to Arm as TooLate.
+// Otherwise, replies to another ballot or phase, refusals, and repeated confirmations change nothing.
 func (c Coordinator) Handle(r Reply) (Coordinator, []Order) {
 	if c.Ended() {
 		return c, nil
--- a/internal/decide/member/member.go
+++ b/internal/decide/member/member.go
@@ -378,9 +378,9 @@
 }
 
 // refute handles an update about this process. If the update says that the process is suspect or dead
-// in its current incarnation or a later one, the process takes the next incarnation. If it says that
-// the process is leaving, that is never refuted: the process leaves. An update with a later start
-// means that another process has taken over the name, which this one cannot refute.
+// in its current incarnation or a later one, the process takes the incarnation after that one. If it
+// says that the process is leaving, that is never refuted: the process leaves. An update with a later
+// start means that another process has taken over the name, which this one cannot refute.
 func (t *Table) refute(m Member) {
 	aboutSelf := m.StartedAt == t.self.StartedAt || m.StartedAt == 0 && m.Address == t.self.Address
 	if m.Leaving && aboutSelf && !t.self.Leaving {
@@ -430,8 +430,8 @@
 }
 
 // MergePlatformList merges the platform's list of instances. Unknown instances become members. A known
-// member is marked as leaving if the list says so for the same address. Since the list lags, it never
-// declares a member dead or alive.
+// member is marked as leaving if the list says so for the same address, this process itself if the list
+// says so for its name. Since the list lags, it never declares a member dead or alive.
 func (t *Table) MergePlatformList(list []Member, now time.Time) (changes []Change) {
 	for _, m := range list {
 		if m.Name == t.self.Name {
--- a/internal/decide/quarantine/quarantine.go
+++ b/internal/decide/quarantine/quarantine.go
@@ -153,8 +153,8 @@
 }
 
 // RecordAnswer records that an endpoint answered a request sent at sentAt, which shows that its
-// process had not ended before. Ends of this process recorded before sentAt become void. It reports
-// whether any of them had counted.
+// process had not ended before. The ends of that process before sentAt become void. RecordAnswer
+// reports whether any of them had counted.
 func (b *History) RecordAnswer(endpoint string, sentAt time.Time) bool {
 	counted := false
 	for _, e := range b.entries {
@@ -183,7 +183,8 @@
 //
 // While all ends may have the same cause, the request is free up to minEndsForTrial-1 ends. With more
 // it is held until sameCauseWindow after the last end. After ends with different causes or a failed
-// trial, it is held for holdAfter the number of failed trials. Each hold is followed by a trial.
+// trial, the hold starts at the last end, and holdAfter gives its length by the number of failed
+// trials. Each hold is followed by a trial.
 func (b *History) Judge(k Key, now time.Time) (v Verdict, remaining time.Duration) {
 	e := b.entries[k]
 	if e == nil {
--- a/internal/decide/rebalance/layer.go
+++ b/internal/decide/rebalance/layer.go
@@ -32,11 +32,12 @@
 	full       func(r int) bool // Reports whether a rank may gain no more experts; nil for never.
 }
 
-// newEditor returns an editor that changes the elements of l, but not the rows that they refer to.
+// newEditor returns an editor that replaces elements of l, which are lists of ranks, but does not
+// modify the lists themselves.
 func newEditor(s Shape, l Layer, tokens, speed []float64) *editor {
 	e := &editor{shape: s, layer: l, tokens: tokens, speed: speed, trialLoads: make([]float64, s.Ranks), inTrial: make([]bool, s.Ranks)}
 	e.loads = l.Loads(tokens, s.Ranks, speed)
-	e.initial = slices.Clone(l) // Rows are replaced, never changed.
+	e.initial = slices.Clone(l) // Its lists of ranks are replaced, never modified.
 	e.added = make([]int, s.Ranks)
 	e.rows = make([][]int, s.Ranks)
 	for x, ranks := range l {
--- a/internal/decide/rebalance/map.go
+++ b/internal/decide/rebalance/map.go
@@ -83,8 +83,8 @@
 }
 
 // Loads returns the load of each rank in one layer: the tokens of its experts divided
-// by its speed. The argument ranks is the number of ranks. A nil speed means that all
-// ranks have the same speed.
+// by its speed. The tokens of an expert are split evenly among its replicas. The argument
+// ranks is the number of ranks. A nil speed means that all ranks have the same speed.
 func (l Layer) Loads(tokens []float64, ranks int, speed []float64) []float64 {
 	loads := make([]float64, ranks)
 	for e, holders := range l {
@@ -119,8 +119,8 @@
 }
 
 // StepTime returns the duration of a step, and the duration that it would have if all
-// ranks had the mean load, for the given tokens by layer and expert. Both are sums of
-// loads over the layers, in the unit of Loads.
+// ranks had the mean load, for the given tokens by layer and expert. Both are sums over
+// the layers, in the unit of Loads: of the slowest rank's load, and of the mean load.
 func (m Map) StepTime(tokens [][]float64, ranks int, speed []float64) (slowest, mean float64) {
 	for l, layer := range m {
 		loads := layer.Loads(tokens[l], ranks, speed)
--- a/internal/decide/remap/remap.go
+++ b/internal/decide/remap/remap.go
@@ -126,10 +126,10 @@
 	return price.PerSecond*p.SavedSeconds(e, price.Horizon) - price.PerCopy*float64(p.Copies)
 }
 
-// IsWorthwhile reports whether a plan saves time and is worth more than its copies. It
-// must also shorten a pass by at least as much as copying lengthens one in the meantime:
-// a stream is late by its longest pass, so later savings do not compensate for a longer
-// pass.
+// IsWorthwhile reports whether a plan saves more time than the change itself costs, and
+// this saving is worth more than the copies. The plan must also shorten a pass by at least
+// as much as copying lengthens one in the meantime: a stream is late by its longest pass,
+// so later savings do not compensate for a longer pass.
 func (p Plan) IsWorthwhile(e Effort, price Price) bool {
 	return p.Gain() >= p.slowdown(e) && p.SavedSeconds(e, price.Horizon) > 0 && p.NetValue(e, price) > 0
 }
--- a/internal/decide/retry/retry.go
+++ b/internal/decide/retry/retry.go
@@ -59,7 +59,7 @@
 // none. A request that may have run is retried only if it is repeatable and the
 // policy allows it; a request that was not run is retried regardless of both. None
 // is retried after MaxAttempts attempts, or if the delay would reach the deadline.
-// The delay is random, below a ceiling that doubles with each attempt.
+// The delay is random, below a ceiling that doubles with each attempt up to maxDelay.
 func Next(a Attempt, now time.Time) (delay time.Duration, again bool) {
 	if a.Number >= MaxAttempts {
 		return 0, false
--- a/internal/decide/roster/roster.go
+++ b/internal/decide/roster/roster.go
@@ -60,7 +60,7 @@
 	Domain           string // Failure domain.
 	StartedAt        int64  // Start of its process, Unix milliseconds; 0 while only other gateways have reported it.
 	StoreUnreachable bool   // It gets no answer from the store.
-	Stopping         bool   // Its planned stop has begun.
+	Leaving          bool   // Its planned stop has begun.
 }
 
 // Member is a gateway and the time since its last message.
@@ -78,10 +78,10 @@
 // entry is the state of another gateway.
 type entry struct {
 	Gateway
-	seenAt      time.Time // Time of its last known message, to any gateway.
-	expired     bool      // Expire has returned it.
-	lastDirect  time.Time // Time of its last message to this gateway, sent by the process that StartedAt names; zero for none.
-	wasStopping bool      // The planned stop of that process has begun. Stopping may be cleared again, by reports of the next process.
+	seenAt     time.Time // Time of its last known message, to any gateway.
+	expired    bool      // Expire has returned it.
+	lastDirect time.Time // Time of its last message to this gateway, sent by the process that StartedAt names; zero for none.
+	wasLeaving bool      // The planned stop of that process has begun. Leaving may be cleared again, by reports of the next process.
 }
 
 // Roster is the view of one gateway.
@@ -110,23 +110,23 @@
 	}
 	e, known := r.getOrCreate(g.Address)
 	isNew = !known || e.StartedAt != g.StartedAt
-	*e = entry{Gateway: g, seenAt: now, lastDirect: now, wasStopping: g.Stopping || !isNew && e.wasStopping}
+	*e = entry{Gateway: g, seenAt: now, lastDirect: now, wasLeaving: g.Leaving || !isNew && e.wasLeaving}
 	r.lastReceived = now
 	r.addDomain(g.Domain)
 	return isNew
 }
 
-// LastDirect returns the gateway at an address as its last message to this gateway described it,
-// with the time since that message as Age. Stopping is set if the planned stop of that process
-// had begun, by the message or by any report since. ok is false if the gateway never sent a
-// message.
+// LastDirect returns what is known of the gateway at an address. StartedAt is that of the process
+// that sent its last message to this gateway, and Age is the time since that message. Leaving is
+// set if the planned stop of that process had begun, by the message or by any report since. ok is
+// false if the gateway never sent a message to this one.
 func (r *Roster) LastDirect(address string, now time.Time) (m Member, ok bool) {
 	e, ok := r.entries[address]
 	if !ok || e.lastDirect.IsZero() {
 		return Member{}, false
 	}
 	m = Member{e.Gateway, now.Sub(e.lastDirect)}
-	m.Stopping = e.wasStopping
+	m.Leaving = e.wasLeaving
 	return m, true
 }
 
@@ -161,7 +161,7 @@
 		if seenAt := now.Add(-m.Age); seenAt.After(e.seenAt) {
 			m.StartedAt = e.StartedAt // Known only from a message of the gateway itself.
 			e.Gateway, e.seenAt, e.expired = m.Gateway, seenAt, false
-			e.wasStopping = e.wasStopping || m.Stopping
+			e.wasLeaving = e.wasLeaving || m.Leaving
 			r.addDomain(m.Domain)
 		}
 	}
@@ -212,7 +212,7 @@
 	}
 }
 
-// Alive returns the other gateways that are alive and not stopping, in the order of their addresses.
+// Alive returns the other gateways that are alive and not leaving, in the order of their addresses.
 func (r *Roster) Alive(now time.Time) (list []Gateway) {
 	for _, e := range r.aliveEntries(now) {
 		list = append(list, e.Gateway)
@@ -220,10 +220,10 @@
 	return list
 }
 
-// aliveEntries returns the entries of the other gateways that are alive and not stopping, in the
+// aliveEntries returns the entries of the other gateways that are alive and not leaving, in the
 // order of their addresses.
 func (r *Roster) aliveEntries(now time.Time) []*entry {
-	return r.filter(func(e *entry) bool { return !e.Stopping && r.withinExpiry(e, now) })
+	return r.filter(func(e *entry) bool { return !e.Leaving && r.withinExpiry(e, now) })
 }
 
 // unreachable returns the entries that are remembered and not alive.
@@ -414,7 +414,7 @@
 }
 
 // AnswerQuery returns the answer to a gateway in askerDomain that queries a failure domain. The
-// answer holds the gateways that are alive, including stopping ones: all of the queried domain;
+// answer holds the gateways that are alive, including leaving ones: all of the queried domain;
 // all of the own domain, if the asker belongs to it; and the first Hubs of each other domain.
 func (r *Roster) AnswerQuery(askerDomain, queried string, now time.Time) (list []Member) {
 	perDomain := map[string]int{}
@@ -427,7 +427,7 @@
 	return list
 }
 
-// reportable returns the entries that are alive, including stopping ones, in the order of their
+// reportable returns the entries that are alive, including leaving ones, in the order of their
 // addresses.
 func (r *Roster) reportable(now time.Time) []*entry {
 	return r.filter(func(e *entry) bool { return r.withinExpiry(e, now) })
--- a/internal/decide/roster/roster_test.go
+++ b/internal/decide/roster/roster_test.go
@@ -293,7 +293,7 @@
 	g := NewWithT(t)
 	r := New(Gateway{Address: "a", Domain: "d"}, nil, origin)
 	now := origin.Add(3 * time.Second)
-	r.Receive(Gateway{Address: "b", Domain: "d", Stopping: true}, now)
+	r.Receive(Gateway{Address: "b", Domain: "d", Leaving: true}, now)
 	reported := func(age time.Duration) []Member {
 		return []Member{{Gateway: Gateway{Address: "b", Domain: "d"}, Age: age}}
 	}
--- a/internal/decide/throttle/lend.go
+++ b/internal/decide/throttle/lend.go
@@ -265,8 +265,8 @@
 
 // ReceiveMessage handles a message of another gateway. Only a borrow request has an answer; ok is
 // false when there is none. A borrow request for an endpoint without a known limit is refused. A
-// borrow request of an unknown gateway is ignored, as are returns and answers to requests that are
-// no longer open.
+// borrow request of an unknown gateway is ignored, as are the return of a share that is no longer
+// lent and the answer to a request that is no longer open.
 func (l *Limits) ReceiveMessage(from string, m ShareMessage, now time.Time) (answer ShareMessage, ok bool) {
 	e := l.endpoints[m.Endpoint]
 	if m.Kind == Borrow && (e == nil || !e.report.Limited) {
@@ -341,7 +341,7 @@
 		o.backoff = 0
 		until := o.askedAt.Add(min(m.LeaseTime, leaseTime))
 		if !until.After(now) {
-			return // The lease expired while the grant was in flight.
+			return // The lease expired while the grant was in transit.
 		}
 		o.grantNumber, o.grantedUntil = m.RequestNumber, until
 		e.resizeBucket(now)
--- a/internal/decide/throttle/share.go
+++ b/internal/decide/throttle/share.go
@@ -85,7 +85,7 @@
 // Next assigns a retry time to one more caller and returns the time until then. Consecutive retry
 // times are 1/rate apart, where rate is the capacity of this gateway in requests per second. A
 // caller whose retry time would be more than maxBacklog ahead gets maxBacklog, as do all further
-// ones until there is room again.
+// ones until a time within maxBacklog is free again.
 func (b *Backlog) Next(rate float64, now time.Time) time.Duration {
 	if b.lastAssigned.Before(now) {
 		b.lastAssigned = now
--- a/internal/decide/throttle/throttle.go
+++ b/internal/decide/throttle/throttle.go
@@ -197,7 +197,7 @@
 	return e.bucket
 }
 
-// NextUpdates returns up to limit updates that are due to be sent to the other gateways, and
+// NextUpdates returns up to maxCount updates that are due to be sent to the other gateways, and
 // counts them as sent.
 func (l *Limits) NextUpdates(maxCount int) (list []Update) {
 	for id, e := range l.endpoints {
@@ -223,7 +223,8 @@
 	return false
 }
 
-// ActiveLimits returns up to limit updates for limits in effect, for a gateway that may know none.
+// ActiveLimits returns up to maxCount updates for limits in effect, for a gateway that may know
+// none.
 func (l *Limits) ActiveLimits(maxCount int) (list []Update) {
 	for id, e := range l.endpoints {
 		if len(list) == maxCount {
--- a/internal/gateway/known.go
+++ b/internal/gateway/known.go
@@ -36,7 +36,7 @@
 			at[s.Domain] = i
 			known = append(known, peers.DomainGateways{Domain: s.Domain})
 		}
-		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), StoreUnreachable: s.StoreUnreachable, Leaving: s.Stopping})
+		known[i].Gateways = append(known[i].Gateways, peers.KnownGateway{Address: raw, AgeMs: s.Age.Milliseconds(), StoreUnreachable: s.StoreUnreachable, Leaving: s.Leaving})
 	}
 	return known
 }
@@ -52,7 +52,7 @@
 				continue
 			}
 			s := roster.Member{Age: g.Age()}
-			s.Address, s.Domain, s.StoreUnreachable, s.Stopping = a.String(), k.Domain, g.StoreUnreachable, g.Leaving
+			s.Address, s.Domain, s.StoreUnreachable, s.Leaving = a.String(), k.Domain, g.StoreUnreachable, g.Leaving
 			list = append(list, s)
 		}
 	}
--- a/internal/gateway/messages_test.go
+++ b/internal/gateway/messages_test.go
@@ -23,7 +23,7 @@
 func gatewaysIn(domains, n int) (list []roster.Member) {
 	for i := range n {
 		list = append(list, roster.Member{
-			Gateway: roster.Gateway{Address: fmt.Sprintf("100.100.%d.%d:10000", i/200, i%200), Domain: fmt.Sprintf("domain-name-%04d", i%domains), StoreUnreachable: i%2 == 0, Stopping: i%3 == 0},
+			Gateway: roster.Gateway{Address: fmt.Sprintf("100.100.%d.%d:10000", i/200, i%200), Domain: fmt.Sprintf("domain-name-%04d", i%domains), StoreUnreachable: i%2 == 0, Leaving: i%3 == 0},
 			Age:     4 * time.Second,
 		})
 	}
--- a/internal/gateway/neighbours.go
+++ b/internal/gateway/neighbours.go
@@ -181,9 +181,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if last, ok := n.roster.LastDirect(h.Address, now); ok && last.StartedAt < h.Incarnation {
-		previous = &peers.PreviousIncarnation{Incarnation: last.StartedAt, AgeMs: last.Age.Milliseconds(), Leaving: last.Stopping}
+		previous = &peers.PreviousIncarnation{Incarnation: last.StartedAt, AgeMs: last.Age.Milliseconds(), Leaving: last.Leaving}
 	}
-	isNew = n.roster.Receive(roster.Gateway{Address: h.Address, Domain: h.Domain, StartedAt: h.Incarnation, StoreUnreachable: h.StoreUnreachable, Stopping: h.Leaving}, now)
+	isNew = n.roster.Receive(roster.Gateway{Address: h.Address, Domain: h.Domain, StartedAt: h.Incarnation, StoreUnreachable: h.StoreUnreachable, Leaving: h.Leaving}, now)
 	n.roster.MergeMembers(known, now)
 	return isNew, previous
 }
